--- /dev/null
+++ b/decision/poll/recorded_test.go
@@ -0,0 +1,55 @@
+package poll_test
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"testing"
+	"time"
+
+	"beechcart/decision/poll"
+	"beechcart/internal/recorded"
+)
+
+// The calls that a seeded run of endings, renewals and switches leads to are the recorded ones.
+func TestRecordedRun(t *testing.T) {
+	trace := recorded.NewTrace()
+	for seed := range uint64(20) {
+		rng := rand.New(rand.NewPCG(seed, 2))
+		addresses := 1 + rng.IntN(4)
+		p, err := poll.New(poll.Defaults(), addresses, rand.New(rand.NewPCG(seed, 3)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		now := time.Duration(0)
+		for range 400 {
+			c := p.Next()
+			trace.Time(c.At, c.Wait, c.Within, c.Slack)
+			trace.Int(c.Address)
+			trace.Uint(c.Index)
+			now = max(now, c.At) + time.Duration(rng.Int64N(int64(8*time.Second)))
+			switch n := rng.IntN(20); n {
+			case 0:
+				p.Renew(now)
+				trace.Count("renew")
+			case 1:
+				addresses = 1 + rng.IntN(4)
+				p.Switch(now, addresses)
+				trace.Count("switch")
+			default:
+				r := poll.Result{Ending: poll.Ending(rng.IntN(4)), Doubt: rng.IntN(3) == 0, Late: rng.IntN(2) == 0}
+				if r.Ending == poll.Denied && rng.IntN(3) > 0 {
+					r.Ending = poll.Failed
+				}
+				if rng.IntN(6) > 0 {
+					r.Index = 90 + rng.Uint64N(20)
+				}
+				r.Cost = time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
+				r.Took = time.Duration(rng.Int64N(int64(4 * time.Second)))
+				p.Done(now, r)
+				trace.Count("ending " + strconv.Itoa(int(r.Ending)))
+			}
+		}
+		trace.Mark()
+	}
+	trace.Compare(t, "run")
+}
--- /dev/null
+++ b/internal/source/lastgood/recorded_test.go
@@ -0,0 +1,74 @@
+package lastgood_test
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"beechcart/decision/membership"
+	"beechcart/internal/recorded"
+	"beechcart/internal/source/lastgood"
+)
+
+// kept is a list with every field of an entry, and when it was good.
+func kept() ([]membership.Entry, time.Time) {
+	return []membership.Entry{
+		{Key: "node-1/e1", Addr: "10.0.0.1:8000", Zone: "east", Kind: "std", Cell: 3, Weight: 2.5, Created: 1<<63 + 5, Mark: "start \"7\"",
+			Started: 1_700_000_000_123 * time.Millisecond, Passing: true},
+		{Key: "node-2/e2", Addr: "[::1]:8001", Weight: 1, Drain: true, Passing: true},
+		{Key: "node-3/é\n", Addr: "10.0.0.3:8002", Cell: -1, Weight: 1e-9, Started: -time.Second},
+	}, time.UnixMilli(1_790_000_000_456)
+}
+
+// A file that an earlier build wrote is read, and the same list makes the same bytes again.
+func TestRecordedFile(t *testing.T) {
+	list, at := kept()
+	recorded.Compare(t, "list", lastgood.Encode(list, at))
+	text, err := os.ReadFile("testdata/recorded/list")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, read, err := lastgood.Decode(text)
+	if err != nil || !slices.Equal(got, list) || !read.Equal(at) {
+		t.Errorf("read %+v of %v, %v", got, read, err)
+	}
+	if again := lastgood.Encode(got, read); !bytes.Equal(again, text) {
+		t.Errorf("it is written as %q", again)
+	}
+}
+
+// The name to which a file that can't be used is moved is the recorded one.
+func TestRecordedFaults(t *testing.T) {
+	list, at := kept()
+	good := lastgood.Encode(list, at)
+	var out strings.Builder
+	for i, text := range [][]byte{
+		nil, good[:9], good[:30], good[:len(good)-3], append(bytes.Clone(good), 'x'), bytes.Replace(good, []byte("node-1"), []byte("node-9"), 1),
+		[]byte("#!/bin/sh\n"), []byte("beechcart-list 2 0 0\n"), []byte("beechcart-list x 0 0\n"), []byte("beechcart-list 1 2\n{}"),
+		lastgood.Encode([]membership.Entry{{Addr: "10.0.0.1:1"}}, at), good,
+	} {
+		dir := t.TempDir()
+		path := filepath.Join(dir, "engines.list")
+		if err := os.WriteFile(path, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		maxAge := time.Duration(0)
+		if i == 11 {
+			maxAge = 1 // a list of an hour ago is too old
+			if err := os.WriteFile(path, lastgood.Encode(list, time.Now().Add(-time.Hour)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		_, _, err := lastgood.New(path, 0, maxAge, slog.New(slog.NewTextHandler(io.Discard, nil))).Load()
+		files, _ := os.ReadDir(dir)
+		fmt.Fprintln(&out, i, err != nil, files[0].Name())
+	}
+	recorded.Compare(t, "faults", []byte(out.String()))
+}
