--- /dev/null
+++ b/internal/settings/recorded_test.go
@@ -0,0 +1,222 @@
+package settings_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"beechcart/admission"
+	"beechcart/internal/recording"
+	"beechcart/internal/settings"
+)
+
+// every is a configuration that has each field, and no two alike where they could be mixed up.
+const every = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.5,"memory_mb":128,"sockets":512},
+"changelog":"10.2.0.1:2379","known":{"seq":2,"results":[{"seq":1}]},"settings":{"discovery":"ask","me":3,"replicas_of_me":7,
+"locality":"c","zones":["a","b","c"],"skus":["std-12","std-8"],"over_share_worth":0.375,
+"rules":{"ask_every":1000000001,"answer_slack":1000000002,"drain_grace":1000000003,"cold_from":0.25,"cold":1000000004,
+"fall_multiple":4.5,"overload_for":1000000005,"settle_after_doubt":1000000006,"spare_attempts":5.5,"repeat_ratio":0.125,
+"ratio_span":1000000007},
+"reporting":{"via":"pull","columns":["utilization"]},
+"family_info":{"takes_grants":true,"lanes_count":true,"says_cost":true,"tells_every":1000000008,"overbooked":"overcommit",
+"most_grant":0.625,"size_cores":[12,8],"kind_memory_mb":[24576.5,16384],"threads_by_class":[4,2,1],
+"holds_tables":[true,false,false],"waits_for_loads":[false,true,false]},
+"permissions":{"cancel":true,"probes":true,"may_tell":true,"may_duplicate":true,"attempts_cap":6,"retry_after":true,
+"max_retry_after":1000000009,"connect_timeout":300000000,"conn_idle":20000000000},
+"prices":{"probe":0.03125,"handshake":0.015625},"callers":{"marks_retry":true},
+"services":[{"name":"load","on_time":1000000010,"aim_stretch":1.5,"deadline":1000000011,"points":12,"late_worth":0.75,
+"semantics":"non_idempotent","stays_in":["b","x"],"runs_on":["std-8","none"]},
+{"name":"put","on_time":1000000012,"deadline":1000000013,"points":3,"semantics":"idempotency_key","group":"cell",
+"memory_span":1000000014,"in_order":true},
+{"name":"lookup","on_time":1000000015,"deadline":1000000016,"points":1,"semantics":"read_like","group":"zone","stream":true}],
+"tenants":[{"name":"acme","fraction":0.6,"allowance_per_s":117.5},{"name":"north","fraction":0.4}],"unheard_of":{"x":1}}}`
+
+// least is a configuration that leaves out all that it may.
+const least = `{"listen":"10.0.0.4:7001","settings":{"replicas_of_me":1}}`
+
+// encoder writes values in a fixed order, without their names.
+type encoder struct{ bytes.Buffer }
+
+func (e *encoder) ints(values ...int) {
+	for _, v := range values {
+		fmt.Fprintf(e, "%d ", v)
+	}
+}
+
+func (e *encoder) durations(values ...time.Duration) {
+	for _, v := range values {
+		fmt.Fprintf(e, "%d ", int64(v))
+	}
+}
+
+func (e *encoder) floats(values ...float64) {
+	for _, v := range values {
+		fmt.Fprintf(e, "%016x ", math.Float64bits(v))
+	}
+}
+
+func (e *encoder) bools(values ...bool) {
+	for _, v := range values {
+		fmt.Fprintf(e, "%t ", v)
+	}
+}
+
+func (e *encoder) texts(values ...string) {
+	for _, v := range values {
+		fmt.Fprintf(e, "%q ", v)
+	}
+}
+
+func (e *encoder) line() { e.WriteByte('\n') }
+
+func (e *encoder) settings(s *admission.Settings) {
+	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.Via), int(s.Shortage))
+	e.floats(s.OverShareWorth, s.MostGrant, s.ProbePrice, s.ColdFrom, s.FallMultiple, s.SpareTries, s.TryRatio)
+	e.durations(s.AskEvery, s.NoteEvery, s.MaxPause, s.Slack, s.DrainGrace, s.Cold, s.FallWindow, s.Settle, s.TrySpan)
+	e.bools(s.Ask, s.Grants, s.Priorities, s.TellsCost, s.MayCancel, s.MayProbe, s.MayTell, s.MayCopy, s.MarksRetry, s.Budgeted)
+	e.line()
+	for _, k := range s.Kinds {
+		e.ints(k.Cores)
+		e.floats(k.MemoryMB)
+		e.line()
+	}
+	for _, c := range s.Classes {
+		e.durations(c.Aim, c.Deadline, c.Window)
+		e.floats(c.AimStretch, c.Worth, c.LateWorth)
+		e.ints(int(c.Effect), int(c.Group), c.Threads)
+		e.bools(c.InOrder, c.Stream, c.Holds, c.Waits)
+		e.ints(c.OnlyZones...)
+		e.texts("/")
+		e.ints(c.OnlyKinds...)
+		e.line()
+	}
+	for _, t := range s.Tenants {
+		e.floats(t.Share, t.AllowPerS)
+		e.line()
+	}
+}
+
+func (e *encoder) names(n *settings.Names) {
+	for _, m := range []map[string]int{n.Classes, n.Tenants, n.Zones, n.Kinds} {
+		for _, name := range []string{"load", "put", "lookup", "acme", "north", "a", "b", "c", "std-12", "std-8", "none"} {
+			e.ints(settings.Find(m, name))
+		}
+		e.ints(len(m))
+		e.line()
+	}
+	for i := range 4 {
+		e.texts(n.Class(i, []byte("as asked")))
+	}
+	e.line()
+}
+
+func (e *encoder) config(c *settings.Config) {
+	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
+	fmt.Fprintf(e, "%d ", c.Seed)
+	e.floats(c.Cores, c.HandshakePrice)
+	e.ints(c.MemoryMB, c.Sockets)
+	e.durations(c.ConnectTimeout)
+	e.line()
+	e.settings(&c.Admission)
+	e.names(&c.Names)
+}
+
+func loadText(t *testing.T, text string, env map[string]string) (*settings.Config, error) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	c, err := settings.Load(path, func(name string) string { return env[name] })
+	if err != nil {
+		return nil, fmt.Errorf("%s", strings.ReplaceAll(err.Error(), path, "FILE"))
+	}
+	return c, nil
+}
+
+// Each field of the platform's configuration comes to the same value as it was recorded.
+func TestRecordedConfiguration(t *testing.T) {
+	var out encoder
+	for _, k := range []struct {
+		text string
+		env  map[string]string
+	}{
+		{every, nil},
+		{every, map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}},
+		{least, nil},
+		{strings.Replace(every, `"retry_after":true`, `"retry_after":false`, 1), nil},
+		{strings.Replace(every, `"via":"pull"`, `"via":"piggyback"`, 1), nil},
+		{strings.Replace(every, `"via":"pull"`, `"via":"silent"`, 1), nil},
+		{strings.Replace(every, `"overcommit"`, `"cut"`, 1), nil},
+		{strings.Replace(every, `"overcommit"`, `"line_up"`, 1), nil},
+		{strings.Replace(every, `"group":"zone"`, `"group":"all"`, 1), nil},
+	} {
+		c, err := loadText(t, k.text, k.env)
+		require.NoError(t, err)
+		var one encoder
+		one.config(c)
+		fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+		if out.Len() < 100 {
+			out.Write(one.Bytes()) // the first in full
+		}
+	}
+	set, names, err := settings.Parse([]byte(every[strings.Index(every, `{"discovery"`) : len(every)-1]))
+	require.NoError(t, err)
+	var one encoder
+	one.settings(&set)
+	one.names(&names)
+	fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+	recording.Compare(t, "configuration", out.Bytes())
+}
+
+// What is said of a bad configuration is as it was recorded.
+func TestRecordedErrors(t *testing.T) {
+	var out bytes.Buffer
+	for _, text := range []string{
+		``, `[]`, `{"settings":`, `{"settings":{}}`, `{"listen":"b:1"}`, `{"listen":7,"settings":{}}`, `{"listen":"b:1","seed":"x","settings":{}}`,
+		`{"listen":"b:1","limits":{"cores":-1},"settings":{}}`, `{"listen":"b:1","limits":{"memory_mb":1.5},"settings":{}}`,
+		`{"listen":"b:1","limits":{"sockets":1e12},"settings":{}}`, `{"listen":"b:1","settings":{"me":"x"}}`,
+		`{"listen":"b:1","settings":{"rules":{"cold":"x"}}}`, `{"listen":"b:1","settings":{"rules":{"cold":1e300}}}`,
+		`{"listen":"b:1","settings":{"skus":["a"],"family_info":{"size_cores":["x"]}}}`,
+		`{"listen":"b:1","settings":{"skus":["a"],"family_info":{"kind_memory_mb":[-1]}}}`,
+		`{"listen":"b:1","settings":{"skus":"` + strings.Repeat("a", 80) + `"}}`,
+		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","deadline":true}]}}`,
+		`{"listen":"b:1","settings":{"services":[{"semantics":"odd"}]}}`, `{"listen":"b:1","settings":{"services":[{}]}}`,
+		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","group":"room"}]}}`,
+		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","stays_in":[1]}]}}`,
+		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","in_order":"yes"}]}}`,
+		`{"listen":"b:1","settings":{"reporting":{"via":"x"}}}`, `{"listen":"b:1","settings":{"family_info":{"overbooked":"x"}}}`,
+		`{"listen":"b:1","settings":{"tenants":[{"fraction":-1}]}}`, `{"listen":"b:1","settings":{"permissions":{"cancel":1}}}`,
+		`{"listen":"b:1","settings":{"prices":{"handshake":"x"}}}`, `{"listen":"b:1","settings":{"permissions":{"connect_timeout":-1}}}`,
+	} {
+		_, err := loadText(t, text, nil)
+		require.Error(t, err, text)
+		fmt.Fprintf(&out, "%v\n", err)
+	}
+	_, err := settings.Load("", os.Getenv)
+	require.Error(t, err)
+	fmt.Fprintf(&out, "%v\n", err)
+	recording.Compare(t, "load-errors", out.Bytes())
+}
+
+// What a check says of a configuration that reads, and that a front end can't serve with, is as it was recorded.
+func TestRecordedChecks(t *testing.T) {
+	var out bytes.Buffer
+	for _, text := range []string{
+		every, least, strings.Replace(every, `"sockets":512`, `"sockets":15`, 1), strings.Replace(every, `"replicas_of_me":7`, `"replicas_of_me":0`, 1),
+		strings.Replace(every, `"me":3`, `"me":7`, 1), strings.Replace(every, `"cold_from":0.25`, `"cold_from":1.5`, 1),
+		strings.Replace(every, `"name":"put"`, `"name":""`, 1), strings.Replace(every, `"name":"put"`, `"name":"load"`, 1),
+		strings.Replace(every, `"deadline":1000000016`, `"deadline":0`, 1),
+	} {
+		c, err := loadText(t, text, nil)
+		require.NoError(t, err, text)
+		fmt.Fprintf(&out, "%v\n", c.Check())
+	}
+	recording.Compare(t, "check-errors", out.Bytes())
+}
