--- /dev/null
+++ b/internal/operators/cuefile/recorded_test.go
@@ -0,0 +1,73 @@
+package cuefile_test
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"beechcart/internal/operators/cuefile"
+)
+
+// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
+func holdToRecording(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", name)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+		return
+	}
+	require.NoError(t, err)
+	assert.Equal(t, string(want), got, path)
+}
+
+func TestRecordedBuild(t *testing.T) {
+	every, err := cuefile.Build("testdata/every_field.cue")
+	require.NoError(t, err)
+	holdToRecording(t, "every_field.json", string(every))
+	empty := filepath.Join(t.TempDir(), "empty.cue")
+	require.NoError(t, os.WriteFile(empty, nil, 0o600))
+	defaults, err := cuefile.Build(empty)
+	require.NoError(t, err)
+	holdToRecording(t, "defaults.json", string(defaults))
+}
+
+func TestRecordedProblems(t *testing.T) {
+	const file = "bad.cue"
+	recordings, err := filepath.Abs(".")
+	require.NoError(t, err)
+	t.Chdir(t.TempDir())
+	var b strings.Builder
+	for _, text := range []string{
+		"\nmembership: max_out: 2", "consul: service: 7", "source: \"etcd\"", "consul: {\n\tadresses: []\n}",
+		"consul: addresses: [\"consul\"]", "consul: addresses: []", "consul: map: zone: \"room\"",
+		"source: \"consul\"\nconsul: {", "membership: max_out: 2\nconsul: wait_ms: 1", "consul: service: string",
+		"consul: wait_ms: 1\nconsul: slack_ms: 1\nfleet: ahead_ms: -1\nfleet: keepers: [{name: 1}]\nfleet: routes: [\"x\"]",
+		"membership: {suppress: 1, reuse: 2}", "consul: {min_pause_ms: 9000, max_pause_ms: 8000}",
+		"consul: cert_file: \"a\"", "fleet: 7", "log: level: \"loud\"", "clients: idle_ms: 1\nclients: max_sessions: -1",
+		"engines: reuse: true", "nope: 1", "last_good: max_age_ms: 1e12", "admin_socket: 1", "",
+	} {
+		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+		_, err := cuefile.Build(file)
+		fmt.Fprintf(&b, "%q\n", text)
+		var problems cuefile.Problems
+		if !errors.As(err, &problems) {
+			fmt.Fprintf(&b, "\tno list of problems: %v\n", err)
+		}
+		for _, p := range problems {
+			fmt.Fprintf(&b, "\tfile %q line %d field %q found %q allowed %q text %q\n\t%s\n",
+				p.File, p.Line, p.Field, p.Found, p.Allowed, p.Text, p)
+		}
+	}
+	_, err = cuefile.Build("none.cue")
+	fmt.Fprintf(&b, "no file: %v\n", err)
+	t.Chdir(recordings)
+	holdToRecording(t, "problems.txt", b.String())
+}
--- /dev/null
+++ b/internal/operators/recorded_test.go
@@ -0,0 +1,193 @@
+package operators_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/valyala/fastjson"
+
+	"beechcart/internal/operators"
+)
+
+// everyField is the built form of a file that sets every field.
+const everyField = "cuefile/testdata/recorded/every_field.json"
+
+// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
+func holdToRecording(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", name)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+		return
+	}
+	require.NoError(t, err)
+	assert.Equal(t, string(want), got, path)
+}
+
+// values lists each setting under its key in the file.
+func values(s *operators.Settings) string {
+	c, p, m, mp, f := &s.Consul, &s.Consul.Poll, &s.Consul.Membership, &s.Consul.Mapping, &s.Fleet
+	var keepers []string
+	for _, k := range f.Keepers {
+		keepers = append(keepers, strings.Join([]string{k.Name, k.Log, k.Ask, k.Gossip}, " "))
+	}
+	var b strings.Builder
+	for _, setting := range []struct {
+		key   string
+		value any
+	}{
+		{"source", s.Source}, {"log.level", s.Log.Level}, {"log.format", s.Log.Format},
+		{"consul.addresses", c.Addresses}, {"consul.service", c.Service}, {"consul.datacenter", c.Datacenter},
+		{"consul.namespace", c.Namespace}, {"consul.tag", c.Tag}, {"consul.filter", c.Filter},
+		{"consul.passing", c.Passing}, {"consul.consistency", c.Consistency}, {"consul.token_file", c.TokenFile},
+		{"consul.ca_file", c.CAFile}, {"consul.server_name", c.ServerName}, {"consul.cert_file", c.CertFile},
+		{"consul.key_file", c.KeyFile}, {"consul.max_body_mb", c.MaxBody}, {"consul.connect_ms", c.Connect},
+		{"consul.wait_ms", p.Wait}, {"consul.slack_ms", p.Slack}, {"consul.max_slack_ms", p.MaxSlack},
+		{"consul.confirm_ms", p.Confirm}, {"consul.min_gap_ms", p.MinGap}, {"consul.max_read_share", p.MaxShare},
+		{"consul.min_pause_ms", p.MinPause}, {"consul.max_pause_ms", p.MaxPause}, {"consul.hold_ms", p.HoldFor},
+		{"consul.map.zone", mp.Zone}, {"consul.map.kind", mp.Kind}, {"consul.map.cell", mp.Cell},
+		{"consul.map.weight", mp.Weight}, {"consul.map.mark", mp.Mark}, {"consul.map.started", mp.Started},
+		{"consul.map.drain_tag", mp.DrainTag}, {"consul.map.drain_meta", mp.DrainMeta},
+		{"membership.max_lag_ms", m.MaxLag}, {"membership.max_out", m.MaxOut}, {"membership.max_loss", m.MaxLoss},
+		{"membership.loss_window_ms", m.LossWindow}, {"membership.confirm_reads", m.ConfirmReads},
+		{"membership.confirm_after_ms", m.ConfirmAfter}, {"membership.doubt_for_ms", m.DoubtFor},
+		{"membership.reset_after_ms", m.ResetAfter}, {"membership.penalty", m.Penalty},
+		{"membership.half_life_ms", m.HalfLife}, {"membership.suppress", m.Suppress}, {"membership.reuse", m.Reuse},
+		{"membership.max_suppress_ms", m.MaxSuppress}, {"membership.linger_ms", m.Linger},
+		{"last_good.path", s.LastGood.Path}, {"last_good.write_every_ms", s.LastGood.WriteEvery},
+		{"last_good.max_age_ms", s.LastGood.MaxAge}, {"clients.idle_ms", s.Clients.Idle},
+		{"clients.max_sessions", s.Clients.MaxSessions}, {"engines.reuse", s.Reuse}, {"admin_socket", s.AdminSocket},
+		{"fleet.room", f.Room}, {"fleet.kind", f.Kind}, {"fleet.revision", f.Revision}, {"fleet.weight", f.Weight},
+		{"fleet.gossip", f.Gossip}, {"fleet.keepers", strings.Join(keepers, ", ")}, {"fleet.dir", f.Dir},
+		{"fleet.key_file", f.KeyFile}, {"fleet.routes", f.Routes}, {"fleet.disk_faults", f.DiskFaults},
+		{"fleet.ahead_ms", f.Ahead}, {"fleet key", f.Key},
+	} {
+		fmt.Fprintf(&b, "%s = %v\n", setting.key, setting.value)
+	}
+	return b.String()
+}
+
+func TestRecordedSettings(t *testing.T) {
+	defaults := operators.Default()
+	holdToRecording(t, "defaults.txt", values(&defaults))
+	every, err := operators.Load(everyField)
+	require.NoError(t, err)
+	holdToRecording(t, "every_field.txt", values(&every))
+	unchanged, err := operators.Load("")
+	require.NoError(t, err)
+	assert.Equal(t, values(&defaults), values(&unchanged))
+	for _, line := range strings.Split(strings.TrimSpace(values(&every)), "\n") {
+		if !strings.HasPrefix(line, "fleet key = ") {
+			assert.NotContains(t, values(&defaults), line+"\n", "a value that is the default shows nothing")
+		}
+	}
+}
+
+func TestRecordedSessionBounds(t *testing.T) {
+	var b strings.Builder
+	for _, sessions := range []int{0, 1, 100, 1000} {
+		for _, sockets := range []int{16, 250, 511, 4096} {
+			c := operators.Clients{MaxSessions: sessions}
+			fmt.Fprintf(&b, "max_sessions %d, %d descriptors: %d\n", sessions, sockets, c.Sessions(sockets))
+		}
+	}
+	for _, reuse := range []string{"auto", "on", "off"} {
+		for _, price := range []float64{0, 0.01} {
+			s := operators.Settings{Reuse: reuse}
+			trust, err := s.Connections(price, 512)
+			require.NoError(t, err)
+			fmt.Fprintf(&b, "reuse %s, handshake price %v: %t\n", reuse, price, trust != nil)
+		}
+	}
+	holdToRecording(t, "session_bounds.txt", b.String())
+}
+
+// badValues are put in the place of every value.
+var badValues = []string{
+	`null`, `{"no":1}`, `[]`, `[{"name":1}]`, `["x"]`, `-1`, `0.5`, `1e12`, `true`,
+	`"a string of more than forty characters, which an error cuts short"`,
+}
+
+// paths are those of all values, objects among them, in the order of the keys.
+func paths(v *fastjson.Value, prefix []string) (all [][]string) {
+	object, err := v.Object()
+	if err != nil {
+		return nil
+	}
+	var keys []string
+	object.Visit(func(key []byte, _ *fastjson.Value) { keys = append(keys, string(key)) })
+	slices.Sort(keys)
+	for _, key := range keys {
+		path := append(slices.Clone(prefix), key)
+		all = append(all, path)
+		all = append(all, paths(v.Get(key), path)...)
+	}
+	return all
+}
+
+func TestRecordedErrorsOfBadValues(t *testing.T) {
+	text, err := os.ReadFile(everyField)
+	require.NoError(t, err)
+	whole, err := fastjson.ParseBytes(text)
+	require.NoError(t, err)
+	var b strings.Builder
+	for _, path := range paths(whole, nil) {
+		for _, bad := range badValues {
+			changed := fastjson.MustParse(string(text))
+			parent := changed.Get(path[:len(path)-1]...)
+			parent.Set(path[len(path)-1], fastjson.MustParse(bad))
+			_, err := operators.Parse(changed.MarshalTo(nil))
+			fmt.Fprintf(&b, "%s\t%s\t%v\n", strings.Join(path, "."), bad, err)
+		}
+	}
+	for _, bad := range []string{``, `[`, `7`, `[]`, `{"schema":1,"nope":2}`, `{"schema":1,"consul":{"map":{"nope":2}}}`} {
+		_, err := operators.Parse([]byte(bad))
+		fmt.Fprintf(&b, "whole file\t%s\t%v\n", bad, err)
+	}
+	holdToRecording(t, "bad_values.txt", b.String())
+}
+
+func TestRecordedErrorsOfFiles(t *testing.T) {
+	recordings, err := filepath.Abs(".")
+	require.NoError(t, err)
+	t.Chdir(t.TempDir())
+	require.NoError(t, os.WriteFile("there", []byte(" 0123456789abcdef\n"), 0o600))
+	record := func(b *strings.Builder, name string, s operators.Settings) {
+		err := s.Check()
+		fmt.Fprintf(b, "%s: %v; key %q\n", name, err, s.Fleet.Key)
+	}
+	with := func(change func(*operators.Settings)) operators.Settings {
+		s := operators.Default()
+		s.Source = operators.Consul
+		change(&s)
+		return s
+	}
+	var b strings.Builder
+	record(&b, "defaults", operators.Default())
+	record(&b, "token file missing", with(func(s *operators.Settings) { s.Consul.TokenFile = "none" }))
+	record(&b, "authority file missing", with(func(s *operators.Settings) { s.Consul.CAFile = "none" }))
+	record(&b, "certificate missing", with(func(s *operators.Settings) { s.Consul.CertFile = "none" }))
+	record(&b, "certificate without key", with(func(s *operators.Settings) { s.Consul.CertFile = "there" }))
+	record(&b, "key without certificate", with(func(s *operators.Settings) { s.Consul.KeyFile = "there" }))
+	record(&b, "both", with(func(s *operators.Settings) { s.Consul.CertFile, s.Consul.KeyFile = "there", "there" }))
+	record(&b, "another source", with(func(s *operators.Settings) {
+		s.Source, s.Consul.TokenFile = operators.ChangeLog, "none"
+	}))
+	record(&b, "fleet key missing", with(func(s *operators.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "none" }))
+	record(&b, "fleet key there", with(func(s *operators.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "there" }))
+	_, err = operators.Load("none")
+	fmt.Fprintf(&b, "no file: %v\n", err)
+	require.NoError(t, os.WriteFile("bad", []byte(`{"schema":1,"source":7}`), 0o600))
+	_, err = operators.Load("bad")
+	fmt.Fprintf(&b, "bad file: %v\n", err)
+	t.Chdir(recordings)
+	holdToRecording(t, "file_errors.txt", b.String())
+}
--- /dev/null
+++ b/internal/settings/recorded_test.go
@@ -0,0 +1,156 @@
+package settings_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/valyala/fastjson"
+
+	"beechcart/internal/settings"
+)
+
+const everyField = "testdata/every_field.json"
+
+// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
+func holdToRecording(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", name)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
+		return
+	}
+	require.NoError(t, err)
+	assert.Equal(t, string(want), got, path)
+}
+
+// leaves lists every number and string that v holds, without names: zero values are left out, so that a
+// field may move into a struct of its own. Lists are sorted at the end, so that fields may change their order.
+func leaves(v reflect.Value) (list []string) {
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if !v.IsNil() {
+			list = leaves(v.Elem())
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			list = append(list, leaves(v.Field(i))...)
+		}
+	case reflect.Slice, reflect.Array:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			return []string{string(v.Bytes())}
+		}
+		for i := range v.Len() {
+			list = append(list, "["+strings.Join(leaves(v.Index(i)), " ")+"]")
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			list = append(list, fmt.Sprintf("%s:%d", key.String(), v.MapIndex(key).Int()))
+		}
+	case reflect.String:
+		if v.Len() > 0 {
+			list = []string{strconv.Quote(v.String())}
+		}
+	case reflect.Bool: // what a truth value does shows on the simulator's wire
+	case reflect.Float64:
+		if v.Float() != 0 {
+			list = []string{strconv.FormatFloat(v.Float(), 'g', -1, 64)}
+		}
+	case reflect.Uint64:
+		list = []string{strconv.FormatUint(v.Uint(), 10)}
+	default:
+		if v.Int() != 0 {
+			list = []string{strconv.FormatInt(v.Int(), 10)}
+		}
+	}
+	slices.Sort(list)
+	return list
+}
+
+func listing(c *settings.Config) string {
+	return strings.Join(leaves(reflect.ValueOf(c)), "\n") + "\n"
+}
+
+func env(values map[string]string) func(string) string {
+	return func(key string) string { return values[key] }
+}
+
+func TestRecordedConfig(t *testing.T) {
+	c, err := settings.Load(everyField, env(nil))
+	require.NoError(t, err)
+	require.NoError(t, c.Check())
+	holdToRecording(t, "every_field.txt", listing(c))
+	c, err = settings.Load(everyField, env(map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}))
+	require.NoError(t, err)
+	holdToRecording(t, "environment.txt", listing(c))
+	path := filepath.Join(t.TempDir(), "c.json")
+	require.NoError(t, os.WriteFile(path, []byte(`{"listen":"a:1","settings":{}}`), 0o600))
+	c, err = settings.Load(path, env(nil))
+	require.NoError(t, err)
+	holdToRecording(t, "defaults.txt", listing(c))
+}
+
+// paths are those of all values, objects and the first of each list among them, in the order of the keys.
+func paths(v *fastjson.Value, prefix []string) (all [][]string) {
+	var keys []string
+	if object, err := v.Object(); err == nil {
+		object.Visit(func(key []byte, _ *fastjson.Value) { keys = append(keys, string(key)) })
+		slices.Sort(keys)
+	} else if list, err := v.Array(); err == nil && len(list) > 0 {
+		keys = []string{"0"}
+	}
+	for _, key := range keys {
+		path := append(slices.Clone(prefix), key)
+		all = append(all, path)
+		if key == "known" { // passed on as it is
+			continue
+		}
+		all = append(all, paths(v.Get(key), path)...)
+	}
+	return all
+}
+
+// TestRecordedBadValues puts a bad value in the place of every value. What it does to the front end's settings is
+// recorded as the error's text.
+func TestRecordedBadValues(t *testing.T) {
+	text, err := os.ReadFile(everyField)
+	require.NoError(t, err)
+	whole, err := fastjson.ParseBytes(text)
+	require.NoError(t, err)
+	home, err := filepath.Abs(".")
+	require.NoError(t, err)
+	t.Chdir(t.TempDir())
+	var b strings.Builder
+	for _, path := range paths(whole, nil) {
+		for _, bad := range []string{`null`, `{"no":1}`, `[]`, `["x"]`, `-1`, `0.5`, `true`, `"x"`} {
+			changed := fastjson.MustParse(string(text))
+			changed.Get(path[:len(path)-1]...).Set(path[len(path)-1], fastjson.MustParse(bad))
+			require.NoError(t, os.WriteFile("c.json", changed.MarshalTo(nil), 0o600))
+			c, err := settings.Load("c.json", env(nil))
+			if err == nil {
+				err = c.Check()
+			}
+			fmt.Fprintf(&b, "%s\t%s\t%v\n", strings.Join(path, "."), bad, err)
+		}
+	}
+	for _, bad := range []string{``, `[`, `[]`, `{"seed":"x"}`} {
+		require.NoError(t, os.WriteFile("c.json", []byte(bad), 0o600))
+		_, err := settings.Load("c.json", env(nil))
+		fmt.Fprintf(&b, "whole file\t%s\t%v\n", bad, err)
+	}
+	for _, path := range []string{"", "none.json"} {
+		_, err := settings.Load(path, env(nil))
+		fmt.Fprintf(&b, "file %q\t%v\n", path, err)
+	}
+	t.Chdir(home)
+	holdToRecording(t, "bad_values.txt", b.String())
+}
