--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 test:
 	bash .ci/run
 
-# What README's test command runs: form, vet, staticcheck, and all tests in release and debug builds with the race detector.
+# What README's test command runs: form, linters, and all tests in release and debug builds with the race detector.
 check: lint cheap
 	go build ./...
 	go build -tags lean -o /dev/null ./cmd/beechcart
@@ -20,10 +20,14 @@
 	go test -count=1 -run 'Search|At300|Walks|Mutations' ./decision/rollout ./decision/ledger
 	go test -race -count=1 -tags debug ./internal/... ./decision/...
 
+# Form, vet on each build, staticcheck, and golangci-lint, whose version tools/go.mod fixes and whose rules are in
+# .golangci.yml.
 lint:
 	@unformatted=$$(gofmt -l .); test -z "$$unformatted" || { echo "not gofmt-clean: $$unformatted"; exit 1; }
 	go vet ./... && go vet -tags debug ./... && go vet -tags lean ./cmd/beechcart ./internal/source/...
 	go tool staticcheck ./...
+	go build -C tools -o ../bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
+	bin/golangci-lint run
 
 # Counts what requests cost and holds them to bench/baseline.json.
 cheap: build
