--- /dev/null
+++ b/decision/rollout/recorded_test.go
@@ -0,0 +1,491 @@
+package rollout_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"beechcart/decision/rollout"
+)
+
+// checkRecorded compares bytes with those that a file of testdata/recorded holds. A missing file is written where
+// RECORD=1 is set, and fails the test elsewhere; one that exists is never written.
+func checkRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "recorded", name)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+		return
+	}
+	require.NoError(t, err)
+	require.True(t, bytes.Equal(want, got), "%s: recorded\n%s\nfound\n%s", path, clip(want), clip(got))
+}
+
+func clip(text []byte) []byte { return text[:min(len(text), 4000)] }
+
+// fill sets every exported field that v reaches, in the order of their declaration, to a value of its own.
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				fill(v.Field(i), n)
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		fill(v.Index(0), n)
+		fill(v.Index(1), n)
+	case reflect.Array:
+		for i := range v.Len() {
+			fill(v.Index(i), n)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, n)
+		fill(value, n)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text-", *n))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*n))
+	case reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.25)
+	default:
+		panic("recorded: no value for a " + v.Kind().String())
+	}
+}
+
+// rewrite reads a JSON text into a new value of the type and writes it.
+func rewrite[T any](t *testing.T, text []byte) []byte {
+	t.Helper()
+	var value T
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	require.NoError(t, decoder.Decode(&value))
+	written, err := json.Marshal(value)
+	require.NoError(t, err)
+	return written
+}
+
+// The log's entries: a command of each type with every field set, one a line.
+func TestRecordedCommands(t *testing.T) {
+	const shared = 3 // fields of every command: ID, By, At
+	command := reflect.TypeOf(rollout.Command{})
+	var lines bytes.Buffer
+	for i := shared; i < command.NumField(); i++ {
+		n := 100 * i
+		value := reflect.New(command).Elem()
+		for field := range shared {
+			fill(value.Field(field), &n)
+		}
+		fill(value.Field(i), &n)
+		text, err := json.Marshal(value.Interface())
+		require.NoError(t, err)
+		assert.Equal(t, string(text), string(rewrite[rollout.Command](t, text)))
+		lines.Write(append(text, '\n'))
+	}
+	checkRecorded(t, "commands.jsonl", lines.Bytes())
+}
+
+// An answer with every field set, as the HTTP interface of replicas sends it.
+func TestRecordedResult(t *testing.T) {
+	var result rollout.Result
+	n := 0
+	fill(reflect.ValueOf(&result).Elem(), &n)
+	text, err := json.Marshal(result)
+	require.NoError(t, err)
+	assert.Equal(t, string(text), string(rewrite[rollout.Result](t, text)))
+	checkRecorded(t, "result.json", text)
+}
+
+// A snapshot with every field set is read and written as it was.
+func TestRecordedSnapshot(t *testing.T) {
+	var state rollout.State
+	n := 0
+	fill(reflect.ValueOf(&state).Elem(), &n)
+	state.Version, state.Settings = 1, rollout.Defaults()
+	text, err := json.Marshal(state)
+	require.NoError(t, err)
+	machine := newMachine(t, "{}")
+	require.NoError(t, machine.Restore(text))
+	written, err := machine.Snapshot()
+	require.NoError(t, err)
+	assert.Equal(t, string(text), string(written))
+	checkRecorded(t, "snapshot.json", text)
+}
+
+// newMachine returns an empty fleet's state machine whose settings are the defaults with a JSON text over them.
+func newMachine(t *testing.T, settings string) *rollout.Machine {
+	t.Helper()
+	set := rollout.Defaults()
+	require.NoError(t, json.Unmarshal([]byte(settings), &set))
+	machine, err := rollout.New(set)
+	require.NoError(t, err)
+	return machine
+}
+
+// view is what the run reads of a snapshot to draw its commands.
+type view struct {
+	Members map[string]struct {
+		Incarnation, Seq uint64
+		Revision, Wanted string
+		Phase            string
+		Doubted          bool
+	}
+	Engines map[string]struct{ Process uint64 }
+	Permits map[uint64]permitView
+	Release *struct{ Number, Window uint64 }
+}
+
+type permitView struct {
+	Number, Incarnation uint64
+	Holder              string
+	Engine              bool
+	Begun               int64
+	MayStop             int64 `json:"may_stop"`
+}
+
+// seededRun plays commands of every type, drawn from a seed as JSON texts, and hashes every answer and the state.
+type seededRun struct {
+	t       *testing.T
+	machine *rollout.Machine
+	rng     *rand.Rand
+	now     time.Duration
+	view    view
+	hash    interface{ Write([]byte) (int, error) }
+	counts  map[string]int
+	ids     int
+	sent    []string
+}
+
+func (r *seededRun) refresh() {
+	text, err := r.machine.Snapshot()
+	require.NoError(r.t, err)
+	r.hash.Write(text)
+	r.view = view{}
+	require.NoError(r.t, json.Unmarshal(text, &r.view))
+	for _, permit := range r.view.Permits {
+		if permit.MayStop > 0 {
+			r.counts["state may stop"]++
+		}
+	}
+}
+
+// apply plays one command, without its time.
+func (r *seededRun) apply(text string) {
+	r.now += time.Duration(r.rng.IntN(600)) * time.Millisecond
+	var command rollout.Command
+	require.NoError(r.t, json.Unmarshal([]byte(text), &command), text)
+	command.At = r.now
+	result, err := json.Marshal(r.machine.Apply(command))
+	require.NoError(r.t, err)
+	r.hash.Write(result)
+	var kind map[string]json.RawMessage
+	require.NoError(r.t, json.Unmarshal([]byte(text), &kind))
+	var answer struct {
+		Refusal *struct{ Code string }
+		State   string
+	}
+	require.NoError(r.t, json.Unmarshal(result, &answer))
+	for name := range kind {
+		if name == "id" || name == "by" {
+			continue
+		}
+		if name += " done"; answer.Refusal != nil {
+			name = name[:len(name)-len("done")] + answer.Refusal.Code
+		}
+		r.counts[name]++
+	}
+	if answer.State != "" {
+		r.counts["release "+answer.State]++
+	}
+	if r.sent = append(r.sent, text); len(r.sent) > 40 {
+		r.sent = r.sent[1:]
+	}
+}
+
+func (r *seededRun) member() string { return fmt.Sprint("n", r.rng.IntN(12)) }
+func (r *seededRun) engine() string { return fmt.Sprint("e", r.rng.IntN(6)) }
+func (r *seededRun) room(name string) string {
+	return fmt.Sprint("room-", string(rune('a'+int(name[len(name)-1])%3)))
+}
+
+func (r *seededRun) say(name string, incarnation, seq uint64, revision, phase string) string {
+	return fmt.Sprintf(`{"say":{"name":%q,"room":%q,"kind":"std-%d","weight":%d,`+
+		`"incarnation":%d,"seq":%d,"revision":%q,"phase":%q}}`,
+		name, r.room(name), len(name), 8+r.rng.IntN(3), incarnation, seq, revision, phase)
+}
+
+// next is the word of the process that comes after a member's own.
+func (r *seededRun) next(name, phase string) string {
+	member := r.view.Members[name]
+	revision := member.Wanted
+	if revision == "" {
+		revision = "r0"
+	}
+	return r.say(name, member.Incarnation+1, 1, revision, phase)
+}
+
+func (r *seededRun) more(name, phase string) string {
+	member := r.view.Members[name]
+	return r.say(name, max(1, member.Incarnation), member.Seq+1, member.Revision, phase)
+}
+
+// operator gives a command an id, now and then one that was used before.
+func (r *seededRun) operator(format string, args ...any) string {
+	if r.ids++; r.rng.IntN(20) == 0 {
+		r.ids--
+	}
+	return fmt.Sprintf(`{"id":"op%d","by":"ann",`, r.ids) + fmt.Sprintf(format, args...)[1:]
+}
+
+func (r *seededRun) permit() (permitView, bool) {
+	numbers := r.machine.Numbers()
+	if len(numbers) == 0 {
+		return permitView{}, false
+	}
+	permit, ok := r.view.Permits[numbers[r.rng.IntN(len(numbers))]]
+	return permit, ok
+}
+
+func (r *seededRun) count(requests, failures int) string {
+	return fmt.Sprintf(`{"requests":%d,"failed":%d,"refused":%d,"slow":%d}`,
+		requests, r.rng.IntN(failures+1), r.rng.IntN(3), r.rng.IntN(4))
+}
+
+func (r *seededRun) health() string {
+	if r.view.Release == nil {
+		return `{"tick":{}}`
+	}
+	bad := 1
+	if r.rng.IntN(60) == 0 {
+		bad = 40
+	}
+	return fmt.Sprintf(`{"health":{"release":%d,"window":%d,"rooms":[`+
+		`{"room":"room-a","new":%s,"old":%s},{"room":"room-b","new":%s,"old":%s}]}}`,
+		r.view.Release.Number, r.view.Release.Window+uint64(r.rng.IntN(3)),
+		r.count(50+r.rng.IntN(100), bad), r.count(300, 3), r.count(60, bad), r.count(200, 2))
+}
+
+// onPermit draws a command of who holds a permit.
+func (r *seededRun) onPermit() string {
+	p, ok := r.permit()
+	switch {
+	case !ok:
+		return `{"tick":{}}`
+	case p.Engine && r.rng.IntN(6) == 0:
+		return fmt.Sprintf(`{"engine":{"name":%q,"room":%q,"cores":12,"process":%d,"listed":true,"ready":true}}`,
+			p.Holder, r.room(p.Holder), p.Incarnation+1)
+	case p.Engine:
+		for name := range 12 {
+			r.apply(r.empty(fmt.Sprint("n", name), p.Number))
+		}
+		return r.empty(r.member(), p.Number)
+	case p.Begun == 0 || r.rng.IntN(6) == 0:
+		return fmt.Sprintf(`{"begin":{"name":%q,"incarnation":%d,"permit":%d}}`, p.Holder, p.Incarnation, p.Number)
+	}
+	switch r.rng.IntN(6) {
+	case 0:
+		return fmt.Sprintf(`{"return":{"name":%q,"incarnation":%d,"permit":%d}}`, p.Holder, p.Incarnation, p.Number)
+	case 1:
+		return r.more(p.Holder, "leaving")
+	case 2:
+		return r.more(p.Holder, "gone")
+	}
+	return r.next(p.Holder, "serving")
+}
+
+// empty is a member's word on the engine of a permit, now and then of an older process.
+func (r *seededRun) empty(name string, permit uint64) string {
+	incarnation := max(1, r.view.Members[name].Incarnation) - uint64(r.rng.IntN(100)/99)
+	return fmt.Sprintf(`{"empty":{"name":%q,"incarnation":%d,"permit":%d}}`, name, incarnation, permit)
+}
+
+func (r *seededRun) onEngine() string {
+	name := r.engine()
+	process := r.view.Engines[name].Process + uint64(r.rng.IntN(3))/2
+	return fmt.Sprintf(`{"engine":{"name":%q,"room":%q,"kind":"std-12","cores":12,"process":%d,"listed":%v,"ready":%v}}`,
+		name, r.room(name), process, r.rng.IntN(6) > 0, r.rng.IntN(6) > 0)
+}
+
+func (r *seededRun) holder() string {
+	if p, ok := r.permit(); ok && r.rng.IntN(4) == 0 {
+		return fmt.Sprintf(`{"name":%q,"engine":%v}`, p.Holder, p.Engine)
+	}
+	if r.rng.IntN(2) == 0 {
+		return fmt.Sprintf(`{"name":%q,"engine":true}`, r.engine())
+	}
+	return fmt.Sprintf(`{"name":%q}`, r.member())
+}
+
+func (r *seededRun) byOperator() string {
+	switch r.rng.IntN(16) {
+	case 0, 1:
+		return r.operator(`{"drain":%s}`, r.holder())
+	case 2, 3:
+		if p, ok := r.permit(); ok {
+			return r.operator(`{"undrain":{"name":%q,"engine":%v}}`, p.Holder, p.Engine)
+		}
+		return r.operator(`{"undrain":%s}`, r.holder())
+	case 4:
+		if r.rng.IntN(3) == 0 {
+			return r.operator(`{"forget":%s}`, r.holder())
+		}
+	case 5, 6, 7:
+		return r.operator(`{"start":{"revision":"r%d","waves":[0.1,0.5,1],"soak":%d}}`,
+			r.rng.IntN(40), r.rng.IntN(1000)*1000_000)
+	case 8:
+		if r.rng.IntN(3) > 0 {
+			break
+		}
+		return r.operator(`{"halt":{"cause":"a test"}}`)
+	case 9, 10, 11, 12:
+		return r.operator(`{"resume":{}}`)
+	case 13:
+		if r.rng.IntN(3) > 0 {
+			break
+		}
+		return r.operator(`{"way_back":{}}`)
+	case 14:
+		return r.operator(`{"configure":%s}`, r.settings())
+	case 15:
+		return r.operator(`{"start":{"revision":"r1","waves":[0.5,0.2]}}`)
+	}
+	return `{"tick":{}}`
+}
+
+func (r *seededRun) settings() string {
+	set := rollout.Defaults()
+	require.NoError(r.t, json.Unmarshal([]byte(recordedSettings), &set))
+	set.Engines.Most = r.rng.IntN(3) // 0 is refused
+	text, err := json.Marshal(set)
+	require.NoError(r.t, err)
+	return string(text)
+}
+
+// draw is the next command.
+func (r *seededRun) draw() string {
+	name := r.member()
+	member := r.view.Members[name]
+	switch r.rng.IntN(24) {
+	case 0:
+		return r.rare(name)
+	case 1, 2, 3, 4, 5: // one that is out comes back
+		for range 20 {
+			if member.Doubted || member.Phase == "gone" || member.Phase == "starting" {
+				break
+			}
+			name = r.member()
+			member = r.view.Members[name]
+		}
+		if member.Phase == "gone" {
+			return r.next(name, "serving")
+		}
+		return r.more(name, "serving")
+	case 6, 7, 8, 9, 10, 11:
+		return r.onPermit()
+	case 12:
+		return r.onEngine()
+	case 13, 14, 15, 16:
+		return r.health()
+	case 17:
+		return fmt.Sprintf(`{"load":{"front_ends":%d,"engines":%d}}`, r.rng.IntN(70), r.rng.IntN(40))
+	case 18, 19, 20:
+		return r.byOperator()
+	case 21:
+		return r.sent[r.rng.IntN(len(r.sent))]
+	}
+	return `{"tick":{}}`
+}
+
+// rare is a word that disturbs: a crash, an older word, a doubt.
+func (r *seededRun) rare(name string) string {
+	member := r.view.Members[name]
+	switch r.rng.IntN(4) {
+	case 0:
+		return r.next(name, []string{"starting", "serving", "odd"}[r.rng.IntN(3)])
+	case 1:
+		return r.say(name, member.Incarnation, uint64(r.rng.IntN(int(member.Seq)+1)), "odd", "serving")
+	case 2:
+		return fmt.Sprintf(`{"doubt":{"name":%q,"incarnation":%d}}`, name, member.Incarnation)
+	}
+	return r.next(name, "serving")
+}
+
+const recordedSettings = `{"front_ends":{"most":3,"share":0.3,"room_share":0.5,"kind_share":0.6,"headroom":0.1},
+	"engines":{"most":2,"room_most":1,"headroom":0.1},"way_back":{"share":0.4,"room_share":0.5},
+	"judge":{"alpha":0.05,"tolerance":1.25,"least":60,"dispersion":2},
+	"not_back":9000000000,"crash_loop":1,"keep_ids":20,"keep_audit":30,"keep_gone":3}`
+
+// look hashes what the machine tells beside its answers.
+func (r *seededRun) look() {
+	due, ok := r.machine.Due()
+	var plan rollout.Start
+	require.NoError(r.t, json.Unmarshal([]byte(`{"revision":"p","waves":[0.2,1],"soak":1000}`), &plan))
+	waves, err := r.machine.Plan(plan)
+	require.NoError(r.t, err)
+	seen := []any{due, ok, r.machine.Budgets(), r.machine.Waiting(), waves}
+	for _, number := range r.machine.Numbers() {
+		seen = append(seen, number, r.machine.Blocks(number))
+	}
+	text, err := json.Marshal(seen)
+	require.NoError(r.t, err)
+	r.hash.Write(text)
+}
+
+// A seeded run of commands of every type: the hash over all answers and snapshots, and how often each was answered how.
+func TestRecordedRun(t *testing.T) {
+	type outcome struct {
+		Seed   uint64         `json:"seed"`
+		Hash   string         `json:"hash"`
+		Counts map[string]int `json:"counts"`
+	}
+	var outcomes []outcome
+	for seed := range uint64(3) {
+		hash := fnv.New64a()
+		r := &seededRun{t: t, machine: newMachine(t, recordedSettings), rng: rand.New(rand.NewPCG(seed, 32)),
+			now: time.Hour, hash: hash, counts: map[string]int{}}
+		for i := range 12 {
+			r.apply(r.say(fmt.Sprint("n", i), 1, 1, "r0", "serving"))
+		}
+		for range 6 {
+			r.apply(r.onEngine())
+		}
+		for step := range 1000 {
+			if step%6 == 0 {
+				r.refresh()
+			}
+			if step%16 == 0 {
+				r.look()
+			}
+			r.apply(r.draw())
+		}
+		r.refresh()
+		outcomes = append(outcomes, outcome{seed, fmt.Sprintf("%016x", hash.Sum64()), r.counts})
+	}
+	text, err := json.MarshalIndent(outcomes, "", "  ")
+	require.NoError(t, err)
+	checkRecorded(t, "run.json", append(text, '\n'))
+}
