--- a/decision/keeper/keeper.go
+++ b/decision/diskrecovery/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper decides what a front end that keeps the agreed log does when its disk fails: whether it goes on from what is
+// Package diskrecovery decides what a front end that keeps the agreed log does when its disk fails: whether it goes on from what is
 // there, starts anew as another keeper, or stays out, and when.
 //
 // A [Keeper] is told of failures, with the time passed in, and answers what to do. It does no I/O, keeps no clock and starts no
@@ -25,7 +25,7 @@
 // knows of the doubt only where its mark could be written; docs/rollout.md tells of the mark.
 //
 // Source: a sync that fails leaves pages marked as clean (Rebello and others, Can Applications Recover from fsync Failures?, 2020).
-package keeper
+package diskrecovery
 
 import (
 	"fmt"
--- a/decision/keeper/keeper_test.go
+++ b/decision/diskrecovery/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package diskrecovery
 
 import (
 	"fmt"
--- a/decision/keeper/recorded_test.go
+++ b/decision/diskrecovery/recorded_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package diskrecovery_test
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"beechcart/decision/keeper"
+	"beechcart/decision/diskrecovery"
 )
 
 // checkRecorded compares bytes with those that a file of testdata/recorded holds. A missing file is written where
@@ -52,14 +52,14 @@
 
 // play tells a new decider of events, each an event and the pause before it, and hands what it answers to note.
 func play(t *testing.T, marked bool, sequence []int, note func(answer int, reason string)) {
-	k, err := keeper.New(keeper.Defaults(), 0, marked)
+	k, err := diskrecovery.New(diskrecovery.Defaults(), 0, marked)
 	require.NoError(t, err)
 	now := time.Duration(0)
 	for _, choice := range sequence {
 		now += pauses[choice/events]
 		switch event := choice % events; {
 		case event < failures:
-			k.Failed(now, keeper.Kind(event))
+			k.Failed(now, diskrecovery.Kind(event))
 		case event < failures+2:
 			k.Opened(now, event == failures+1)
 		default:
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"beechcart/decision/keeper"
+	"beechcart/decision/diskrecovery"
 )
 
 // disk is what the log is kept in. The first write that fails is the last: from then on all fail, and whoever keeps the log is told, and
@@ -94,11 +94,11 @@
 func (e *diskError) Unwrap() error { return e.why }
 
 // kindOf is what a failure says of the disk. Only want of room proves that what is there holds.
-func kindOf(err error) keeper.Kind {
+func kindOf(err error) diskrecovery.Kind {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		return keeper.Full
+		return diskrecovery.Full
 	}
-	return keeper.Doubt
+	return diskrecovery.Doubt
 }
 
 // StoreLog implements raft.LogStore.
--- a/internal/fleet/keeping.go
+++ b/internal/fleet/keeping.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"beechcart/decision/keeper"
+	"beechcart/decision/diskrecovery"
 )
 
 // openLog opens the log for the first time and sees to it from then on. An error tells what can't be opened; a disk that is in
@@ -13,7 +13,7 @@
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
 	doubt := marked(m.opt.Dir)
-	decide, err := keeper.New(keeper.Defaults(), now(), doubt)
+	decide, err := diskrecovery.New(diskrecovery.Defaults(), now(), doubt)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 const lookAgain = 200 * time.Millisecond
 
 // keep keeps the log, and goes out and comes back as decide tells, until the member ends. The front end serves on meanwhile.
-func (m *Member) keep(k *Keeper, decide *keeper.Keeper, now func() time.Duration) {
+func (m *Member) keep(k *Keeper, decide *diskrecovery.Keeper, now func() time.Duration) {
 	defer m.done.Done()
 	for told := ""; ; {
 		if k != nil {
@@ -51,14 +51,14 @@
 			told = why
 			m.log.Warn("the log is not kept here", "why", why)
 		}
-		if step == keeper.Rest {
+		if step == diskrecovery.Rest {
 			if !m.rest(lookAgain) {
 				return
 			}
 			continue
 		}
 		var err error
-		if step == keeper.Anew {
+		if step == diskrecovery.Anew {
 			err = setAside(m.opt.Dir)
 		}
 		if err == nil {
@@ -71,18 +71,18 @@
 			if errors.As(err, &bad) {
 				m.failed(decide, now(), err)
 			}
-			decide.Failed(now(), keeper.Closed)
+			decide.Failed(now(), diskrecovery.Closed)
 			continue
 		}
-		decide.Opened(now(), step == keeper.Anew)
-		m.log.Info("the log is kept again", "identity", k.id, "anew", step == keeper.Anew)
+		decide.Opened(now(), step == diskrecovery.Anew)
+		m.log.Info("the log is kept again", "identity", k.id, "anew", step == diskrecovery.Anew)
 	}
 }
 
 // failed tells of a failure of the disk, and marks a doubt for whatever process comes after.
-func (m *Member) failed(decide *keeper.Keeper, now time.Duration, why error) {
+func (m *Member) failed(decide *diskrecovery.Keeper, now time.Duration, why error) {
 	kind := kindOf(why)
-	if kind == keeper.Doubt {
+	if kind == diskrecovery.Doubt {
 		if err := setMark(m.opt.Dir, why); err != nil {
 			m.log.Error("a doubt can't be marked on the disk", "error", err)
 		}
