--- a/cmd/beechcart/news_test.go
+++ b/cmd/beechcart/news_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The greatest age of a drain's news, whatever the poll that should have brought it does: decision/watch has the sum.
+// The greatest age of a drain's news, whatever the poll that should have brought it does: decision/watchtimeout has the sum.
 func TestADrainIsHeardWithinTheGraceWhateverAPollBrings(t *testing.T) {
 	write := func(text string) func(w http.ResponseWriter, q *http.Request) {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
--- a/decision/watch/recorded_test.go
+++ b/decision/watchtimeout/recorded_test.go
@@ -1,11 +1,11 @@
-package watch_test
+package watchtimeout_test
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"beechcart/decision/watch"
+	"beechcart/decision/watchtimeout"
 	"beechcart/internal/recorded"
 )
 
@@ -15,7 +15,7 @@
 	trace := recorded.NewTrace()
 	for _, grace := range []time.Duration{-1, 0, time.Millisecond, 150 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, time.Minute} {
 		for _, connect := range []time.Duration{20 * time.Millisecond, 250 * time.Millisecond, 3 * time.Second} {
-			w := watch.New(grace, connect)
+			w := watchtimeout.New(grace, connect)
 			for range 300 {
 				took := time.Duration(rng.Int64N(int64(3 * time.Second)))
 				if rng.IntN(2) == 0 {
--- a/decision/watch/watch.go
+++ b/decision/watchtimeout/watch.go
@@ -1,4 +1,4 @@
-// Package watch decides how long each step of following a change log may last, so that a drain is heard within the
+// Package watchtimeout decides how long each step of following a change log may last, so that a drain is heard within the
 // settings' grace although the connection that should bring it has gone silent.
 //
 // A [Watch] is told how long dials and answers took, or that they did not come, and answers with the next bounds. It does
@@ -18,7 +18,7 @@
 // While nothing comes up, the one try in eight that has the whole time may last longer than the grace. The log is asked
 // every Wait, five times a second at a grace of 500 ms. Two polls side by side would not do with fewer: all open watches may
 // fall silent at once, and then each has to be found out in the same time.
-package watch
+package watchtimeout
 
 import "time"
 
--- a/decision/watch/watch_test.go
+++ b/decision/watchtimeout/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package watchtimeout
 
 import (
 	"testing"
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/decision/watch"
+	"beechcart/decision/watchtimeout"
 	"beechcart/internal/drill"
 	"beechcart/internal/roster"
 	"beechcart/internal/scale/record"
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	wait := watch.New(set.DrainGrace, 250*time.Millisecond).Wait()
+	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).Wait()
 	p.as(record.FrontEnd).add("change_log_idle_polls_per_second", 1/wait.Seconds())
 	p.as(record.FrontEnd).add("change_log_idle_bytes_per_second", nothing/wait.Seconds())
 	return nil
