--- a/admission/controller.go
+++ b/admission/controller.go
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"beechcart/decision/ramp"
+	"beechcart/decision/slowstart"
 )
 
 // The tuned values. Each says what it is for; none is fitted to one deployment.
@@ -117,7 +117,7 @@
 // coldRoom guards against pushing a cold engine over: all gateways together stay within its budget in any
 // window, in the usual work of the classes, against the least it can do (ColdFrom). Work much finer than our
 // part goes within that part. Heavier work goes in turns: each gateway whose stretch reaches it has one, by
-// the list and the clock, and no window meets more than two (decision/ramp). When it went by chance, never
+// the list and the clock, and no window meets more than two (decision/slowstart). When it went by chance, never
 // beside fine work, it stood for 15 s while new engines idled (docs/fleet.md). Those that came past engines
 // ejected or erring leave it alone, and so does one that started within the window and does not know what its
 // last run spent; one that ends may have its successor beside it. May harm where no gateway near it has
@@ -144,7 +144,7 @@
 		e.luck, e.luckUntil = c.rand(), c.now+slot
 	}
 	spent := e.spentSince(c.now-slot, true)
-	window := ramp.Window{Budget: budget, Mean: c.meanWork(), Fine: coldFine, Turn: coldTurn}
+	window := slowstart.Window{Budget: budget, Mean: c.meanWork(), Fine: coldFine, Turn: coldTurn}
 	return spent+work <= budget*coldTurn || (spent == 0 && e.luck < window.HeavyChance(work, c.now, slot))
 }
 
--- a/admission/state.go
+++ b/admission/state.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"beechcart/decision/ramp"
+	"beechcart/decision/slowstart"
 )
 
 // This file holds what a controller remembers and the bookkeeping on it. It decides nothing.
@@ -65,10 +65,10 @@
 	Engine
 	cores, memory float64
 	gone          bool
-	goneAt        time.Duration // when it went
-	coldFrom      time.Duration // when it started, as far as we know; negative: long ago
-	spent         []spend       // own work sent while it is cold
-	share         ramp.Held     // our share of what it may get while it is cold
+	goneAt        time.Duration  // when it went
+	coldFrom      time.Duration  // when it started, as far as we know; negative: long ago
+	spent         []spend        // own work sent while it is cold
+	share         slowstart.Held // our share of what it may get while it is cold
 	rep           Report
 	repAt         time.Duration // negative: never
 	errs          float64       // share of errors in its answers
@@ -275,16 +275,16 @@
 		c.capacity = append(c.capacity, cores)
 	}
 	if c.first = 0; !math.IsInf(c.base, 1) {
-		c.first = ramp.First(c.capacity, c.set.Me, c.set.Replicas)
+		c.first = slowstart.First(c.capacity, c.set.Me, c.set.Replicas)
 	}
 	if !c.relisted {
 		return
 	}
 	c.relisted = false
-	for i, share := range ramp.Shares(c.capacity, c.set.Me, c.set.Replicas, c.base) {
+	for i, share := range slowstart.Shares(c.capacity, c.set.Me, c.set.Replicas, c.base) {
 		e := c.engines[i]
 		if math.IsInf(c.base, 1) {
-			e.share = ramp.Fixed(share)
+			e.share = slowstart.Fixed(share)
 		} else {
 			e.share = e.share.Change(share, c.now, c.set.FallWindow)
 		}
--- a/decision/ramp/ramp.go
+++ b/decision/slowstart/ramp.go
@@ -1,4 +1,4 @@
-// Package ramp divides what a cold engine may get among the replicas of a fleet that send to it.
+// Package slowstart divides what a cold engine may get among the replicas of a fleet that send to it.
 //
 // Replicas do not talk to each other about what they send. Each knows its own number, the number of replicas and the
 // list of engines, and from these alone all come to the same division: where the lists agree, the parts of an engine
@@ -26,7 +26,7 @@
 //     its part if [Window.HeavyChance] is not 0, no window that meets two turns holds more than [Window.Bears].
 //  8. Over two slots in a row the chances of such a request sum up to at most twice the turn's part over its work, so
 //     that on average the turns send no more than their parts.
-package ramp
+package slowstart
 
 import (
 	"math"
--- a/decision/ramp/ramp_test.go
+++ b/decision/slowstart/ramp_test.go
@@ -1,4 +1,4 @@
-package ramp
+package slowstart
 
 import (
 	"math"
--- a/decision/ramp/recorded_test.go
+++ b/decision/slowstart/recorded_test.go
@@ -1,4 +1,4 @@
-package ramp_test
+package slowstart_test
 
 import (
 	"crypto/sha256"
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"beechcart/decision/ramp"
+	"beechcart/decision/slowstart"
 )
 
 // randomSource is SplitMix64.
@@ -56,12 +56,12 @@
 		replicas := 1 + random.below(40)
 		length := 150 * random.float()
 		capacity := make([]float64, random.below(24))
-		held := make([]ramp.Held, len(capacity))
+		held := make([]slowstart.Held, len(capacity))
 		now := time.Duration(random.below(1000)) * time.Millisecond
 		me := random.below(replicas)
 		for i := range held {
 			if random.float() < 0.2 {
-				held[i] = ramp.Fixed(ramp.Share{Senders: 1 + i, Rank: random.below(1 + i)})
+				held[i] = slowstart.Fixed(slowstart.Share{Senders: 1 + i, Rank: random.below(1 + i)})
 			}
 		}
 		for range 8 {
@@ -70,8 +70,8 @@
 					capacity[i] = capacities[random.below(len(capacities))]
 				}
 			}
-			got.number(uint64(ramp.First(capacity, me, replicas)))
-			for i, share := range ramp.Shares(capacity, me, replicas, length) {
+			got.number(uint64(slowstart.First(capacity, me, replicas)))
+			for i, share := range slowstart.Shares(capacity, me, replicas, length) {
 				got.number(uint64(share.Senders))
 				got.number(uint64(share.Rank))
 				got.yes(share.Sends())
@@ -92,7 +92,7 @@
 }
 
 func recordWindow(got *recording, random *randomSource, now, slot time.Duration) {
-	window := ramp.Window{
+	window := slowstart.Window{
 		Budget: 40 * random.float(), Mean: random.float(), Fine: 0.6 * random.float(), Turn: 0.4 * random.float(),
 	}
 	got.float(window.Bears())
