--- a/cmd/beechctl/list.go
+++ b/cmd/beechctl/list.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/internal/admin"
 	"beechcart/internal/source"
 	"beechcart/internal/source/lastgood"
@@ -65,13 +65,13 @@
 }
 
 // stored shows the entries of a file as a front end would that starts with them.
-func stored(entries []membership.Entry) (list []source.Belief) {
+func stored(entries []discovery.Entry) (list []source.Belief) {
 	for _, e := range entries {
-		b := source.Belief{Name: e.Key, ID: membership.Number(e.Key), Address: e.Addr, State: membership.Ready.String(),
-			Reason: string(membership.Restored), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.Started.Milliseconds()}
+		b := source.Belief{Name: e.Key, ID: discovery.Number(e.Key), Address: e.Addr, State: discovery.Ready.String(),
+			Reason: string(discovery.Restored), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.Started.Milliseconds()}
 		switch {
 		case e.Drain:
-			b.State, b.Reason = membership.Draining.String(), string(membership.Commanded)
+			b.State, b.Reason = discovery.Draining.String(), string(discovery.Commanded)
 		case !e.Passing:
 			b.Reason = "check failed when it was kept"
 		}
--- a/cmd/beechctl/recorded_test.go
+++ b/cmd/beechctl/recorded_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/internal/admin"
 	"beechcart/internal/bench"
 	"beechcart/internal/drill"
@@ -145,7 +145,7 @@
 	t.Cleanup(socket.Close)
 	started := 1700000000500 * time.Millisecond
 	file := filepath.Join(dir, "engines.list")
-	require.NoError(t, os.WriteFile(file, lastgood.Encode([]membership.Entry{
+	require.NoError(t, os.WriteFile(file, lastgood.Encode([]discovery.Entry{
 		{Key: "n/e1", Addr: "10.0.0.1:1", Passing: true, Zone: "a", Kind: "std-12", Cell: 3, Weight: 1.5, Started: started},
 		{Key: "n/e2", Addr: "10.0.0.2:1", Passing: true, Drain: true},
 		{Key: "n/e3", Addr: "[2001:db8::1]:1"},
--- a/decision/membership/doc.go
+++ b/decision/discovery/doc.go
@@ -1,4 +1,4 @@
-// Package membership decides which engines a front end may send to, from what a catalogue of services tells.
+// Package discovery decides which engines a front end may send to, from what a catalogue of services tells.
 //
 // A [Set] is told observations of the catalogue, each with the time, and answers with the changes of the list and
 // their reasons. It does no I/O, keeps no clock and starts no goroutine: the caller passes the time, which must
@@ -40,4 +40,4 @@
 // Indexes, leaders and staleness are those of Consul's blocking queries and consistency modes
 // (developer.hashicorp.com/consul/api-docs/features/blocking and .../features/consistency). The floor under health
 // is what Envoy calls the panic threshold.
-package membership
+package discovery
--- a/decision/membership/property_test.go
+++ b/decision/discovery/property_test.go
@@ -1,4 +1,4 @@
-package membership
+package discovery
 
 import (
 	"fmt"
--- a/decision/membership/recorded_test.go
+++ b/decision/discovery/recorded_test.go
@@ -1,4 +1,4 @@
-package membership_test
+package discovery_test
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/internal/recorded"
 )
 
-func traceEntry(trace *recorded.Trace, e membership.Entry) {
+func traceEntry(trace *recorded.Trace, e discovery.Entry) {
 	trace.Text(e.Key, e.Addr, e.Zone, e.Kind, e.Mark)
 	trace.Int(e.Cell)
 	trace.Float(e.Weight)
@@ -21,7 +21,7 @@
 	trace.Bool(e.Drain, e.Passing)
 }
 
-func traceChanges(trace *recorded.Trace, kind string, changes []membership.Change) {
+func traceChanges(trace *recorded.Trace, kind string, changes []discovery.Change) {
 	trace.Int(len(changes))
 	for _, c := range changes {
 		trace.Uint(uint64(c.ID))
@@ -33,7 +33,7 @@
 	}
 }
 
-func traceAnswer(trace *recorded.Trace, a membership.Answer) {
+func traceAnswer(trace *recorded.Trace, a discovery.Answer) {
 	traceChanges(trace, "change", a.Changes)
 	trace.Int(len(a.Notices))
 	for _, n := range a.Notices {
@@ -47,11 +47,11 @@
 type catalogue struct {
 	rng     *rand.Rand
 	index   uint64
-	engines []membership.Entry
+	engines []discovery.Entry
 }
 
-func (c *catalogue) entry(i int) membership.Entry {
-	e := membership.Entry{Key: fmt.Sprintf("node-%d/e%d", i/2, i), Addr: fmt.Sprintf("10.0.%d.%d:80", i/8, i+1), Zone: fmt.Sprint("z", i%3),
+func (c *catalogue) entry(i int) discovery.Entry {
+	e := discovery.Entry{Key: fmt.Sprintf("node-%d/e%d", i/2, i), Addr: fmt.Sprintf("10.0.%d.%d:80", i/8, i+1), Zone: fmt.Sprint("z", i%3),
 		Kind: "std", Cell: i % 4, Weight: 1 + float64(i%3)/2, Created: c.index, Changed: c.index, Passing: true}
 	switch c.rng.IntN(12) {
 	case 0:
@@ -94,8 +94,8 @@
 }
 
 // answer is an observation, which may be wrong.
-func (c *catalogue) answer(bad int) membership.Observation {
-	o := membership.Observation{Index: c.index, Leader: true, Entries: append([]membership.Entry(nil), c.engines...)}
+func (c *catalogue) answer(bad int) discovery.Observation {
+	o := discovery.Observation{Index: c.index, Leader: true, Entries: append([]discovery.Entry(nil), c.engines...)}
 	switch bad {
 	case 1:
 		o.Leader = false
@@ -118,8 +118,8 @@
 	trace := recorded.NewTrace()
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		bounds := membership.Defaults()
-		set, err := membership.New(bounds)
+		bounds := discovery.Defaults()
+		set, err := discovery.New(bounds)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -129,7 +129,7 @@
 		}
 		now := time.Duration(1000+rng.IntN(1000)) * time.Second
 		if seed%3 == 0 {
-			list := append([]membership.Entry(nil), c.engines...)
+			list := append([]discovery.Entry(nil), c.engines...)
 			for i := range list {
 				list[i].Drain, list[i].Passing = rng.IntN(5) == 0, rng.IntN(5) > 0
 			}
@@ -187,7 +187,7 @@
 		trace.Mark()
 	}
 	for i := range 100 {
-		trace.Uint(uint64(membership.Number(fmt.Sprint("node/", i))))
+		trace.Uint(uint64(discovery.Number(fmt.Sprint("node/", i))))
 	}
 	trace.Compare(t, "run")
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -14,7 +14,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/decision/poll"
 	"beechcart/decision/reuse"
 	"beechcart/internal/source/consul"
@@ -110,7 +110,7 @@
 		Log:    Log{Level: slog.LevelInfo, Format: "text"},
 		Consul: consul.Options{
 			Addresses: []string{"127.0.0.1:8500"}, Service: "engine", Consistency: "default", MaxBody: 64 << 20,
-			Connect: 500 * time.Millisecond, Poll: poll.Defaults(), Membership: membership.Defaults(), Mapping: consul.DefaultMapping(),
+			Connect: 500 * time.Millisecond, Poll: poll.Defaults(), Membership: discovery.Defaults(), Mapping: consul.DefaultMapping(),
 		},
 		Clients:  Clients{Idle: 5 * time.Second},
 		Reuse:    ReuseAuto,
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/decision/poll"
 	"beechcart/internal/http1"
 )
@@ -33,7 +33,7 @@
 	MaxBody     int // bytes of one answer
 	Connect     time.Duration
 	Poll        poll.Settings
-	Membership  membership.Settings
+	Membership  discovery.Settings
 	Mapping     Mapping
 }
 
@@ -100,7 +100,7 @@
 
 // reply is one whole answer.
 type reply struct {
-	membership.Observation
+	discovery.Observation
 	began time.Time     // when its head had come
 	took  time.Duration // from the call to its last byte
 }
--- a/internal/source/consul/decode.go
+++ b/internal/source/consul/decode.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 )
 
 // The bounds of one answer.
@@ -62,7 +62,7 @@
 	depth   int
 	quoted  bool
 	escaped bool
-	list    []membership.Entry
+	list    []discovery.Entry
 }
 
 func newDecoder(m Mapping) *decoder { return &decoder{mapping: m} }
@@ -147,7 +147,7 @@
 }
 
 // finish returns the list once the whole answer has been written.
-func (d *decoder) finish() ([]membership.Entry, error) {
+func (d *decoder) finish() ([]discovery.Entry, error) {
 	if d.state != 4 {
 		return nil, errShape
 	}
@@ -155,17 +155,17 @@
 }
 
 // entry reads one instance. Its strings are copies: they outlive the buffer.
-func (m *Mapping) entry(v *fastjson.Value) (membership.Entry, error) {
+func (m *Mapping) entry(v *fastjson.Value) (discovery.Entry, error) {
 	node, service := v.Get("Node"), v.Get("Service")
 	if node.GetStringBytes("Node") == nil || service.GetStringBytes("ID") == nil {
-		return membership.Entry{}, errShape
+		return discovery.Entry{}, errShape
 	}
 	id := string(service.GetStringBytes("ID"))
 	host := string(service.GetStringBytes("Address"))
 	if host == "" {
 		host = string(node.GetStringBytes("Address"))
 	}
-	e := membership.Entry{
+	e := discovery.Entry{
 		Key:  string(node.GetStringBytes("Node")) + "/" + id,
 		Addr: net.JoinHostPort(host, strconv.Itoa(service.GetInt("Port"))),
 		Zone: m.find(m.Zone, v), Kind: m.find(m.Kind, v), Mark: m.find(m.Mark, v),
--- a/internal/source/consul/recorded_test.go
+++ b/internal/source/consul/recorded_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/internal/recorded"
 )
 
@@ -62,7 +62,7 @@
 	recorded.Compare(t, "endpoints", out.Bytes())
 }
 
-func writeEntry(out *bytes.Buffer, mapping int, e membership.Entry) {
+func writeEntry(out *bytes.Buffer, mapping int, e discovery.Entry) {
 	fmt.Fprintf(out, "%d %q %q %q %q %d %x %d %d %q %d %t %t\n", mapping, e.Key, e.Addr, e.Zone, e.Kind, e.Cell,
 		math.Float64bits(e.Weight), e.Created, e.Changed, e.Mark, e.Started.Nanoseconds(), e.Drain, e.Passing)
 }
@@ -82,7 +82,7 @@
 		instanceWith(deep(32)), instanceWith(long(1<<20 - 100)), instanceWith(long(1 << 20))} {
 		d := newDecoder(DefaultMapping())
 		_, err := d.Write([]byte(text))
-		list := []membership.Entry(nil)
+		list := []discovery.Entry(nil)
 		if err == nil {
 			list, err = d.finish()
 		}
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -1,7 +1,7 @@
 // Package consul makes the engine list from a Consul catalogue, by blocking queries on the health of one service
 // (GET /v1/health/service/NAME: developer.hashicorp.com/consul/api-docs/health). One answer holds node, service and
 // checks of each instance, so that neither the catalogue nor the state of checks is asked apart. When and where to ask
-// is decided by decision/poll, what to believe by decision/membership; this package carries bytes.
+// is decided by decision/poll, what to believe by decision/discovery; this package carries bytes.
 package consul
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/decision/poll"
 	"beechcart/internal/invariant"
 	"beechcart/internal/roster"
@@ -29,9 +29,9 @@
 // Store keeps the last good list.
 type Store interface {
 	// Load returns the list kept last, and when it was kept.
-	Load() (list []membership.Entry, kept time.Time, err error)
+	Load() (list []discovery.Entry, kept time.Time, err error)
 	// Save keeps a list; it may put it off, and must not block for long.
-	Save(list []membership.Entry)
+	Save(list []discovery.Entry)
 }
 
 // Source follows one catalogue.
@@ -45,7 +45,7 @@
 	now      func() time.Duration // Unix time, monotonic
 
 	mu       sync.Mutex
-	set      *membership.Set
+	set      *discovery.Set
 	restored bool
 	before   *Source // the one that this one takes over from
 
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("consul: map: %w", err)
 	}
 	var err error
-	if s.set, err = membership.New(opt.Membership); err != nil {
+	if s.set, err = discovery.New(opt.Membership); err != nil {
 		return nil, fmt.Errorf("consul: %w", err)
 	}
 	if s.poller, err = poll.New(opt.Poll, len(s.addrs), rand.New(rand.NewPCG(seed, 0x6c6973747321))); err != nil {
@@ -207,7 +207,7 @@
 
 func (s *Source) advance(now time.Duration, take func(roster.List)) {
 	s.mu.Lock()
-	var a membership.Answer
+	var a discovery.Answer
 	if next, ok := s.set.Next(); ok && next <= now {
 		a = s.set.Advance(now)
 	}
@@ -287,7 +287,7 @@
 }
 
 // carry hands an answer on: the first as a whole list, the later ones as changes.
-func (s *Source) carry(a membership.Answer, take func(roster.List)) {
+func (s *Source) carry(a discovery.Answer, take func(roster.List)) {
 	for _, n := range a.Notices {
 		s.counters.Add("notice_"+counterName(n.Kind), 1)
 		s.log.Warn("catalogue", "says", string(n.Kind), "engines", n.Count, "detail", n.Detail)
@@ -308,26 +308,26 @@
 	take(list)
 }
 
-var states = map[membership.State]admission.State{
-	membership.Ready: admission.Ready, membership.Draining: admission.Draining, membership.Gone: admission.Removed,
+var states = map[discovery.State]admission.State{
+	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Gone: admission.Removed,
 }
 
 // counterName makes one word of a notice.
-func counterName(k membership.NoticeKind) string {
+func counterName(k discovery.NoticeKind) string {
 	switch k {
-	case membership.DoubtBegun:
+	case discovery.DoubtBegun:
 		return "doubt_begun"
-	case membership.DoubtCleared:
+	case discovery.DoubtCleared:
 		return "doubt_cleared"
-	case membership.DoubtSettled:
+	case discovery.DoubtSettled:
 		return "doubt_confirmed"
-	case membership.DoubtExpired:
+	case discovery.DoubtExpired:
 		return "doubt_expired"
-	case membership.EmptyKept:
+	case discovery.EmptyKept:
 		return "empty_kept"
-	case membership.OldWord:
+	case discovery.OldWord:
 		return "old_word"
-	case membership.EpochBegun:
+	case discovery.EpochBegun:
 		return "index_reset"
 	}
 	return "malformed"
--- a/internal/source/lastgood/recorded_test.go
+++ b/internal/source/lastgood/recorded_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/internal/recorded"
 	"beechcart/internal/source/lastgood"
 )
 
 // kept is a list with every field of an entry, and when it was good.
-func kept() ([]membership.Entry, time.Time) {
-	return []membership.Entry{
+func kept() ([]discovery.Entry, time.Time) {
+	return []discovery.Entry{
 		{Key: "node-1/e1", Addr: "10.0.0.1:8000", Zone: "east", Kind: "std", Cell: 3, Weight: 2.5, Created: 1<<63 + 5, Mark: "start \"7\"",
 			Started: 1_700_000_000_123 * time.Millisecond, Passing: true},
 		{Key: "node-2/e2", Addr: "[::1]:8001", Weight: 1, Drain: true, Passing: true},
@@ -52,7 +52,7 @@
 	for i, text := range [][]byte{
 		nil, good[:9], good[:30], good[:len(good)-3], append(bytes.Clone(good), 'x'), bytes.Replace(good, []byte("node-1"), []byte("node-9"), 1),
 		[]byte("#!/bin/sh\n"), []byte("beechcart-list 2 0 0\n"), []byte("beechcart-list x 0 0\n"), []byte("beechcart-list 1 2\n{}"),
-		lastgood.Encode([]membership.Entry{{Addr: "10.0.0.1:1"}}, at), good,
+		lastgood.Encode([]discovery.Entry{{Addr: "10.0.0.1:1"}}, at), good,
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "engines.list")
