--- a/decision/ledger/doc.go
+++ b/decision/execution/doc.go
@@ -1,4 +1,4 @@
-// Package ledger decides how the fate of a request that must not run twice is copied before it is promised, and who may act on
+// Package execution decides how the fate of a request that must not run twice is copied before it is promised, and who may act on
 // it: a front end that is lost with its disk takes nothing of that along.
 //
 // Each promise is a register under its id, held by a few members of the fleet. An [Owner] is one attempt of one process to act for
@@ -33,4 +33,4 @@
 //
 // Source: one register is Paxos with a value that its owner may write on (Lamport, The Part-Time Parliament; the claim is phase
 // one, each write phase two); overlapping majorities are joint consensus (Ongaro); holders are drawn by rendezvous hashing (Thaler, Ravishankar).
-package ledger
+package execution
--- a/decision/ledger/norace_test.go
+++ b/decision/execution/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package ledger
+package execution
 
 const raceDetector = false
--- a/decision/ledger/passage.go
+++ b/decision/execution/passage.go
@@ -1,4 +1,4 @@
-package ledger
+package execution
 
 import (
 	"fmt"
--- a/decision/ledger/race_test.go
+++ b/decision/execution/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package ledger
+package execution
 
 // raceDetector tells that the tests run ten times slower, and walk fewer states.
 const raceDetector = true
--- a/decision/ledger/recorded_test.go
+++ b/decision/execution/recorded_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package execution_test
 
 import (
 	"fmt"
@@ -7,23 +7,23 @@
 	"testing"
 	"time"
 
-	"beechcart/decision/ledger"
+	"beechcart/decision/execution"
 	"beechcart/internal/recorded"
 )
 
-func traceBallot(trace *recorded.Trace, b ledger.Ballot) {
+func traceBallot(trace *recorded.Trace, b execution.Ballot) {
 	trace.Uint(b.Round)
 	trace.Text(b.Owner)
 }
 
-func traceFate(trace *recorded.Trace, f ledger.Fate) {
+func traceFate(trace *recorded.Trace, f execution.Fate) {
 	trace.Int(int(f.Phase), f.Attempt)
 	trace.Text(f.Engine, f.By, string(f.Result))
 	trace.Uint(f.Process)
 	trace.Bool(f.Cut, f.Over())
 }
 
-func traceRecord(trace *recorded.Trace, r ledger.Record) {
+func traceRecord(trace *recorded.Trace, r execution.Record) {
 	trace.Text(r.ID, r.Digest)
 	traceBallot(trace, r.Promised)
 	traceBallot(trace, r.Accepted)
@@ -32,18 +32,18 @@
 	trace.Time(r.Since)
 }
 
-func traceReply(trace *recorded.Trace, kind string, r ledger.Reply) {
+func traceReply(trace *recorded.Trace, kind string, r execution.Reply) {
 	trace.Text(r.ID, string(r.Why))
 	trace.Uint(r.Version, r.Config, r.Held)
 	trace.Bool(r.OK)
-	for _, b := range []ledger.Ballot{r.Ballot, r.Promised, r.Accepted} {
+	for _, b := range []execution.Ballot{r.Ballot, r.Promised, r.Accepted} {
 		traceBallot(trace, b)
 	}
 	traceFate(trace, r.Fate)
 	trace.Count(kind + " reply " + strconv.FormatBool(r.OK) + " " + string(r.Why))
 }
 
-func traceMembers(trace *recorded.Trace, list []ledger.Member) {
+func traceMembers(trace *recorded.Trace, list []execution.Member) {
 	trace.Int(len(list))
 	for _, m := range list {
 		trace.Text(m.Name, m.Room)
@@ -53,21 +53,21 @@
 
 // speaker is what an owner and a passage have in common.
 type speaker interface {
-	Heard(from string, r ledger.Reply)
-	Reconfigure(c ledger.Config)
+	Heard(from string, r execution.Reply)
+	Reconfigure(c execution.Config)
 }
 
 // run is holders and owners of a few ids, and words between them that are lost, late and repeated.
 type run struct {
 	rng      *rand.Rand
 	trace    *recorded.Trace
-	set      ledger.Settings
+	set      execution.Settings
 	now      time.Duration
-	members  []ledger.Member
-	config   ledger.Config
-	shelves  map[string]*ledger.Shelf
-	owners   []*ledger.Owner
-	passages []*ledger.Passage
+	members  []execution.Member
+	config   execution.Config
+	shelves  map[string]*execution.Shelf
+	owners   []*execution.Owner
+	passages []*execution.Passage
 	words    []func()
 	round    uint64
 }
@@ -81,8 +81,8 @@
 	return out
 }
 
-func (r *run) evidence() ledger.Evidence {
-	e := ledger.Evidence{Ran: r.rng.IntN(2) == 0, Unknown: r.rng.IntN(2) == 0, SameSelf: r.rng.IntN(3) == 0}
+func (r *run) evidence() execution.Evidence {
+	e := execution.Evidence{Ran: r.rng.IntN(2) == 0, Unknown: r.rng.IntN(2) == 0, SameSelf: r.rng.IntN(3) == 0}
 	if e.Ended = e.Ran && r.rng.IntN(2) == 0; e.Ended {
 		e.Result = make([]byte, r.rng.IntN(2*r.set.MostResult))
 	}
@@ -93,7 +93,7 @@
 }
 
 // say puts words on their way.
-func (r *run) say(to speaker, claim *ledger.Claim, write *ledger.Write, names []string) {
+func (r *run) say(to speaker, claim *execution.Claim, write *execution.Write, names []string) {
 	r.trace.Int(len(names))
 	if claim != nil {
 		r.trace.Text(claim.ID, claim.Digest)
@@ -109,7 +109,7 @@
 	for _, h := range names {
 		r.trace.Text(h)
 		r.words = append(r.words, func() {
-			var reply ledger.Reply
+			var reply execution.Reply
 			if claim != nil {
 				reply = r.shelves[h].Claim(r.now, *claim)
 				traceReply(r.trace, "claim", reply)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (r *run) stepOwner(o *ledger.Owner) {
+func (r *run) stepOwner(o *execution.Owner) {
 	stand, why := o.Stand()
 	r.trace.Int(int(stand), int(o.May()))
 	r.trace.Text(string(why))
@@ -161,7 +161,7 @@
 	}
 }
 
-func (r *run) stepPassage(p *ledger.Passage) {
+func (r *run) stepPassage(p *execution.Passage) {
 	claim, write, to := p.Words(r.now)
 	r.say(p, claim, write, to)
 	v := p.Step(r.now)
@@ -183,10 +183,10 @@
 	round := 1 + r.rng.Uint64N(r.round)
 	by := fmt.Sprint("m", r.rng.IntN(4), "/", r.round)
 	if r.rng.IntN(2) == 0 {
-		r.owners = append(r.owners, ledger.NewOwner(r.set, id, digest, by, room, round, r.config))
+		r.owners = append(r.owners, execution.NewOwner(r.set, id, digest, by, room, round, r.config))
 		return
 	}
-	p, err := ledger.Begin(r.now, ledger.DefaultWay(), r.set, id, digest, by, room, round, r.config, r.one("e1", "e2"), 7, r.rng.IntN(2) == 0)
+	p, err := execution.Begin(r.now, execution.DefaultWay(), r.set, id, digest, by, room, round, r.config, r.one("e1", "e2"), 7, r.rng.IntN(2) == 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 
 // reconfigure moves the copies to other holders, in stages as the agreed log has them.
 func (r *run) reconfigure() {
-	next := ledger.Config{Number: r.config.Number + 1, Members: r.config.Members}
+	next := execution.Config{Number: r.config.Number + 1, Members: r.config.Members}
 	if len(r.config.Before) == 0 {
 		next.Before = r.config.Members
 		next.Members = nil
@@ -209,7 +209,7 @@
 	r.config = next
 }
 
-func (r *run) traceShelf(s *ledger.Shelf) {
+func (r *run) traceShelf(s *execution.Shelf) {
 	for _, record := range s.Records() {
 		traceRecord(r.trace, record)
 	}
@@ -217,7 +217,7 @@
 }
 
 // repair compares two shelves and copies what one lacks.
-func (r *run) repair(a, b *ledger.Shelf) {
+func (r *run) repair(a, b *execution.Shelf) {
 	shared := func(id string) bool { return id != "i3" }
 	da, db := a.Digest(shared), b.Digest(shared)
 	r.trace.Uint(da[:]...)
@@ -265,7 +265,7 @@
 		}
 		r.shelves[name].Configure(r.config.Number)
 	case n < 91 && r.rng.IntN(3) == 0: // its disk is lost
-		r.shelves[name], _ = ledger.NewShelf(r.set, r.config.Number, false)
+		r.shelves[name], _ = execution.NewShelf(r.set, r.config.Number, false)
 	case n < 93:
 		r.shelves[name].Filled()
 	case n < 96:
@@ -281,19 +281,19 @@
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for seed := range uint64(30) {
-		r := &run{rng: rand.New(rand.NewPCG(seed, 6)), trace: trace, set: ledger.Defaults(), shelves: map[string]*ledger.Shelf{}}
+		r := &run{rng: rand.New(rand.NewPCG(seed, 6)), trace: trace, set: execution.Defaults(), shelves: map[string]*execution.Shelf{}}
 		r.set.MostRecords, r.set.MostBytes, r.set.MostResult = 2+int(seed%3), 2000, 1500
 		r.set.KeepFor = 100 * time.Millisecond
 		r.set.Copies = []int{3, 3, 5, 1}[seed%4]
 		for i := range 6 {
-			m := ledger.Member{Name: fmt.Sprint("m", i), Room: fmt.Sprint("r", i%3), Weight: 1}
+			m := execution.Member{Name: fmt.Sprint("m", i), Room: fmt.Sprint("r", i%3), Weight: 1}
 			r.members = append(r.members, m)
 			var err error
-			if r.shelves[m.Name], err = ledger.NewShelf(r.set, 1, true); err != nil {
+			if r.shelves[m.Name], err = execution.NewShelf(r.set, 1, true); err != nil {
 				t.Fatal(err)
 			}
 		}
-		r.config = ledger.Config{Number: 1, Members: r.members}
+		r.config = execution.Config{Number: 1, Members: r.members}
 		for range 1500 {
 			r.event(t)
 		}
@@ -309,22 +309,22 @@
 func TestRecordedHolders(t *testing.T) {
 	trace := recorded.NewTrace()
 	rng := rand.New(rand.NewPCG(1, 7))
-	var members []ledger.Member
+	var members []execution.Member
 	for i := range 12 {
-		members = append(members, ledger.Member{Name: fmt.Sprint("m", i), Room: fmt.Sprint("r", i%4), Weight: float64(rng.IntN(5)) / 2})
+		members = append(members, execution.Member{Name: fmt.Sprint("m", i), Room: fmt.Sprint("r", i%4), Weight: float64(rng.IntN(5)) / 2})
 	}
 	for i := range 500 {
-		traceMembers(trace, ledger.Holders(fmt.Sprint("id", i), members[:i%13], 1+2*rng.IntN(4)))
+		traceMembers(trace, execution.Holders(fmt.Sprint("id", i), members[:i%13], 1+2*rng.IntN(4)))
 	}
 	for _, copies := range []int{1, 3, 5, 7} {
-		f := ledger.NewFilling(copies, "m1", members)
+		f := execution.NewFilling(copies, "m1", members)
 		for _, i := range rng.Perm(14) {
 			f.Read(fmt.Sprint("m", i))
 			trace.Int(len(f.Missing()))
 			trace.Text(f.Missing()...)
 		}
 	}
-	repair := ledger.NewRepair(50, time.Second)
+	repair := execution.NewRepair(50, time.Second)
 	for now := time.Second; now < 20*time.Second; now += time.Duration(rng.Int64N(int64(100 * time.Millisecond))) {
 		for range rng.IntN(6) {
 			repair.Lost(fmt.Sprint("id", rng.IntN(400)), rng.IntN(5), 3)
