--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -20,12 +20,12 @@
 	"beechcart/internal/admin"
 	"beechcart/internal/copies"
 	"beechcart/internal/door"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
 	"beechcart/internal/operators"
 	"beechcart/internal/planner"
-	"beechcart/internal/roster"
 	"beechcart/internal/settings"
 	"beechcart/internal/source"
 	"beechcart/internal/source/changelog"
@@ -73,8 +73,8 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	changes := roster.NewLog(cfg.Names)
-	var known []roster.List
+	changes := endpoints.NewLog(cfg.Names)
+	var known []endpoints.List
 	if len(cfg.Known) > 0 && ops.Source == operators.ChangeLog {
 		if known, err = changes.Read(cfg.Known); err != nil {
 			return fmt.Errorf("known: %w", err)
@@ -205,7 +205,7 @@
 type list struct {
 	files    *files
 	fleet    *engine.Fleet
-	changes  *roster.Log
+	changes  *endpoints.Log
 	feed     *source.Feed
 	log      *slog.Logger
 	counters *invariant.Counters
@@ -240,7 +240,7 @@
 	case src == nil:
 		// The events of the change log are numbered on; after another source its first event is asked for again.
 		if was == operators.Consul {
-			l.changes = roster.NewLog(cfg.Names)
+			l.changes = endpoints.NewLog(cfg.Names)
 		}
 		l.feed.Follow(changelog.New(l.fleet, cfg.ChangeLog, l.changes, l.log), was != operators.Consul)
 	case l.consul != nil:
--- a/internal/roster/recorded_test.go
+++ b/internal/endpoints/recorded_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package endpoints_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"beechcart/internal/endpoints"
 	"beechcart/internal/recorded"
-	"beechcart/internal/roster"
 	"beechcart/internal/settings"
 )
 
@@ -37,7 +37,7 @@
 func TestRecordedLog(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
 	names := settings.Names{Zones: map[string]int{"east": 0, "west": 1}, Kinds: map[string]int{"std": 0, "big": 1}}
-	log := roster.NewLog(names)
+	log := endpoints.NewLog(names)
 	var out strings.Builder
 	read := func(text string) {
 		lists, err := log.Read([]byte(text))
--- a/internal/roster/roster.go
+++ b/internal/endpoints/roster.go
@@ -1,5 +1,5 @@
-// Package roster turns the change log of the engine list into lists for the planner.
-package roster
+// Package endpoints turns the change log of the engine list into lists for the planner.
+package endpoints
 
 import (
 	"fmt"
--- a/internal/roster/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"testing"
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/roster"
 )
 
 type ending struct {
@@ -127,8 +127,8 @@
 	return f, s, l.Addr().String(), e
 }
 
-func list(addr string, state admission.State) roster.List {
-	return roster.List{Engines: []roster.Engine{{Engine: admission.Engine{ID: 7, State: state}, Name: "s-7", Addr: addr}}}
+func list(addr string, state admission.State) endpoints.List {
+	return endpoints.List{Engines: []endpoints.Engine{{Engine: admission.Engine{ID: 7, State: state}, Name: "s-7", Addr: addr}}}
 }
 
 func newExchange() *exchange.Exchange {
@@ -354,7 +354,7 @@
 
 func TestAnEngineThatLeftTheListMayComeBack(t *testing.T) {
 	f, s, addr, _ := newFleet(t, 100, nil)
-	f.Update(roster.List{Complete: true})
+	f.Update(endpoints.List{Complete: true})
 	f.Start(newExchange(), 0, 7, admission.Terms{Priority: 1}, time.Second, time.Time{})
 	require.Equal(t, admission.Moot, (<-s).Status)
 	f.Update(list(addr, admission.Ready))
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -10,9 +10,9 @@
 
 	"beechcart/admission"
 	"beechcart/decision/reuse"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/roster"
 )
 
 // Sink takes what the engines tell.
@@ -62,7 +62,7 @@
 
 // Update takes an event of the engine list. It must come before the controller hears of it, so that nothing
 // is sent on old word.
-func (f *Fleet) Update(l roster.List) {
+func (f *Fleet) Update(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen := map[uint32]bool{}
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -12,8 +12,8 @@
 
 	"beechcart/admission"
 	"beechcart/decision/reuse"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/exchange"
-	"beechcart/internal/roster"
 )
 
 // keeping is newFleet with connections that serve again; class 0 may be repeated, class 1 may not.
@@ -187,7 +187,7 @@
 	assert.Zero(t, idle(f), "an engine that drains has places for others")
 	f.Update(list(addr, admission.Ready))
 	trusted(t, f, s)
-	f.Update(roster.List{Complete: true})
+	f.Update(endpoints.List{Complete: true})
 	assert.Zero(t, idle(f))
 	assert.Eventually(t, func() bool {
 		f.socks.mu.Lock()
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -17,11 +17,11 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
 	"beechcart/internal/recording"
-	"beechcart/internal/roster"
 )
 
 // told takes what the engine client passes on, and keeps it as lines of numbers.
@@ -164,7 +164,7 @@
 		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, Deletes: true, Counters: &invariant.Counters{},
 		Classes: []admission.Class{{Effect: admission.Safe}, {Effect: admission.Unsafe}},
 	}, s)
-	f.Update(roster.List{Engines: []roster.Engine{
+	f.Update(endpoints.List{Engines: []endpoints.Engine{
 		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Addr: p.address},
 	}})
 	return f, s
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"beechcart/admission"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/roster"
 )
 
 // Engines is the server side, as the planner needs it.
 type Engines interface {
-	Update(l roster.List)
+	Update(l endpoints.List)
 	// Start sends an attempt on its way. Its query goes out by that time or not at all, where one is given.
 	Start(x *exchange.Exchange, n int, engine uint32, terms admission.Terms, limit time.Duration, by time.Time)
 	Cancel(id string, n int)
@@ -49,7 +49,7 @@
 	ev   admission.Event
 	x    *exchange.Exchange
 	rows []byte
-	list roster.List
+	list endpoints.List
 }
 
 // entry is a request that the controller knows.
@@ -136,7 +136,7 @@
 func (p *Planner) Told(ev admission.Event) { p.post(input{kind: told, ev: ev}) }
 
 // Members brings an event of the engine list.
-func (p *Planner) Members(l roster.List) { p.post(input{kind: listed, list: l}) }
+func (p *Planner) Members(l endpoints.List) { p.post(input{kind: listed, list: l}) }
 
 // Stop tells that the front end ends after that time: all that is open, or still comes, is answered by then.
 func (p *Planner) Stop(left time.Duration) {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/roster"
 )
 
 // script is a controller that answers each step as it is told to.
@@ -30,7 +30,7 @@
 	terms              admission.Terms // of the last start
 }
 
-func (e *engines) Update(roster.List) {}
+func (e *engines) Update(endpoints.List) {}
 func (e *engines) Start(_ *exchange.Exchange, _ int, _ uint32, terms admission.Terms, _ time.Duration, _ time.Time) {
 	e.started++
 	e.terms = terms
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -12,7 +12,7 @@
 	"beechcart/admission"
 	"beechcart/decision/watchtimeout"
 	"beechcart/internal/drill"
-	"beechcart/internal/roster"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/scale/record"
 	"beechcart/internal/settings"
 	"beechcart/internal/standin/changelog"
@@ -51,7 +51,7 @@
 // measureLists measures what lists of databases weigh at their source and what they cost a front end to read.
 func measureLists(ctx context.Context, o *Options, c *collector) error {
 	c.note("bytes are those of the HTTP streams, question and answer, without headers of IP and TCP; entries are written by the stand-in change log and the stand-in Consul")
-	c.note("CPU of a list: the change log's reader (internal/roster) and the controller's step (admission), in this process")
+	c.note("CPU of a list: the change log's reader (internal/endpoints) and the controller's step (admission), in this process")
 	return o.each(ctx, c, record.ChangeLog, func(p place) error {
 		if err := measureChangeLog(ctx, p); err != nil {
 			return err
@@ -169,7 +169,7 @@
 		return err
 	}
 	now := time.Duration(startedMillis) * time.Millisecond
-	take := func(changes *roster.Log, text []byte) error {
+	take := func(changes *endpoints.Log, text []byte) error {
 		lists, err := changes.Read(text)
 		if err != nil {
 			return err
@@ -180,11 +180,11 @@
 		}
 		return nil
 	}
-	whole, err := cpuEach(func() error { return take(roster.NewLog(names), text) })
+	whole, err := cpuEach(func() error { return take(endpoints.NewLog(names), text) })
 	if err != nil {
 		return err
 	}
-	changes := roster.NewLog(names)
+	changes := endpoints.NewLog(names)
 	event, err := cpuEach(func() error {
 		seq := changes.Seq() + 2 // the first event is a whole list
 		status := []string{"draining", "ready"}[seq%2]
--- a/internal/source/changelog/changelog.go
+++ b/internal/source/changelog/changelog.go
@@ -6,26 +6,26 @@
 	"fmt"
 	"log/slog"
 
+	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
-	"beechcart/internal/roster"
 )
 
 // Source follows the change log at one address.
 type Source struct {
 	fleet   *engine.Fleet
 	addr    string
-	changes *roster.Log
+	changes *endpoints.Log
 	log     *slog.Logger
 	lost    bool // polls fail
 }
 
 // New returns a Source that goes on after the last event that changes holds.
-func New(fleet *engine.Fleet, addr string, changes *roster.Log, log *slog.Logger) *Source {
+func New(fleet *engine.Fleet, addr string, changes *endpoints.Log, log *slog.Logger) *Source {
 	return &Source{fleet: fleet, addr: addr, changes: changes, log: log}
 }
 
 // Run polls until ctx ends.
-func (s *Source) Run(ctx context.Context, take func(roster.List)) {
+func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
 	s.fleet.Changes(ctx, s.addr, s.changes.Seq(), func(text []byte) (int64, error) {
 		lists, err := s.changes.Read(text)
 		for _, l := range lists {
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -17,8 +17,8 @@
 	"beechcart/admission"
 	"beechcart/decision/discovery"
 	"beechcart/decision/poll"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/invariant"
-	"beechcart/internal/roster"
 	"beechcart/internal/settings"
 	"beechcart/internal/source"
 )
@@ -129,7 +129,7 @@
 }
 
 // Run reads the catalogue until ctx ends.
-func (s *Source) Run(ctx context.Context, take func(roster.List)) {
+func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
 	defer s.client.close()
 	s.inherit()
 	s.restore(take)
@@ -148,7 +148,7 @@
 }
 
 // restore begins with the last good list, so that a start needs no catalogue.
-func (s *Source) restore(take func(roster.List)) {
+func (s *Source) restore(take func(endpoints.List)) {
 	if s.store == nil || s.restored {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // wait sleeps until a call is due, and carries out what time alone changes.
-func (s *Source) wait(ctx context.Context, due time.Duration, take func(roster.List)) {
+func (s *Source) wait(ctx context.Context, due time.Duration, take func(endpoints.List)) {
 	for ctx.Err() == nil {
 		now := s.now()
 		s.advance(now, take)
@@ -205,7 +205,7 @@
 	return true
 }
 
-func (s *Source) advance(now time.Duration, take func(roster.List)) {
+func (s *Source) advance(now time.Duration, take func(endpoints.List)) {
 	s.mu.Lock()
 	var a discovery.Answer
 	if next, ok := s.set.Next(); ok && next <= now {
@@ -216,7 +216,7 @@
 }
 
 // ask makes one call. What time alone changes meanwhile is carried out while it waits.
-func (s *Source) ask(ctx context.Context, call poll.Call, take func(roster.List)) {
+func (s *Source) ask(ctx context.Context, call poll.Call, take func(endpoints.List)) {
 	s.newToken()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -251,7 +251,7 @@
 	}
 }
 
-func (s *Source) ended(call poll.Call, r reply, err error, take func(roster.List)) {
+func (s *Source) ended(call poll.Call, r reply, err error, take func(endpoints.List)) {
 	at := s.addrs[call.Address].hostPort
 	if err != nil {
 		s.counters.Add("catalogue_failed", 1)
@@ -287,7 +287,7 @@
 }
 
 // carry hands an answer on: the first as a whole list, the later ones as changes.
-func (s *Source) carry(a discovery.Answer, take func(roster.List)) {
+func (s *Source) carry(a discovery.Answer, take func(endpoints.List)) {
 	for _, n := range a.Notices {
 		s.counters.Add("notice_"+counterName(n.Kind), 1)
 		s.log.Warn("catalogue", "says", string(n.Kind), "engines", n.Count, "detail", n.Detail)
@@ -296,10 +296,10 @@
 		return
 	}
 	s.counters.Add("catalogue_changes", int64(len(a.Changes)))
-	list := roster.List{Complete: !s.started}
+	list := endpoints.List{Complete: !s.started}
 	s.started = true
 	for _, c := range a.Changes {
-		list.Engines = append(list.Engines, roster.Engine{
+		list.Engines = append(list.Engines, endpoints.Engine{
 			Engine: admission.Engine{ID: c.ID, Kind: settings.Find(s.names.Kinds, c.Kind), Zone: settings.Find(s.names.Zones, c.Zone),
 				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.Started},
 			Name: c.Key, Addr: c.Addr, Reason: string(c.Reason),
--- a/internal/source/feed.go
+++ b/internal/source/feed.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/internal/roster"
+	"beechcart/internal/endpoints"
 )
 
 // Handover is the reason of engines that the source before named and the new one does not.
@@ -19,7 +19,7 @@
 // Feed follows one source at a time and hands its lists on. Its methods are for one goroutine.
 type Feed struct {
 	ctx    context.Context
-	take   func(roster.List)
+	take   func(endpoints.List)
 	log    *slog.Logger
 	linger time.Duration
 
@@ -35,18 +35,18 @@
 }
 
 type listed struct {
-	roster.Engine
+	endpoints.Engine
 	gen int
 }
 
 // NewFeed returns a Feed that hands lists to take, one at a time. Engines that a new source does not name drain for
 // linger, so that what runs there can still be asked for, and are gone then.
-func NewFeed(ctx context.Context, take func(roster.List), linger time.Duration, log *slog.Logger) *Feed {
+func NewFeed(ctx context.Context, take func(endpoints.List), linger time.Duration, log *slog.Logger) *Feed {
 	return &Feed{ctx: ctx, take: take, log: log, linger: linger, known: map[uint32]listed{}}
 }
 
 // Take hands on a list from before the first source.
-func (f *Feed) Take(l roster.List) {
+func (f *Feed) Take(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hand(l)
@@ -65,20 +65,20 @@
 	}
 	was := f.veto
 	f.veto = maps.Clone(names)
-	var l roster.List
+	var l endpoints.List
 	for _, e := range f.known {
 		if was[e.Name] != names[e.Name] {
 			l.Engines = append(l.Engines, e.Engine)
 		}
 	}
 	if len(l.Engines) > 0 {
-		slices.SortFunc(l.Engines, func(a, b roster.Engine) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(l.Engines, func(a, b endpoints.Engine) int { return cmp.Compare(a.Name, b.Name) })
 		f.hand(l)
 	}
 }
 
 // vetoed is the list as the planner may have it.
-func (f *Feed) vetoed(l roster.List) roster.List {
+func (f *Feed) vetoed(l endpoints.List) endpoints.List {
 	if len(f.veto) == 0 {
 		return l
 	}
@@ -92,14 +92,14 @@
 }
 
 // Known lists the engines that are not gone, as their source tells. It may be called from any goroutine.
-func (f *Feed) Known() []roster.Engine {
+func (f *Feed) Known() []endpoints.Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]roster.Engine, 0, len(f.known))
+	out := make([]endpoints.Engine, 0, len(f.known))
 	for _, e := range f.known {
 		out = append(out, e.Engine)
 	}
-	slices.SortFunc(out, func(a, b roster.Engine) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b endpoints.Engine) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -123,7 +123,7 @@
 	f.leave, f.left = leave, left
 	go func() {
 		defer close(left)
-		s.Run(ctx, func(l roster.List) { f.from(gen, l) })
+		s.Run(ctx, func(l endpoints.List) { f.from(gen, l) })
 	}()
 }
 
@@ -135,7 +135,7 @@
 	}
 }
 
-func (f *Feed) from(gen int, l roster.List) {
+func (f *Feed) from(gen int, l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.moved && l.Complete {
@@ -147,7 +147,7 @@
 
 // handover makes the first list of a new source a change of what is known. Guards against attempts that lose their
 // engine only because another authority names it otherwise.
-func (f *Feed) handover(gen int, l roster.List) roster.List {
+func (f *Feed) handover(gen int, l endpoints.List) endpoints.List {
 	l.Complete = false
 	l.Engines = slices.Clone(l.Engines)
 	named := map[uint32]bool{}
@@ -173,7 +173,7 @@
 func (f *Feed) forget(gen int, old []uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var l roster.List
+	var l endpoints.List
 	for _, id := range old {
 		if e, ok := f.known[id]; ok && e.gen < gen && f.ctx.Err() == nil {
 			e.State, e.Reason = admission.Removed, Handover
@@ -186,7 +186,7 @@
 }
 
 // hand logs a list, remembers it and hands it on.
-func (f *Feed) hand(l roster.List) {
+func (f *Feed) hand(l endpoints.List) {
 	if l.Complete {
 		clear(f.known)
 	}
--- a/internal/source/feed_test.go
+++ b/internal/source/feed_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
-	"beechcart/internal/roster"
+	"beechcart/internal/endpoints"
 )
 
 // scripted hands on lists as a test sends them.
-type scripted chan roster.List
+type scripted chan endpoints.List
 
-func (s scripted) Run(ctx context.Context, take func(roster.List)) {
+func (s scripted) Run(ctx context.Context, take func(endpoints.List)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -31,17 +31,17 @@
 
 type taken struct {
 	mu    sync.Mutex
-	lists []roster.List
+	lists []endpoints.List
 }
 
-func (t *taken) take(l roster.List) {
+func (t *taken) take(l endpoints.List) {
 	t.mu.Lock()
 	t.lists = append(t.lists, l)
 	t.mu.Unlock()
 }
 
 // wait returns the nth list, counted from 0.
-func (t *taken) wait(tt *testing.T, n int) roster.List {
+func (t *taken) wait(tt *testing.T, n int) endpoints.List {
 	require.Eventually(tt, func() bool {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -52,15 +52,15 @@
 	return t.lists[n]
 }
 
-func named(complete bool, ids ...uint32) roster.List {
-	l := roster.List{Complete: complete}
+func named(complete bool, ids ...uint32) endpoints.List {
+	l := endpoints.List{Complete: complete}
 	for _, id := range ids {
-		l.Engines = append(l.Engines, roster.Engine{Engine: admission.Engine{ID: id}, Name: string(rune('a' + id)), Addr: "127.0.0.1:1"})
+		l.Engines = append(l.Engines, endpoints.Engine{Engine: admission.Engine{ID: id}, Name: string(rune('a' + id)), Addr: "127.0.0.1:1"})
 	}
 	return l
 }
 
-func states(l roster.List) map[uint32]admission.State {
+func states(l endpoints.List) map[uint32]admission.State {
 	m := map[uint32]admission.State{}
 	for _, e := range l.Engines {
 		m[e.ID] = e.State
@@ -107,8 +107,8 @@
 
 // An engine that the fleet drains gets nothing more, whatever its list says meanwhile, and is as the list says after it.
 func TestVetoOutlivesTheList(t *testing.T) {
-	var got []roster.List
-	f := NewFeed(context.Background(), func(l roster.List) { got = append(got, l) }, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	var got []endpoints.List
+	f := NewFeed(context.Background(), func(l endpoints.List) { got = append(got, l) }, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	state := func(name string) admission.State {
 		for i := len(got) - 1; i >= 0; i-- {
 			for _, e := range got[i].Engines {
@@ -119,17 +119,17 @@
 		}
 		return -1
 	}
-	entry := func(name string, id uint32, s admission.State) roster.Engine {
-		return roster.Engine{Engine: admission.Engine{ID: id, State: s}, Name: name, Addr: "127.0.0.1:1"}
+	entry := func(name string, id uint32, s admission.State) endpoints.Engine {
+		return endpoints.Engine{Engine: admission.Engine{ID: id, State: s}, Name: name, Addr: "127.0.0.1:1"}
 	}
-	f.Take(roster.List{Complete: true, Engines: []roster.Engine{entry("a", 1, admission.Ready), entry("b", 2, admission.Ready)}})
+	f.Take(endpoints.List{Complete: true, Engines: []endpoints.Engine{entry("a", 1, admission.Ready), entry("b", 2, admission.Ready)}})
 	f.Veto(map[string]bool{"a": true})
 	assert.Equal(t, admission.Draining, state("a"))
 	assert.Equal(t, admission.Ready, state("b"))
 	n := len(got)
 	f.Veto(map[string]bool{"a": true})
 	assert.Len(t, got, n, "nothing new, nothing told")
-	f.Take(roster.List{Engines: []roster.Engine{entry("a", 1, admission.Ready), entry("b", 2, admission.Removed)}})
+	f.Take(endpoints.List{Engines: []endpoints.Engine{entry("a", 1, admission.Ready), entry("b", 2, admission.Removed)}})
 	assert.Equal(t, admission.Draining, state("a"), "a list that calls it ready")
 	assert.Equal(t, admission.Removed, state("b"))
 	assert.Equal(t, admission.Ready, f.Known()[0].State, "what its source says is remembered")
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -5,14 +5,14 @@
 import (
 	"context"
 
-	"beechcart/internal/roster"
+	"beechcart/internal/endpoints"
 )
 
 // Source follows one authority on the engine list.
 type Source interface {
 	// Run hands on each list as it comes, in order, until ctx ends, and returns only then. It outlives every trouble
 	// of the authority. take must not be called after Run has returned.
-	Run(ctx context.Context, take func(roster.List))
+	Run(ctx context.Context, take func(endpoints.List))
 }
 
 // Believer is a Source that can tell what it believes of each engine, and why.
