--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -19,13 +19,13 @@
 	"beechcart/admission"
 	"beechcart/internal/admin"
 	"beechcart/internal/copies"
+	"beechcart/internal/dispatch"
 	"beechcart/internal/door"
 	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
 	"beechcart/internal/operators"
-	"beechcart/internal/planner"
 	"beechcart/internal/settings"
 	"beechcart/internal/source"
 	"beechcart/internal/source/changelog"
@@ -87,7 +87,7 @@
 	if err := fit(cfg, out); err != nil {
 		return err
 	}
-	plan := planner.New(ctl, cfg.Admission.Classes, counters, log)
+	plan := dispatch.New(ctl, cfg.Admission.Classes, counters, log)
 	trust, err := ops.Connections(cfg.HandshakePrice, cfg.Sockets)
 	if err != nil {
 		return err
--- a/internal/planner/memory.go
+++ b/internal/dispatch/memory.go
@@ -1,4 +1,4 @@
-package planner
+package dispatch
 
 import (
 	"hash/maphash"
--- a/internal/planner/planner.go
+++ b/internal/dispatch/planner.go
@@ -1,6 +1,6 @@
-// Package planner runs the controller: one goroutine owns it, takes what has come in as one batch, and carries
+// Package dispatch runs the controller: one goroutine owns it, takes what has come in as one batch, and carries
 // out what the controller answers. Every decision is the controller's.
-package planner
+package dispatch
 
 import (
 	"log/slog"
--- a/internal/scale/capacity/rows_front_end.go
+++ b/internal/scale/capacity/rows_front_end.go
@@ -13,7 +13,7 @@
 	byList      = "change log or Consul: internal/source"
 	byArc       = "arc: admission/controller.go"
 	bySessions  = "client sessions: internal/mysql"
-	byExchange  = "a statement's way: internal/mysql, internal/planner, internal/engine"
+	byExchange  = "a statement's way: internal/mysql, internal/dispatch, internal/engine"
 	byFiles     = "files, SIGHUP by hand: cmd/beechcart/run.go"
 	byStart     = "start of a process: cmd/beechcart/run.go"
 	bySuspicion = "gossip, and the leader's periodic check: internal/fleet/lead.go"
