--- a/Makefile
+++ b/Makefile
@@ -51,7 +51,7 @@
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/engine
 	go test -run '^$$' -fuzz '^FuzzParseQuery$$' -fuzztime 20s ./internal/mysql
 	go test -run '^$$' -fuzz '^FuzzParseLogin$$' -fuzztime 20s ./internal/mysql
-	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/figure
+	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/decimal
 	go test -run '^$$' -fuzz '^FuzzRead$$' -fuzztime 20s ./internal/endpoints
 	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/consul
 	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/lastgood
--- a/internal/figure/figure.go
+++ b/internal/decimal/figure.go
@@ -1,5 +1,5 @@
-// Package figure reads the figures that peers send, on either side.
-package figure
+// Package decimal reads the figures that peers send, on either side.
+package decimal
 
 import (
 	"bytes"
--- a/internal/figure/figure_test.go
+++ b/internal/decimal/figure_test.go
@@ -1,4 +1,4 @@
-package figure
+package decimal
 
 import (
 	"math"
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -5,7 +5,7 @@
 	"errors"
 
 	"beechcart/internal/copies"
-	"beechcart/internal/figure"
+	"beechcart/internal/decimal"
 	"beechcart/internal/http1"
 )
 
@@ -188,7 +188,7 @@
 
 // number reads a figure of a size that anything here may have.
 func number(text []byte) (float64, bool) {
-	f, ok := figure.Parse(text)
+	f, ok := decimal.Parse(text)
 	return f, ok && f <= mostFigure
 }
 
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"beechcart/internal/copies"
+	"beechcart/internal/decimal"
 	"beechcart/internal/exchange"
-	"beechcart/internal/figure"
 	"beechcart/internal/settings"
 )
 
@@ -111,7 +111,7 @@
 func setField(r *exchange.Request, name, value []byte, names settings.Names) error {
 	bad := func() error { return fmt.Errorf("field %s: %.40q can't be used", name, value) }
 	number := func(most float64) (float64, bool) {
-		f, ok := figure.Parse(value)
+		f, ok := decimal.Parse(value)
 		return f, ok && f <= most
 	}
 	switch string(name) {
