--- a/cmd/beechcart/helper_test.go
+++ b/cmd/beechcart/helper_test.go
@@ -23,7 +23,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/door"
+	"beechcart/internal/processstats"
 	"beechcart/internal/testprogram"
 )
 
@@ -63,7 +63,7 @@
 	deaf   int                                          // the polls up to this one hear nothing of the news
 	spoil  func(w http.ResponseWriter, q *http.Request) // what they get in its place
 
-	door *door.Client
+	door *processstats.Client
 }
 
 type lockedBuffer struct {
@@ -165,9 +165,9 @@
 	require.NoError(r.t, err)
 	theirs := os.NewFile(uintptr(pair[1]), "door")
 	defer theirs.Close()
-	r.door = door.NewClient(os.NewFile(uintptr(pair[0]), "door"))
+	r.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
 	r.t.Cleanup(r.door.Close)
-	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, door.Env+"=3")
+	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, processstats.Env+"=3")
 	require.NoError(r.t, r.cmd.Start())
 	go func() { r.exit <- r.cmd.Wait() }()
 }
--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -20,12 +20,12 @@
 	"beechcart/internal/admin"
 	"beechcart/internal/copies"
 	"beechcart/internal/dispatch"
-	"beechcart/internal/door"
 	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
 	"beechcart/internal/operators"
+	"beechcart/internal/processstats"
 	"beechcart/internal/settings"
 	"beechcart/internal/source"
 	"beechcart/internal/source/changelog"
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	if err := door.Open(func(f *door.Figures) { f.Counters, f.Copies = counters.Map(), copies.Counts() }); err != nil {
+	if err := processstats.Open(func(f *processstats.Figures) { f.Counters, f.Copies = counters.Map(), copies.Counts() }); err != nil {
 		return err
 	}
 	go report(ctx, counters, log)
--- a/internal/bench/path.go
+++ b/internal/bench/path.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"beechcart/internal/door"
+	"beechcart/internal/processstats"
 )
 
 const (
@@ -148,7 +148,7 @@
 type heapCost struct{ allocations, bytes float64 }
 
 // allocated returns what was allocated between two answers of the door.
-func allocated(from, to door.Figures) heapCost {
+func allocated(from, to processstats.Figures) heapCost {
 	return heapCost{float64(to.Mallocs - from.Mallocs), float64(to.Bytes - from.Bytes)}
 }
 
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/door"
 	"beechcart/internal/drill"
+	"beechcart/internal/processstats"
 	"beechcart/internal/standin/changelog"
 	"beechcart/internal/standin/engine"
 )
@@ -34,7 +34,7 @@
 	log     *changelog.Log
 	engines []*engine.Engine
 	front   *drill.Front
-	door    *door.Client // nil without one
+	door    *processstats.Client // nil without one
 }
 
 // newTestbed starts a front end on stub engines that answer at once. Probes are off: the controller sends them by time, and
@@ -120,7 +120,7 @@
 			return err
 		}
 		defer theirs.Close()
-		options.Files, options.Env = []*os.File{theirs}, []string{door.Env + "=3"}
+		options.Files, options.Env = []*os.File{theirs}, []string{processstats.Env + "=3"}
 	}
 	var err error
 	if t.front, err = drill.StartFront(options); err != nil {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.door = door.NewClient(os.NewFile(uintptr(pair[0]), "door"))
+	t.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
 	return os.NewFile(uintptr(pair[1]), "door"), nil
 }
 
--- a/internal/door/door.go
+++ b/internal/processstats/door.go
@@ -1,6 +1,6 @@
-// Package door lets a program's parent ask it for its figures, over a descriptor that the parent has handed down. There is
+// Package processstats lets a program's parent ask it for its figures, over a descriptor that the parent has handed down. There is
 // no listener, and nothing is open where no descriptor was named: the platform's `run` names none.
-package door
+package processstats
 
 import (
 	"bufio"
