--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -18,7 +18,7 @@
 
 	"beechcart/admission"
 	"beechcart/internal/admin"
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 	"beechcart/internal/dispatch"
 	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	if err := processstats.Open(func(f *processstats.Figures) { f.Counters, f.Copies = counters.Map(), copies.Counts() }); err != nil {
+	if err := processstats.Open(func(f *processstats.Figures) { f.Counters, f.Copies = counters.Map(), copycount.Counts() }); err != nil {
 		return err
 	}
 	go report(ctx, counters, log)
--- a/internal/copies/copies.go
+++ b/internal/copycount/copies.go
@@ -1,6 +1,6 @@
-// Package copies counts the bytes of results that are copied from one buffer to another, by place, in builds with the tag
+// Package copycount counts the bytes of results that are copied from one buffer to another, by place, in builds with the tag
 // count. In all other builds its calls are empty and cost nothing.
-package copies
+package copycount
 
 // Place is one line that copies.
 type Place int
--- a/internal/copies/off.go
+++ b/internal/copycount/off.go
@@ -1,6 +1,6 @@
 //go:build !count
 
-package copies
+package copycount
 
 // Add counts nothing in this build.
 func Add(Place, int) {}
--- a/internal/copies/on.go
+++ b/internal/copycount/on.go
@@ -1,6 +1,6 @@
 //go:build count
 
-package copies
+package copycount
 
 import "sync/atomic"
 
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 	"beechcart/internal/exchange"
 )
 
@@ -425,13 +425,13 @@
 	// The rows outlive the buffers of the connection: this is the one copy that is made of them.
 	rows := make([]byte, 0, min(len(r.body)*total, mostRows))
 	rows = append(rows, r.body...)
-	copies.Add(copies.Pages, len(r.body))
+	copycount.Add(copycount.Pages, len(r.body))
 	for page := 1; page < total; page++ {
 		var status admission.Status
 		if r, status = a.page(page); status != admission.OK {
 			return status, nil
 		}
-		copies.Add(copies.Pages, len(r.body))
+		copycount.Add(copycount.Pages, len(r.body))
 		if rows = append(rows, r.body...); len(rows) > mostRows {
 			a.fleet.opt.Counters.Add("result_too_large", 1)
 			return admission.Errored, nil
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -13,7 +13,7 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 )
 
 var errNoSocket = errors.New("engine: no socket is free")
@@ -151,7 +151,7 @@
 		c.header("Content-Length", strconv.Itoa(len(body)))
 	}
 	c.out = append(append(c.out, "\r\n"...), body...)
-	copies.Add(copies.Call, len(body))
+	copycount.Add(copycount.Call, len(body))
 	if _, err := c.c.Writer().WriteBinary(c.out); err != nil {
 		return err
 	}
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"errors"
 
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 	"beechcart/internal/decimal"
 	"beechcart/internal/http1"
 )
@@ -214,7 +214,7 @@
 			return nil, 0, err
 		}
 		copy(buf[w:], buf[n+from:n+from+size])
-		copies.Add(copies.Chunks, size)
+		copycount.Add(copycount.Chunks, size)
 		w, n = w+size, n+from+size+2
 		if size == 0 {
 			return buf[:w], n, nil
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -15,7 +15,7 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
 	"beechcart/internal/settings"
@@ -390,7 +390,7 @@
 
 func (s *session) write(b []byte) error {
 	if len(b) < directWrite {
-		copies.Add(copies.Output, len(b)) // netpoll copies what is small, and links what is large
+		copycount.Add(copycount.Output, len(b)) // netpoll copies what is small, and links what is large
 	}
 	if _, err := s.conn.Writer().WriteBinary(b); err != nil {
 		return err
@@ -536,7 +536,7 @@
 	if err != nil {
 		return false
 	}
-	copies.Add(copies.Encode, len(rows))
+	copycount.Add(copycount.Encode, len(rows))
 	b := appendResult(out[:0], &s.seq, rows)
 	s.srv.opt.Counters.Hold(len(b) == size, "result_size")
 	return s.conn.Writer().Flush() == nil
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 	"beechcart/internal/decimal"
 	"beechcart/internal/exchange"
 	"beechcart/internal/settings"
@@ -53,7 +53,7 @@
 		return r, errors.New("there is no statement")
 	}
 	r.Statement = bytes.Clone(text)
-	copies.Add(copies.Statement, len(text))
+	copycount.Add(copycount.Statement, len(text))
 	r.Group = tableGroup(text)
 	return r, nil
 }
