--- a/cmd/beechcart/consul_test.go
+++ b/cmd/beechcart/consul_test.go
@@ -25,8 +25,8 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/admin"
+	"beechcart/internal/fake/consul"
 	"beechcart/internal/source"
-	"beechcart/internal/standin/consul"
 )
 
 // catalogue starts a stand-in Consul that names those engines.
--- a/internal/bench/list.go
+++ b/internal/bench/list.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"beechcart/internal/drill"
-	"beechcart/internal/standin/consul"
+	"beechcart/internal/fake/consul"
 )
 
 // ListOptions are what the measurement of a list takes.
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"beechcart/internal/drill"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/engine"
 )
 
 // Scenario is one kind of request whose cost is counted.
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 
 	"beechcart/internal/drill"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/engine"
 	"beechcart/internal/processstats"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/engine"
 )
 
 // listTimeout is how long a front end may take to read its list of engines.
--- a/internal/drill/catalogue.go
+++ b/internal/drill/catalogue.go
@@ -13,8 +13,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechcart/internal/standin/consul"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/consul"
+	"beechcart/internal/fake/engine"
 )
 
 // Catalogue plays a Consul that is slow, wrong, flapping or gone.
--- a/internal/drill/checker.go
+++ b/internal/drill/checker.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/engine"
 )
 
 // DrainGrace is how long after the word of a drain a send may still come.
--- a/internal/drill/demo.go
+++ b/internal/drill/demo.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"beechcart/internal/standin/consul"
+	"beechcart/internal/fake/consul"
 )
 
 // DemoOptions are what a demonstration takes.
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/engine"
 	"beechcart/internal/testprogram"
 )
 
--- a/internal/drill/naive.go
+++ b/internal/drill/naive.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/consul"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/consul"
 )
 
 // naive is the baseline: it obeys every answer of the catalogue as it is, by way of a change log. A failing check, a
--- a/internal/drill/rollout.go
+++ b/internal/drill/rollout.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"beechcart/internal/drill/rig"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/engine"
 )
 
 // Rollout injects faults into a test cluster of front ends through two releases, one of them bad, and drains of engines.
--- a/internal/drill/rollout_checks.go
+++ b/internal/drill/rollout_checks.go
@@ -9,7 +9,7 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/drill/rig"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/engine"
 )
 
 // The exit codes with which a front end ends as the fleet has told it: to be started again, or once it is undrained.
--- a/internal/drill/rollout_checks_test.go
+++ b/internal/drill/rollout_checks_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/engine"
 )
 
 // Guards against a rule that can't fail: an execution counts that began in the period, or that went on into it.
--- a/internal/drill/rollout_engines.go
+++ b/internal/drill/rollout_engines.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"beechcart/decision/rollout"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/engine"
 )
 
 // Faults of the engine that the bad revision connects to.
--- a/internal/drill/rollout_report.go
+++ b/internal/drill/rollout_report.go
@@ -1,6 +1,6 @@
 package drill
 
-import "beechcart/internal/standin/engine"
+import "beechcart/internal/fake/engine"
 
 // observations are what a run has seen from its end.
 type observations struct {
--- a/internal/drill/rollout_start.go
+++ b/internal/drill/rollout_start.go
@@ -13,8 +13,8 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/drill/rig"
+	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fleet"
-	"beechcart/internal/standin/changelog"
 )
 
 // Limits of each front end of the test cluster.
--- a/internal/drill/rollout_test.go
+++ b/internal/drill/rollout_test.go
@@ -18,8 +18,8 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/drill/rig"
+	"beechcart/internal/fake/engine"
 	"beechcart/internal/fleet"
-	"beechcart/internal/standin/engine"
 )
 
 // The short form: rooms cut off on a fixed seed, and no faults on one drawn anew. All faults at once are played by hand
--- a/internal/standin/changelog/changelog.go
+++ b/internal/fake/changelog/changelog.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"beechcart/internal/standin/loopback"
+	"beechcart/internal/fake/loopback"
 )
 
 // Endpoint is one engine of an event.
--- a/internal/standin/consul/consul.go
+++ b/internal/fake/consul/consul.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"beechcart/internal/standin/loopback"
+	"beechcart/internal/fake/loopback"
 )
 
 // Faults are what goes wrong with reads, while they are set.
--- a/internal/standin/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -15,7 +15,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"beechcart/internal/standin/loopback"
+	"beechcart/internal/fake/loopback"
 )
 
 // Times of the platform's protocol.
--- a/internal/scale/parts/fixture.go
+++ b/internal/scale/parts/fixture.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"beechcart/internal/drill"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/engine"
 )
 
 // The limits that the platform gives a front end (DEPLOY: limits).
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -13,10 +13,10 @@
 	"beechcart/decision/watchtimeout"
 	"beechcart/internal/drill"
 	"beechcart/internal/endpoints"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/consul"
 	"beechcart/internal/scale/record"
 	"beechcart/internal/settings"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/consul"
 )
 
 const (
--- a/internal/scale/parts/reload.go
+++ b/internal/scale/parts/reload.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
+	"beechcart/internal/fake/changelog"
 	"beechcart/internal/scale/record"
-	"beechcart/internal/standin/changelog"
 )
 
 const (
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"beechcart/internal/drill"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/engine"
 	"beechcart/internal/fleet"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/engine"
 )
 
 // stands are stand-ins of the databases, all in this process, and the change log that lists them. Real front ends probe them.
