--- a/Makefile
+++ b/Makefile
@@ -45,7 +45,7 @@
 
 # The seeds that failed once, with all faults: about four minutes.
 drill-seeds:
-	DRILL_SEEDS=1 go test -count=1 -run SeedsThatFailedOnce ./internal/drill
+	DRILL_SEEDS=1 go test -count=1 -run SeedsThatFailedOnce ./internal/faulttest
 
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/engine
--- a/cmd/beechctl/bench.go
+++ b/cmd/beechctl/bench.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"beechcart/internal/bench"
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 )
 
 func benchCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 		Example: "  beechctl bench list --entries 5000 --metadata 2000 --seconds 60\n  beechctl bench list --entries 8 --changes 1000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.Program, err = drill.Program(o.Program); err != nil {
+			if o.Program, err = faulttest.Program(o.Program); err != nil {
 				return err
 			}
 			figures, err := bench.List(c.Context(), o)
@@ -62,7 +62,7 @@
 		Example: "  beechctl bench path\n  beechctl bench path --gate bench/baseline.json\n  beechctl bench path --record bench/baseline.json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.Program, err = drill.Program(o.Program); err != nil {
+			if o.Program, err = faulttest.Program(o.Program); err != nil {
 				return err
 			}
 			var held *bench.Baseline
@@ -148,7 +148,7 @@
 		Example: "  beechctl bench speed --against old/beechcart --rounds 5",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.Program, err = drill.Program(o.Program); err != nil {
+			if o.Program, err = faulttest.Program(o.Program); err != nil {
 				return err
 			}
 			t := newTable(c.OutOrStdout())
@@ -190,7 +190,7 @@
 		Example: "  beechctl bench idle --sessions 10000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if program, err = drill.Program(program); err != nil {
+			if program, err = faulttest.Program(program); err != nil {
 				return err
 			}
 			if n < 1 || n > 100_000 {
--- a/cmd/beechctl/demo.go
+++ b/cmd/beechctl/demo.go
@@ -5,11 +5,11 @@
 
 	"github.com/spf13/cobra"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 )
 
 func demoCommand() *cobra.Command {
-	var o drill.DemoOptions
+	var o faulttest.DemoOptions
 	c := &cobra.Command{
 		Use: "demo", Short: "Start a front end with stand-in engines and a stand-in Consul, and run a few queries", Args: cobra.NoArgs,
 		Long: "demo starts all on loopback addresses, runs queries of each class, drains an engine and brings it back, prints the\n" +
@@ -17,11 +17,11 @@
 		Example: "  beechctl demo\n  beechctl demo --once",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.Program, err = drill.Program(o.Program); err != nil {
+			if o.Program, err = faulttest.Program(o.Program); err != nil {
 				return err
 			}
 			o.Out = c.OutOrStdout()
-			if err := drill.Demo(c.Context(), o); err != nil {
+			if err := faulttest.Demo(c.Context(), o); err != nil {
 				return fmt.Errorf("demo: %w", err)
 			}
 			return nil
--- a/cmd/beechctl/drill.go
+++ b/cmd/beechctl/drill.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 )
 
 func drillCommand() *cobra.Command {
@@ -19,14 +19,14 @@
 		Long: "A drill starts the real front end and stand-ins on loopback addresses, plays faults that the seed draws, under load,\n" +
 			"and checks the rules. Exit code 0: every rule kept; 1: a rule broken; 2: could not run.",
 	}
-	for _, d := range drill.All {
+	for _, d := range faulttest.All {
 		root.AddCommand(oneDrill(d))
 	}
 	return root
 }
 
-func oneDrill(d drill.Drill) *cobra.Command {
-	var o drill.Options
+func oneDrill(d faulttest.Drill) *cobra.Command {
+	var o faulttest.Options
 	var asJSON, verbose bool
 	c := &cobra.Command{
 		Use: d.Name, Short: d.Short, Args: cobra.NoArgs,
@@ -39,7 +39,7 @@
 				return err
 			}
 			var err error
-			if o.Program, err = drill.Program(o.Program); err != nil {
+			if o.Program, err = faulttest.Program(o.Program); err != nil {
 				return err
 			}
 			if verbose {
--- a/cmd/beechctl/recorded_test.go
+++ b/cmd/beechctl/recorded_test.go
@@ -15,7 +15,7 @@
 	"beechcart/decision/discovery"
 	"beechcart/internal/admin"
 	"beechcart/internal/bench"
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale"
 	"beechcart/internal/source"
 	"beechcart/internal/source/lastgood"
@@ -85,7 +85,7 @@
 // TestRecordedReports holds the JSON of reports that commands print after a run: their keys, order and form.
 func TestRecordedReports(t *testing.T) {
 	var out bytes.Buffer
-	r := filled[drill.Report]()
+	r := filled[faulttest.Report]()
 	require.NoError(t, r.WriteJSON(&out))
 	holdToRecording(t, "drill.json", out.String())
 	out.Reset()
--- a/cmd/beechctl/scale_parts.go
+++ b/cmd/beechctl/scale_parts.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale/parts"
 	"beechcart/internal/scale/record"
 )
@@ -102,7 +102,7 @@
 func (f *scalePartsFlags) measure(c *cobra.Command, part parts.Part) error {
 	if part.StartsFrontEnd {
 		var err error
-		if f.options.Program, err = drill.Program(f.options.Program); err != nil {
+		if f.options.Program, err = faulttest.Program(f.options.Program); err != nil {
 			return err
 		}
 	}
--- a/cmd/beechctl/scale_run.go
+++ b/cmd/beechctl/scale_run.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale"
 )
 
@@ -91,7 +91,7 @@
 	}
 	o.HostCommand = []string{self, "scale", "host"}
 	if o.Real > 0 {
-		if o.Program, err = drill.Program(o.Program); err != nil {
+		if o.Program, err = faulttest.Program(o.Program); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 )
 
 const (
@@ -23,8 +23,8 @@
 type client struct {
 	scenario Scenario
 	address  string
-	session  *drill.Session // nil until the first request
-	repeated uint64         // requests that repeat has made
+	session  *faulttest.Session // nil until the first request
+	repeated uint64             // requests that repeat has made
 }
 
 // close closes the client's session, if there is one.
@@ -52,21 +52,21 @@
 // connect opens the session, where the scenario has one that lasts.
 func (c *client) connect() (err error) {
 	if c.session == nil && !c.scenario.fresh {
-		c.session, err = drill.Dial(c.address, dialTimeout)
+		c.session, err = faulttest.Dial(c.address, dialTimeout)
 	}
 	return err
 }
 
 func (c *client) query(statement string, deadline time.Time) ([][]string, error) {
 	if c.scenario.fresh {
-		return drill.OneQuery(c.address, statement, deadline)
+		return faulttest.OneQuery(c.address, statement, deadline)
 	}
 	return c.session.Query(statement, deadline)
 }
 
 // checkRefused returns an error unless a request was refused in a way that makes a repeat harmless.
 func (c *client) checkRefused(err error) error {
-	var refused *drill.ServerError
+	var refused *faulttest.ServerError
 	if !errors.As(err, &refused) || !refused.Harmless() {
 		return fmt.Errorf("bench: %s: not refused: %w", c.scenario.Name, err)
 	}
--- a/internal/bench/idle.go
+++ b/internal/bench/idle.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 )
 
 const (
@@ -30,9 +30,9 @@
 func idleSockets(n int) int { return 4 * (n + busySessions) }
 
 // openIdle opens n sessions that make no request. Those that were opened are returned with an error too.
-func (t *testbed) openIdle(n int) (sessions []*drill.Session, err error) {
+func (t *testbed) openIdle(n int) (sessions []*faulttest.Session, err error) {
 	for range n {
-		session, err := drill.Dial(t.front.Addr, idleDialTimeout)
+		session, err := faulttest.Dial(t.front.Addr, idleDialTimeout)
 		if err != nil {
 			return sessions, fmt.Errorf("bench: idle session %d: %w", len(sessions), err)
 		}
@@ -41,7 +41,7 @@
 	return sessions, nil
 }
 
-func closeAll(sessions []*drill.Session) {
+func closeAll(sessions []*faulttest.Session) {
 	for _, session := range sessions {
 		session.Close()
 	}
@@ -92,7 +92,7 @@
 }
 
 // timeCloseAll closes sessions all at once, and returns after how many seconds the front end has closed them too.
-func (t *testbed) timeCloseAll(sessions []*drill.Session) (seconds float64, err error) {
+func (t *testbed) timeCloseAll(sessions []*faulttest.Session) (seconds float64, err error) {
 	began := time.Now()
 	closeAll(sessions)
 	for {
--- a/internal/bench/list.go
+++ b/internal/bench/list.go
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"beechcart/internal/drill"
 	"beechcart/internal/fake/consul"
+	"beechcart/internal/faulttest"
 )
 
 // ListOptions are what the measurement of a list takes.
@@ -63,15 +63,15 @@
 			consul.Check{CheckID: "service:" + id(i), Status: "passing"})
 	}
 	type line struct {
-		drill.Listed
+		faulttest.Listed
 		at time.Time // when it was read
 	}
 	lines := make(chan line, 2*o.Entries+16)
 	began := time.Now()
-	f, err := drill.StartFront(drill.FrontOptions{Program: o.Program, Dir: dir, Name: "n0", MemoryMB: 1024, Sockets: 1024,
+	f, err := faulttest.StartFront(faulttest.FrontOptions{Program: o.Program, Dir: dir, Name: "n0", MemoryMB: 1024, Sockets: 1024,
 		Settings: fmt.Sprintf(`{"schema":1,"source":"consul","consul":{"addresses":[%q]}}`, cat.Addr),
 		Line: func(text string) {
-			if l, ok := drill.ParseListed(text); ok {
+			if l, ok := faulttest.ParseListed(text); ok {
 				lines <- line{l, time.Now()}
 			}
 		}})
@@ -89,13 +89,13 @@
 		}
 	}
 	figures := map[string]float64{"entries": float64(o.Entries), "listed_s": time.Since(began).Seconds()}
-	reads, cpu := cat.Reads(), drill.CPUSeconds(f.Pid())
+	reads, cpu := cat.Reads(), faulttest.CPUSeconds(f.Pid())
 	from := time.Now()
 	if err := wait(ctx, time.Duration(o.Seconds)*time.Second); err != nil {
 		return nil, err
 	}
 	minutes := time.Since(from).Minutes()
-	figures["still_cpu_s_per_min"] = (drill.CPUSeconds(f.Pid()) - cpu) / minutes
+	figures["still_cpu_s_per_min"] = (faulttest.CPUSeconds(f.Pid()) - cpu) / minutes
 	figures["still_reads_per_min"] = float64(cat.Reads()-reads) / minutes
 	figures["resident_mb"], figures["peak_mb"] = resident(f.Pid())
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"beechcart/internal/drill"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest"
 )
 
 // Scenario is one kind of request whose cost is counted.
@@ -39,7 +39,7 @@
 
 // statement returns a query of the scenario under an id.
 func (s Scenario) statement(id uint64) string {
-	return drill.Statement(s.class, fmt.Sprintf("%016x", id), s.limit, int(id%drill.Schemas))
+	return faulttest.Statement(s.class, fmt.Sprintf("%016x", id), s.limit, int(id%faulttest.Schemas))
 }
 
 // rows is the number of rows of one result.
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/drill"
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/processstats"
 )
 
@@ -33,7 +33,7 @@
 	dir     string
 	log     *changelog.Log
 	engines []*engine.Engine
-	front   *drill.Front
+	front   *faulttest.Front
 	door    *processstats.Client // nil without one
 }
 
@@ -99,7 +99,7 @@
 // startFront starts the front end, and returns once it has listed all engines.
 func (t *testbed) startFront(o testbedOptions) error {
 	listed := make(chan struct{}, 4096)
-	options := drill.FrontOptions{
+	options := faulttest.FrontOptions{
 		Program:   o.program,
 		Dir:       t.dir,
 		Name:      "n0",
@@ -107,9 +107,9 @@
 		Sockets:   o.sockets,
 		ChangeLog: t.log.Addr,
 		Settings:  o.settings,
-		Facts:     strings.Replace(drill.Facts, `"probes":true`, `"probes":false`, 1),
+		Facts:     strings.Replace(faulttest.Facts, `"probes":true`, `"probes":false`, 1),
 		Line: func(line string) {
-			if _, ok := drill.ParseListed(line); ok {
+			if _, ok := faulttest.ParseListed(line); ok {
 				listed <- struct{}{}
 			}
 		},
@@ -123,7 +123,7 @@
 		options.Files, options.Env = []*os.File{theirs}, []string{processstats.Env + "=3"}
 	}
 	var err error
-	if t.front, err = drill.StartFront(options); err != nil {
+	if t.front, err = faulttest.StartFront(options); err != nil {
 		return err
 	}
 	return awaitListed(listed, o.engines)
--- a/internal/drill/drill.go
+++ b/internal/faulttest/drill.go
@@ -1,7 +1,7 @@
-// Package drill plays faults against the real front end and checks the rules: front end processes, stand-in engines and
+// Package faulttest plays faults against the real front end and checks the rules: front end processes, stand-in engines and
 // catalogues on loopback addresses, faults drawn from a seed, open arrivals, and one checker that sees sockets only. A
 // drill imports nothing of the front end's inside: what it checks is the program that is delivered.
-package drill
+package faulttest
 
 import (
 	"context"
--- a/internal/drill/front.go
+++ b/internal/faulttest/front.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/rig"
 )
 
 // Front is one real front end process.
--- a/internal/drill/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"beechcart/internal/drill/rig"
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest/rig"
 )
 
 // Rollout injects faults into a test cluster of front ends through two releases, one of them bad, and drains of engines.
--- a/internal/drill/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"beechcart/decision/rollout"
-	"beechcart/internal/drill/rig"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest/rig"
 )
 
 // The exit codes with which a front end ends as the fleet has told it: to be started again, or once it is undrained.
--- a/internal/drill/rollout_checks_test.go
+++ b/internal/faulttest/rollout_checks_test.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"testing"
--- a/internal/drill/rollout_disk_faults.go
+++ b/internal/faulttest/rollout_disk_faults.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/rig"
 )
 
 // caughtUpWithin is how many log entries a control replica may lack and count as caught up.
--- a/internal/drill/rollout_faults.go
+++ b/internal/faulttest/rollout_faults.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/rig"
 )
 
 // At most maxFaulted members are in the hands of faults at a time, and at most one of them is a control replica: two faulted
--- a/internal/drill/rollout_link_faults.go
+++ b/internal/faulttest/rollout_link_faults.go
@@ -1,11 +1,11 @@
-package drill
+package faulttest
 
 import (
 	"context"
 	"math/rand/v2"
 	"time"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/rig"
 )
 
 // lossShare is the share of datagrams that a lossy network loses, and the share that it repeats.
--- a/internal/drill/rollout_logs.go
+++ b/internal/faulttest/rollout_logs.go
@@ -1,10 +1,10 @@
-package drill
+package faulttest
 
 import (
 	"regexp"
 	"time"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/rig"
 )
 
 // Lines of a front end's log that the test reads.
--- a/internal/drill/rollout_report.go
+++ b/internal/faulttest/rollout_report.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import "beechcart/internal/fake/engine"
 
--- a/internal/drill/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"time"
 
 	"beechcart/decision/rollout"
-	"beechcart/internal/drill/rig"
 	"beechcart/internal/fake/changelog"
+	"beechcart/internal/faulttest/rig"
 	"beechcart/internal/fleet"
 )
 
--- a/internal/drill/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/decision/rollout"
-	"beechcart/internal/drill/rig"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest/rig"
 	"beechcart/internal/fleet"
 )
 
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"path/filepath"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/rig"
 	"beechcart/internal/fleet"
 )
 
--- a/internal/scale/parts/fixture.go
+++ b/internal/scale/parts/fixture.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"beechcart/internal/drill"
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest"
 )
 
 // The limits that the platform gives a front end (DEPLOY: limits).
@@ -27,7 +27,7 @@
 	dir     string
 	log     *changelog.Log
 	engines []*engine.Engine
-	front   *drill.Front
+	front   *faulttest.Front
 	lines   chan frontLine
 
 	began time.Time // when the front end was started
@@ -78,10 +78,10 @@
 		list[i].Address = e.Addr
 	}
 	f.log.Tell(true, list...)
-	facts := strings.Replace(drill.Facts, `"replicas_of_me":1`, fmt.Sprintf(`"replicas_of_me":%d`, o.members), 1)
+	facts := strings.Replace(faulttest.Facts, `"replicas_of_me":1`, fmt.Sprintf(`"replicas_of_me":%d`, o.members), 1)
 	facts = strings.Replace(facts, `"allowance_per_s":100000`, fmt.Sprintf(`"allowance_per_s":%d`, 2*PlannedRate*o.members), 1)
 	f.began = time.Now()
-	f.front, err = drill.StartFront(drill.FrontOptions{Program: o.program, Dir: f.dir, Name: "n0", MemoryMB: frontMemoryMB, Sockets: frontSockets,
+	f.front, err = faulttest.StartFront(faulttest.FrontOptions{Program: o.program, Dir: f.dir, Name: "n0", MemoryMB: frontMemoryMB, Sockets: frontSockets,
 		ChangeLog: f.log.Addr, Settings: o.settings, Facts: facts, Line: f.line})
 	f.ready = time.Now()
 	return f, err
--- a/internal/scale/parts/frontend.go
+++ b/internal/scale/parts/frontend.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale/record"
 )
 
@@ -62,7 +62,7 @@
 // load is a front end with open sessions.
 type load struct {
 	*fixture
-	sessions []*drill.Session
+	sessions []*faulttest.Session
 	nextID   atomic.Uint64
 }
 
@@ -89,14 +89,14 @@
 // closed, whatever the setting of idle ones.
 func (l *load) open(n int) error {
 	missing := max(0, n-len(l.sessions))
-	opened := make([]*drill.Session, missing)
+	opened := make([]*faulttest.Session, missing)
 	failed := make([]error, missing)
 	var group sync.WaitGroup
 	places := make(chan struct{}, sessionDials)
 	for i := range missing {
 		places <- struct{}{}
 		group.Go(func() {
-			if opened[i], failed[i] = drill.Dial(l.front.Addr, sessionWait); failed[i] == nil {
+			if opened[i], failed[i] = faulttest.Dial(l.front.Addr, sessionWait); failed[i] == nil {
 				_ = l.statement(opened[i]) // counted where it matters: by the statements of measureRate
 			}
 			<-places
@@ -171,7 +171,7 @@
 }
 
 // statement makes one lookup and reads its rows.
-func (l *load) statement(session *drill.Session) error {
+func (l *load) statement(session *faulttest.Session) error {
 	id := l.nextID.Add(1)
 	text := fmt.Sprintf("/* c=lookup,i=%016x,d=%d,t=south-grain,h=20.0,need_mb=16 */ SELECT a FROM sales_%d.orders", id, statementWait.Milliseconds(), id%20)
 	_, err := session.Query(text, time.Now().Add(2*statementWait))
@@ -285,7 +285,7 @@
 		if err := pause(ctx, time.Until(due)); err != nil {
 			return made, err
 		}
-		session, err := drill.Dial(l.front.Addr, sessionWait)
+		session, err := faulttest.Dial(l.front.Addr, sessionWait)
 		if err != nil {
 			return made, err
 		}
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -11,10 +11,10 @@
 
 	"beechcart/admission"
 	"beechcart/decision/watchtimeout"
-	"beechcart/internal/drill"
 	"beechcart/internal/endpoints"
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/consul"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale/record"
 	"beechcart/internal/settings"
 )
@@ -40,7 +40,7 @@
 
 // factsOf are the settings of one front end of a fleet.
 func factsOf(me, members int) (admission.Settings, settings.Names, error) {
-	set, names, err := settings.Parse([]byte(drill.Facts))
+	set, names, err := settings.Parse([]byte(faulttest.Facts))
 	set.Me, set.Replicas = me, members
 	for i := range set.Tenants {
 		set.Tenants[i].AllowPerS = 2 * PlannedRate * float64(members)
--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -9,7 +9,7 @@
 
 	"beechcart/admission"
 	"beechcart/decision/reuse"
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale/record"
 )
 
@@ -138,8 +138,8 @@
 func (s *simulation) arrive(f *simulatedFront) {
 	s.nextArrival(f)
 	class, left := 0, f.random.Float64()
-	for ; class < len(drill.Classes)-1 && left >= drill.Classes[class].Share; class++ {
-		left -= drill.Classes[class].Share
+	for ; class < len(faulttest.Classes)-1 && left >= faulttest.Classes[class].Share; class++ {
+		left -= faulttest.Classes[class].Share
 	}
 	s.asked++
 	id := fmt.Sprintf("%016x", s.asked)
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"beechcart/internal/drill"
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/fleet"
 )
 
@@ -52,7 +52,7 @@
 // realFront is a beechcart process, and what its log has said of drains.
 type realFront struct {
 	name  string
-	front *drill.Front
+	front *faulttest.Front
 
 	mu      sync.Mutex
 	inForce map[string]time.Time // by database: since when it is excluded; absent: it is not
@@ -61,7 +61,7 @@
 
 // take follows one line of the front end's log.
 func (f *realFront) take(line string) {
-	listed, ok := drill.ParseListed(line)
+	listed, ok := faulttest.ParseListed(line)
 	if !ok {
 		return
 	}
@@ -131,10 +131,10 @@
 	for _, z := range l.zones {
 		zones = append(zones, fmt.Sprintf("%q", z.Zone))
 	}
-	facts := strings.Replace(drill.Facts, `"locality":"room-a"`, fmt.Sprintf(`"locality":%q`, m.Zone), 1)
+	facts := strings.Replace(faulttest.Facts, `"locality":"room-a"`, fmt.Sprintf(`"locality":%q`, m.Zone), 1)
 	facts = strings.Replace(facts, `"zones":["room-a"]`, `"zones":[`+strings.Join(zones, ",")+`]`, 1)
 	f := &realFront{name: m.Name, inForce: map[string]time.Time{}, lifted: map[string]int{}}
-	f.front, err = drill.StartFront(drill.FrontOptions{Program: o.Program, Dir: dir, Name: m.Name, Listen: at(m.host, servePort),
+	f.front, err = faulttest.StartFront(faulttest.FrontOptions{Program: o.Program, Dir: dir, Name: m.Name, Listen: at(m.host, servePort),
 		ChangeLog: changeLog, MemoryMB: 256, Sockets: 4096, Facts: facts, Settings: settings, Line: f.take})
 	return f, err
 }
