--- a/cmd/beechcart/leaving_test.go
+++ b/cmd/beechcart/leaving_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	relays "beechcart/internal/faulttest/rig"
+	relays "beechcart/internal/faulttest/cluster"
 )
 
 // noProbes are settings in which engines hear of nothing but queries, and connections may take long to come up.
--- a/internal/faulttest/rig/relay.go
+++ b/internal/faulttest/cluster/relay.go
@@ -1,6 +1,6 @@
-// Package rig is many front end processes on one machine, with all that goes between them led through relays that cut,
+// Package cluster is many front end processes on one machine, with all that goes between them led through relays that cut,
 // delay, drop, repeat and reset. It sees processes and sockets only; everything is on loopback addresses.
-package rig
+package cluster
 
 import (
 	"fmt"
--- a/internal/faulttest/rig/relay_test.go
+++ b/internal/faulttest/cluster/relay_test.go
@@ -1,4 +1,4 @@
-package rig
+package cluster
 
 import (
 	"io"
--- a/internal/faulttest/front.go
+++ b/internal/faulttest/front.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // Front is one real front end process.
@@ -187,7 +187,7 @@
 func (f *Front) Pid() int { return f.cmd.Process.Pid }
 
 // Wait returns once the front end has ended, with its exit code; once, and not beside Stop.
-func (f *Front) Wait() int { return rig.Code(<-f.exit) }
+func (f *Front) Wait() int { return cluster.Code(<-f.exit) }
 
 // Broken tells that an invariant of the front end was broken; empty for none.
 func (f *Front) Broken() string {
--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -8,7 +8,7 @@
 
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/engine"
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // Rollout injects faults into a test cluster of front ends through two releases, one of them bad, and drains of engines.
@@ -72,8 +72,8 @@
 // rolloutRun is one run of the rollout fault test: the test cluster, its stub servers, and what was observed.
 type rolloutRun struct {
 	options Options
-	cluster *rig.Fleet
-	network *rig.Net
+	cluster *cluster.Fleet
+	network *cluster.Net
 	goodLog *changelog.Log // endpoints for the good revisions
 	badLog  *changelog.Log // endpoints for the bad revision
 	engines []*managedEngine
@@ -104,7 +104,7 @@
 func newRolloutRun(o Options) *rolloutRun {
 	return &rolloutRun{
 		options: o,
-		network: rig.NewNet(o.Seed),
+		network: cluster.NewNet(o.Seed),
 		faulted: memberSet{},
 		drains:  map[string]*Drains{},
 		figures: map[string]float64{},
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -9,7 +9,7 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/fake/engine"
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // The exit codes with which a front end ends as the fleet has told it: to be started again, or once it is undrained.
@@ -47,7 +47,7 @@
 }
 
 // unsettledMember tells what keeps one member from being settled; empty for nothing.
-func unsettledMember(m *rig.Member, state *rollout.State) string {
+func unsettledMember(m *cluster.Member, state *rollout.State) string {
 	agreed := state.Members[m.Name]
 	processes := m.Processes()
 	current := processes[len(processes)-1]
@@ -80,7 +80,7 @@
 
 // rolloutChecker collects the violations of the rules of the rollout fault test.
 type rolloutChecker struct {
-	members      []*rig.Member
+	members      []*cluster.Member
 	emptyPeriods []emptyPeriod
 	haltPeriods  []period
 	violations   []Violation
@@ -127,10 +127,10 @@
 }
 
 // granted tells whether a process stopped accepting requests under a shutdown grant.
-func granted(p rig.Process) bool { return p.Chosen && !p.Left.IsZero() }
+func granted(p cluster.Process) bool { return p.Chosen && !p.Left.IsZero() }
 
 // checkExit finds processes that crashed or broke an invariant.
-func (c *rolloutChecker) checkExit(p rig.Process) {
+func (c *rolloutChecker) checkExit(p cluster.Process) {
 	if p.Fault != "" {
 		c.violate(Crashes, p.Ended, "%s: %s", p.Member, p.Fault)
 	}
@@ -141,7 +141,7 @@
 }
 
 // checkHalts finds a granted shutdown that began after a halt was acknowledged.
-func (c *rolloutChecker) checkHalts(p rig.Process) {
+func (c *rolloutChecker) checkHalts(p cluster.Process) {
 	for _, halt := range c.haltPeriods {
 		if p.Left.After(halt.from) && p.Left.Before(halt.to) {
 			c.violate(AfterHalt, p.Left, "%s went out %v after a halt was acknowledged", p.Member, p.Left.Sub(halt.from))
@@ -150,7 +150,7 @@
 }
 
 // checkBudget finds a granted shutdown that began while as many others as the budget allows were unavailable.
-func (c *rolloutChecker) checkBudget(m *rig.Member, p rig.Process) {
+func (c *rolloutChecker) checkBudget(m *cluster.Member, p cluster.Process) {
 	var unavailable, inZone []string
 	for _, other := range c.members {
 		if other == m || !knownUnavailable(other, p.Left) {
@@ -168,7 +168,7 @@
 }
 
 // knownUnavailable tells whether a member was unavailable at a time, and the fleet had to know it.
-func knownUnavailable(m *rig.Member, at time.Time) bool {
+func knownUnavailable(m *cluster.Member, at time.Time) bool {
 	unavailable, byGrant, since := m.Out(at)
 	return unavailable && (byGrant || at.Sub(since) > failureDetection)
 }
--- a/internal/faulttest/rollout_disk_faults.go
+++ b/internal/faulttest/rollout_disk_faults.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // caughtUpWithin is how many log entries a control replica may lack and count as caught up.
@@ -49,7 +49,7 @@
 
 // waitRejoined waits until a control replica with a new disk is a caught-up voter again. A second disk lost before that is
 // more than three replicas tolerate.
-func (r *rolloutRun) waitRejoined(ctx context.Context, m *rig.Member) {
+func (r *rolloutRun) waitRejoined(ctx context.Context, m *cluster.Member) {
 	for range 300 {
 		if r.hasRejoined(m) {
 			return
@@ -61,7 +61,7 @@
 	r.options.note("%s is not back among the keepers", m.Name)
 }
 
-func (r *rolloutRun) hasRejoined(m *rig.Member) bool {
+func (r *rolloutRun) hasRejoined(m *cluster.Member) bool {
 	leader := r.leaderStatus()
 	if leader == nil || len(leader.Servers) != controlReplicas || slices.Contains(leader.Servers, "") {
 		return false
--- a/internal/faulttest/rollout_faults.go
+++ b/internal/faulttest/rollout_faults.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // At most maxFaulted members are in the hands of faults at a time, and at most one of them is a control replica: two faulted
@@ -70,11 +70,11 @@
 }
 
 // claim picks a member that no other fault has claimed; nil if there is none. onlyReplicas picks among control replicas.
-func (r *rolloutRun) claim(rng *rand.Rand, onlyReplicas bool) *rig.Member {
+func (r *rolloutRun) claim(rng *rand.Rand, onlyReplicas bool) *cluster.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	replicaFaulted := slices.ContainsFunc(r.cluster.Members, r.isFaultedReplica)
-	var free []*rig.Member
+	var free []*cluster.Member
 	for _, m := range r.cluster.Members {
 		switch {
 		case r.faulted[m.Name], m.Keeps && replicaFaulted, onlyReplicas && !m.Keeps:
@@ -104,17 +104,17 @@
 }
 
 // isFaultedReplica tells whether a member is a control replica that a fault has claimed. The caller must hold mu.
-func (r *rolloutRun) isFaultedReplica(m *rig.Member) bool { return m.Keeps && r.faulted[m.Name] }
+func (r *rolloutRun) isFaultedReplica(m *cluster.Member) bool { return m.Keeps && r.faulted[m.Name] }
 
 // unclaim lets other faults claim a member.
-func (r *rolloutRun) unclaim(m *rig.Member) {
+func (r *rolloutRun) unclaim(m *cluster.Member) {
 	r.mu.Lock()
 	delete(r.faulted, m.Name)
 	r.mu.Unlock()
 }
 
 // replicas returns the members that are control replicas.
-func (r *rolloutRun) replicas() (replicas []*rig.Member) {
+func (r *rolloutRun) replicas() (replicas []*cluster.Member) {
 	for _, m := range r.cluster.Members {
 		if m.Keeps {
 			replicas = append(replicas, m)
@@ -167,7 +167,7 @@
 }
 
 // waitListening waits until a member's process listens again, or ctx ends.
-func (r *rolloutRun) waitListening(ctx context.Context, m *rig.Member) {
+func (r *rolloutRun) waitListening(ctx context.Context, m *cluster.Member) {
 	pause(ctx, 100*time.Millisecond)
 	for !m.Up() && pause(ctx, 50*time.Millisecond) {
 	}
--- a/internal/faulttest/rollout_link_faults.go
+++ b/internal/faulttest/rollout_link_faults.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // lossShare is the share of datagrams that a lossy network loses, and the share that it repeats.
@@ -21,11 +21,11 @@
 	return func(from, to string) bool { return inside[from] != inside[to] }
 }
 
-func restoreLink(l *rig.Link) { l.Set(rig.Trouble{}) }
+func restoreLink(l *cluster.Link) { l.Set(cluster.Trouble{}) }
 
 // disturb sets links in trouble for a while.
-func (r *rolloutRun) disturb(ctx context.Context, rng *rand.Rand, selected linkSelector, trouble rig.Trouble) {
-	r.network.Each(selected, func(l *rig.Link) { l.Set(trouble) })
+func (r *rolloutRun) disturb(ctx context.Context, rng *rand.Rand, selected linkSelector, trouble cluster.Trouble) {
+	r.network.Each(selected, func(l *cluster.Link) { l.Set(trouble) })
 	pause(ctx, between(rng, time.Second, 6*time.Second))
 	r.network.Each(selected, restoreLink)
 }
@@ -52,7 +52,7 @@
 func (r *rolloutRun) isolateZone(ctx context.Context, rng *rand.Rand) {
 	zone := drawZone(rng)
 	r.options.note("cut %s off", zone)
-	r.disturb(ctx, rng, across(r.membersIn(zone)), rig.Trouble{Cut: true})
+	r.disturb(ctx, rng, across(r.membersIn(zone)), cluster.Trouble{Cut: true})
 }
 
 // cutOneWay cuts all links to a member, or all from it.
@@ -61,7 +61,7 @@
 	inbound := rng.IntN(2) == 0
 	r.options.note("%s hears nothing, or is not heard: %v", member, inbound)
 	selected := func(from, to string) bool { return (inbound && to == member) || (!inbound && from == member) }
-	r.disturb(ctx, rng, selected, rig.Trouble{Cut: true})
+	r.disturb(ctx, rng, selected, cluster.Trouble{Cut: true})
 }
 
 // delayZone delays what goes between a zone and the others.
@@ -69,13 +69,13 @@
 	zone := drawZone(rng)
 	r.options.note("slow links")
 	delay := between(rng, 30*time.Millisecond, 200*time.Millisecond)
-	r.disturb(ctx, rng, across(r.membersIn(zone)), rig.Trouble{Delay: delay})
+	r.disturb(ctx, rng, across(r.membersIn(zone)), cluster.Trouble{Delay: delay})
 }
 
 // loseDatagrams loses and repeats datagrams of all members.
 func (r *rolloutRun) loseDatagrams(ctx context.Context, rng *rand.Rand) {
 	r.options.note("datagrams are lost and repeated")
-	r.disturb(ctx, rng, allLinks, rig.Trouble{Drop: lossShare, Dup: lossShare})
+	r.disturb(ctx, rng, allLinks, cluster.Trouble{Drop: lossShare, Dup: lossShare})
 }
 
 // resetConnections resets the connections of a member.
@@ -83,5 +83,5 @@
 	member := r.drawMember(rng)
 	r.options.note("reset the connections of %s", member)
 	selected := func(from, to string) bool { return from == member || to == member }
-	r.network.Each(selected, (*rig.Link).Reset)
+	r.network.Each(selected, (*cluster.Link).Reset)
 }
--- a/internal/faulttest/rollout_logs.go
+++ b/internal/faulttest/rollout_logs.go
@@ -4,7 +4,7 @@
 	"regexp"
 	"time"
 
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // Lines of a front end's log that the test reads.
@@ -14,7 +14,7 @@
 )
 
 // followLog reads one line of a member's log: when it stops accepting requests, and when it learns of a drain.
-func (r *rolloutRun) followLog(m *rig.Member, line string) {
+func (r *rolloutRun) followLog(m *cluster.Member, line string) {
 	if match := listing.FindStringSubmatch(line); match != nil {
 		if at, err := time.Parse(time.RFC3339Nano, match[1]); err == nil {
 			r.recordDrain(m.Addr, match[2], match[3] != "ready", at)
--- a/internal/faulttest/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -13,7 +13,7 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/fake/changelog"
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 	"beechcart/internal/fleet"
 )
 
@@ -77,7 +77,7 @@
 
 func (r *rolloutRun) startCluster(ctx context.Context, dir string) (err error) {
 	starter := &frontStarter{run: r, dir: dir, starts: map[string]int{}}
-	r.cluster, err = rig.NewFleet(rig.Options{
+	r.cluster, err = cluster.NewFleet(cluster.Options{
 		Members: r.options.Fronts,
 		Rooms:   rolloutZones,
 		Keepers: controlReplicas,
@@ -102,7 +102,7 @@
 	starts map[string]int // so far, by member
 }
 
-func (s *frontStarter) start(m *rig.Member, revision, fleetSettings string) (rig.Front, error) {
+func (s *frontStarter) start(m *cluster.Member, revision, fleetSettings string) (cluster.Front, error) {
 	dir, err := s.newDir(m.Name)
 	if err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 }
 
 // rolloutFacts returns Facts for one front end of several, in the zones of the test.
-func rolloutFacts(m *rig.Member, members int) string {
+func rolloutFacts(m *cluster.Member, members int) string {
 	const one, oneZone = `"locality":"room-a","me":0,"replicas_of_me":1`, `"zones":["room-a"]`
 	own := fmt.Sprintf(`"locality":%q,"me":%d,"replicas_of_me":%d`, m.Room, m.Number, members)
 	facts := strings.Replace(Facts, one, own, 1)
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -18,7 +18,7 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/fake/engine"
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 	"beechcart/internal/fleet"
 )
 
@@ -49,10 +49,10 @@
 func TestALateSendIsHeldAgainstTheFrontEndThatKnew(t *testing.T) {
 	t0 := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	f := &rolloutRun{drains: map[string]*Drains{}}
-	knew, other := &rig.Member{Name: "n0", Addr: "127.0.1.1:7001"}, &rig.Member{Name: "n1", Addr: "127.0.1.2:7001"}
+	knew, other := &cluster.Member{Name: "n0", Addr: "127.0.1.1:7001"}, &cluster.Member{Name: "n1", Addr: "127.0.1.2:7001"}
 	f.followLog(knew, "time="+t0.Format("2006-01-02T15:04:05.000Z")+` level=INFO msg="engine listed" node=n0 engine=e1 id=7 state=draining address=127.0.0.1:9 reason=vetoed`)
 	runs := []engine.Execution{{Engine: "e1", ID: "a", Class: "lookup", Sent: t0.Add(600 * time.Millisecond), Ended: t0.Add(610 * time.Millisecond), Good: true}}
-	for m, want := range map[*rig.Member]int{knew: 1, other: 0} {
+	for m, want := range map[*cluster.Member]int{knew: 1, other: 0} {
 		r := []Request{{ID: "a", Due: t0.Add(590 * time.Millisecond), Sent: t0.Add(590 * time.Millisecond), Latency: 30 * time.Millisecond, Outcome: Served, Addr: m.Addr}}
 		got := Check(Classes, r, runs, f.drainsByRequest(r), nil)
 		if assert.Len(t, got, want, m.Name); want > 0 {
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"path/filepath"
 
-	"beechcart/internal/faulttest/rig"
+	"beechcart/internal/faulttest/cluster"
 	"beechcart/internal/fleet"
 )
 
@@ -82,7 +82,7 @@
 	for i := range o.Members {
 		if i%membersPerNet == 0 {
 			var err error
-			if base, err = rig.LoopbackNet(); err != nil {
+			if base, err = cluster.LoopbackNet(); err != nil {
 				return err
 			}
 		}
