--- a/cmd/beechcart/fleet.go
+++ b/cmd/beechcart/fleet.go
@@ -11,7 +11,7 @@
 	"beechcart/internal/engine"
 	"beechcart/internal/fleet"
 	"beechcart/internal/invariant"
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 	"beechcart/internal/settings"
 	"beechcart/internal/source"
 )
@@ -33,7 +33,7 @@
 	goes     chan int
 }
 
-func joinFleet(cfg *settings.Config, ops operators.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
+func joinFleet(cfg *settings.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
 	f := ops.Fleet
 	if f.Gossip == "" {
 		return outside{}, nil
--- a/cmd/beechcart/main.go
+++ b/cmd/beechcart/main.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 	"beechcart/internal/settings"
 )
 
@@ -49,8 +49,8 @@
 type files struct{ config, settings string }
 
 // load reads both files and checks what can be checked without starting.
-func (f *files) load() (*settings.Config, operators.Settings, error) {
-	ops, err := operators.Load(f.settings)
+func (f *files) load() (*settings.Config, operatorconfig.Settings, error) {
+	ops, err := operatorconfig.Load(f.settings)
 	if err != nil {
 		return nil, ops, err
 	}
@@ -64,7 +64,7 @@
 	if err := cfg.Check(); err != nil {
 		return nil, ops, fmt.Errorf("configuration %s: %w", f.config, err)
 	}
-	if ops.Source == operators.ChangeLog && cfg.ChangeLog == "" {
+	if ops.Source == operatorconfig.ChangeLog && cfg.ChangeLog == "" {
 		return nil, ops, fmt.Errorf("configuration %s: changelog: no address is given", f.config)
 	}
 	return cfg, ops, nil
--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -24,7 +24,7 @@
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 	"beechcart/internal/processstats"
 	"beechcart/internal/settings"
 	"beechcart/internal/source"
@@ -75,7 +75,7 @@
 	}
 	changes := endpoints.NewLog(cfg.Names)
 	var known []endpoints.List
-	if len(cfg.Known) > 0 && ops.Source == operators.ChangeLog {
+	if len(cfg.Known) > 0 && ops.Source == operatorconfig.ChangeLog {
 		if known, err = changes.Read(cfg.Known); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func newLog(w io.Writer, l operators.Log) *slog.Logger {
+func newLog(w io.Writer, l operatorconfig.Log) *slog.Logger {
 	opt := &slog.HandlerOptions{Level: l.Level}
 	if l.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, opt))
@@ -210,24 +210,24 @@
 	log      *slog.Logger
 	counters *invariant.Counters
 
-	ops    operators.Settings // in force
-	consul *consul.Source     // nil: the change log is followed
+	ops    operatorconfig.Settings // in force
+	consul *consul.Source          // nil: the change log is followed
 	store  *lastgood.Store
 }
 
 // newSource makes the catalogue that the settings name; nil where they name the change log.
-func newSource(cfg *settings.Config, ops operators.Settings, store consul.Store, counters *invariant.Counters, log *slog.Logger) (*consul.Source, error) {
-	if ops.Source != operators.Consul {
+func newSource(cfg *settings.Config, ops operatorconfig.Settings, store consul.Store, counters *invariant.Counters, log *slog.Logger) (*consul.Source, error) {
+	if ops.Source != operatorconfig.Consul {
 		return nil, nil
 	}
 	return consul.New(ops.Consul, cfg.Names, store, counters, log, cfg.Seed)
 }
 
 // follow moves to the source that the settings name. An error changes nothing.
-func (l *list) follow(cfg *settings.Config, ops operators.Settings) error {
+func (l *list) follow(cfg *settings.Config, ops operatorconfig.Settings) error {
 	var store *lastgood.Store
 	var keep consul.Store // stays nil where nothing is kept
-	if ops.LastGood.Path != "" && ops.Source == operators.Consul {
+	if ops.LastGood.Path != "" && ops.Source == operatorconfig.Consul {
 		store = lastgood.New(ops.LastGood.Path, ops.LastGood.WriteEvery, ops.LastGood.MaxAge, l.log)
 		keep = store
 	}
@@ -239,10 +239,10 @@
 	switch {
 	case src == nil:
 		// The events of the change log are numbered on; after another source its first event is asked for again.
-		if was == operators.Consul {
+		if was == operatorconfig.Consul {
 			l.changes = endpoints.NewLog(cfg.Names)
 		}
-		l.feed.Follow(changelog.New(l.fleet, cfg.ChangeLog, l.changes, l.log), was != operators.Consul)
+		l.feed.Follow(changelog.New(l.fleet, cfg.ChangeLog, l.changes, l.log), was != operatorconfig.Consul)
 	case l.consul != nil:
 		src.Inherit(l.consul)
 		l.feed.Follow(src, true)
@@ -268,7 +268,7 @@
 // source of the engine list is all that can change while the program runs.
 func (l *list) reload() {
 	cfg, ops, err := l.files.load()
-	if err == nil && ops.Source == operators.Consul && l.consul != nil && reflect.DeepEqual(ops, l.ops) {
+	if err == nil && ops.Source == operatorconfig.Consul && l.consul != nil && reflect.DeepEqual(ops, l.ops) {
 		l.log.Info("reloaded", "source", ops.Source, "changed", false)
 		return
 	}
@@ -279,7 +279,7 @@
 		l.log.Error("reload failed", "error", err)
 		return
 	}
-	if ops.Source == operators.Consul {
+	if ops.Source == operatorconfig.Consul {
 		l.log.Info("reloaded", "source", ops.Source, "addresses", ops.Consul.Addresses)
 		return
 	}
--- a/cmd/beechctl/config.go
+++ b/cmd/beechctl/config.go
@@ -9,7 +9,7 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
-	"beechcart/internal/operators/cuefile"
+	"beechcart/internal/operatorconfig/cuefile"
 )
 
 // settingsFile is the file of a command line, or the one that stands in the repository.
--- a/cmd/beechctl/fleet.go
+++ b/cmd/beechctl/fleet.go
@@ -13,7 +13,7 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/fleet"
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 )
 
 // statusInterval is how often a command that waits asks for the fleet's status.
@@ -49,7 +49,7 @@
 
 // client returns a client of the control replicas that the settings name.
 func (f *fleetCommands) client() (*fleet.Client, error) {
-	settings, err := operators.Load(f.settings)
+	settings, err := operatorconfig.Load(f.settings)
 	if err == nil {
 		err = settings.Check()
 	}
--- a/cmd/beechctl/main_test.go
+++ b/cmd/beechctl/main_test.go
@@ -14,7 +14,7 @@
 
 	"beechcart/decision/discovery"
 	"beechcart/internal/admin"
-	"beechcart/internal/operators/cuefile"
+	"beechcart/internal/operatorconfig/cuefile"
 	"beechcart/internal/source"
 	"beechcart/internal/source/lastgood"
 )
--- a/cmd/beechctl/recorded_test.go
+++ b/cmd/beechctl/recorded_test.go
@@ -103,7 +103,7 @@
 }
 
 func TestRecordedConfigCommands(t *testing.T) {
-	settings, err := os.ReadFile("../../internal/operators/cuefile/testdata/every_field.cue")
+	settings, err := os.ReadFile("../../internal/operatorconfig/cuefile/testdata/every_field.cue")
 	require.NoError(t, err)
 	home, err := filepath.Abs(".")
 	require.NoError(t, err)
--- a/internal/operators/cuefile/cuefile.go
+++ b/internal/operatorconfig/cuefile/cuefile.go
@@ -16,7 +16,7 @@
 	"cuelang.org/go/cue/format"
 	"cuelang.org/go/cue/token"
 
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 )
 
 //go:embed schema.cue
@@ -98,7 +98,7 @@
 		return nil, problems(path, err, v, v)
 	}
 	var out bytes.Buffer
-	fmt.Fprintf(&out, `{"schema":%d,`, operators.Schema)
+	fmt.Fprintf(&out, `{"schema":%d,`, operatorconfig.Schema)
 	out.Write(bytes.TrimPrefix(text, []byte("{")))
 	text = append([]byte(nil), out.Bytes()...)
 	out.Reset()
@@ -107,7 +107,7 @@
 	}
 	out.WriteByte('\n')
 	// What the front end would not take must not be built: bounds that hang together are checked there.
-	s, err := operators.Parse(out.Bytes())
+	s, err := operatorconfig.Parse(out.Bytes())
 	if err == nil {
 		err = check(s)
 	}
@@ -117,7 +117,7 @@
 	return out.Bytes(), nil
 }
 
-func check(s operators.Settings) error {
+func check(s operatorconfig.Settings) error {
 	if err := s.Consul.Membership.Check(); err != nil {
 		return fmt.Errorf("membership.%w", err)
 	}
--- a/internal/operators/cuefile/cuefile_test.go
+++ b/internal/operatorconfig/cuefile/cuefile_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 )
 
 func write(t *testing.T, text string) string {
@@ -21,17 +21,17 @@
 func TestDefaultsAgree(t *testing.T) {
 	text, err := Build(write(t, ""))
 	require.NoError(t, err)
-	got, err := operators.Parse(text)
+	got, err := operatorconfig.Parse(text)
 	require.NoError(t, err)
-	assert.Equal(t, operators.Default(), got)
+	assert.Equal(t, operatorconfig.Default(), got)
 }
 
 func TestTheFileUnderDeployIsGood(t *testing.T) {
 	text, err := Build("../../../deploy/beechcart.cue")
 	require.NoError(t, err)
-	s, err := operators.Parse(text)
+	s, err := operatorconfig.Parse(text)
 	require.NoError(t, err)
-	assert.Equal(t, operators.ChangeLog, s.Source, "the platform keeps its change log")
+	assert.Equal(t, operatorconfig.ChangeLog, s.Source, "the platform keeps its change log")
 	assert.Empty(t, s.AdminSocket+s.LastGood.Path, "the platform has no listeners and no disk")
 }
 
--- a/internal/operators/cuefile/recorded_test.go
+++ b/internal/operatorconfig/cuefile/recorded_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/operators/cuefile"
+	"beechcart/internal/operatorconfig/cuefile"
 )
 
 // holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
--- a/internal/operators/operators.go
+++ b/internal/operatorconfig/operators.go
@@ -1,7 +1,7 @@
-// Package operators holds the operators' own settings: what is not told by the platform's configuration. They are
-// written in CUE, checked and built to JSON by beechctl (internal/operators/cuefile), and read from JSON by the front
+// Package operatorconfig holds the operators' own settings: what is not told by the platform's configuration. They are
+// written in CUE, checked and built to JSON by beechctl (internal/operatorconfig/cuefile), and read from JSON by the front
 // end, which stays small that way. Without a file the defaults hold, and nothing beyond the platform's page is on.
-package operators
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/operators/recorded_test.go
+++ b/internal/operatorconfig/recorded_test.go
@@ -1,4 +1,4 @@
-package operators_test
+package operatorconfig_test
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 )
 
 // everyField is the built form of a file that sets every field.
@@ -33,7 +33,7 @@
 }
 
 // values lists each setting under its key in the file.
-func values(s *operators.Settings) string {
+func values(s *operatorconfig.Settings) string {
 	c, p, m, mp, f := &s.Consul, &s.Consul.Poll, &s.Consul.Membership, &s.Consul.Mapping, &s.Fleet
 	var keepers []string
 	for _, k := range f.Keepers {
@@ -76,12 +76,12 @@
 }
 
 func TestRecordedSettings(t *testing.T) {
-	defaults := operators.Default()
+	defaults := operatorconfig.Default()
 	holdToRecording(t, "defaults.txt", values(&defaults))
-	every, err := operators.Load(everyField)
+	every, err := operatorconfig.Load(everyField)
 	require.NoError(t, err)
 	holdToRecording(t, "every_field.txt", values(&every))
-	unchanged, err := operators.Load("")
+	unchanged, err := operatorconfig.Load("")
 	require.NoError(t, err)
 	assert.Equal(t, values(&defaults), values(&unchanged))
 	for _, line := range strings.Split(strings.TrimSpace(values(&every)), "\n") {
@@ -95,13 +95,13 @@
 	var b strings.Builder
 	for _, sessions := range []int{0, 1, 100, 1000} {
 		for _, sockets := range []int{16, 250, 511, 4096} {
-			c := operators.Clients{MaxSessions: sessions}
+			c := operatorconfig.Clients{MaxSessions: sessions}
 			fmt.Fprintf(&b, "max_sessions %d, %d descriptors: %d\n", sessions, sockets, c.Sessions(sockets))
 		}
 	}
 	for _, reuse := range []string{"auto", "on", "off"} {
 		for _, price := range []float64{0, 0.01} {
-			s := operators.Settings{Reuse: reuse}
+			s := operatorconfig.Settings{Reuse: reuse}
 			trust, err := s.Connections(price, 512)
 			require.NoError(t, err)
 			fmt.Fprintf(&b, "reuse %s, handshake price %v: %t\n", reuse, price, trust != nil)
@@ -144,12 +144,12 @@
 			changed := fastjson.MustParse(string(text))
 			parent := changed.Get(path[:len(path)-1]...)
 			parent.Set(path[len(path)-1], fastjson.MustParse(bad))
-			_, err := operators.Parse(changed.MarshalTo(nil))
+			_, err := operatorconfig.Parse(changed.MarshalTo(nil))
 			fmt.Fprintf(&b, "%s\t%s\t%v\n", strings.Join(path, "."), bad, err)
 		}
 	}
 	for _, bad := range []string{``, `[`, `7`, `[]`, `{"schema":1,"nope":2}`, `{"schema":1,"consul":{"map":{"nope":2}}}`} {
-		_, err := operators.Parse([]byte(bad))
+		_, err := operatorconfig.Parse([]byte(bad))
 		fmt.Fprintf(&b, "whole file\t%s\t%v\n", bad, err)
 	}
 	holdToRecording(t, "bad_values.txt", b.String())
@@ -160,33 +160,33 @@
 	require.NoError(t, err)
 	t.Chdir(t.TempDir())
 	require.NoError(t, os.WriteFile("there", []byte(" 0123456789abcdef\n"), 0o600))
-	record := func(b *strings.Builder, name string, s operators.Settings) {
+	record := func(b *strings.Builder, name string, s operatorconfig.Settings) {
 		err := s.Check()
 		fmt.Fprintf(b, "%s: %v; key %q\n", name, err, s.Fleet.Key)
 	}
-	with := func(change func(*operators.Settings)) operators.Settings {
-		s := operators.Default()
-		s.Source = operators.Consul
+	with := func(change func(*operatorconfig.Settings)) operatorconfig.Settings {
+		s := operatorconfig.Default()
+		s.Source = operatorconfig.Consul
 		change(&s)
 		return s
 	}
 	var b strings.Builder
-	record(&b, "defaults", operators.Default())
-	record(&b, "token file missing", with(func(s *operators.Settings) { s.Consul.TokenFile = "none" }))
-	record(&b, "authority file missing", with(func(s *operators.Settings) { s.Consul.CAFile = "none" }))
-	record(&b, "certificate missing", with(func(s *operators.Settings) { s.Consul.CertFile = "none" }))
-	record(&b, "certificate without key", with(func(s *operators.Settings) { s.Consul.CertFile = "there" }))
-	record(&b, "key without certificate", with(func(s *operators.Settings) { s.Consul.KeyFile = "there" }))
-	record(&b, "both", with(func(s *operators.Settings) { s.Consul.CertFile, s.Consul.KeyFile = "there", "there" }))
-	record(&b, "another source", with(func(s *operators.Settings) {
-		s.Source, s.Consul.TokenFile = operators.ChangeLog, "none"
+	record(&b, "defaults", operatorconfig.Default())
+	record(&b, "token file missing", with(func(s *operatorconfig.Settings) { s.Consul.TokenFile = "none" }))
+	record(&b, "authority file missing", with(func(s *operatorconfig.Settings) { s.Consul.CAFile = "none" }))
+	record(&b, "certificate missing", with(func(s *operatorconfig.Settings) { s.Consul.CertFile = "none" }))
+	record(&b, "certificate without key", with(func(s *operatorconfig.Settings) { s.Consul.CertFile = "there" }))
+	record(&b, "key without certificate", with(func(s *operatorconfig.Settings) { s.Consul.KeyFile = "there" }))
+	record(&b, "both", with(func(s *operatorconfig.Settings) { s.Consul.CertFile, s.Consul.KeyFile = "there", "there" }))
+	record(&b, "another source", with(func(s *operatorconfig.Settings) {
+		s.Source, s.Consul.TokenFile = operatorconfig.ChangeLog, "none"
 	}))
-	record(&b, "fleet key missing", with(func(s *operators.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "none" }))
-	record(&b, "fleet key there", with(func(s *operators.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "there" }))
-	_, err = operators.Load("none")
+	record(&b, "fleet key missing", with(func(s *operatorconfig.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "none" }))
+	record(&b, "fleet key there", with(func(s *operatorconfig.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "there" }))
+	_, err = operatorconfig.Load("none")
 	fmt.Fprintf(&b, "no file: %v\n", err)
 	require.NoError(t, os.WriteFile("bad", []byte(`{"schema":1,"source":7}`), 0o600))
-	_, err = operators.Load("bad")
+	_, err = operatorconfig.Load("bad")
 	fmt.Fprintf(&b, "bad file: %v\n", err)
 	t.Chdir(recordings)
 	holdToRecording(t, "file_errors.txt", b.String())
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -85,7 +85,7 @@
 	return at, ok
 }
 
-// fleetSettings is the fleet's part of the operators' settings, in the names of internal/operators.
+// fleetSettings is the fleet's part of the operators' settings, in the names of internal/operatorconfig.
 type fleetSettings struct {
 	Gossip   string            `json:"gossip"`
 	Zone     string            `json:"room"`
