--- a/cmd/beechcart/fleet.go
+++ b/cmd/beechcart/fleet.go
@@ -12,7 +12,7 @@
 	"beechcart/internal/fleet"
 	"beechcart/internal/invariant"
 	"beechcart/internal/operatorconfig"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/source"
 )
 
@@ -28,12 +28,12 @@
 	feed     *source.Feed
 	engines  *engine.Fleet
 	counters *invariant.Counters
-	names    settings.Names
+	names    platformconfig.Names
 	cores    []admission.Kind
 	goes     chan int
 }
 
-func joinFleet(cfg *settings.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
+func joinFleet(cfg *platformconfig.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
 	f := ops.Fleet
 	if f.Gossip == "" {
 		return outside{}, nil
--- a/cmd/beechcart/fleet_lean.go
+++ b/cmd/beechcart/fleet_lean.go
@@ -9,12 +9,12 @@
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
 	"beechcart/internal/operatorconfig"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/source"
 )
 
 // joinFleet refuses what this build has left out.
-func joinFleet(_ *settings.Config, ops operatorconfig.Settings, _ *source.Feed, _ *engine.Fleet, _ *invariant.Counters, _ *slog.Logger) (fleetMember, error) {
+func joinFleet(_ *platformconfig.Config, ops operatorconfig.Settings, _ *source.Feed, _ *engine.Fleet, _ *invariant.Counters, _ *slog.Logger) (fleetMember, error) {
 	if ops.Fleet.Gossip != "" {
 		return nil, errors.New("settings: fleet: this build has none (tag lean)")
 	}
--- a/cmd/beechcart/main.go
+++ b/cmd/beechcart/main.go
@@ -7,7 +7,7 @@
 	"os"
 
 	"beechcart/internal/operatorconfig"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // The exit codes.
@@ -49,7 +49,7 @@
 type files struct{ config, settings string }
 
 // load reads both files and checks what can be checked without starting.
-func (f *files) load() (*settings.Config, operatorconfig.Settings, error) {
+func (f *files) load() (*platformconfig.Config, operatorconfig.Settings, error) {
 	ops, err := operatorconfig.Load(f.settings)
 	if err != nil {
 		return nil, ops, err
@@ -57,7 +57,7 @@
 	if err := ops.Check(); err != nil {
 		return nil, ops, fmt.Errorf("settings %s: %w", f.settings, err)
 	}
-	cfg, err := settings.Load(f.config, os.Getenv)
+	cfg, err := platformconfig.Load(f.config, os.Getenv)
 	if err != nil {
 		return nil, ops, err
 	}
--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -25,8 +25,8 @@
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
 	"beechcart/internal/operatorconfig"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/processstats"
-	"beechcart/internal/settings"
 	"beechcart/internal/source"
 	"beechcart/internal/source/changelog"
 	"beechcart/internal/source/consul"
@@ -195,7 +195,7 @@
 }
 
 // fit sizes the run time to the machine that the front end has.
-func fit(cfg *settings.Config, log io.Writer) error {
+func fit(cfg *platformconfig.Config, log io.Writer) error {
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 7 / 10)
 	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
@@ -216,7 +216,7 @@
 }
 
 // newSource makes the catalogue that the settings name; nil where they name the change log.
-func newSource(cfg *settings.Config, ops operatorconfig.Settings, store consul.Store, counters *invariant.Counters, log *slog.Logger) (*consul.Source, error) {
+func newSource(cfg *platformconfig.Config, ops operatorconfig.Settings, store consul.Store, counters *invariant.Counters, log *slog.Logger) (*consul.Source, error) {
 	if ops.Source != operatorconfig.Consul {
 		return nil, nil
 	}
@@ -224,7 +224,7 @@
 }
 
 // follow moves to the source that the settings name. An error changes nothing.
-func (l *list) follow(cfg *settings.Config, ops operatorconfig.Settings) error {
+func (l *list) follow(cfg *platformconfig.Config, ops operatorconfig.Settings) error {
 	var store *lastgood.Store
 	var keep consul.Store // stays nil where nothing is kept
 	if ops.LastGood.Path != "" && ops.Source == operatorconfig.Consul {
--- a/internal/endpoints/recorded_test.go
+++ b/internal/endpoints/recorded_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"beechcart/internal/endpoints"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/recorded"
-	"beechcart/internal/settings"
 )
 
 // events is a seeded change log from one event to another.
@@ -36,7 +36,7 @@
 // The lists that a seeded change log is read as are the recorded ones.
 func TestRecordedLog(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
-	names := settings.Names{Zones: map[string]int{"east": 0, "west": 1}, Kinds: map[string]int{"std": 0, "big": 1}}
+	names := platformconfig.Names{Zones: map[string]int{"east": 0, "west": 1}, Kinds: map[string]int{"std": 0, "big": 1}}
 	log := endpoints.NewLog(names)
 	var out strings.Builder
 	read := func(text string) {
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fastjson"
 
 	"beechcart/admission"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // Engine is one entry of the list: what the controller sees of it, and where it is.
@@ -41,13 +41,13 @@
 
 // Log reads the change log's answers and remembers the last event it holds.
 type Log struct {
-	names settings.Names
+	names platformconfig.Names
 	seq   int64
 	told  int64 // the last event that the last answer told of
 }
 
 // NewLog starts before the first event.
-func NewLog(n settings.Names) *Log { return &Log{names: n} }
+func NewLog(n platformconfig.Names) *Log { return &Log{names: n} }
 
 // Seq is the number of the last event held.
 func (l *Log) Seq() int64 { return l.seq }
@@ -113,7 +113,7 @@
 		e.State = admission.Draining
 	}
 	e.ID = id(e.Name)
-	e.Kind, e.Zone = settings.Find(l.names.Kinds, str("type")), settings.Find(l.names.Zones, str("zone"))
+	e.Kind, e.Zone = platformconfig.Find(l.names.Kinds, str("type")), platformconfig.Find(l.names.Zones, str("zone"))
 	e.Cell, e.Units = v.GetInt("group"), v.GetFloat64("weight")
 	e.Started = time.Duration(v.GetInt64("since_ms")) * time.Millisecond
 	return e, nil
--- a/internal/endpoints/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 const first = `{"seq":1,"fleet":{"index":7,"snapshot":false,"endpoints":[{"name":"s-00c41f7a","address":"10.1.0.9:7001",
 "zone":"east","type":"std","group":2,"status":"ready","weight":4,"since_ms":1500}]}}`
 
 func TestRead(t *testing.T) {
-	l := NewLog(settings.Names{Zones: map[string]int{"east": 1}, Kinds: map[string]int{"std": 0}})
+	l := NewLog(platformconfig.Names{Zones: map[string]int{"east": 1}, Kinds: map[string]int{"std": 0}})
 	lists, err := l.Read([]byte(`{"seq":1,"results":[` + first + `]}`))
 	require.NoError(t, err)
 	want := Engine{Engine: admission.Engine{ID: 0xc41f7a, Zone: 1, Cell: 2, Units: 4, Started: 1500 * time.Millisecond},
@@ -52,7 +52,7 @@
 func TestReadMalformed(t *testing.T) {
 	for _, in := range []string{"", "{", "[]", `{"results":[]}`, `{"seq":"1"}`, `{"seq":2,"results":[{"seq":2,"fleet":{"endpoints":[{}]}}]}`,
 		`{"seq":1,"results":[{"seq":1,"fleet":{"index":1}}]}`, `{"seq":2,"results":[{"seq":2,"fleet":{"snapshot":true,"endpoints":"x"}}]}`} {
-		l := NewLog(settings.Names{})
+		l := NewLog(platformconfig.Names{})
 		_, err := l.Read([]byte(in))
 		assert.Error(t, err, in)
 		assert.Zero(t, l.Seq(), "an answer that does not read changes nothing")
@@ -62,7 +62,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"seq":1,"results":[` + first + `]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		l := NewLog(settings.Names{})
+		l := NewLog(platformconfig.Names{})
 		if lists, err := l.Read(in); err != nil {
 			require.Empty(t, lists)
 			require.Zero(t, l.Seq())
--- a/internal/mysql/parse_test.go
+++ b/internal/mysql/parse_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/exchange"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
-func names() settings.Names {
-	return settings.Names{Classes: map[string]int{"lookup": 0, "report": 1}, Tenants: map[string]int{"acme": 0}}
+func names() platformconfig.Names {
+	return platformconfig.Names{Classes: map[string]int{"lookup": 0, "report": 1}, Tenants: map[string]int{"acme": 0}}
 }
 
 func TestParseQuery(t *testing.T) {
--- a/internal/mysql/recorded_test.go
+++ b/internal/mysql/recorded_test.go
@@ -19,8 +19,8 @@
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/recording"
-	"beechcart/internal/settings"
 )
 
 // answers gives each statement its final answer; one that has none stays open until its client leaves.
@@ -63,7 +63,7 @@
 
 // serveRecorded runs a server and returns its address.
 func serveRecorded(t *testing.T, requests *scripted) string {
-	_, names, err := settings.Parse([]byte(`{"services":[{"name":"lookup","semantics":"read_like"},
+	_, names, err := platformconfig.Parse([]byte(`{"services":[{"name":"lookup","semantics":"read_like"},
 		{"name":"load","semantics":"non_idempotent"}],"tenants":[{"name":"north"},{"name":"south"}]}`))
 	require.NoError(t, err)
 	logged := make(lines, 1000)
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -18,7 +18,7 @@
 	"beechcart/internal/copycount"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // Taker takes requests; their exchanges bring the final answers.
@@ -29,7 +29,7 @@
 
 // Options are what the client side is built with.
 type Options struct {
-	Names    settings.Names
+	Names    platformconfig.Names
 	Sessions int           // most sessions at once
 	Idle     time.Duration // a session that asks nothing is closed after this; 0: idleWait
 	Counters *invariant.Counters
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -10,12 +10,12 @@
 	"beechcart/internal/copycount"
 	"beechcart/internal/decimal"
 	"beechcart/internal/exchange"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // parseQuery reads the comment of fields ahead of a statement. What it returns owns its memory: a request
 // outlives the buffer that it came in.
-func parseQuery(q []byte, names settings.Names) (r exchange.Request, err error) {
+func parseQuery(q []byte, names platformconfig.Names) (r exchange.Request, err error) {
 	q = bytes.TrimSpace(q)
 	if !bytes.HasPrefix(q, []byte("/*")) {
 		return r, errors.New("the comment with the fields of the request is missing")
@@ -108,7 +108,7 @@
 
 // setField takes one field. Each is checked here, before any is passed on: an engine must not see what it can't
 // use, nor the controller a figure that is none.
-func setField(r *exchange.Request, name, value []byte, names settings.Names) error {
+func setField(r *exchange.Request, name, value []byte, names platformconfig.Names) error {
 	bad := func() error { return fmt.Errorf("field %s: %.40q can't be used", name, value) }
 	number := func(most float64) (float64, bool) {
 		f, ok := decimal.Parse(value)
--- a/internal/settings/config.go
+++ b/internal/platformconfig/config.go
@@ -1,6 +1,6 @@
-// Package settings turns the configuration, and the settings object that it shares with the bench, into the
+// Package platformconfig turns the configuration, and the settings object that it shares with the bench, into the
 // controller's terms and the names that clients and the change log use.
-package settings
+package platformconfig
 
 import (
 	"errors"
--- a/internal/settings/facts.go
+++ b/internal/platformconfig/facts.go
@@ -1,4 +1,4 @@
-package settings
+package platformconfig
 
 import (
 	"fmt"
--- a/internal/settings/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -1,4 +1,4 @@
-package settings_test
+package platformconfig_test
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/recording"
-	"beechcart/internal/settings"
 )
 
 // every is a configuration that has each field, and no two alike where they could be mixed up.
@@ -104,10 +104,10 @@
 	}
 }
 
-func (e *encoder) names(n *settings.Names) {
+func (e *encoder) names(n *platformconfig.Names) {
 	for _, m := range []map[string]int{n.Classes, n.Tenants, n.Zones, n.Kinds} {
 		for _, name := range []string{"load", "put", "lookup", "acme", "north", "a", "b", "c", "std-12", "std-8", "none"} {
-			e.ints(settings.Find(m, name))
+			e.ints(platformconfig.Find(m, name))
 		}
 		e.ints(len(m))
 		e.line()
@@ -118,7 +118,7 @@
 	e.line()
 }
 
-func (e *encoder) config(c *settings.Config) {
+func (e *encoder) config(c *platformconfig.Config) {
 	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
 	fmt.Fprintf(e, "%d ", c.Seed)
 	e.floats(c.Cores, c.HandshakePrice)
@@ -129,11 +129,11 @@
 	e.names(&c.Names)
 }
 
-func loadText(t *testing.T, text string, env map[string]string) (*settings.Config, error) {
+func loadText(t *testing.T, text string, env map[string]string) (*platformconfig.Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	c, err := settings.Load(path, func(name string) string { return env[name] })
+	c, err := platformconfig.Load(path, func(name string) string { return env[name] })
 	if err != nil {
 		return nil, fmt.Errorf("%s", strings.ReplaceAll(err.Error(), path, "FILE"))
 	}
@@ -166,7 +166,7 @@
 			out.Write(one.Bytes()) // the first in full
 		}
 	}
-	set, names, err := settings.Parse([]byte(every[strings.Index(every, `{"discovery"`) : len(every)-1]))
+	set, names, err := platformconfig.Parse([]byte(every[strings.Index(every, `{"discovery"`) : len(every)-1]))
 	require.NoError(t, err)
 	var one encoder
 	one.settings(&set)
@@ -199,7 +199,7 @@
 		require.Error(t, err, text)
 		fmt.Fprintf(&out, "%v\n", err)
 	}
-	_, err := settings.Load("", os.Getenv)
+	_, err := platformconfig.Load("", os.Getenv)
 	require.Error(t, err)
 	fmt.Fprintf(&out, "%v\n", err)
 	recording.Compare(t, "load-errors", out.Bytes())
--- a/internal/settings/recorded_values_test.go
+++ b/internal/platformconfig/recorded_values_test.go
@@ -1,4 +1,4 @@
-package settings_test
+package platformconfig_test
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 const everyField = "testdata/every_field.json"
@@ -76,7 +76,7 @@
 	return list
 }
 
-func listing(c *settings.Config) string {
+func listing(c *platformconfig.Config) string {
 	return strings.Join(leaves(reflect.ValueOf(c)), "\n") + "\n"
 }
 
@@ -85,16 +85,16 @@
 }
 
 func TestRecordedConfig(t *testing.T) {
-	c, err := settings.Load(everyField, env(nil))
+	c, err := platformconfig.Load(everyField, env(nil))
 	require.NoError(t, err)
 	require.NoError(t, c.Check())
 	holdToRecording(t, "every_field.txt", listing(c))
-	c, err = settings.Load(everyField, env(map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}))
+	c, err = platformconfig.Load(everyField, env(map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}))
 	require.NoError(t, err)
 	holdToRecording(t, "environment.txt", listing(c))
 	path := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":"a:1","settings":{}}`), 0o600))
-	c, err = settings.Load(path, env(nil))
+	c, err = platformconfig.Load(path, env(nil))
 	require.NoError(t, err)
 	holdToRecording(t, "defaults.txt", listing(c))
 }
@@ -135,7 +135,7 @@
 			changed := fastjson.MustParse(string(text))
 			changed.Get(path[:len(path)-1]...).Set(path[len(path)-1], fastjson.MustParse(bad))
 			require.NoError(t, os.WriteFile("c.json", changed.MarshalTo(nil), 0o600))
-			c, err := settings.Load("c.json", env(nil))
+			c, err := platformconfig.Load("c.json", env(nil))
 			if err == nil {
 				err = c.Check()
 			}
@@ -144,11 +144,11 @@
 	}
 	for _, bad := range []string{``, `[`, `[]`, `{"seed":"x"}`} {
 		require.NoError(t, os.WriteFile("c.json", []byte(bad), 0o600))
-		_, err := settings.Load("c.json", env(nil))
+		_, err := platformconfig.Load("c.json", env(nil))
 		fmt.Fprintf(&b, "whole file\t%s\t%v\n", bad, err)
 	}
 	for _, path := range []string{"", "none.json"} {
-		_, err := settings.Load(path, env(nil))
+		_, err := platformconfig.Load(path, env(nil))
 		fmt.Fprintf(&b, "file %q\t%v\n", path, err)
 	}
 	t.Chdir(home)
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -15,8 +15,8 @@
 	"beechcart/internal/fake/changelog"
 	"beechcart/internal/fake/consul"
 	"beechcart/internal/faulttest"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/scale/record"
-	"beechcart/internal/settings"
 )
 
 const (
@@ -39,8 +39,8 @@
 }
 
 // factsOf are the settings of one front end of a fleet.
-func factsOf(me, members int) (admission.Settings, settings.Names, error) {
-	set, names, err := settings.Parse([]byte(faulttest.Facts))
+func factsOf(me, members int) (admission.Settings, platformconfig.Names, error) {
+	set, names, err := platformconfig.Parse([]byte(faulttest.Facts))
 	set.Me, set.Replicas = me, members
 	for i := range set.Tenants {
 		set.Tenants[i].AllowPerS = 2 * PlannedRate * float64(members)
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -19,7 +19,7 @@
 	"beechcart/decision/poll"
 	"beechcart/internal/endpoints"
 	"beechcart/internal/invariant"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/source"
 )
 
@@ -38,7 +38,7 @@
 type Source struct {
 	opt      Options
 	addrs    []address
-	names    settings.Names
+	names    platformconfig.Names
 	store    Store // nil: none
 	counters *invariant.Counters
 	log      *slog.Logger
@@ -58,7 +58,7 @@
 }
 
 // New returns a Source, or an error that names the setting that can't be used. store may be nil.
-func New(opt Options, names settings.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64) (*Source, error) {
+func New(opt Options, names platformconfig.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64) (*Source, error) {
 	s := &Source{opt: opt, names: names, store: store, counters: counters, log: log, now: unixClock()}
 	s.client.opt = &s.opt
 	if opt.Service == "" {
@@ -300,7 +300,7 @@
 	s.started = true
 	for _, c := range a.Changes {
 		list.Engines = append(list.Engines, endpoints.Engine{
-			Engine: admission.Engine{ID: c.ID, Kind: settings.Find(s.names.Kinds, c.Kind), Zone: settings.Find(s.names.Zones, c.Zone),
+			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.Find(s.names.Kinds, c.Kind), Zone: platformconfig.Find(s.names.Zones, c.Zone),
 				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.Started},
 			Name: c.Key, Addr: c.Addr, Reason: string(c.Reason),
 		})
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // line is one parsed line: a message name and its pairs.
@@ -229,7 +229,7 @@
 		r.keep(fmt.Errorf("work_item: field band: %q is not in the settings", clip(band)))
 	}
 	ev := admission.Request{
-		ID: r.str("ticket"), Class: class, Tenant: settings.Find(in.names.Tenants, r.get("org")),
+		ID: r.str("ticket"), Class: class, Tenant: platformconfig.Find(in.names.Tenants, r.get("org")),
 		Key: r.get("order_key"), Left: time.Duration(r.num("patience_left")),
 		Work: time.Duration(r.opt("est_cost")), MemMB: r.real("mem_mb"), Group: -1,
 		Retry: r.opt("repeat") == 1, Write: r.opt("update") == 1,
@@ -263,7 +263,7 @@
 	for _, kv := range list {
 		e := &reader{line: line{op: "engine", kv: kv}}
 		ent := admission.Engine{
-			ID: e.engine(), Kind: settings.Find(in.names.Kinds, kv["shape"]), Zone: settings.Find(in.names.Zones, kv["rack_zone"]),
+			ID: e.engine(), Kind: platformconfig.Find(in.names.Kinds, kv["shape"]), Zone: platformconfig.Find(in.names.Zones, kv["rack_zone"]),
 			Cell: int(e.opt("cell")), Units: e.real("units"), Started: time.Duration(e.opt("last_start")),
 		}
 		switch kv["state"] {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // instance is one gateway: its controller and the names it was given in its settings.
 type instance struct {
 	ctl   *admission.Controller
-	names settings.Names
+	names platformconfig.Names
 	batch []admission.Event
 	live  bool
 }
@@ -159,7 +159,7 @@
 		}
 		seed = uint64(signed)
 	}
-	set, n, err := settings.Parse([]byte(l.get("facts")))
+	set, n, err := platformconfig.Parse([]byte(l.get("facts")))
 	if err != nil {
 		return fmt.Errorf("facts: %w", err)
 	}
