--- a/Makefile
+++ b/Makefile
@@ -54,7 +54,7 @@
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/decimal
 	go test -run '^$$' -fuzz '^FuzzRead$$' -fuzztime 20s ./internal/endpoints
 	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/consul
-	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/lastgood
+	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/endpointcache
 
 # make run CONFIG=path/to/config.json
 run: build
--- a/cmd/beechcart/run.go
+++ b/cmd/beechcart/run.go
@@ -30,7 +30,7 @@
 	"beechcart/internal/source"
 	"beechcart/internal/source/changelog"
 	"beechcart/internal/source/consul"
-	"beechcart/internal/source/lastgood"
+	"beechcart/internal/source/endpointcache"
 )
 
 const (
@@ -212,7 +212,7 @@
 
 	ops    operatorconfig.Settings // in force
 	consul *consul.Source          // nil: the change log is followed
-	store  *lastgood.Store
+	store  *endpointcache.Store
 }
 
 // newSource makes the catalogue that the settings name; nil where they name the change log.
@@ -225,10 +225,10 @@
 
 // follow moves to the source that the settings name. An error changes nothing.
 func (l *list) follow(cfg *platformconfig.Config, ops operatorconfig.Settings) error {
-	var store *lastgood.Store
+	var store *endpointcache.Store
 	var keep consul.Store // stays nil where nothing is kept
 	if ops.LastGood.Path != "" && ops.Source == operatorconfig.Consul {
-		store = lastgood.New(ops.LastGood.Path, ops.LastGood.WriteEvery, ops.LastGood.MaxAge, l.log)
+		store = endpointcache.New(ops.LastGood.Path, ops.LastGood.WriteEvery, ops.LastGood.MaxAge, l.log)
 		keep = store
 	}
 	src, err := newSource(cfg, ops, keep, l.counters, l.log)
--- a/cmd/beechctl/list.go
+++ b/cmd/beechctl/list.go
@@ -12,7 +12,7 @@
 	"beechcart/decision/discovery"
 	"beechcart/internal/admin"
 	"beechcart/internal/source"
-	"beechcart/internal/source/lastgood"
+	"beechcart/internal/source/endpointcache"
 )
 
 func listCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 					return fmt.Errorf("list: %w", err)
 				}
 			default:
-				entries, kept, err := lastgood.ReadFile(file)
+				entries, kept, err := endpointcache.ReadFile(file)
 				if err != nil {
 					return noError{fmt.Errorf("%s: %w", file, err)}
 				}
--- a/cmd/beechctl/recorded_test.go
+++ b/cmd/beechctl/recorded_test.go
@@ -18,7 +18,7 @@
 	"beechcart/internal/faulttest"
 	"beechcart/internal/scale"
 	"beechcart/internal/source"
-	"beechcart/internal/source/lastgood"
+	"beechcart/internal/source/endpointcache"
 )
 
 // holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
@@ -145,13 +145,13 @@
 	t.Cleanup(socket.Close)
 	started := 1700000000500 * time.Millisecond
 	file := filepath.Join(dir, "engines.list")
-	require.NoError(t, os.WriteFile(file, lastgood.Encode([]discovery.Entry{
+	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Entry{
 		{Key: "n/e1", Addr: "10.0.0.1:1", Passing: true, Zone: "a", Kind: "std-12", Cell: 3, Weight: 1.5, Started: started},
 		{Key: "n/e2", Addr: "10.0.0.2:1", Passing: true, Drain: true},
 		{Key: "n/e3", Addr: "[2001:db8::1]:1"},
 	}, time.Unix(1700000000, 0)), 0o600))
 	empty := filepath.Join(dir, "empty.list")
-	require.NoError(t, os.WriteFile(empty, lastgood.Encode(nil, time.Unix(1700000000, 0)), 0o600))
+	require.NoError(t, os.WriteFile(empty, endpointcache.Encode(nil, time.Unix(1700000000, 0)), 0o600))
 
 	for _, c := range []struct {
 		file string
--- a/internal/source/lastgood/lastgood.go
+++ b/internal/source/endpointcache/lastgood.go
@@ -1,10 +1,10 @@
-// Package lastgood keeps the last good list of engines in a file, for installations that have a disk, so that a front
+// Package endpointcache keeps the last good list of engines in a file, for installations that have a disk, so that a front
 // end that starts while its catalogue is down serves all the same.
 //
 // A file is one line, "beechcart-list VERSION LENGTH XXH3", and a JSON object of that length. It is written whole
 // (a new file, synced, renamed over the old one), and read whole or not at all: a file that can't be used is moved
 // aside under a name that tells why, and one such file of each kind is kept.
-package lastgood
+package endpointcache
 
 import (
 	"bytes"
--- a/internal/source/lastgood/lastgood_test.go
+++ b/internal/source/endpointcache/lastgood_test.go
@@ -1,4 +1,4 @@
-package lastgood
+package endpointcache
 
 import (
 	"bytes"
--- a/internal/source/lastgood/recorded_test.go
+++ b/internal/source/endpointcache/recorded_test.go
@@ -1,4 +1,4 @@
-package lastgood_test
+package endpointcache_test
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	"beechcart/decision/discovery"
 	"beechcart/internal/recorded"
-	"beechcart/internal/source/lastgood"
+	"beechcart/internal/source/endpointcache"
 )
 
 // kept is a list with every field of an entry, and when it was good.
@@ -30,16 +30,16 @@
 // A file that an earlier build wrote is read, and the same list makes the same bytes again.
 func TestRecordedFile(t *testing.T) {
 	list, at := kept()
-	recorded.Compare(t, "list", lastgood.Encode(list, at))
+	recorded.Compare(t, "list", endpointcache.Encode(list, at))
 	text, err := os.ReadFile("testdata/recorded/list")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, read, err := lastgood.Decode(text)
+	got, read, err := endpointcache.Decode(text)
 	if err != nil || !slices.Equal(got, list) || !read.Equal(at) {
 		t.Errorf("read %+v of %v, %v", got, read, err)
 	}
-	if again := lastgood.Encode(got, read); !bytes.Equal(again, text) {
+	if again := endpointcache.Encode(got, read); !bytes.Equal(again, text) {
 		t.Errorf("it is written as %q", again)
 	}
 }
@@ -47,12 +47,12 @@
 // The name to which a file that can't be used is moved is the recorded one.
 func TestRecordedFaults(t *testing.T) {
 	list, at := kept()
-	good := lastgood.Encode(list, at)
+	good := endpointcache.Encode(list, at)
 	var out strings.Builder
 	for i, text := range [][]byte{
 		nil, good[:9], good[:30], good[:len(good)-3], append(bytes.Clone(good), 'x'), bytes.Replace(good, []byte("node-1"), []byte("node-9"), 1),
 		[]byte("#!/bin/sh\n"), []byte("beechcart-list 2 0 0\n"), []byte("beechcart-list x 0 0\n"), []byte("beechcart-list 1 2\n{}"),
-		lastgood.Encode([]discovery.Entry{{Addr: "10.0.0.1:1"}}, at), good,
+		endpointcache.Encode([]discovery.Entry{{Addr: "10.0.0.1:1"}}, at), good,
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "engines.list")
@@ -62,11 +62,11 @@
 		maxAge := time.Duration(0)
 		if i == 11 {
 			maxAge = 1 // a list of an hour ago is too old
-			if err := os.WriteFile(path, lastgood.Encode(list, time.Now().Add(-time.Hour)), 0o600); err != nil {
+			if err := os.WriteFile(path, endpointcache.Encode(list, time.Now().Add(-time.Hour)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		_, _, err := lastgood.New(path, 0, maxAge, slog.New(slog.NewTextHandler(io.Discard, nil))).Load()
+		_, _, err := endpointcache.New(path, 0, maxAge, slog.New(slog.NewTextHandler(io.Discard, nil))).Load()
 		files, _ := os.ReadDir(dir)
 		fmt.Fprintln(&out, i, err != nil, files[0].Name())
 	}
