--- a/cmd/beechcart/helper_test.go
+++ b/cmd/beechcart/helper_test.go
@@ -24,13 +24,13 @@
 	"golang.org/x/sys/unix"
 
 	"beechcart/internal/processstats"
-	"beechcart/internal/testprogram"
+	"beechcart/internal/testbinary"
 )
 
 // program is the binary under test: a debug build, so that a broken invariant ends it.
 var program string
 
-func TestMain(m *testing.M) { testprogram.Main(m, &program, "-race", "-tags", "debug") }
+func TestMain(m *testing.M) { testbinary.Main(m, &program, "-race", "-tags", "debug") }
 
 const facts = `{"discovery":"push","family_info":{"holds_tables":[false,true],"kind_memory_mb":[24576],"lanes_count":true,
 "overbooked":"overcommit","says_cost":true,"size_cores":[12],"tells_every":1000000000,"threads_by_class":[1,2],
--- a/internal/bench/gate_test.go
+++ b/internal/bench/gate_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/testprogram"
+	"beechcart/internal/testbinary"
 )
 
 // built builds the front end, with replacements in one file.
@@ -34,7 +34,7 @@
 		require.NoError(t, os.WriteFile(list, overlay, 0o600))
 		args = append(args, "-overlay", list)
 	}
-	program, err := testprogram.Build(dir, name, args...)
+	program, err := testbinary.Build(dir, name, args...)
 	require.NoError(t, err)
 	return program
 }
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/fake/engine"
-	"beechcart/internal/testprogram"
+	"beechcart/internal/testbinary"
 )
 
 // program is a debug build of the front end, so that a broken invariant ends it.
 var program string
 
-func TestMain(m *testing.M) { testprogram.Main(m, &program, "-tags", "debug") }
+func TestMain(m *testing.M) { testbinary.Main(m, &program, "-tags", "debug") }
 
 // Any seed must pass; the one that was drawn is told where it does not.
 func TestCatalogueDrillKeepsTheRules(t *testing.T) {
--- a/internal/scale/parts/parts_test.go
+++ b/internal/scale/parts/parts_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/scale/record"
-	"beechcart/internal/testprogram"
+	"beechcart/internal/testbinary"
 )
 
 // replicaEnv makes the test program a control replica.
@@ -29,7 +29,7 @@
 		}
 		return
 	}
-	testprogram.Main(m, &program)
+	testbinary.Main(m, &program)
 }
 
 // small are options of a measurement of seconds.
--- a/internal/scale/runner_test.go
+++ b/internal/scale/runner_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/testprogram"
+	"beechcart/internal/testbinary"
 )
 
 // hostVariable lets the test program run as a host, in place of its tests.
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(hostVariable) == "" {
-		testprogram.Main(m, &program, "-tags", "debug")
+		testbinary.Main(m, &program, "-tags", "debug")
 	}
 	if err := RunHost(context.Background(), os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/testprogram/testprogram.go
+++ b/internal/testbinary/testprogram.go
@@ -1,5 +1,5 @@
-// Package testprogram builds the front end for tests that start it as a process.
-package testprogram
+// Package testbinary builds the front end for tests that start it as a process.
+package testbinary
 
 import (
 	"fmt"
