--- a/cmd/beechcart-sim/main.go
+++ b/cmd/gateway-sim/main.go
@@ -1,4 +1,4 @@
-// Command beechcart-sim puts the controller on the bench's wire.
+// Command gateway-sim puts the controller on the bench's wire.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "beechcart-sim:", err)
+		fmt.Fprintln(os.Stderr, "gateway-sim:", err)
 		os.Exit(1)
 	}
 }
