--- a/Makefile
+++ b/Makefile
@@ -4,10 +4,13 @@
 
 # A front end with stand-in engines and a stand-in Consul on loopback, until Ctrl-C.
 demo: build
-	bin/beechctl demo
+	bin/gatewayctl demo
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
+	ln -sf gateway bin/beechcart
+	ln -sf gatewayctl bin/beechctl
+	ln -sf gateway-sim bin/beechcart-sim
 
 test:
 	bash .ci/run
@@ -32,16 +35,16 @@
 # Counts what requests cost and holds them to bench/baseline.json.
 cheap: build
 	go build -tags count -o bin/beechcart-count ./cmd/beechcart
-	bin/beechctl bench path --counting bin/beechcart-count --gate bench/baseline.json
+	bin/gatewayctl bench path --counting bin/beechcart-count --gate bench/baseline.json
 
 cheap-record: build
 	go build -tags count -o bin/beechcart-count ./cmd/beechcart
-	bin/beechctl bench path --counting bin/beechcart-count --record bench/baseline.json
+	bin/gatewayctl bench path --counting bin/beechcart-count --record bench/baseline.json
 
 # make drill SEED=7 SECONDS=60
 SECONDS ?= 30
 drill: build
-	bin/beechctl drill catalogue --seconds $(SECONDS) $(if $(SEED),--seed $(SEED))
+	bin/gatewayctl drill catalogue --seconds $(SECONDS) $(if $(SEED),--seed $(SEED))
 
 # The seeds that failed once, with all faults: about four minutes.
 drill-seeds:
--- a/cmd/beechcart/command.go
+++ b/cmd/beechcart/command.go
@@ -18,7 +18,7 @@
 func (f *files) flags(c *cobra.Command) {
 	c.Flags().StringVar(&f.config, "config", os.Getenv("PROXY_CONFIG"), "the platform's configuration, JSON (PROXY_CONFIG)")
 	c.Flags().StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"),
-		"operators' settings, as built by 'beechctl config build' (BEECHCART_SETTINGS); none: the defaults")
+		"operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS); none: the defaults")
 	_ = c.MarkFlagFilename("config", "json")
 	_ = c.MarkFlagFilename("settings", "json")
 }
--- a/cmd/beechcart/main.go
+++ b/cmd/beechcart/main.go
@@ -16,7 +16,7 @@
 	exitUsage  = 2 // the command line does not read
 
 	// The fleet has let it go out: what starts programs here is to start it again ...
-	exitRestart = 75 // ... on the revision that 'beechctl fleet wanted' names
+	exitRestart = 75 // ... on the revision that 'gatewayctl fleet wanted' names
 	exitDrained = 76 // ... once it is undrained
 )
 
--- a/cmd/beechctl/bench.go
+++ b/cmd/gatewayctl/bench.go
@@ -23,7 +23,7 @@
 		Use: "list", Short: "A list of engines: to read, to hold, to follow", Args: cobra.NoArgs,
 		Long: "list starts a front end on a stand-in Consul with many engines. It measures the CPU and the memory of a list that stands\n" +
 			"still, and the time from a change in the catalogue to the line in which the front end says that it has taken it.",
-		Example: "  beechctl bench list --entries 5000 --metadata 2000 --seconds 60\n  beechctl bench list --entries 8 --changes 1000",
+		Example: "  gatewayctl bench list --entries 5000 --metadata 2000 --seconds 60\n  gatewayctl bench list --entries 8 --changes 1000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if o.Program, err = faulttest.Program(o.Program); err != nil {
@@ -59,7 +59,7 @@
 		Long: "path runs a release build of the front end against stand-in engines, with one client that asks one thing after the\n" +
 			"other, and counts what one request costs. Costs that come by time (polls, timers) are measured while nothing is\n" +
 			"asked, and taken off.",
-		Example: "  beechctl bench path\n  beechctl bench path --gate bench/baseline.json\n  beechctl bench path --record bench/baseline.json",
+		Example: "  gatewayctl bench path\n  gatewayctl bench path --gate bench/baseline.json\n  gatewayctl bench path --record bench/baseline.json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if o.Program, err = faulttest.Program(o.Program); err != nil {
@@ -145,7 +145,7 @@
 	var rounds int
 	c := &cobra.Command{
 		Use: "speed", Short: "CPU for each lookup and throughput of one core, two builds alternating", Args: cobra.NoArgs,
-		Example: "  beechctl bench speed --against old/beechcart --rounds 5",
+		Example: "  gatewayctl bench speed --against old/beechcart --rounds 5",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if o.Program, err = faulttest.Program(o.Program); err != nil {
@@ -187,7 +187,7 @@
 	var n int
 	c := &cobra.Command{
 		Use: "idle", Short: "What sessions that do nothing cost", Args: cobra.NoArgs,
-		Example: "  beechctl bench idle --sessions 10000",
+		Example: "  gatewayctl bench idle --sessions 10000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if program, err = faulttest.Program(program); err != nil {
--- a/cmd/beechctl/config.go
+++ b/cmd/gatewayctl/config.go
@@ -26,7 +26,7 @@
 	check := &cobra.Command{
 		Use: "check [FILE]", Short: "Tell all that is wrong with a settings file", Args: cobra.MaximumNArgs(1),
 		Long:    "check reads a CUE file (deploy/beechcart.cue without FILE) and tells each problem with file, line, field, what was\nfound and what is allowed. Exit code 1 where there is any.",
-		Example: "  beechctl config check\n  beechctl config check --json mine.cue",
+		Example: "  gatewayctl config check\n  gatewayctl config check --json mine.cue",
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := cuefile.Build(settingsFile(args))
 			var list cuefile.Problems
@@ -71,7 +71,7 @@
 	var output string
 	build := &cobra.Command{
 		Use: "build [FILE]", Short: "Check a settings file and write the JSON that the front end reads", Args: cobra.MaximumNArgs(1),
-		Example: "  beechctl config build -o /etc/beechcart/settings.json deploy/beechcart.cue",
+		Example: "  gatewayctl config build -o /etc/beechcart/settings.json deploy/beechcart.cue",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := cuefile.Build(settingsFile(args))
 			if err != nil {
--- a/cmd/beechctl/demo.go
+++ b/cmd/gatewayctl/demo.go
@@ -14,7 +14,7 @@
 		Use: "demo", Short: "Start a front end with stand-in engines and a stand-in Consul, and run a few queries", Args: cobra.NoArgs,
 		Long: "demo starts all on loopback addresses, runs queries of each class, drains an engine and brings it back, prints the\n" +
 			"address for any MySQL client, and goes on until Ctrl-C.",
-		Example: "  beechctl demo\n  beechctl demo --once",
+		Example: "  gatewayctl demo\n  gatewayctl demo --once",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if o.Program, err = faulttest.Program(o.Program); err != nil {
--- a/cmd/beechctl/drill.go
+++ b/cmd/gatewayctl/drill.go
@@ -30,7 +30,7 @@
 	var asJSON, verbose bool
 	c := &cobra.Command{
 		Use: d.Name, Short: d.Short, Args: cobra.NoArgs,
-		Example: "  beechctl drill " + d.Name + " --seconds 30 --seed 7\n  beechctl drill " + d.Name + " --json --faults " + d.Kinds[0],
+		Example: "  gatewayctl drill " + d.Name + " --seconds 30 --seed 7\n  gatewayctl drill " + d.Name + " --json --faults " + d.Kinds[0],
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !c.Flags().Changed("seed") {
 				o.Seed = uint64(time.Now().UnixNano()) % 1_000_000
--- a/cmd/beechctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -38,7 +38,7 @@
 			"whether the command was taken; repeat it with the same --id, and it is done once.",
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"), "operators' settings, as built by 'beechctl config build' (BEECHCART_SETTINGS)")
+	flags.StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"), "operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS)")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 	flags.StringVar(&f.id, "id", "", "id of the command, so that a repeat does it once; none: drawn, and printed if the answer is lost")
 	flags.StringVar(&f.by, "by", os.Getenv("USER"), "who asks, for the audit")
--- a/cmd/beechctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -37,7 +37,7 @@
 			}
 			return nil
 		},
-		Example: "  beechctl fleet " + use + " engine s-00c41f7a",
+		Example: "  gatewayctl fleet " + use + " engine s-00c41f7a",
 		RunE: func(c *cobra.Command, args []string) error {
 			holder := rollout.Holder{Name: args[1], Engine: args[0] == "engine"}
 			result, err := f.apply(c, command(&holder))
--- a/cmd/beechctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -17,7 +17,7 @@
 func (f *fleetCommands) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "status", Short: "Members, engines, permits, budgets and the release", Args: cobra.NoArgs,
-		Example: "  beechctl fleet status --settings beechcart.json\n  beechctl fleet status --json",
+		Example: "  gatewayctl fleet status --settings beechcart.json\n  gatewayctl fleet status --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := f.status()
 			if err != nil {
--- a/cmd/beechctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -22,8 +22,8 @@
 	show := &cobra.Command{
 		Use: "show", Short: "Show each engine with its state and the reason", Args: cobra.NoArgs,
 		Long: "show asks a running front end by its admin socket (setting admin_socket), or reads a last good list.",
-		Example: "  beechctl list show --socket /run/beechcart/admin.sock\n" +
-			"  beechctl list show --file /var/lib/beechcart/engines.list --json",
+		Example: "  gatewayctl list show --socket /run/beechcart/admin.sock\n" +
+			"  gatewayctl list show --file /var/lib/beechcart/engines.list --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var list []source.Belief
 			switch {
@@ -98,7 +98,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "counters", Short: "Show the counters of a running front end", Args: cobra.NoArgs,
-		Example: "  beechctl counters --socket /run/beechcart/admin.sock",
+		Example: "  gatewayctl counters --socket /run/beechcart/admin.sock",
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := admin.Call(socket, "counters")
 			if err != nil {
--- a/cmd/beechctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -1,4 +1,4 @@
-// Command beechctl is the operators' tool: settings, the list of engines, drills and a demonstration. All that is heavy
+// Command gatewayctl is the operators' tool: settings, the list of engines, drills and a demonstration. All that is heavy
 // is here, and not in the front end.
 package main
 
@@ -36,9 +36,9 @@
 // execute runs one command line and returns the exit code.
 func execute(ctx context.Context, args []string, out, errs io.Writer) int {
 	root := &cobra.Command{
-		Use:           "beechctl",
+		Use:           "gatewayctl",
 		Short:         "Operators' tool of beechcart",
-		Long:          "beechctl checks settings, shows what front ends believe, and drills them.\nExit codes: 0 yes, 1 no (a rule broken, a file not good), 2 could not run.",
+		Long:          "gatewayctl checks settings, shows what front ends believe, and drills them.\nExit codes: 0 yes, 1 no (a rule broken, a file not good), 2 could not run.",
 		SilenceErrors: true, SilenceUsage: true,
 	}
 	root.AddCommand(configCommand(), listCommand(), countersCommand(), drillCommand(), demoCommand(), benchCommand(), fleetCommand(), scaleCommand())
@@ -56,7 +56,7 @@
 		}
 		return exitNo
 	}
-	fmt.Fprintln(errs, "beechctl:", err)
+	fmt.Fprintln(errs, "gatewayctl:", err)
 	return exitFailed
 }
 
--- a/cmd/beechctl/scale_page.go
+++ b/cmd/gatewayctl/scale_page.go
@@ -26,7 +26,7 @@
 		Use: "page", Short: "Render the tables of docs/CAPACITY.md from the recordings", Args: cobra.NoArgs,
 		Long: "page rewrites what stands between the markers <!-- table: NAME --> and <!-- end table --> from the recordings under\n" +
 			"bench/scale, and leaves all other text alone. With --check it writes nothing; exit code 1 where the page differs.",
-		Example: "  beechctl scale page\n  beechctl scale page --check",
+		Example: "  gatewayctl scale page\n  gatewayctl scale page --check",
 		RunE: func(c *cobra.Command, _ []string) error {
 			recordings, err := record.Load(dir)
 			if err != nil {
@@ -46,7 +46,7 @@
 				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: as the recordings have it\n", page)
 				return err
 			case check:
-				return noError{fmt.Errorf("%s differs from the recordings under %s: run beechctl scale page", page, dir)}
+				return noError{fmt.Errorf("%s differs from the recordings under %s: run gatewayctl scale page", page, dir)}
 			}
 			return renameio.WriteFile(filepath.Clean(page), []byte(rendered), 0o644)
 		},
--- a/cmd/beechctl/scale_parts.go
+++ b/cmd/gatewayctl/scale_parts.go
@@ -37,7 +37,7 @@
 	c := &cobra.Command{
 		Use: "parts [flags] NAME...", Short: "Measure what single parts cost as the fleet grows", Args: cobra.MinimumNArgs(1), ValidArgs: names,
 		Long:    "parts measures, at each size and several times, what can be seen in one process, at one control replica or at one front end:\n" + partList(),
-		Example: "  beechctl scale parts state --record bench/scale\n  beechctl scale parts lists --members 50,100 --repeats 1",
+		Example: "  gatewayctl scale parts state --record bench/scale\n  gatewayctl scale parts lists --members 50,100 --repeats 1",
 		RunE:    func(c *cobra.Command, args []string) error { return f.run(c, args) },
 	}
 	flags := c.Flags()
@@ -125,7 +125,7 @@
 
 // commandLine is the command that measures the part again, with the flags that were set.
 func (f *scalePartsFlags) commandLine(c *cobra.Command, name string) string {
-	words := []string{"beechctl", "scale", "parts", name}
+	words := []string{"gatewayctl", "scale", "parts", name}
 	for _, flag := range []string{"members", "repeats", "sessions", "rates", "window", "starts", "traffic-fronts", "traffic-time", "fleet-time"} {
 		if set := c.Flags().Lookup(flag); set.Changed {
 			words = append(words, "--"+flag, strings.Trim(set.Value.String(), "[]"))
--- a/cmd/beechctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -33,7 +33,7 @@
 	c.Long = "Control replicas and some front ends are real processes; the other members are hollow: all of a front end's part in the fleet, with\n" +
 		"no client traffic behind it, many to a process. Everything is on loopback addresses.\n" +
 		"Exit code 0: in the budgets; 1: one missed, which is named on standard error; 2: could not run."
-	c.Example = "  beechctl scale --members 710 --engines 810 --real 4 --control 5 --zones 7 --regions 2 --seconds 60 --seed 7 --json"
+	c.Example = "  gatewayctl scale --members 710 --engines 810 --real 4 --control 5 --zones 7 --regions 2 --seconds 60 --seed 7 --json"
 	f := c.Flags()
 	f.IntVar(&s.options.Members, "members", s.options.Members, "front ends in all: real, hollow, and the control replicas among the hollow ones")
 	f.IntVar(&s.options.Engines, "engines", s.options.Engines, "databases")
@@ -147,7 +147,7 @@
 	repeats := scale.Repeats{First: 1}
 	c := &cobra.Command{
 		Use: "sweep", Short: "Run several sizes and tell what each quantity grows with", Args: cobra.NoArgs,
-		Example: "  beechctl scale sweep --sizes 50,100,200,400,710 --repeats 3 --seconds 15 --record sweep",
+		Example: "  gatewayctl scale sweep --sizes 50,100,200,400,710 --repeats 3 --seconds 15 --record sweep",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := s.prepare(c); err != nil {
 				return err
--- a/deploy/beechcart.cue
+++ b/deploy/beechcart.cue
@@ -1,6 +1,6 @@
 // The operators' settings of this installation. What is not set here has its default:
-// 'beechctl config schema' prints all fields, with units, defaults and ranges; 'beechctl config check' checks this file;
-// 'beechctl config build' makes the JSON that BEECHCART_SETTINGS names.
+// 'gatewayctl config schema' prints all fields, with units, defaults and ranges; 'gatewayctl config check' checks this file;
+// 'gatewayctl config build' makes the JSON that BEECHCART_SETTINGS names.
 //
 // The platform's run line names no settings: all defaults hold there, and nothing beyond its page is on.
 
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -23,7 +23,7 @@
 )
 
 // The short form: rooms cut off on a fixed seed, and no faults on one drawn anew. All faults at once are played by hand
-// ('beechctl drill rollout'): docs/rollout.md tells on which seeds.
+// ('gatewayctl drill rollout'): docs/rollout.md tells on which seeds.
 func TestRolloutDrillKeepsTheRules(t *testing.T) {
 	for _, c := range []struct {
 		seed        uint64
--- a/internal/operatorconfig/cuefile/cuefile.go
+++ b/internal/operatorconfig/cuefile/cuefile.go
@@ -1,5 +1,5 @@
 // Package cuefile checks the operators' settings in CUE (cuelang.org) and builds the JSON that the front end reads. It is
-// linked into beechctl only: CUE costs more memory and start time than the front end may take (docs/consul.md).
+// linked into gatewayctl only: CUE costs more memory and start time than the front end may take (docs/consul.md).
 package cuefile
 
 import (
--- a/internal/operatorconfig/cuefile/schema.cue
+++ b/internal/operatorconfig/cuefile/schema.cue
@@ -92,7 +92,7 @@
 		reuse: *"auto" | "on" | "off"
 	}
 
-	// path of a local socket for beechctl; "" is none
+	// path of a local socket for gatewayctl; "" is none
 	admin_socket: string | *""
 
 	// What front ends agree on (docs/rollout.md). Off while gossip is "".
--- a/internal/operatorconfig/operators.go
+++ b/internal/operatorconfig/operators.go
@@ -1,5 +1,5 @@
 // Package operatorconfig holds the operators' own settings: what is not told by the platform's configuration. They are
-// written in CUE, checked and built to JSON by beechctl (internal/operatorconfig/cuefile), and read from JSON by the front
+// written in CUE, checked and built to JSON by gatewayctl (internal/operatorconfig/cuefile), and read from JSON by the front
 // end, which stays small that way. Without a file the defaults hold, and nothing beyond the platform's page is on.
 package operatorconfig
 
@@ -44,7 +44,7 @@
 	LastGood    LastGood
 	Clients     Clients
 	Reuse       string // ReuseAuto, ReuseOn or ReuseOff
-	AdminSocket string // path of a local socket for beechctl; empty: none
+	AdminSocket string // path of a local socket for gatewayctl; empty: none
 	Fleet       Fleet
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// Load reads a file that beechctl has built; an empty path gives the defaults.
+// Load reads a file that gatewayctl has built; an empty path gives the defaults.
 func Load(path string) (Settings, error) {
 	if path == "" {
 		return Default(), nil
@@ -128,7 +128,7 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	if strings.HasSuffix(path, ".cue") {
-		return Settings{}, fmt.Errorf("settings %s: the front end reads built settings: run 'beechctl config build %s'", path, path)
+		return Settings{}, fmt.Errorf("settings %s: the front end reads built settings: run 'gatewayctl config build %s'", path, path)
 	}
 	s, err := Parse(text)
 	if err != nil {
@@ -193,7 +193,7 @@
 	case err != nil:
 		return s, err
 	case schema == 0:
-		return s, fmt.Errorf("schema: missing: this is no file that 'beechctl config build' has written")
+		return s, fmt.Errorf("schema: missing: this is no file that 'gatewayctl config build' has written")
 	case schema > Schema:
 		return s, fmt.Errorf("schema: %d is later than %d, which this program knows", schema, Schema)
 	case len(c.Addresses) == 0:
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	rendered, err := Render(string(page), recordings)
 	require.NoError(t, err)
-	assert.Equal(t, rendered, string(page), "run: beechctl scale page")
+	assert.Equal(t, rendered, string(page), "run: gatewayctl scale page")
 }
 
 func TestThePageBeginsWithWhatIsMissed(t *testing.T) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestBudgetsAreThoseOfTheRuns holds the page's verdicts and those of beechctl scale to the same budgets.
+// TestBudgetsAreThoseOfTheRuns holds the page's verdicts and those of gatewayctl scale to the same budgets.
 func TestBudgetsAreThoseOfTheRuns(t *testing.T) {
 	assert.InDelta(t, scale.BudgetBytesPerSecond, memberBytesPerSecond, 0)
 	assert.InDelta(t, scale.BudgetCPUShare, memberCores, 0)
@@ -117,7 +117,7 @@
 var sizes = []int{50, 100, 200, 400, planMembers}
 
 func sweep(quantity string, upTo int, value func(members float64) float64) record.Recording {
-	r := record.Recording{Name: "test", Command: "beechctl scale sweep", Cores: 8}
+	r := record.Recording{Name: "test", Command: "gatewayctl scale sweep", Cores: 8}
 	for _, members := range sizes {
 		for repeat := 1; repeat <= 3 && members <= upTo; repeat++ {
 			size := record.Size{Members: members, Engines: (members*planEngines + planMembers/2) / planMembers}
--- a/internal/scale/notice_test.go
+++ b/internal/scale/notice_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// The short form: the members of a killed host are suspected, and come back. How soon is measured by hand ('beechctl scale --notice').
+// The short form: the members of a killed host are suspected, and come back. How soon is measured by hand ('gatewayctl scale --notice').
 func TestADeadHostIsNoticedInASmallFleet(t *testing.T) {
 	t.Setenv(hostVariable, "1")
 	o := testOptions(t)
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -1,6 +1,6 @@
 // Package scale runs a fleet at planning size on one machine: real control replicas and some real front ends as processes, and
 // hollow front ends beside them, many to a process. A hollow front end is a real [fleet.Member] (membership, watch and
-// reports) with no client traffic behind it. The runner (beechctl scale) starts host processes (beechctl scale host), tells each
+// reports) with no client traffic behind it. The runner (gatewayctl scale) starts host processes (gatewayctl scale host), tells each
 // what to run with a [HostConfig] as one JSON line on its standard input, sends it a [HostOrder] a line after that, and
 // reads a [HostReport] a line from its standard output. A host ends when its standard input does.
 package scale
--- a/internal/scale/record/record_test.go
+++ b/internal/scale/record/record_test.go
@@ -57,7 +57,7 @@
 
 func TestRecordingsAreReadBackAndBadOnesNamed(t *testing.T) {
 	dir := t.TempDir()
-	good := Recording{Name: "gossip", Command: "beechctl scale sweep", Samples: samplesOf(func(Size, int) float64 { return 1 })}
+	good := Recording{Name: "gossip", Command: "gatewayctl scale sweep", Samples: samplesOf(func(Size, int) float64 { return 1 })}
 	require.NoError(t, good.Save(dir))
 	got, err := Load(dir)
 	require.NoError(t, err)
--- a/internal/scale/runner_test.go
+++ b/internal/scale/runner_test.go
@@ -43,7 +43,7 @@
 }
 
 // The short form: a fleet comes together, drains reach every live member and stay, also when the leading replica is killed. How long that
-// takes, and whether it is in the budgets, is measured by hand ('beechctl scale').
+// takes, and whether it is in the budgets, is measured by hand ('gatewayctl scale').
 func TestASmallFleetHasEveryChangeInForce(t *testing.T) {
 	t.Setenv(hostVariable, "1")
 	o := testOptions(t)
