--- a/cmd/beechcart/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command beechcart is a real front end: it takes queries over the MySQL protocol and runs them on engines.
+// Command gateway is a real front end: it takes queries over the MySQL protocol and runs them on engines.
 package main
 
 import (
@@ -37,10 +37,10 @@
 	case errors.As(err, &code):
 		os.Exit(int(code))
 	case errors.As(err, &usage):
-		fmt.Fprintf(os.Stderr, "beechcart: %v\n", err)
+		fmt.Fprintf(os.Stderr, "gateway: %v\n", err)
 		os.Exit(exitUsage)
 	default:
-		fmt.Fprintln(os.Stderr, "beechcart:", err)
+		fmt.Fprintln(os.Stderr, "gateway:", err)
 		os.Exit(exitFailed)
 	}
 }
--- a/cmd/gatewayctl/bench.go
+++ b/cmd/gatewayctl/bench.go
@@ -145,7 +145,7 @@
 	var rounds int
 	c := &cobra.Command{
 		Use: "speed", Short: "CPU for each lookup and throughput of one core, two builds alternating", Args: cobra.NoArgs,
-		Example: "  gatewayctl bench speed --against old/beechcart --rounds 5",
+		Example: "  gatewayctl bench speed --against old/gateway --rounds 5",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if o.Program, err = faulttest.Program(o.Program); err != nil {
--- a/cmd/gatewayctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -48,7 +48,7 @@
 
 func (s *scaleRun) flags(c *cobra.Command) {
 	o, f := &s.options, c.Flags()
-	f.IntVar(&o.Real, "real", o.Real, "beechcart processes among the members")
+	f.IntVar(&o.Real, "real", o.Real, "gateway processes among the members")
 	f.IntVar(&o.Control, "control", o.Control, "control replicas: 1, 3, 5 or 7")
 	f.IntVar(&o.Zones, "zones", o.Zones, "zones, over which members and databases are spread")
 	f.IntVar(&o.Regions, "regions", o.Regions, "regions, over which zones are spread")
--- a/internal/faulttest/front.go
+++ b/internal/faulttest/front.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return "", fmt.Errorf("drill: %w", err)
 		}
-		named = filepath.Join(filepath.Dir(self), "beechcart")
+		named = filepath.Join(filepath.Dir(self), "gateway")
 	}
 	if _, err := os.Stat(named); err != nil {
 		return "", fmt.Errorf("drill: no front end to start: %w (build it with 'make build', or name it with --beechcart)", err)
--- a/internal/scale/capacity/rows_front_end.go
+++ b/internal/scale/capacity/rows_front_end.go
@@ -14,8 +14,8 @@
 	byArc       = "arc: admission/controller.go"
 	bySessions  = "client sessions: internal/mysql"
 	byExchange  = "a statement's way: internal/mysql, internal/dispatch, internal/engine"
-	byFiles     = "files, SIGHUP by hand: cmd/beechcart/run.go"
-	byStart     = "start of a process: cmd/beechcart/run.go"
+	byFiles     = "files, SIGHUP by hand: cmd/gateway/run.go"
+	byStart     = "start of a process: cmd/gateway/run.go"
 	bySuspicion = "gossip, and the leader's periodic check: internal/fleet/lead.go"
 )
 
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -34,7 +34,7 @@
 type Options struct {
 	Members int // front ends in all: real, hollow, and the control replicas, which are hollow ones with a log
 	Engines int
-	Real    int // beechcart processes among the members
+	Real    int // gateway processes among the members
 	Control int // replicas of the control log, each in a process of its own
 	Zones   int
 	Regions int
@@ -54,7 +54,7 @@
 	PauseMillis    int
 	NoticeWithin   time.Duration // members that are not suspected by then are not noticed
 
-	Program     string   // the beechcart to start; needed with Real
+	Program     string   // the gateway to start; needed with Real
 	HostCommand []string // that runs RunHost: the program and its arguments
 	Note        func(format string, a ...any)
 }
--- a/internal/scale/parts/start.go
+++ b/internal/scale/parts/start.go
@@ -10,7 +10,7 @@
 
 // measureStart measures how long a front end takes from the start of its process until it listens, and until it has its whole list.
 func measureStart(ctx context.Context, o *Options, c *collector) error {
-	c.note("a front end outside a fleet; in a fleet it also waits for its drains, at most 3 s (cmd/beechcart/fleet.go: knownWithin)")
+	c.note("a front end outside a fleet; in a fleet it also waits for its drains, at most 3 s (cmd/gateway/fleet.go: knownWithin)")
 	c.note("each sample is the mean, or the most, of %d starts; ready: the line in which it says that it listens has been read", o.Starts)
 	return o.each(ctx, c, record.FrontEnd, func(p place) error { return measureStartAt(ctx, o, p) })
 }
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -49,7 +49,7 @@
 	s.log.Close()
 }
 
-// realFront is a beechcart process, and what its log has said of drains.
+// realFront is a gateway process, and what its log has said of drains.
 type realFront struct {
 	name  string
 	front *faulttest.Front
@@ -117,7 +117,7 @@
 	return string(text), nil
 }
 
-// startReal starts a beechcart at the member's address and returns once it listens.
+// startReal starts a gateway at the member's address and returns once it listens.
 func startReal(o *Options, l *layout, m plannedMember, changeLog, dir string) (*realFront, error) {
 	keyFile := filepath.Join(dir, "key")
 	if err := os.WriteFile(keyFile, []byte(l.key), 0o600); err != nil {
--- a/internal/testbinary/testprogram.go
+++ b/internal/testbinary/testprogram.go
@@ -12,7 +12,7 @@
 // Build builds the front end as dir/name, with further arguments of 'go build', and returns its path.
 func Build(dir, name string, args ...string) (string, error) {
 	out := filepath.Join(dir, name)
-	args = append(append([]string{"build", "-buildvcs=false", "-o", out}, args...), "beechcart/cmd/beechcart")
+	args = append(append([]string{"build", "-buildvcs=false", "-o", out}, args...), "beechcart/cmd/gateway")
 	if msg, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%s%w", msg, err)
 	}
@@ -25,7 +25,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if *program, err = Build(dir, "beechcart", args...); err != nil {
+	if *program, err = Build(dir, "gateway", args...); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
