--- a/cmd/gateway/deploy_test.go
+++ b/cmd/gateway/deploy_test.go
@@ -66,3 +66,28 @@
 	}
 	require.Greater(t, own, 10, "the packages of the program were listed")
 }
+
+// TestDeployNamesEveryPolicyFile guards against a file of a decision module that the deploy file doesn't name under
+// policy, and against a name there without a file: of a package of which it names one file, it names all.
+func TestDeployNamesEveryPolicyFile(t *testing.T) {
+	var deploy struct{ Policy []string }
+	_, err := toml.DecodeFile("../../deploy/balancer.toml", &deploy)
+	require.NoError(t, err)
+	require.NotEmpty(t, deploy.Policy)
+	folders := map[string]bool{}
+	for _, named := range deploy.Policy {
+		folders[filepath.Dir(named)] = true
+	}
+	require.True(t, folders["admission"], "the decision module is named")
+	var present []string
+	for folder := range folders {
+		files, err := filepath.Glob(filepath.Join("../..", folder, "*.go"))
+		require.NoError(t, err)
+		for _, file := range files {
+			if !strings.HasSuffix(file, "_test.go") {
+				present = append(present, filepath.Join(folder, filepath.Base(file)))
+			}
+		}
+	}
+	require.ElementsMatch(t, present, deploy.Policy)
+}
