--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -34,13 +34,13 @@
 	}
 	c.terms(r, &a)
 	c.settle(r)
-	if len(r.tries) > 0 && c.set.Budgeted {
+	if len(r.tries) > 0 && c.set.RetryBudget != nil {
 		c.extraAt = append(c.extraAt, c.now)
 	}
 	if c.ready(e) < 1 {
 		work := c.classes[r.Class].work
 		_, _, heavy := c.coldBudget(e, work)
-		e.spend(spend{c.now, work, heavy}, c.set.FallWindow)
+		e.spend(spend{c.now, work, heavy}, c.set.SlowStart.OverloadWindow)
 	}
 	r.tries = append(r.tries, a)
 	e.outs = append(e.outs, &attemptRef{r, len(r.tries) - 1})
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -76,8 +76,8 @@
 	if len(set.Classes) == 0 {
 		return nil, errors.New("settings: Classes: must not be empty")
 	}
-	if set.Budgeted && set.TrySpan <= 0 {
-		return nil, errors.New("settings: TrySpan: must be positive where attempts are budgeted")
+	if set.RetryBudget != nil && set.RetryBudget.Window <= 0 {
+		return nil, errors.New("settings: RetryBudget.Window: must be positive")
 	}
 	for i, k := range set.Kinds {
 		if k.Cores < 0 || k.MemoryMB < 0 {
@@ -93,6 +93,10 @@
 	c.all.pace, c.all.factor = 1, factorStart
 	c.probes = c.rand() * probeBurst // so that gateways do not ask in step
 	c.set.Classes = append([]Class(nil), set.Classes...)
+	if set.RetryBudget != nil {
+		budget := *set.RetryBudget
+		c.set.RetryBudget = &budget
+	}
 	for i := range c.set.Classes {
 		cl := &c.set.Classes[i]
 		if cl.Deadline <= 0 {
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -27,7 +27,8 @@
 		Tenants:       []Tenant{{Quota: 0.5, RequestsPerSecond: 1000}, {Quota: 0.5, RequestsPerSecond: 1000}},
 		LoadReporting: InBandReports,
 		MaxAttempts:   3, MaxRetryAfter: sec, DeadlineSlack: 20 * ms, DrainGrace: 250 * ms,
-		ColdFrom: 0.3, Cold: 10 * sec, FallMultiple: 3, FallWindow: 2 * sec, KeyCooldown: sec,
+		KeyCooldown: sec,
+		SlowStart:   SlowStart{InitialCapacity: 0.3, Duration: 10 * sec, OverloadMultiple: 3, OverloadWindow: 2 * sec},
 	}
 }
 
@@ -204,7 +205,7 @@
 
 func TestAttemptBudget(t *testing.T) {
 	s := base()
-	s.Budgeted, s.SpareTries, s.TryRatio, s.TrySpan = true, 2, 0.1, 10*sec
+	s.RetryBudget = &RetryBudget{MinRetries: 2, Ratio: 0.1, Window: 10 * sec}
 	b := start(t, s, engines(8))
 	extra := 0
 	for i := range 30 {
@@ -229,7 +230,7 @@
 	s := base()
 	s.Replicas = 2
 	b := start(t, s, []Engine{{ID: 1, Kind: 0, Started: 99 * sec}})
-	b.now += s.FallWindow
+	b.now += s.SlowStart.OverloadWindow
 	work := 0.0
 	for i := range 300 {
 		r := req(fmt.Sprint("a", i), 0)
@@ -414,7 +415,7 @@
 		"Classes[1].Deadline":  func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"Kinds[0]":             func(s *Settings) { s.Kinds[0].Cores = -1 },
 		"Tenants[1].AllowPerS": func(s *Settings) { s.Tenants[1].RequestsPerSecond = -1 },
-		"TrySpan":              func(s *Settings) { s.Budgeted = true },
+		"RetryBudget.Window":   func(s *Settings) { s.RetryBudget = &RetryBudget{} },
 	} {
 		s := base()
 		spoil(&s)
@@ -740,7 +741,7 @@
 func TestColdBudgetOfManyGateways(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
 		s := base()
-		s.Replicas, s.ColdFrom = n, 0.3
+		s.Replicas, s.SlowStart.InitialCapacity = n, 0.3
 		list := engines(9)
 		list[4].Started = 99 * sec
 		var at []time.Duration
@@ -762,7 +763,7 @@
 		most := 0
 		for i := range at {
 			k := 0
-			for k = i; k < len(at) && at[k] < at[i]+s.FallWindow; k++ {
+			for k = i; k < len(at) && at[k] < at[i]+s.SlowStart.OverloadWindow; k++ {
 			}
 			most = max(most, k-i)
 		}
--- a/admission/engine.go
+++ b/admission/engine.go
@@ -99,7 +99,7 @@
 		e.goneAt = c.now
 	}
 	e.gone = en.State != Ready
-	if restarted && c.now-en.Started < c.set.Cold {
+	if restarted && c.now-en.Started < c.set.SlowStart.Duration {
 		c.startCold(e, en.Started)
 	} else if back && !restarted {
 		c.startCold(e, c.now)
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -151,7 +151,7 @@
 func TestColdEnginesGetTheHeavyInTurns(t *testing.T) {
 	set := base()
 	set.Classes[0].LatencyObjective, set.Classes[1].Threads = 300*ms, 4
-	set.FallMultiple, set.FallWindow, set.Cold, set.ColdFrom = 4, sec, 14*sec, 0.3
+	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = 4, sec, 14*sec, 0.3
 	set.Kinds = []Kind{{Cores: 12, MemoryMB: 24576}, {Cores: 12, MemoryMB: 24576}}
 	const ctls = 80
 	list := engines(30)
--- a/admission/further_test.go
+++ b/admission/further_test.go
@@ -53,7 +53,7 @@
 // follow them.
 func TestNoCancelWithoutARepeat(t *testing.T) {
 	s := base()
-	s.CancellationAllowed, s.Budgeted, s.SpareTries, s.TrySpan = true, true, 2, 5*sec
+	s.CancellationAllowed, s.RetryBudget = true, &RetryBudget{MinRetries: 2, Window: 5 * sec}
 	b := start(t, s, engines(4))
 	for i := range 12 {
 		b.step(Request{ID: fmt.Sprint("r", i), Class: 1, Timeout: 20 * sec, Group: -1, Work: 50 * ms})
@@ -82,7 +82,7 @@
 // TestLastRepeatIsKeptForTheDear: classes worth little do not use the budget up.
 func TestLastRepeatIsKeptForTheDear(t *testing.T) {
 	s := base()
-	s.Budgeted, s.SpareTries, s.TrySpan = true, 1, 5*sec
+	s.RetryBudget = &RetryBudget{MinRetries: 1, Window: 5 * sec}
 	b := start(t, s, engines(4))
 	cheap := one[Send](t, b.step(req("cheap", 0)))
 	if acts := b.step(end(cheap, 0, ConnectFailed)); len(pick[Send](acts)) != 0 {
@@ -96,7 +96,7 @@
 // begins near the engine. Others that come to it past ejected engines, and those just restarted, leave it be.
 func TestColdEnginesAreLeftToTheirOwnGateways(t *testing.T) {
 	s := base()
-	s.Replicas, s.Cold = 60, 60*sec
+	s.Replicas, s.SlowStart.Duration = 60, 60*sec
 	list := engines(12)
 	list[4].Started = 100 * sec
 	open := func(struck int, wait, long time.Duration) (n int) {
@@ -123,11 +123,11 @@
 		}
 		return n
 	}
-	all, some := open(0, 2*sec, 10*s.FallWindow), open(6, 2*sec, 10*s.FallWindow)
+	all, some := open(0, 2*sec, 10*s.SlowStart.OverloadWindow), open(6, 2*sec, 10*s.SlowStart.OverloadWindow)
 	if all == 0 || some != all {
 		t.Fatalf("%d gateways may draw the cold engine, %d when others are ejected", all, some)
 	}
-	if n := open(0, 0, s.FallWindow-wake); n != 0 {
+	if n := open(0, 0, s.SlowStart.OverloadWindow-wake); n != 0 {
 		t.Fatalf("%d gateways draw a cold engine within a window of their own start", n)
 	}
 }
--- a/admission/plan_test.go
+++ b/admission/plan_test.go
@@ -63,7 +63,7 @@
 		"unsafe":  func(s *Settings) { s.Classes[1].Idempotency = NonIdempotent },
 		"last":    func(s *Settings) { s.MaxAttempts = 1 },
 		"no word": func(s *Settings) { s.CancellationAllowed = false },
-		"budget":  func(s *Settings) { s.Budgeted, s.TrySpan = true, 5*sec },
+		"budget":  func(s *Settings) { s.RetryBudget = &RetryBudget{Window: 5 * sec} },
 	} {
 		b, snd := heavy(t, change)
 		b.pass(2 * sec)
--- a/admission/ramp_greedy_test.go
+++ b/admission/ramp_greedy_test.go
@@ -43,8 +43,8 @@
 	r := rand.New(rand.NewPCG(seed, 11))
 	set := base()
 	set.Replicas = 20 + r.IntN(11)
-	set.FallWindow, set.Cold, set.ColdFrom = sec, rampCold, rampFrom
-	set.FallMultiple = float64(2 + r.IntN(3))
+	set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = sec, rampCold, rampFrom
+	set.SlowStart.OverloadMultiple = float64(2 + r.IntN(3))
 	cores := 4 + 4*r.IntN(3)
 	set.Kinds = []Kind{{Cores: cores, MemoryMB: 24576}, {Cores: cores * (1 + 2*r.IntN(2)), MemoryMB: 24576}}
 	f := &greedyFleet{set: set, seed: seed, rng: r, list: engines(4 + r.IntN(27)), got: map[uint32][]rampSend{}}
@@ -52,7 +52,7 @@
 	f.works = []float64{light, light * math.Pow(20, r.Float64())}
 	f.heavy = 0.05 + 0.3*r.Float64()
 	if troubles.fewHeavy {
-		f.set.FallMultiple, f.set.Kinds = 2, []Kind{{Cores: 4, MemoryMB: 24576}, {Cores: 4, MemoryMB: 24576}}
+		f.set.SlowStart.OverloadMultiple, f.set.Kinds = 2, []Kind{{Cores: 4, MemoryMB: 24576}, {Cores: 4, MemoryMB: 24576}}
 		f.works, f.heavy = []float64{light / 4, light * 5}, 0.1
 	}
 	f.mean = f.works[0]*(1-f.heavy) + f.works[1]*f.heavy
@@ -135,7 +135,7 @@
 func (f *greedyFleet) send(c *Controller, e *engine, work float64) {
 	for c.ready(e) < 1 && c.coldRoom(e, work) {
 		_, _, heavy := c.coldBudget(e, work)
-		e.spend(spend{c.now, work, heavy}, c.set.FallWindow)
+		e.spend(spend{c.now, work, heavy}, c.set.SlowStart.OverloadWindow)
 		f.got[e.ID] = append(f.got[e.ID], rampSend{at: c.now, work: work, informed: true})
 	}
 }
@@ -212,7 +212,7 @@
 	for seed := range uint64(3) {
 		f := newGreedyFleet(t, seed, greedyTroubles{})
 		for _, g := range f.ctls {
-			g.set.FallMultiple *= 2
+			g.set.SlowStart.OverloadMultiple *= 2
 		}
 		f.play(t, greedyTroubles{})
 		w := f.judge()
--- a/admission/ramp_test.go
+++ b/admission/ramp_test.go
@@ -100,7 +100,7 @@
 func newRampDay(t *testing.T, mix rampMix, seed uint64, troubles rampTroubles) *rampDay {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := base()
-	set.FallMultiple, set.FallWindow, set.Cold, set.ColdFrom = mix.fallMultiple, sec, rampCold, rampFrom
+	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = mix.fallMultiple, sec, rampCold, rampFrom
 	set.Classes[0].Threads, set.Classes[1].Threads = 1, 4
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective = 3 * mix.work[i] / time.Duration(set.Classes[i].Threads)
@@ -358,20 +358,20 @@
 // fullest looks at each window of an engine that begins at a send, up to the engine's being warm; N is that of the
 // window's begin, the least in it.
 func fullest(set Settings, en Engine, mean float64, sends []rampSend) (w rampWorst) {
-	perWindow := set.FallMultiple * float64(set.Kinds[en.Kind].Cores) * set.FallWindow.Seconds() / mean
-	warm := en.Started + set.Cold
-	w.allowed = perWindow * mean * (1 + set.ColdFrom) / 2 * set.Cold.Seconds() / set.FallWindow.Seconds()
+	perWindow := set.SlowStart.OverloadMultiple * float64(set.Kinds[en.Kind].Cores) * set.SlowStart.OverloadWindow.Seconds() / mean
+	warm := en.Started + set.SlowStart.Duration
+	w.allowed = perWindow * mean * (1 + set.SlowStart.InitialCapacity) / 2 * set.SlowStart.Duration.Seconds() / set.SlowStart.OverloadWindow.Seconds()
 	for i, first := range sends {
 		if first.at >= warm {
 			break
 		}
 		w.sends, w.work = w.sends+1, w.work+first.work
 		age := first.at - en.Started
-		n := perWindow * (set.ColdFrom + (1-set.ColdFrom)*age.Seconds()/set.Cold.Seconds())
+		n := perWindow * (set.SlowStart.InitialCapacity + (1-set.SlowStart.InitialCapacity)*age.Seconds()/set.SlowStart.Duration.Seconds())
 		most := n + 2*math.Sqrt(n) + 2
 		count, informed, plain := 0.0, 0.0, 0
 		for _, s := range sends[i:] {
-			if s.at >= min(first.at+set.FallWindow, warm) {
+			if s.at >= min(first.at+set.SlowStart.OverloadWindow, warm) {
 				break
 			}
 			count, plain = count+s.work/mean, plain+1
@@ -454,7 +454,7 @@
 	for _, mix := range rampMixes[4:5] {
 		d := newRampDay(t, mix, 6, rampTroubles{flood: true})
 		for _, c := range d.ctls {
-			c.set.FallMultiple = 0
+			c.set.SlowStart.OverloadMultiple = 0
 		}
 		d.play()
 		if w := d.judge(); w.falls == 0 {
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -638,7 +638,10 @@
 		OverQuotaWeight: 0.2, LoadReporting: admission.InBandReports, Grants: true, Priorities: true, TellsCost: true,
 		ProgressInterval: 60 * time.Millisecond, Shortage: admission.LineUp, MostGrant: 0.5, CancellationAllowed: true, HealthChecksAllowed: true,
 		MaxAttempts: 3, MaxRetryAfter: time.Second, DeadlineSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-		ColdFrom: 0.3, Cold: 5 * time.Second, FallMultiple: 3, FallWindow: time.Second, KeyCooldown: 300 * time.Millisecond,
+		KeyCooldown: 300 * time.Millisecond,
+		SlowStart: admission.SlowStart{
+			InitialCapacity: 0.3, Duration: 5 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
+		},
 	}
 }
 
@@ -650,7 +653,7 @@
 	gossiping := recordedSettings()
 	gossiping.Replicas, gossiping.Zone = 12, 1
 	gossiping.LoadReporting, gossiping.GossipAllowed, gossiping.HealthCheckCost = admission.HealthCheckReports, true, 0.05
-	gossiping.Budgeted, gossiping.SpareTries, gossiping.TryRatio, gossiping.TrySpan = true, 3, 0.1, 5*time.Second
+	gossiping.RetryBudget = &admission.RetryBudget{MinRetries: 3, Ratio: 0.1, Window: 5 * time.Second}
 	gossiping.Classes = gossiping.Classes[:4] // no locks on tables
 	gossiping.Grants, gossiping.Shortage, gossiping.ProgressInterval = false, admission.Cut, 0
 
@@ -663,7 +666,7 @@
 	unheard := recordedSettings()
 	unheard.Replicas, unheard.LoadReporting, unheard.Tenants = 2, admission.NoLoadReports, nil
 	unheard.Priorities, unheard.CancellationAllowed, unheard.HedgingAllowed, unheard.MaxAttempts = false, false, true, 2
-	unheard.Shortage, unheard.MaxRetryAfter, unheard.FallMultiple = admission.Overcommit, 0, 0
+	unheard.Shortage, unheard.MaxRetryAfter, unheard.SlowStart.OverloadMultiple = admission.Overcommit, 0, 0
 	unheard.ProgressInterval = 0
 
 	return map[string]recordedRun{
--- a/admission/request.go
+++ b/admission/request.go
@@ -32,7 +32,7 @@
 	}
 	cl, k := &c.set.Classes[ev.Class], &c.classes[ev.Class]
 	r := &request{Request: ev, cls: cl, arrived: c.now, due: c.dueBy(c.now + ev.Timeout)}
-	if c.set.Budgeted {
+	if c.set.RetryBudget != nil {
 		c.takenAt = append(c.takenAt, c.now)
 	}
 	if ev.Tenant < 0 || ev.Tenant >= len(c.tens) {
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -21,14 +21,14 @@
 // inBudget tells whether a further attempt of the request stays within the budget, where there is one, beside
 // so many others that are promised. The last one is kept for classes worth more than the request's.
 func (c *Controller) inBudget(r *request, promised int) bool {
-	if !c.set.Budgeted {
+	if c.set.RetryBudget == nil {
 		return true
 	}
-	c.slide(c.now - c.set.TrySpan)
+	c.slide(c.now - c.set.RetryBudget.Window)
 	if slices.ContainsFunc(c.set.Classes, func(o Class) bool { return o.PriorityWeight > 2*r.cls.PriorityWeight }) {
 		promised++
 	}
-	most := c.set.SpareTries + c.set.TryRatio*float64(len(c.takenAt))
+	most := c.set.RetryBudget.MinRetries + c.set.RetryBudget.Ratio*float64(len(c.takenAt))
 	return float64(len(c.extraAt)+promised+1) <= most
 }
 
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -4,6 +4,24 @@
 	"time"
 )
 
+// RetryBudget limits the retries of all requests together, within a sliding window, to
+// MinRetries + Ratio * requests.
+type RetryBudget struct {
+	MinRetries float64
+	Ratio      float64 // retries per request that arrived within the window
+	Window     time.Duration
+}
+
+// SlowStart describes engines that have just started. Their capacity grows evenly from InitialCapacity to 1, as a
+// fraction of full capacity, within Duration. A warming engine fails if the work that it is sent within OverloadWindow
+// exceeds OverloadMultiple times what it can do in that time; an OverloadMultiple of 0 or less: it never fails.
+type SlowStart struct {
+	Duration         time.Duration
+	InitialCapacity  float64
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+}
+
 // Settings are what a gateway is told at its start.
 type Settings struct {
 	Me, Replicas    int
@@ -34,15 +52,9 @@
 
 	DeadlineSlack time.Duration // how late a final answer may be
 	DrainGrace    time.Duration
-	ColdFrom      float64
-	Cold          time.Duration
-	FallMultiple  float64
-	FallWindow    time.Duration
+	SlowStart     SlowStart
 	KeyCooldown   time.Duration // how long a key rests after an attempt in doubt
-	Budgeted      bool
-	SpareTries    float64
-	TryRatio      float64
-	TrySpan       time.Duration
+	RetryBudget   *RetryBudget  // nil: retries are not limited
 }
 
 // Class describes one class of request.
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -30,14 +30,14 @@
 
 // ready is what an engine can do now, as a share of what it can do warm.
 func (c *Controller) ready(e *engine) float64 {
-	age := float64(c.now-e.coldFrom) / math.Max(float64(c.set.Cold), 1)
+	age := float64(c.now-e.coldFrom) / math.Max(float64(c.set.SlowStart.Duration), 1)
 	if e.coldFrom >= 0 && (age >= 1 || (e.guess > 0 && c.now-e.guess > guessFor)) {
 		e.coldFrom, e.spent, e.guess = -1, nil, 0
 	}
 	if e.coldFrom < 0 {
 		return 1
 	}
-	return c.set.ColdFrom + (1-c.set.ColdFrom)*math.Max(age, 0)
+	return c.set.SlowStart.InitialCapacity + (1-c.set.SlowStart.InitialCapacity)*math.Max(age, 0)
 }
 
 // coldRoom guards against pushing a cold engine over: all gateways together stay within its budget in any
@@ -49,10 +49,11 @@
 // last run spent; one that ends may have its successor beside it. May harm where no gateway near it has
 // anything to send, and after a change of the list; where clocks differ, turns meet by chance.
 func (c *Controller) coldRoom(e *engine, work float64) bool {
-	if c.ready(e) >= 1 || c.set.FallMultiple <= 0 {
+	if c.ready(e) >= 1 || c.set.SlowStart.OverloadMultiple <= 0 {
 		return true
 	}
-	if c.now < c.startedAt+c.set.FallWindow || e.share.PartAt(c.now, c.set.FallWindow) == 0 {
+	window := c.set.SlowStart.OverloadWindow
+	if c.now < c.startedAt+window || e.share.PartAt(c.now, window) == 0 {
 		return false
 	}
 	budget, fine, heavy := c.coldBudget(e, work)
@@ -60,9 +61,9 @@
 		fine *= coldLeaving
 	}
 	if !heavy {
-		return work+e.spentSince(c.now-c.set.FallWindow, false) <= fine
+		return work+e.spentSince(c.now-window, false) <= fine
 	}
-	slot := time.Duration(coldSlot * float64(c.set.FallWindow))
+	slot := time.Duration(coldSlot * float64(window))
 	if c.stopAt > 0 || !e.share.Turn(c.now, slot) {
 		return false
 	}
@@ -70,15 +71,16 @@
 		e.luck, e.luckUntil = c.rand(), c.now+slot
 	}
 	spent := e.spentSince(c.now-slot, true)
-	window := slowstart.Window{Budget: budget, Mean: c.meanWork(), Fine: coldFine, Turn: coldTurn}
-	return spent+work <= budget*coldTurn || (spent == 0 && e.luck < window.HeavyChance(work, c.now, slot))
+	w := slowstart.Window{Budget: budget, Mean: c.meanWork(), Fine: coldFine, Turn: coldTurn}
+	return spent+work <= budget*coldTurn || (spent == 0 && e.luck < w.HeavyChance(work, c.now, slot))
 }
 
 // coldBudget is what a cold engine may get in a window, at the least, our part of it for fine work, and
 // whether this work is too heavy for that part.
 func (c *Controller) coldBudget(e *engine, work float64) (all, fine float64, heavy bool) {
-	all = c.set.FallMultiple * (c.set.ColdFrom + c.ready(e)) / 2 * e.cores * c.set.FallWindow.Seconds()
-	fine = all * coldFine * e.share.PartAt(c.now, c.set.FallWindow)
+	s := &c.set.SlowStart
+	all = s.OverloadMultiple * (s.InitialCapacity + c.ready(e)) / 2 * e.cores * s.OverloadWindow.Seconds()
+	fine = all * coldFine * e.share.PartAt(c.now, c.set.SlowStart.OverloadWindow)
 	return all, fine, work > fine/2
 }
 
--- a/admission/storm_test.go
+++ b/admission/storm_test.go
@@ -25,7 +25,7 @@
 		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: sec, Threads: 1},
 		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Idempotency: NonIdempotent, OnlyZones: []int{1}, Threads: 1, LocksTables: true})
 	s.CancellationAllowed, s.Grants, s.Priorities = true, true, true
-	s.Budgeted, s.SpareTries, s.TryRatio, s.TrySpan = true, 5, 0.2, 5*sec
+	s.RetryBudget = &RetryBudget{MinRetries: 5, Ratio: 0.2, Window: 5 * sec}
 	dice := &Controller{rng: seed}
 	b := start(t, s, engines(6))
 	told := map[uint32]time.Duration{}
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -47,7 +47,7 @@
 		if math.IsInf(c.base, 1) {
 			e.share = slowstart.Fixed(share)
 		} else {
-			e.share = e.share.Change(share, c.now, c.set.FallWindow)
+			e.share = e.share.Change(share, c.now, c.set.SlowStart.OverloadWindow)
 		}
 	}
 }
--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -120,8 +120,8 @@
 		return wrong("settings.me", a.Me, fmt.Sprintf("under settings.replicas_of_me, which is %d", a.Replicas))
 	case len(a.Classes) == 0:
 		return wrong("settings.services", "[]", "a list of one class at least")
-	case a.ColdFrom > 1:
-		return wrong("settings.rules.cold_from", a.ColdFrom, "from 0 to 1")
+	case a.SlowStart.InitialCapacity > 1:
+		return wrong("settings.rules.cold_from", a.SlowStart.InitialCapacity, "from 0 to 1")
 	}
 	for i, cl := range a.Classes {
 		field := fmt.Sprintf("settings.services[%d]", i)
--- a/internal/platformconfig/facts.go
+++ b/internal/platformconfig/facts.go
@@ -67,12 +67,13 @@
 		HealthChecksAllowed: f.yes("permissions.probes"), HealthCheckCost: f.number("prices.probe"), GossipAllowed: f.yes("permissions.may_tell"),
 		HedgingAllowed: f.yes("permissions.may_duplicate"), MaxAttempts: f.integer("permissions.attempts_cap"),
 		MarksRetry: f.yes("callers.marks_retry"), DeadlineSlack: f.dur("rules.answer_slack"),
-		DrainGrace: f.dur("rules.drain_grace"), ColdFrom: f.number("rules.cold_from"), Cold: f.dur("rules.cold"),
-		FallMultiple: f.number("rules.fall_multiple"), FallWindow: f.dur("rules.overload_for"),
+		DrainGrace: f.dur("rules.drain_grace"),
+		SlowStart: admission.SlowStart{
+			InitialCapacity: f.number("rules.cold_from"), Duration: f.dur("rules.cold"),
+			OverloadMultiple: f.number("rules.fall_multiple"), OverloadWindow: f.dur("rules.overload_for"),
+		},
 		KeyCooldown: f.dur("rules.settle_after_doubt"),
-		Budgeted:    f.at("rules.spare_attempts") != nil || f.at("rules.repeat_ratio") != nil,
-		SpareTries:  f.number("rules.spare_attempts"), TryRatio: f.number("rules.repeat_ratio"),
-		TrySpan: f.dur("rules.ratio_span"),
+		RetryBudget: retryBudget(f),
 	}
 	if f.yes("permissions.retry_after") {
 		s.MaxRetryAfter = f.dur("permissions.max_retry_after")
@@ -93,6 +94,19 @@
 	return s, n, *f.err
 }
 
+// retryBudget is nil where neither of the keys that limit retries is there.
+func retryBudget(f *facts) *admission.RetryBudget {
+	// All keys are read in any case, so that a value of a wrong type is an error.
+	budget := admission.RetryBudget{
+		MinRetries: f.number("rules.spare_attempts"), Ratio: f.number("rules.repeat_ratio"),
+		Window: f.dur("rules.ratio_span"),
+	}
+	if f.at("rules.spare_attempts") == nil && f.at("rules.repeat_ratio") == nil {
+		return nil
+	}
+	return &budget
+}
+
 func (f *facts) class(i int, c *facts, n Names) admission.Class {
 	out := admission.Class{
 		LatencyObjective: c.dur("on_time"), ObjectivePerWork: c.number("aim_stretch"), Deadline: c.dur("deadline"),
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"crypto/sha256"
 	"fmt"
 	"math"
@@ -79,9 +80,10 @@
 
 func (e *encoder) settings(s *admission.Settings) {
 	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.LoadReporting), int(s.Shortage))
-	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.ColdFrom, s.FallMultiple, s.SpareTries, s.TryRatio)
-	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.Cold, s.FallWindow, s.KeyCooldown, s.TrySpan)
-	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.Budgeted)
+	budget := cmp.Or(s.RetryBudget, &admission.RetryBudget{})
+	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.SlowStart.InitialCapacity, s.SlowStart.OverloadMultiple, budget.MinRetries, budget.Ratio)
+	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.SlowStart.Duration, s.SlowStart.OverloadWindow, s.KeyCooldown, budget.Window)
+	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.RetryBudget != nil)
 	e.line()
 	for _, k := range s.Kinds {
 		e.ints(k.Cores)
