--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -2,166 +2,230 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-type attempt struct {
-	eng      *engine
-	sent     time.Duration
-	threads  float64
-	mem      float64
-	expect   time.Duration // expected time from sending to answer
-	open     bool
-	recalled bool
-	noted    time.Duration // last word of it
-	overdue  bool
-	small    bool // of a small class when it was sent
-	base     bool // sent while the engine was calm: its time serves as a base
+// lightRequestMargin is how many times lighter than the mean of its class a request has to be for high priority.
+const lightRequestMargin = 1.5
+
+// The priorities of [Terms]. Engines know 3 as well; with it small requests would starve heavy ones.
+const (
+	lowPriority    = 0
+	normalPriority = 1
+	highPriority   = 2
+)
+
+// attemptState is what the controller keeps of one attempt of a request.
+type attemptState struct {
+	engine         *engineState
+	sentAt         time.Duration
+	expected       time.Duration // from sending to answer
+	lastProgressAt time.Duration // 0: none yet
+	threads        float64       // reserved
+	memory         float64       // reserved, in MB
+
+	inFlight      bool
+	cancelled     bool
+	ofSmallClass  bool // when it was sent
+	onCalmEngine  bool // when it was sent: its latency tells that of a calm engine
+	countedAsLost bool // in the rate of lost answers
 }
 
+// attemptRef names an attempt. Pointers into requestState.attempts don't survive the next attempt.
 type attemptRef struct {
-	req *request
-	n   int
+	request *requestState
+	index   int
 }
 
-// send starts an attempt, terms first, with no time-out short of the client's: such cut costly queries.
-func (c *Controller) send(r *request, e *engine) {
-	c.dequeue(r)
-	a := attempt{
-		eng: e, sent: c.now, threads: float64(r.cls.Threads), mem: c.memOf(r), open: true,
-		small: c.small(r.Class), base: c.load(e, c.fleet.avg) < calmLevel && c.ready(e) >= 1,
-		expect: c.service(r, math.Max(e.pace, c.fleet.pace)),
-	}
-	c.terms(r, &a)
-	c.settle(r)
-	if len(r.tries) > 0 && c.set.RetryBudget != nil {
-		c.extraAt = append(c.extraAt, c.now)
-	}
-	if c.ready(e) < 1 {
-		work := c.classes[r.Class].work
-		_, _, heavy := c.coldBudget(e, work)
-		e.spend(spend{c.now, work, heavy}, c.set.SlowStart.OverloadWindow)
-	}
-	r.tries = append(r.tries, a)
-	e.outs = append(e.outs, &attemptRef{r, len(r.tries) - 1})
-	c.hold(r, &a, 1)
-	if e.ejected {
-		e.trickle++
-	}
-	if m := &e.mutes[r.Class]; m.hold > 0 {
-		m.hold = min(2*m.hold, ejectMost)
-		m.until = c.now + m.hold
-	}
-	c.do(Send{ID: r.ID, Engine: e.ID, Cap: r.due - c.now})
+func (r *attemptRef) attempt() *attemptState { return &r.request.attempts[r.index] }
+
+// send starts an attempt, terms first. Its only timeout is the client's: a shorter one would cut costly requests.
+func (c *Controller) send(request *requestState, engine *engineState) {
+	c.dequeue(request)
+	attempt := c.newAttempt(request, engine)
+	attempt.memory = c.setTerms(request, &attempt)
+	c.releaseReservedRetry(request)
+	if len(request.attempts) > 0 && c.settings.RetryBudget != nil {
+		c.retryBudget.retries = append(c.retryBudget.retries, c.now)
+	}
+	c.recordSlowStartSend(engine, c.estimates[request.Class].work)
+	request.attempts = append(request.attempts, attempt)
+	engine.attempts = append(engine.attempts, &attemptRef{request, len(request.attempts) - 1})
+	c.reserve(request, &attempt, 1)
+	if engine.ejected {
+		engine.recoveryInFlight++
+	}
+	engine.classRests[request.Class].extend(c.now)
+	c.emit(Send{ID: request.ID, Engine: engine.ID, Cap: request.deadline - c.now})
 }
 
-// terms sets priority by worth per expected work, and the grant from the corrected estimate.
-func (c *Controller) terms(r *request, a *attempt) {
-	pri, grant := 1, 0.0
-	switch {
-	case !c.set.Priorities:
-	case r.cls.LocksTables && c.anyWaits():
-		pri = 2 // a holder that crawls would hold up all that wait behind it
-	case c.rank(r) > 0:
-		pri = 0
-	case c.small(r.Class) || c.workOf(r)*1.5 < c.classes[r.Class].work:
-		pri = 2 // not 3: small ones ran at full speed while the heavy, with less slack, took 3.4 times theirs
-	}
-	if c.set.Grants && a.mem > 0 {
-		grant = math.Ceil(a.mem)
-		if a.eng.memory > 0 && c.set.MostGrant > 0 {
-			grant = math.Min(grant, math.Floor(a.eng.memory*c.set.MostGrant))
+func (c *Controller) newAttempt(request *requestState, engine *engineState) attemptState {
+	calm := c.engineLoad(engine, c.fleet.averageLoad) < calmLoad && c.warmth(engine) >= 1
+	return attemptState{
+		engine:       engine,
+		sentAt:       c.now,
+		expected:     c.expectedLatency(request, math.Max(engine.slowdown, c.fleet.medianSlowdown)),
+		inFlight:     true,
+		threads:      float64(request.classSettings.Threads),
+		memory:       c.expectedMemory(request),
+		ofSmallClass: c.isSmall(request.Class),
+		onCalmEngine: calm,
+	}
+}
+
+// setTerms sets the priority and the memory grant of an attempt, and returns the memory to reserve for it.
+func (c *Controller) setTerms(request *requestState, attempt *attemptState) (memory float64) {
+	priority, grant := c.priorityOf(request), 0.0
+	memory = attempt.memory
+	if c.settings.Grants && memory > 0 {
+		grant = math.Ceil(memory)
+		if attempt.engine.memoryMB > 0 && c.settings.MostGrant > 0 {
+			grant = math.Min(grant, math.Floor(attempt.engine.memoryMB*c.settings.MostGrant))
 		}
-		a.mem = grant
+		memory = grant
 	}
-	if pri != 1 || grant > 0 {
-		c.do(Terms{ID: r.ID, Priority: pri, GrantMB: grant})
+	if priority != normalPriority || grant > 0 {
+		c.emit(Terms{ID: request.ID, Priority: priority, GrantMB: grant})
 	}
+	return memory
+}
+
+// priorityOf prefers what is small, and what holds locks: if that is slow, all that wait for the locks are.
+func (c *Controller) priorityOf(request *requestState) int {
+	switch {
+	case !c.settings.Priorities:
+		return normalPriority
+	case request.classSettings.LocksTables && c.anyClassWaitsForLocks():
+		return highPriority
+	case request.rank() > 0:
+		return lowPriority
+	case c.isSmall(request.Class) || c.expectedWork(request)*lightRequestMargin < c.estimates[request.Class].work:
+		return highPriority
+	}
+	return normalPriority
 }
 
-// outcome releases the attempt first, then learns from it, then decides what follows: another attempt, or the
+// handleOutcome releases the attempt first, then learns from it, then decides what follows: another attempt, or the
 // final answer at once.
-func (c *Controller) outcome(ev Outcome) {
-	if e := c.byID[ev.Engine]; e != nil && ev.Report != nil {
-		e.rep, e.repAt = *ev.Report, c.now
+func (c *Controller) handleOutcome(event Outcome) {
+	if engine := c.enginesByID[event.Engine]; engine != nil && event.Report != nil {
+		engine.loadReport, engine.reportedAt = *event.Report, c.now
 	}
-	r := c.reqs[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].open {
+	request := c.requests[event.ID]
+	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
 		return
 	}
-	a := &r.tries[ev.Attempt]
-	c.release(r, a)
-	if ev.Status == OK {
-		c.learn(r, a, ev)
+	attempt := &request.attempts[event.Attempt]
+	if !attempt.inFlight {
+		return
 	}
-	c.health(a.eng, a, ev)
-	if ev.Status == OK || ev.Status == Errored {
-		c.classes[r.Class].answered, a.eng.mutes[r.Class] = c.now, mute{answered: c.now}
+	c.release(request, attempt)
+	if event.Status == OK {
+		c.learnFromAnswer(request, attempt, event)
 	}
-	if !ev.Status.NeverRan() && ev.Status != OK {
-		if !r.doubt {
-			r.doubt, r.doubtSent, r.doubtAt = true, a.sent, a.eng
-		}
-		if k := c.keys[r.Key]; k != nil && ev.Status != Errored && r.cls.Ordered {
-			k.rest = max(k.rest, c.now+c.set.KeyCooldown)
-		}
+	c.recordHealth(attempt.engine, attempt, event)
+	if event.Status == OK || event.Status == Errored {
+		c.estimates[request.Class].answeredAt = c.now
+		attempt.engine.classRests[request.Class] = classRest{answeredAt: c.now}
 	}
+	if event.Status != OK && !event.Status.NeverRan() {
+		c.recordMayHaveRun(request, attempt, event.Status)
+	}
+	c.proceed(request, event)
+}
+
+// recordMayHaveRun notes that an attempt may have run though no answer tells. Its key rests, lest the next request of
+// the key overtakes it on another engine.
+func (c *Controller) recordMayHaveRun(request *requestState, attempt *attemptState, status Status) {
+	if !request.mayHaveRun {
+		request.mayHaveRun = true
+		request.mayHaveRunSince = attempt.sentAt
+		request.mayHaveRunOn = attempt.engine
+	}
+	queue := c.keyQueues[request.Key]
+	if queue != nil && status != Errored && request.classSettings.Ordered {
+		queue.coolingUntil = max(queue.coolingUntil, c.now+c.settings.KeyCooldown)
+	}
+}
+
+// proceed decides what follows the end of an attempt.
+func (c *Controller) proceed(request *requestState, event Outcome) {
 	switch {
-	case ev.Closed || ev.Status == OK:
-		c.close(r)
-	case r.done:
-		c.forget(r)
-	case r.out > 0:
-	case r.streaming || c.ending() || !c.fits(r, 1) || len(r.tries) >= c.set.MaxAttempts || !c.mayRepeat(r):
-		c.giveUp(r)
+	case event.Closed || event.Status == OK:
+		c.closeRequest(request)
+	case request.answered:
+		c.forgetRequest(request)
+	case request.inFlight > 0:
+	case c.mayRetry(request):
+		c.enqueueFirst(request)
 	default:
-		c.enqueue(r, true)
+		c.rejectOrFail(request)
 	}
 }
 
-// hold books what an attempt holds, with sign 1, and gives it back, with sign -1.
-func (c *Controller) hold(r *request, a *attempt, sign float64) {
-	r.out += int(sign)
-	c.running += sign * a.threads
-	a.eng.threads, a.eng.mem = a.eng.threads+sign*a.threads, a.eng.mem+sign*a.mem
-	if a.small {
-		a.eng.smallMem += sign * a.mem
-		c.smallRun, r.ten.smallMem = c.smallRun+sign*a.threads, r.ten.smallMem+sign*a.mem
+// release ends an attempt and gives back what it reserved.
+func (c *Controller) release(request *requestState, attempt *attemptState) {
+	engine := attempt.engine
+	attempt.inFlight = false
+	at := slices.IndexFunc(engine.attempts, func(ref *attemptRef) bool {
+		return ref.request == request && ref.attempt() == attempt
+	})
+	if at >= 0 {
+		engine.attempts = slices.Delete(engine.attempts, at, at+1)
+	}
+	c.reserve(request, attempt, -1)
+	if engine.ejected && engine.recoveryInFlight > 0 {
+		engine.recoveryInFlight--
 	}
-	r.ten.running, r.ten.mem = r.ten.running+sign*a.threads, r.ten.mem+sign*a.mem
 }
 
-func (c *Controller) release(r *request, a *attempt) {
-	e := a.eng
-	a.open = false
-	for i, o := range e.outs {
-		if o.req == r && &r.tries[o.n] == a {
-			e.outs = append(e.outs[:i], e.outs[i+1:]...)
-			break
-		}
-	}
-	c.hold(r, a, -1)
-	if e.ejected && e.trickle > 0 {
-		e.trickle--
+// reserve books the threads and the memory of an attempt with sign 1, and gives them back with sign -1.
+func (c *Controller) reserve(request *requestState, attempt *attemptState, sign float64) {
+	engine, tenant := attempt.engine, request.tenant
+	threads, memory := sign*attempt.threads, sign*attempt.memory
+	request.inFlight += int(sign)
+	c.threads += threads
+	engine.threads += threads
+	engine.memory += memory
+	tenant.threads += threads
+	tenant.memory += memory
+	if attempt.ofSmallClass {
+		c.smallThreads += threads
+		engine.smallMemory += memory
+		tenant.smallMemory += memory
 	}
 }
 
-func (c *Controller) recall(r *request) {
-	for n := range r.tries {
-		if a := &r.tries[n]; a.open && !a.recalled && c.set.CancellationAllowed {
-			a.recalled = true
-			c.do(Cancel{ID: r.ID, Attempt: n})
+// cancelAttempts cancels all attempts of a request that are in flight, where that is allowed.
+func (c *Controller) cancelAttempts(request *requestState) {
+	for index := range request.attempts {
+		if request.attempts[index].inFlight {
+			c.cancelAttempt(&attemptRef{request, index})
 		}
 	}
 }
 
-// note takes word of an attempt that is out, and as a sign of life of its engine.
-func (c *Controller) note(ev Progress) {
-	if r := c.reqs[ev.ID]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.tries) {
-		a := &r.tries[ev.Attempt]
-		if a.noted = c.now; ev.Kind == ProgressFraction {
-			a.eng.lastOK = c.now
-			c.badPlan(&attemptRef{r, ev.Attempt}, ev.Value)
-		}
+// cancelAttempt cancels an attempt in flight once, where that is allowed.
+func (c *Controller) cancelAttempt(ref *attemptRef) {
+	attempt := ref.attempt()
+	if c.settings.CancellationAllowed && !attempt.cancelled {
+		attempt.cancelled = true
+		c.emit(Cancel{ID: ref.request.ID, Attempt: ref.index})
+	}
+}
+
+// handleProgress takes what an engine tells of an attempt, which is a sign of life of the engine as well.
+func (c *Controller) handleProgress(event Progress) {
+	request := c.requests[event.ID]
+	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
+		return
+	}
+	ref := &attemptRef{request, event.Attempt}
+	attempt := ref.attempt()
+	attempt.lastProgressAt = c.now
+	if event.Kind == ProgressFraction {
+		attempt.engine.lastAnswerAt = c.now
+		c.migrateSlowPlan(ref, event.Value)
 	}
 }
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -8,216 +8,318 @@
 	"time"
 )
 
+// reportLag is the age of what a load report shows: attempts sent within it before a report are not in it yet.
+const reportLag = 150 * time.Millisecond
+
+// The time constants over which reports lose their weight, slowdowns of engines not heard from go to that of all, and
+// own threads are smoothed.
+const (
+	reportDecay         = 1500 * time.Millisecond
+	slowdownDecay       = 5 * time.Second
+	averageThreadsDecay = 3 * time.Second
+)
+
+// Loads, as threads in use over cores: an engine or the fleet is calm below calmLoad and under pressure above
+// pressureLoad. No load counts as more than maxLoad.
 const (
-	reportLag   = 150 * time.Millisecond // a report that arrives now does not show sends younger than this
-	reportFade  = 1500 * time.Millisecond
-	paceFade    = 5 * time.Second // the pace of an engine not heard from goes to that of all
-	usualFade   = 3 * time.Second // own threads at an engine are smoothed over so long
-	busyLevel   = 0.85            // load above which an engine, or the fleet, is under pressure
-	calmLevel   = 0.6             // load under which answers show the usual pace of a class
-	factorStart = 1.4             // threads per core
-	factorLow   = 0.7
-	factorHigh  = 2.2
-	slowGoal    = 2.4 // slowdown, against calm engines, that the thread factor steers to
-
-	calmSpare  = 2.0  // deviations of own threads that our part of the fleet's bound may be passed by
-	busySpare  = 1.2  // the same when the fleet's reports show pressure
-	smallSpare = 1.5  // bounds are wider by this for small classes: the rare heavy must not starve them
-	memoryFill = 0.95 // share of an engine's memory that own grants may fill
-
-	luckFor = 2000 * time.Millisecond // how long a chance that was drawn holds
+	calmLoad     = 0.6
+	pressureLoad = 0.85
+	maxLoad      = 2
 )
 
-// fleet is what the engines in use come to.
-type fleet struct {
-	avg, pace     float64 // mean load, median slowdown
-	run, cap, mem float64 // own threads in all, a tenant's threads, a tenant's memory
-	all, used     int
-	cores         float64 // ready by now
-}
-
-// survey sums the fleet up, once a step: its load, its pace, and what own caps come to.
-func (c *Controller) survey() {
-	c.paces = c.paces[:0]
-	f := fleet{}
-	rate, equal := 0.0, 0.0
-	for i, t := range c.set.Tenants {
-		rate, equal = rate+c.arrivals(c.tens[i]), equal+t.RequestsPerSecond/float64(c.set.Replicas)
-	}
-	c.ours = c.uneven(rate, equal)
-	out := 0.0
-	sum, heard := 0.5e-3, 1e-3 // before anything was heard, half
-	for _, e := range c.engines {
-		if !e.gone {
-			f.all++
-			f.cores += e.cores
+// The thread factor of an engine, in threads per core: where it starts, its bounds, by how much it grows with an answer
+// in time, to what part it is cut with a slow one or a rejection, and how often slow ones may cut it.
+const (
+	initialThreadFactor     = 1.4
+	minThreadFactor         = 0.7
+	maxThreadFactor         = 2.2
+	threadFactorStep        = 0.01
+	threadFactorCut         = 0.9
+	threadFactorCutInterval = 400 * time.Millisecond
+)
+
+// targetSlowdown is the slowdown of answers, against calm engines, that the thread factor aims at.
+const targetSlowdown = 2.4
+
+// slowdownSmoothing is the weight of an answer in the slowdown of its engine.
+const slowdownSmoothing = 0.12
+
+// The limits on threads and memory of a front end: over its part of the fleet's by so many standard deviations of its
+// own threads while the fleet is calm, and by a factor under pressure; wider by a factor for small classes, lest rare
+// heavy requests starve them.
+const (
+	calmLimitDeviations   = 2.0
+	pressureLimitFactor   = 1.2
+	smallClassLimitFactor = 1.5
+)
+
+// smallClassFraction is the work of a small class over that of the heaviest, at most: one part in so many.
+const smallClassFraction = 4
+
+// The fraction of an engine's memory that grants may fill, and the part of it that is open to classes that aren't
+// small: small requests would wait long for it.
+const (
+	memoryFillLimit     = 0.95
+	heavyMemoryFraction = 0.85
+)
+
+// The freshness from which a load report decides on its own.
+const (
+	freshForThreads = 0.5
+	freshForMemory  = 0.4
+)
+
+// ownLoadFactor times a front end's part of an engine is how far its next attempt weighs in the engine's load.
+const ownLoadFactor = 3
+
+// randomDrawLifetime is how long the draw for fractions of a request holds.
+const randomDrawLifetime = 2 * time.Second
+
+// fleetSummary is what the engines amount to.
+type fleetSummary struct {
+	engines        int // in the list and not draining
+	usable         int // of these, not ejected
+	cores          float64
+	averageLoad    float64
+	medianSlowdown float64
+
+	threadLimit       float64 // on own threads of all tenants
+	tenantThreadLimit float64 // on those of one tenant
+	tenantMemoryLimit float64 // on its memory, in MB
+}
+
+// summarizeFleet sums the fleet up, once a step, and renews what follows from it.
+func (c *Controller) summarizeFleet() {
+	c.subset.quotaShare = c.fleetQuotaShare()
+	fleet := c.measureFleet()
+	c.addLimits(&fleet)
+	c.fleet, c.summarizedAt = fleet, c.now
+	c.sortClasses()
+	c.updateSubset()
+}
+
+// measureFleet counts the engines and sums up their load. The initial sums stand for a load of one half before any
+// engine was heard of.
+func (c *Controller) measureFleet() fleetSummary {
+	c.slowdowns = c.slowdowns[:0]
+	fleet := fleetSummary{}
+	attempts := 0.0
+	weightedLoad, weights := 0.5e-3, 1e-3
+	for _, engine := range c.engines {
+		if engine.unavailable {
+			continue
 		}
-		if e.gone || e.ejected {
+		fleet.engines++
+		fleet.cores += engine.cores
+		if engine.ejected {
 			continue
 		}
-		f.used++
-		e.pace += (c.all.pace - e.pace) * math.Min(float64(c.now-c.surveyed)/float64(paceFade), 1)
-		out += float64(len(e.outs))
-		e.usual += (e.threads - e.usual) * math.Min(float64(c.now-c.surveyed)/float64(usualFade), 1)
-		c.paces = append(c.paces, e.pace)
-		if e.repAt >= 0 || c.set.LoadReporting == NoLoadReports {
-			w := e.cores * math.Max(c.fresh(e), 1e-3)
-			sum, heard = sum+w*c.reported(e), heard+w
+		fleet.usable++
+		attempts += float64(len(engine.attempts))
+		engine.slowdown += (c.allEngines.slowdown - engine.slowdown) * c.sinceSummary(slowdownDecay)
+		engine.averageThreads += (engine.threads - engine.averageThreads) * c.sinceSummary(averageThreadsDecay)
+		c.slowdowns = append(c.slowdowns, engine.slowdown)
+		if engine.reportedAt >= 0 || c.settings.LoadReporting == NoLoadReports {
+			weight := engine.cores * math.Max(c.reportFreshness(engine), 1e-3)
+			weightedLoad += weight * c.reportedLoad(engine)
+			weights += weight
 		}
 	}
-	if out > 0 {
-		c.meanTh += (c.running/out - c.meanTh) * math.Min(float64(c.now-c.surveyed)/float64(rateFade), 1)
+	if attempts > 0 {
+		c.meanThreads += (c.threads/attempts - c.meanThreads) * c.sinceSummary(arrivalRateDecay)
 	}
-	f.avg, f.pace = math.Min(sum/heard, 2), median(c.paces, 1)
-	for _, e := range c.engines {
-		limit := c.limit(e)
-		switch {
-		case e.gone || e.ejected:
-			// What is stuck there takes nothing from the others: it must not fill the caps.
-			f.run, f.cap, f.mem = f.run+e.threads, f.cap+e.threads, f.mem+e.mem
+	fleet.averageLoad = math.Min(weightedLoad/weights, maxLoad)
+	fleet.medianSlowdown = median(c.slowdowns, 1)
+	return fleet
+}
+
+// sinceSummary is the time since the last summary over a time constant, 1 at most.
+func (c *Controller) sinceSummary(decay time.Duration) float64 {
+	return math.Min(float64(c.now-c.summarizedAt)/float64(decay), 1)
+}
+
+// addLimits sums up the limits on threads and memory. What is in flight on engines that are out of use adds to the
+// limits what it takes from them.
+func (c *Controller) addLimits(fleet *fleetSummary) {
+	for _, engine := range c.engines {
+		limit := c.concurrencyLimit(engine)
+		if engine.unavailable || engine.ejected {
+			fleet.threadLimit += engine.threads
+			fleet.tenantThreadLimit += engine.threads
+			fleet.tenantMemoryLimit += engine.memory
 			continue
-		case c.calm(e, 1, f.avg):
-			f.cap += math.Max(limit, e.threads+e.cores)
-		default:
-			f.cap += limit
 		}
-		f.run += limit / c.part / float64(c.set.Replicas) * c.ours
-		f.mem += e.memory / float64(c.set.Replicas) * c.ours
-	}
-	c.fleet, c.surveyed = f, c.now
-	slices.SortStableFunc(c.order, func(a, b int) int {
-		return cmp.Compare(
-			c.set.Classes[b].PriorityWeight/c.classes[b].work,
-			c.set.Classes[a].PriorityWeight/c.classes[a].work)
-	})
-	c.arc()
-}
-
-// mayGo holds the caps that do not depend on the engine: our part of the fleet's bound, the tenant's running
-// and memory caps. Small classes are capped among themselves: our part may be less than one heavy query.
-func (c *Controller) mayGo(r *request) bool {
-	f, lump := &c.fleet, float64(r.cls.Threads)/math.Max(c.fleet.run, 1e-3)
-	most := 1 + calmSpare*math.Sqrt(lump) // chance brings some gateways more, the fewer queries a part holds
-	if f.avg > busyLevel {
-		most = busySpare
-	}
-	run, mem := c.running, r.ten.mem
-	if c.small(r.Class) {
-		most *= smallSpare
-		run, mem = c.smallRun, r.ten.smallMem
-	}
-	return run+c.chance()*float64(r.cls.Threads) <= most*f.run &&
-		(r.ten.running == 0 || r.ten.running < f.cap) &&
-		(f.mem == 0 || mem == 0 || mem+c.memOf(r) <= math.Min(most, float64(c.set.Replicas))*f.mem)
-}
-
-// chance is our draw for what comes in parts of a query; it holds, so that asking again wins nothing.
-func (c *Controller) chance() float64 {
-	if c.now >= c.luckUntil {
-		c.luck, c.luckUntil = c.rand(), c.now+luckFor
-	}
-	return c.luck
-}
-
-// room tells whether an engine takes one more of the request. The bound binds only under pressure, and where
-// it is under one query, only on fresh word of the engine's own.
-func (c *Controller) room(e *engine, r *request, avg float64) bool {
-	th, limit, fill, held := float64(r.cls.Threads), c.limit(e), memoryFill, e.mem
-	if c.small(r.Class) {
-		limit, held = limit*smallSpare, e.smallMem
-	} else {
-		fill *= 0.85 // what the heavy leave is room for the small, which would wait long for it
+		fleet.threadLimit += limit / c.engineShare / float64(c.settings.Replicas) * c.subset.quotaShare
+		fleet.tenantMemoryLimit += engine.memoryMB / float64(c.settings.Replicas) * c.subset.quotaShare
+		if c.isCalm(engine, 1, fleet.averageLoad) {
+			limit = math.Max(limit, engine.threads+engine.cores)
+		}
+		fleet.tenantThreadLimit += limit
+	}
+}
+
+// sortClasses orders the classes by priority weight per work.
+func (c *Controller) sortClasses() {
+	weightPerWork := func(class int) float64 {
+		return c.settings.Classes[class].PriorityWeight / c.estimates[class].work
 	}
-	if (limit >= th || c.fresh(e) > 0.5) && !c.calm(e, th, avg) && e.threads+c.chance()*th > limit {
+	slices.SortStableFunc(c.classOrder, func(a, b int) int { return cmp.Compare(weightPerWork(b), weightPerWork(a)) })
+}
+
+// withinLimits reports whether a request keeps to the limits that don't depend on its engine. Small classes are
+// limited among themselves: the part of a front end may be less than one heavy request.
+func (c *Controller) withinLimits(request *requestState) bool {
+	fleet, tenant := &c.fleet, request.tenant
+	requestThreads := float64(request.classSettings.Threads)
+	factor := 1 + calmLimitDeviations*math.Sqrt(requestThreads/math.Max(fleet.threadLimit, 1e-3))
+	if fleet.averageLoad > pressureLoad {
+		factor = pressureLimitFactor
+	}
+	threads, memory := c.threads, tenant.memory
+	if c.isSmall(request.Class) {
+		factor *= smallClassLimitFactor
+		threads, memory = c.smallThreads, tenant.smallMemory
+	}
+	if threads+c.fractionDraw()*requestThreads > factor*fleet.threadLimit {
 		return false
 	}
-	need, free := c.memOf(r), e.memory*fill*c.part-held
-	if e.rep.Memory >= 0 && c.fresh(e) > 0.4 {
-		_, since := e.sentSince(reportLag)
-		free = math.Max(free, e.memory*(fill-e.rep.Memory)-since)
+	if tenant.threads > 0 && tenant.threads >= fleet.tenantThreadLimit {
+		return false
+	}
+	memoryLimit := math.Min(factor, float64(c.settings.Replicas)) * fleet.tenantMemoryLimit
+	return fleet.tenantMemoryLimit == 0 || memory == 0 || memory+c.expectedMemory(request) <= memoryLimit
+}
+
+// fractionDraw is a random number in [0, 1) by which a limit of a fraction of a request lets one through with as much
+// probability. It holds for a while, so that asking again gains nothing.
+func (c *Controller) fractionDraw() float64 {
+	if c.now >= c.randomDrawUntil {
+		c.randomDraw, c.randomDrawUntil = c.random.float64(), c.now+randomDrawLifetime
+	}
+	return c.randomDraw
+}
+
+// hasCapacity reports whether an engine takes one more request, by threads and by memory.
+func (c *Controller) hasCapacity(engine *engineState, request *requestState) bool {
+	return c.hasThreads(engine, request) && c.hasMemory(engine, request)
+}
+
+// hasThreads holds the request to the concurrency limit of the engine, which binds only under pressure, and where it is
+// below one request, only with a fresh report of the engine.
+func (c *Controller) hasThreads(engine *engineState, request *requestState) bool {
+	threads := float64(request.classSettings.Threads)
+	limit := c.concurrencyLimit(engine)
+	if c.isSmall(request.Class) {
+		limit *= smallClassLimitFactor
+	}
+	if limit < threads && c.reportFreshness(engine) <= freshForThreads {
+		return true
 	}
-	return e.threads == 0 || e.memory <= 0 || need <= free
+	return c.isCalm(engine, threads, c.fleet.averageLoad) || engine.threads+c.fractionDraw()*threads <= limit
 }
 
-// calm tells an engine that is not under pressure, with so many threads more, in as far as the load is ours.
-func (c *Controller) calm(e *engine, th, avg float64) bool {
-	load := c.load(e, avg) + th*math.Min(1, 3*c.part)/e.cores
-	return load <= busyLevel*c.ready(e) && e.rep.Disks < busyLevel && e.rep.Queue <= 0 && e.pace < slowGoal
+// hasMemory holds the request to this front end's part of the engine's memory, or to what the engine reports as free.
+func (c *Controller) hasMemory(engine *engineState, request *requestState) bool {
+	fill, reserved := memoryFillLimit, engine.memory
+	if c.isSmall(request.Class) {
+		reserved = engine.smallMemory
+	} else {
+		fill *= heavyMemoryFraction
+	}
+	free := engine.memoryMB*fill*c.engineShare - reserved
+	if engine.loadReport.Memory >= 0 && c.reportFreshness(engine) > freshForMemory {
+		_, unreported := engine.unreportedSends()
+		free = math.Max(free, engine.memoryMB*(fill-engine.loadReport.Memory)-unreported)
+	}
+	return engine.threads == 0 || engine.memoryMB <= 0 || c.expectedMemory(request) <= free
 }
 
-// limit is the bound on own threads at an engine: its cores, this gateway's part, the threads a core that
-// the engine has lately carried well, and what a cold start leaves of it.
-func (c *Controller) limit(e *engine) float64 {
-	return e.cores * math.Min(e.factor, c.all.factor) * c.ready(e) * c.part
+// isCalm reports whether an engine is not under pressure with so many threads more, as far as the load is ours.
+func (c *Controller) isCalm(engine *engineState, threads, averageLoad float64) bool {
+	load := c.engineLoad(engine, averageLoad) + threads*math.Min(1, ownLoadFactor*c.engineShare)/engine.cores
+	return load <= pressureLoad*c.warmth(engine) && engine.loadReport.Disks < pressureLoad &&
+		engine.loadReport.Queue <= 0 && engine.slowdown < targetSlowdown
 }
 
-// load estimates an engine's load: its report, faded by age to the average, plus own sends since.
-func (c *Controller) load(e *engine, avg float64) float64 {
-	since, _ := e.sentSince(reportLag)
-	fade := c.fresh(e)
-	return fade*c.reported(e) + (1-fade)*avg + since/e.cores
+// concurrencyLimit is the limit on own threads at an engine: its cores times the threads per core that it has lately
+// carried well, this front end's part of that, and what its slow start leaves.
+func (c *Controller) concurrencyLimit(engine *engineState) float64 {
+	return engine.cores * math.Min(engine.threadFactor, c.allEngines.threadFactor) * c.warmth(engine) * c.engineShare
 }
 
-// reported is the load that the last report tells: use or, which tells a jam, threads held over what is well
-// carried, the greater. Where neither is told, own threads, smoothed, over our part stand in.
-func (c *Controller) reported(e *engine) float64 {
-	threads := e.usual / c.part
-	if e.rep.Held >= 0 {
-		threads = e.rep.Held * c.meanTh
-	} else if e.rep.Util >= 0 {
-		return e.rep.Util
+// engineLoad estimates the load of an engine: what it reported, which fades with age to the average, and own attempts
+// sent since.
+func (c *Controller) engineLoad(engine *engineState, averageLoad float64) float64 {
+	unreported, _ := engine.unreportedSends()
+	freshness := c.reportFreshness(engine)
+	return freshness*c.reportedLoad(engine) + (1-freshness)*averageLoad + unreported/engine.cores
+}
+
+// reportedLoad is the load by the last report: the use, or what the requests in flight need over what the engine
+// carries well, whichever is more. Where neither is reported, own threads over our part of the engine stand in.
+func (c *Controller) reportedLoad(engine *engineState) float64 {
+	threads := engine.averageThreads / c.engineShare
+	if engine.loadReport.Held >= 0 {
+		threads = engine.loadReport.Held * c.meanThreads
+	} else if engine.loadReport.Util >= 0 {
+		return engine.loadReport.Util
 	}
-	return math.Max(e.rep.Util, threads/e.cores/c.all.factor)
+	return math.Max(engine.loadReport.Util, threads/engine.cores/c.allEngines.threadFactor)
 }
 
-// fresh is how far a report still counts: it fades by its age.
-func (c *Controller) fresh(e *engine) float64 {
-	if e.repAt < 0 {
+// reportFreshness is the weight of an engine's last report: 1 while it is new, and less with age.
+func (c *Controller) reportFreshness(engine *engineState) float64 {
+	if engine.reportedAt < 0 {
 		return 0
 	}
-	return math.Exp(-float64(max(0, c.now-e.repAt-reportLag)) / float64(reportFade))
+	return math.Exp(-float64(max(0, c.now-engine.reportedAt-reportLag)) / float64(reportDecay))
 }
 
-// sentSince sums the threads and the memory of own attempts that the last report does not show yet.
-func (e *engine) sentSince(lag time.Duration) (threads, mem float64) {
-	for _, a := range e.outs {
-		if t := &a.req.tries[a.n]; e.repAt < 0 || t.sent > e.repAt-lag {
-			threads += t.threads
-			mem += t.mem
+// unreportedSends sums up the threads and the memory of own attempts that the last report doesn't show yet.
+func (e *engineState) unreportedSends() (threads, memory float64) {
+	for _, ref := range e.attempts {
+		if attempt := ref.attempt(); e.reportedAt < 0 || attempt.sentAt > e.reportedAt-reportLag {
+			threads += attempt.threads
+			memory += attempt.memory
 		}
 	}
-	return threads, mem
+	return threads, memory
 }
 
-// small tells a class whose work is well under the mean of the heaviest.
-func (c *Controller) small(class int) bool {
-	return c.classes[class].work < c.heaviest()/4
+// isSmall reports whether the mean work of a class is well below that of the heaviest.
+func (c *Controller) isSmall(class int) bool {
+	return c.estimates[class].work < c.heaviestWork()/smallClassFraction
 }
 
-// heaviest is the largest mean work of a class.
-func (c *Controller) heaviest() (top float64) {
-	for i := range c.classes {
-		top = max(top, c.classes[i].work)
+// heaviestWork is the largest mean work of a class.
+func (c *Controller) heaviestWork() (heaviest float64) {
+	for i := range c.estimates {
+		heaviest = max(heaviest, c.estimates[i].work)
 	}
-	return top
+	return heaviest
 }
 
-// steer moves the thread factor by the slowdown of answers against that of the class on calm engines: up a
-// little while they are quick, down by a part when they are slow. It answers whatever takes capacity.
-func (c *Controller) steer(e *engine, slow float64) {
-	e.pace *= math.Exp((slow - math.Log(e.pace)) * 0.12)
-	if e.pace <= slowGoal {
-		e.factor = math.Min(factorHigh, e.factor+0.01)
-	} else if c.now-e.cutAt > 400*time.Millisecond {
-		e.factor, e.cutAt = math.Max(factorLow, e.factor*0.9), c.now
+// adjustThreadFactor takes in the slowdown of an answer, as a logarithm: the thread factor grows by a step while
+// answers are in time and is cut when they are slow, whatever takes the capacity.
+func (c *Controller) adjustThreadFactor(engine *engineState, logSlowdown float64) {
+	engine.slowdown *= math.Exp((logSlowdown - math.Log(engine.slowdown)) * slowdownSmoothing)
+	if engine.slowdown <= targetSlowdown {
+		engine.threadFactor = math.Min(maxThreadFactor, engine.threadFactor+threadFactorStep)
+	} else if c.now-engine.limitReducedAt > threadFactorCutInterval {
+		engine.cutThreadFactor()
+		engine.limitReducedAt = c.now
 	}
 }
 
-// median is the lower median, or none where there are no values.
-func median(v []float64, none float64) float64 {
-	if len(v) == 0 {
-		return none
+func (e *engineState) cutThreadFactor() {
+	e.threadFactor = math.Max(minThreadFactor, e.threadFactor*threadFactorCut)
+}
+
+// median is the lower median of the values, which it sorts, or fallback where there are none.
+func median(values []float64, fallback float64) float64 {
+	if len(values) == 0 {
+		return fallback
 	}
-	sort.Float64s(v)
-	return v[(len(v)-1)/2]
+	sort.Float64s(values)
+	return values[(len(values)-1)/2]
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -1,206 +1,178 @@
 package admission
 
 import (
-	"errors"
-	"fmt"
-	"math"
 	"slices"
 	"time"
 )
 
+// How often housekeeping is due: while a request has no final answer, and otherwise.
 const (
-	wake     = 20 * time.Millisecond  // housekeeping while anything waits
-	idleWake = 250 * time.Millisecond // housekeeping otherwise
+	housekeepingInterval     = 20 * time.Millisecond
+	idleHousekeepingInterval = 250 * time.Millisecond
 )
 
-// Controller decides for one gateway.
+// Controller decides for one front end. It is not safe for concurrent use: one goroutine owns it.
 type Controller struct {
-	set       Settings
-	rng       uint64
-	now       time.Duration
-	acts      []Action
-	byID      map[uint32]*engine
-	byHash    map[uint16]*engine
-	engines   []*engine
-	reqs      map[string]*request
-	open      []*request // requests without a final answer, oldest first
-	tens      []*tenant
-	turn      int
-	classes   []learned
-	keys      map[string]*keyLine
-	queued    int
-	timer     time.Duration // when the next housekeeping is due
-	armed     bool
-	meanTh    float64 // mean threads of what is out
-	promised  int     // repeats promised to what was withdrawn
-	began     bool
-	startedAt time.Duration // when this gateway started
-	stopAt    time.Duration // when it ends; 0: not for now
-	retryAt   time.Duration // when to ask discovery again
-	asked     bool
-	takenAt   []time.Duration // arrivals and further attempts within the budget's window
-	extraAt   []time.Duration
+	settings Settings
+	random   splitMix64
+	now      time.Duration // of the current step
+	actions  []Action      // of the current step
 
-	fleet         fleet
-	surveyed      time.Duration
-	running       float64       // own threads out
-	smallRun      float64       // ... those of small classes
-	probes, bytes float64       // what own queries have earned for probes and messages
-	asking        int           // probes of the last burst that have not come back
-	askedAt       time.Duration // when it went
-	news          []byte        // what the last probes brought
-	paces         []float64
-	loss          float64 // share of answers that are lost
-	all           engine  // what the answers of all engines tell together
-	luck          float64 // draw for what comes in parts of a query
-	luckUntil     time.Duration
-	part          float64   // our part of an engine: of those gateways that draw from it
-	first         int       // where the own stretch of the ring begins
-	capacity      []float64 // cores of the engines along the ring; 0: gone
-	relisted      bool      // the list has changed since the shares were last worked out
-	subset        float64   // its capacity
-	base          float64   // what it would be for a gateway with an equal part of the clients
-	ours          float64   // our part against an equal one
-	weights       []float64
-	near          []*engine // the own stretch, for the request in hand
-	homes         []uint64  // its hashes, for the ranking
-	clean         bool      // not all of it errs in most of its answers
-	order         []int     // classes by worth per work
+	started        bool
+	startedAt      time.Duration // the time of the first step
+	shutdownAt     time.Duration // when the front end ends; 0: no end is announced
+	housekeepingAt time.Duration // when the next housekeeping is due
+	timerArmed     bool          // a timer for it is set
+	discovery      discoveryState
+
+	engines           []*engineState // in the order of the ring, which is the same at all front ends
+	enginesByID       map[uint32]*engineState
+	enginesByGossipID map[uint16]*engineState
+
+	requests       map[string]*requestState // those that are unanswered or have an attempt in flight
+	unanswered     []*requestState          // in order of arrival; answered ones leave with the next housekeeping
+	tenants        []*tenantState
+	nextTenant     int   // whose turn it is in the round robin, modulo the number of tenants
+	classOrder     []int // classes by priority weight per work, the highest first
+	keyQueues      map[string]*keyQueue
+	queuedRequests int
+
+	threads         float64 // of attempts in flight
+	smallThreads    float64 // of those of small classes
+	meanThreads     float64 // of an attempt, smoothed
+	randomDraw      float64 // see fractionDraw
+	randomDrawUntil time.Duration
+
+	estimates      []classEstimate // by class
+	allEngines     engineState     // what the answers of all engines tell together
+	lostAnswerRate float64         // fraction of the answers that are lost, smoothed
+	fleet          fleetSummary
+	summarizedAt   time.Duration
+	slowdowns      []float64 // buffer of summarizeFleet
+	engineShare    float64   // the part of an engine that is this front end's among those that send to it
+
+	subset       subsetState
+	candidates   candidateSet
+	retryBudget  retryBudgetState
+	healthChecks healthCheckState
+	gossip       gossipState
 }
 
-// New returns a controller for the settings; the error names the field that is not valid.
-func New(set Settings, seed uint64) (*Controller, error) {
-	if set.Replicas < 1 {
-		return nil, errors.New("settings: Replicas: must be at least 1")
-	}
-	if len(set.Classes) == 0 {
-		return nil, errors.New("settings: Classes: must not be empty")
-	}
-	if set.RetryBudget != nil && set.RetryBudget.Window <= 0 {
-		return nil, errors.New("settings: RetryBudget.Window: must be positive")
-	}
-	for i, k := range set.Kinds {
-		if k.Cores < 0 || k.MemoryMB < 0 {
-			return nil, fmt.Errorf("settings: Kinds[%d]: cores and memory must not be negative", i)
-		}
+// New returns a controller for the settings. The seed fixes its random draws. An error is a [*SettingsError].
+func New(settings Settings, seed uint64) (*Controller, error) {
+	if err := settings.check(); err != nil {
+		return nil, err
 	}
 	c := &Controller{
-		part: 1 / float64(set.Replicas),
-		set:  set, rng: seed, byID: map[uint32]*engine{}, byHash: map[uint16]*engine{},
-		reqs: map[string]*request{}, keys: map[string]*keyLine{},
-		meanTh: 1, classes: make([]learned, len(set.Classes)),
-	}
-	c.all.pace, c.all.factor = 1, factorStart
-	c.probes = c.rand() * probeBurst // so that gateways do not ask in step
-	c.set.Classes = append([]Class(nil), set.Classes...)
-	if set.RetryBudget != nil {
-		budget := *set.RetryBudget
-		c.set.RetryBudget = &budget
-	}
-	for i := range c.set.Classes {
-		cl := &c.set.Classes[i]
-		if cl.Deadline <= 0 {
-			return nil, fmt.Errorf("settings: Classes[%d].Deadline: must be positive", i)
-		}
-		cl.Threads = max(cl.Threads, 1)
-		c.order = append(c.order, i)
-		c.classes[i] = learned{work: prior(cl), workFix: 1, memFix: 1, slow: calmSlow}
-	}
-	for i := range max(len(set.Tenants), 1) {
-		t := &tenant{lists: make([][2][]*request, len(set.Classes)), weight: 1, tokens: math.Inf(1)}
-		if i < len(set.Tenants) && set.Tenants[i].RequestsPerSecond < 0 {
-			return nil, fmt.Errorf("settings: Tenants[%d].AllowPerS: must not be negative", i)
-		}
-		c.tens = append(c.tens, t)
+		settings:          settings,
+		random:            splitMix64(seed),
+		enginesByID:       map[uint32]*engineState{},
+		enginesByGossipID: map[uint16]*engineState{},
+		keyQueues:         map[string]*keyQueue{},
+		requests:          map[string]*requestState{},
+		meanThreads:       1,
+		engineShare:       1 / float64(settings.Replicas),
+	}
+	c.settings.Classes = slices.Clone(settings.Classes)
+	if settings.RetryBudget != nil {
+		budget := *settings.RetryBudget
+		c.settings.RetryBudget = &budget
+	}
+	c.allEngines.slowdown = 1
+	c.allEngines.threadFactor = initialThreadFactor
+	c.healthChecks.credit = c.random.float64() * healthCheckBurst // so that front ends don't check in step
+	for i := range c.settings.Classes {
+		class := &c.settings.Classes[i]
+		class.Threads = max(class.Threads, 1)
+		c.classOrder = append(c.classOrder, i)
+		c.estimates = append(c.estimates, newClassEstimate(class))
+	}
+	for range max(len(settings.Tenants), 1) {
+		c.tenants = append(c.tenants, newTenant(len(settings.Classes)))
 	}
 	return c, nil
 }
 
-// Step takes the events in, in order, and returns what to do, in order.
+// Step takes the events in, in order, and returns what to do, in order. The time must not go back between steps.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
-	c.now, c.acts = now, nil
-	if !c.began {
-		c.began = true
-		c.timer, c.retryAt, c.startedAt = now, now, now
+	c.now, c.actions = now, nil
+	if !c.started {
+		c.started = true
+		c.housekeepingAt, c.discovery.retryAt, c.startedAt = now, now, now
 	}
-	for _, ev := range events {
-		c.take(ev)
+	for _, event := range events {
+		c.handle(event)
 	}
-	c.survey()
+	c.summarizeFleet()
 	c.admit()
-	if c.now >= c.timer {
+	if c.now >= c.housekeepingAt {
 		c.housekeep()
 		c.admit()
 	}
-	c.arm()
-	return c.acts
+	c.armTimer()
+	return c.actions
 }
 
-func (c *Controller) take(ev Event) {
-	switch ev := ev.(type) {
+func (c *Controller) handle(event Event) {
+	switch event := event.(type) {
 	case EndpointsChanged:
-		c.members(ev)
+		c.handleEndpointsChanged(event)
 	case Request:
-		c.request(ev)
+		c.handleRequest(event)
 	case FirstByte:
-		if r := c.reqs[ev.ID]; r != nil {
-			r.streaming = true
+		if request := c.requests[event.ID]; request != nil {
+			request.streaming = true
 		}
 	case Outcome:
-		c.outcome(ev)
+		c.handleOutcome(event)
 	case ClientDisconnected:
-		if r := c.reqs[ev.ID]; r != nil {
-			c.close(r)
-			c.recall(r)
+		if request := c.requests[event.ID]; request != nil {
+			c.closeRequest(request)
+			c.cancelAttempts(request)
 		}
 	case Timer:
-		if c.now >= c.timer {
-			c.armed = false
+		if c.now >= c.housekeepingAt {
+			c.timerArmed = false
 		}
 	case HealthCheckResult:
-		c.probed(ev)
+		c.handleHealthCheckResult(event)
 	case GossipReceived:
-		c.told(ev)
+		c.handleGossip(event)
 	case Progress:
-		c.note(ev)
+		c.handleProgress(event)
 	case ShutdownRequested:
-		c.stop(ev)
+		c.handleShutdownRequested(event)
 	}
 }
 
-func (c *Controller) arm() {
-	next := idleWake
-	if len(c.open) > 0 {
-		next = wake
+// armTimer asks for the step in which housekeeping is due, unless one is asked for that comes as early.
+func (c *Controller) armTimer() {
+	next := idleHousekeepingInterval
+	if len(c.unanswered) > 0 {
+		next = housekeepingInterval
 	}
-	if c.armed && c.timer <= c.now+next {
+	if c.timerArmed && c.housekeepingAt <= c.now+next {
 		return
 	}
-	c.armed, c.timer = true, c.now+next
-	c.do(SetTimer{Delay: next, Token: uint64(c.timer)})
+	c.timerArmed, c.housekeepingAt = true, c.now+next
+	c.emit(SetTimer{Delay: next, Token: uint64(c.housekeepingAt)})
 }
 
-// housekeep gives up what can no longer be served, watches for silence and paces probes and discovery.
+// housekeep does what no event asks for: it answers what can no longer be served, looks for engines that don't
+// answer, and paces health checks and discovery.
 func (c *Controller) housekeep() {
-	c.open = slices.DeleteFunc(c.open, func(r *request) bool { return r.done })
-	for _, r := range c.open {
-		c.expire(r)
-	}
-	for _, e := range c.engines {
-		c.watch(e)
-	}
-	c.forgetGone()
-	c.callBack()
-	for key, k := range c.keys { // order does not reach an action
-		if len(k.line) == 0 && c.now >= k.rest {
-			delete(c.keys, key)
-		}
-	}
-	c.probe()
-	if c.set.PollDiscovery && !c.asked && c.now >= c.retryAt {
-		c.asked = true
-		c.do(WatchEndpoints{On: true})
-	}
+	c.unanswered = slices.DeleteFunc(c.unanswered, func(request *requestState) bool { return request.answered })
+	for _, request := range c.unanswered {
+		c.expireWaiting(request)
+	}
+	for _, engine := range c.engines {
+		c.checkOverdueAttempts(engine)
+	}
+	c.forgetRemovedEngines()
+	c.cancelBeforeShutdown()
+	c.forgetIdleKeys()
+	c.sendHealthChecks()
+	c.watchEndpoints()
 }
 
-func (c *Controller) do(a Action) { c.acts = append(c.acts, a) }
+func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -63,8 +63,8 @@
 // pass lets time go by in steps of the wake-up and gathers what was done.
 func (b *bed) pass(d time.Duration) (all []Action) {
 	for end := b.now + d; b.now < end; {
-		b.now = min(b.now+wake, end)
-		all = append(all, b.step(Timer{Token: uint64(b.c.timer)})...)
+		b.now = min(b.now+housekeepingInterval, end)
+		all = append(all, b.step(Timer{Token: uint64(b.c.housekeepingAt)})...)
 	}
 	return all
 }
@@ -125,10 +125,10 @@
 		s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope, s.Classes[0].DeduplicationWindow = IdempotentWithKey, scope, sec
 		for seed := range 20 {
 			b := start(t, s, engines(8))
-			b.c.rng = uint64(seed)
+			b.c.random = splitMix64(seed)
 			snd := one[Send](t, b.step(req("a", 0)))
 			again := one[Send](t, b.step(end(snd, 0, TimedOut)))
-			x, y := b.c.byID[snd.Engine], b.c.byID[again.Engine]
+			x, y := b.c.enginesByID[snd.Engine], b.c.enginesByID[again.Engine]
 			if (scope == ScopeZone && x.Zone != y.Zone) || (scope == ScopeCell && x.Cell != y.Cell) {
 				t.Fatalf("scope %d: resent from %v to %v", scope, x.Engine, y.Engine)
 			}
@@ -235,7 +235,7 @@
 	for i := range 300 {
 		r := req(fmt.Sprint("a", i), 0)
 		for _, snd := range pick[Send](b.step(r)) {
-			work += b.c.classes[0].work
+			work += b.c.estimates[0].work
 			b.step(end(snd, 0, OK))
 		}
 		b.now += 5 * ms
@@ -285,7 +285,7 @@
 
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	b := start(t, base(), engines(2))
-	b.c.tens[0].weight = 2
+	b.c.tenants[0].weight = 2
 	out := busy(b)
 	got := [2]int{}
 	for n := 0; len(out) > 0 && n < 36; n++ {
@@ -295,7 +295,7 @@
 		out = out[1:]
 		for _, s := range pick[Send](b.step(o)) {
 			out = append(out, s)
-			got[b.c.reqs[s.ID].Tenant]++
+			got[b.c.requests[s.ID].Tenant]++
 		}
 	}
 	if r := float64(got[0]) / float64(got[1]); r < 1.5 || r > 2.6 {
@@ -337,13 +337,13 @@
 			snd = l[0]
 		}
 		b.step(ClientDisconnected{ID: "a"})
-		for _, tn := range b.c.tens {
-			if tn.running != 0 || tn.mem != 0 {
-				t.Fatalf("status %d leaves %v running", st, tn.running)
+		for _, tn := range b.c.tenants {
+			if tn.threads != 0 || tn.memory != 0 {
+				t.Fatalf("status %d leaves %v running", st, tn.threads)
 			}
 		}
 		for _, e := range b.c.engines {
-			if e.threads != 0 || len(e.outs) != 0 {
+			if e.threads != 0 || len(e.attempts) != 0 {
 				t.Fatalf("status %d leaves %v threads at engine %d", st, e.threads, e.ID)
 			}
 		}
@@ -385,8 +385,8 @@
 		}
 		b.pass(20 * ms)
 	}
-	if !b.c.byID[1].ejected || toDead > 10 {
-		t.Fatalf("ejected %v, %d sends late on", b.c.byID[1].ejected, toDead)
+	if !b.c.enginesByID[1].ejected || toDead > 10 {
+		t.Fatalf("ejected %v, %d sends late on", b.c.enginesByID[1].ejected, toDead)
 	}
 }
 
@@ -410,12 +410,12 @@
 
 func TestNewNamesTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Replicas":             func(s *Settings) { s.Replicas = 0 },
-		"Classes":              func(s *Settings) { s.Classes = nil },
-		"Classes[1].Deadline":  func(s *Settings) { s.Classes[1].Deadline = 0 },
-		"Kinds[0]":             func(s *Settings) { s.Kinds[0].Cores = -1 },
-		"Tenants[1].AllowPerS": func(s *Settings) { s.Tenants[1].RequestsPerSecond = -1 },
-		"RetryBudget.Window":   func(s *Settings) { s.RetryBudget = &RetryBudget{} },
+		"Replicas":                     func(s *Settings) { s.Replicas = 0 },
+		"Classes":                      func(s *Settings) { s.Classes = nil },
+		"Classes[1].Deadline":          func(s *Settings) { s.Classes[1].Deadline = 0 },
+		"Kinds[0]":                     func(s *Settings) { s.Kinds[0].Cores = -1 },
+		"Tenants[1].RequestsPerSecond": func(s *Settings) { s.Tenants[1].RequestsPerSecond = -1 },
+		"RetryBudget.Window":           func(s *Settings) { s.RetryBudget = &RetryBudget{} },
 	} {
 		s := base()
 		spoil(&s)
@@ -483,9 +483,9 @@
 		}
 	}
 	for _, id := range []uint32{1, 2} {
-		b.c.eject(b.c.byID[id])
-		b.c.byID[id].threads += 1000
-		b.c.tens[0].running += 1000
+		b.c.eject(b.c.enginesByID[id])
+		b.c.enginesByID[id].threads += 1000
+		b.c.tenants[0].threads += 1000
 	}
 	if s := one[Send](t, b.step(req("z", 0))); s.Engine < 3 {
 		t.Fatalf("sent to the ejected engine %d", s.Engine)
@@ -499,7 +499,7 @@
 	for range 2 {
 		b.step(HealthCheckResult{Engine: 1, Status: TimedOut})
 	}
-	if !b.c.byID[1].ejected {
+	if !b.c.enginesByID[1].ejected {
 		t.Fatal("not ejected after two misses")
 	}
 	for i := range 30 {
@@ -509,7 +509,7 @@
 			}
 		}
 	}
-	if b.step(HealthCheckResult{Engine: 1, Status: OK}); b.c.byID[1].ejected {
+	if b.step(HealthCheckResult{Engine: 1, Status: OK}); b.c.enginesByID[1].ejected {
 		t.Fatal("not taken back after a good probe")
 	}
 }
@@ -534,7 +534,7 @@
 	met, all := 0, 0
 	for seed := range uint64(60) {
 		b := start(t, s, engines(8))
-		b.c.rng = seed
+		b.c.random = splitMix64(seed)
 		load, look := req("load", 1), req("look", 0)
 		load.Group, look.Group, load.Timeout = 5, 5, 20*sec
 		l := one[Send](t, b.step(load))
@@ -620,17 +620,17 @@
 	for id, util := range map[uint32]float64{1: 0.1, 2: 0.9} {
 		b.step(HealthCheckResult{Engine: id, Status: OK, Report: &Report{Util: util, Held: -1, Queue: -1, Memory: -1, Disks: -1}})
 	}
-	b.c.survey()
-	avg := b.c.fleet.avg
-	if l := b.c.load(b.c.byID[3], avg); l != avg {
+	b.c.summarizeFleet()
+	avg := b.c.fleet.averageLoad
+	if l := b.c.engineLoad(b.c.enginesByID[3], avg); l != avg {
 		t.Fatalf("an engine not heard from counts as %v, the average is %v", l, avg)
 	}
-	if l := b.c.load(b.c.byID[1], avg); l > 0.11 {
+	if l := b.c.engineLoad(b.c.enginesByID[1], avg); l > 0.11 {
 		t.Fatalf("a new report of 0.1 counts as %v", l)
 	}
 	b.now += 20 * sec
 	b.step()
-	if l := b.c.load(b.c.byID[1], avg); l < avg-0.01 || l > avg+0.01 {
+	if l := b.c.engineLoad(b.c.enginesByID[1], avg); l < avg-0.01 || l > avg+0.01 {
 		t.Fatalf("an old report counts as %v, the average is %v", l, avg)
 	}
 }
@@ -643,8 +643,8 @@
 		r.Timeout, r.Work = 20*sec, 2*sec
 		refused += len(pick[Reject](b.step(r)))
 	}
-	if b.c.queued > max(queueLeast, int(b.c.fleet.run*queueFactor)) || refused == 0 {
-		t.Fatalf("%d queued, depth %d, %d refused", b.c.queued, max(queueLeast, int(b.c.fleet.run*queueFactor)), refused)
+	if b.c.queuedRequests > max(minQueueLimit, int(b.c.fleet.threadLimit*queuedPerThread)) || refused == 0 {
+		t.Fatalf("%d queued, depth %d, %d refused", b.c.queuedRequests, max(minQueueLimit, int(b.c.fleet.threadLimit*queuedPerThread)), refused)
 	}
 }
 
@@ -680,13 +680,13 @@
 	r := req("a", 1)
 	r.Timeout, r.MemMB = 20*sec, 6000
 	b.step(r)
-	held := b.c.tens[0].mem
-	b.c.tens[0].mem = 2*16384 - 100 // the tenant holds nearly all of the fleet's memory
+	held := b.c.tenants[0].memory
+	b.c.tenants[0].memory = 2*16384 - 100 // the tenant holds nearly all of the fleet's memory
 	r.ID = "b"
 	if l := pick[Send](b.step(r)); len(l) > 0 {
 		t.Fatal("sent past the memory cap")
 	}
-	b.c.tens[0].mem = held
+	b.c.tenants[0].memory = held
 	one[Send](t, b.step())
 }
 
@@ -696,12 +696,12 @@
 	b := start(t, s, engines(2))
 	snd := one[Send](t, b.step(req("a", 0)))
 	for _, e := range b.c.engines {
-		e.rest = b.now + 10*sec // no engine takes anything for now
+		e.overloadedUntil = b.now + 10*sec // no engine takes anything for now
 	}
 	b.step(end(snd, 0, Reset))
 	b.now += sec
 	b.c.now = b.now
-	if r := b.c.reqs["a"]; b.c.allowed(b.c.engines[0], r) || b.c.allowed(b.c.engines[1], r) {
+	if r := b.c.requests["a"]; b.c.permits(b.c.engines[0], r) || b.c.permits(b.c.engines[1], r) {
 		t.Fatal("may be sent again after its window")
 	}
 	if acts := b.pass(40 * ms); len(pick[Fail](acts)) != 1 || len(pick[Reject](acts)) > 0 {
@@ -767,7 +767,7 @@
 			}
 			most = max(most, k-i)
 		}
-		work := float64(most) * gws[0].c.classes[0].work
+		work := float64(most) * gws[0].c.estimates[0].work
 		if whole := 3 * 0.3 * 8 * 2.0; work > whole || len(at) == 0 {
 			t.Fatalf("%d gateways: %d sends, %.2f s of work in a window of at most %.2f", n, len(at), work, whole)
 		}
@@ -789,7 +789,7 @@
 				b.step(end(snd, 0, OK))
 			}
 		}
-		if len(used) > stretch+1 {
+		if len(used) > subsetEngines+1 {
 			t.Fatalf("gateway %d sent to %d engines", g, len(used))
 		}
 		for id := range used {
@@ -797,7 +797,7 @@
 		}
 	}
 	for id, n := range from {
-		if part := stretch * 300 / 60; n < part*2/3 || n > part*5/3+1 {
+		if part := subsetEngines * 300 / 60; n < part*2/3 || n > part*5/3+1 {
 			t.Fatalf("engine %d is drawn from by %d gateways of 300, %d are its part", id, n, part)
 		}
 	}
@@ -811,16 +811,16 @@
 func TestPartsUnderOneQuery(t *testing.T) {
 	s := base()
 	s.Replicas = 300
-	running, lump := 0.0, 2.0/(20*8*factorStart/300)
+	running, lump := 0.0, 2.0/(20*8*initialThreadFactor/300)
 	for g, b := range crowd(t, s, engines(20)) {
 		for i := range 20 {
 			r := req(fmt.Sprint(g, "-", i), 1)
 			r.Work, r.Timeout = 3*sec, 20*sec
 			b.step(r)
 		}
-		running += b.c.running
+		running += b.c.threads
 	}
-	if bound := 20 * 8 * factorStart * (1 + calmSpare*math.Sqrt(lump)); running < bound*0.7 || running > bound*1.3 {
+	if bound := 20 * 8 * initialThreadFactor * (1 + calmLimitDeviations*math.Sqrt(lump)); running < bound*0.7 || running > bound*1.3 {
 		t.Fatalf("%v threads run, the bound of all is %v", running, bound)
 	}
 }
@@ -832,7 +832,7 @@
 	b := start(t, s, engines(4))
 	var asked []Action
 	for i := range 40 {
-		asked = append(b.step(req(fmt.Sprint("q", i), 0)), b.pass(wake)...)
+		asked = append(b.step(req(fmt.Sprint("q", i), 0)), b.pass(housekeepingInterval)...)
 		if len(pick[HealthCheck](asked)) > 0 {
 			break
 		}
@@ -841,24 +841,24 @@
 		t.Fatalf("%d engines were asked", n)
 	}
 	b.step(HealthCheckResult{Engine: 1, Status: OK, Report: &Report{Util: 0.5, Held: -1, Queue: -1, Memory: -1, Disks: -1}})
-	if early := b.pass(5 * wake); len(pick[SendGossip](early)) > 0 {
+	if early := b.pass(5 * housekeepingInterval); len(pick[SendGossip](early)) > 0 {
 		t.Fatal("told before the burst was in")
 	}
 	for id := range uint32(3) {
 		b.step(HealthCheckResult{Engine: 2 + id, Status: TimedOut})
 	}
-	word := one[SendGossip](t, b.pass(5*wake)).Data
-	if len(word) != 4*tellSize || word[5] != tellFailed {
+	word := one[SendGossip](t, b.pass(5*housekeepingInterval)).Data
+	if len(word) != 4*gossipEntrySize || word[5] != gossipFailure {
 		t.Fatalf("failed probes are not told: %v", word)
 	}
 	o := start(t, s, engines(4))
 	for _, ev := range []GossipReceived{{From: 9, Data: word}, {From: -1, Data: word}, {From: 1, Data: word[:1]}, {From: 1},
 		{From: 1, Data: []byte{1, 2, 3}}, {From: 0, Data: word}} {
-		if o.step(ev); o.c.byID[1].repAt >= 0 {
+		if o.step(ev); o.c.enginesByID[1].reportedAt >= 0 {
 			t.Fatalf("%v was taken", ev)
 		}
 	}
-	if o.step(GossipReceived{From: 1, Data: word}); o.c.byID[1].repAt < 0 || o.c.reported(o.c.byID[1]) != 0.5 {
+	if o.step(GossipReceived{From: 1, Data: word}); o.c.enginesByID[1].reportedAt < 0 || o.c.reportedLoad(o.c.enginesByID[1]) != 0.5 {
 		t.Fatal("a good word was not taken")
 	}
 }
@@ -866,11 +866,11 @@
 // TestProbesFollowQueries: probes are paced by own queries, and cease without them.
 func TestProbesFollowQueries(t *testing.T) {
 	free := probesFor(t, 400, 0)
-	if free == 0 || float64(free) > 400*probeShare+4 {
+	if free == 0 || float64(free) > 400*maxHealthChecksPerRequest+4 {
 		t.Fatalf("%d probes for 400 queries", free)
 	}
 	// A probe for each request at 0.1 of all service costs more than half of what the probes told (docs/fleet.md).
-	if dear := probesFor(t, 400, 0.1); dear == 0 || float64(dear) > 400*probeSpend/0.1+4 || dear > free*2/3 {
+	if dear := probesFor(t, 400, 0.1); dear == 0 || float64(dear) > 400*healthCheckCostPerRequest/0.1+4 || dear > free*2/3 {
 		t.Fatalf("%d probes for 400 queries where they are dear, %d where they are free", dear, free)
 	}
 	if cheap := probesFor(t, 400, 0.01); cheap != free {
@@ -889,7 +889,7 @@
 		}
 		probes += len(pick[HealthCheck](append(acts, b.pass(200*ms)...)))
 	}
-	if n := len(pick[HealthCheck](b.pass(20 * sec))); n > probeBurst {
+	if n := len(pick[HealthCheck](b.pass(20 * sec))); n > healthCheckBurst {
 		t.Fatalf("%d probes without a query", n)
 	}
 	return probes
@@ -955,9 +955,9 @@
 		s := base()
 		s.Replicas = n
 		b := start(t, s, engines(20))
-		e := b.c.byID[1]
-		e.rep, e.repAt = Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}, b.now
-		if b.c.calm(e, 3, 0.7) != calm {
+		e := b.c.enginesByID[1]
+		e.loadReport, e.reportedAt = Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}, b.now
+		if b.c.isCalm(e, 3, 0.7) != calm {
 			t.Fatalf("%d gateways: calm %v", n, !calm)
 		}
 	}
@@ -972,7 +972,7 @@
 	}{{4 * sec, 0.7, true}, {800 * ms, 0.7, false}, {800 * ms, 0.2, true}, {400 * ms, 0.2, false}} {
 		b := start(t, base(), engines(2))
 		for _, e := range b.c.engines {
-			e.repAt, e.rep = b.now, Report{Util: c.util, Held: -1, Queue: -1, Memory: -1, Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Util: c.util, Held: -1, Queue: -1, Memory: -1, Disks: -1}
 		}
 		b.step()
 		r := req("a", 0)
@@ -988,11 +988,11 @@
 	}
 	// By the pace of the engine: one that has grown slow is passed over by what is in a hurry.
 	b := start(t, base(), engines(2))
-	b.c.byID[1].pace, b.c.byID[1].lastOK = 8, b.now
+	b.c.enginesByID[1].slowdown, b.c.enginesByID[1].lastAnswerAt = 8, b.now
 	for i := range 20 {
-		b.c.byID[1].pace = 8
+		b.c.enginesByID[1].slowdown = 8
 		for _, e := range b.c.engines {
-			e.repAt, e.rep = b.now, Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}
 		}
 		b.step()
 		r := req(fmt.Sprint("p", i), 0)
@@ -1014,8 +1014,8 @@
 		r := req("a", 0)
 		r.Work, r.Timeout, r.Retry = 100*ms, sec, c.retry
 		b.step(r)
-		if got := b.c.reqs["a"].aim < b.now+sec; got != c.old {
-			t.Errorf("%+v: aim %v from now", c, b.c.reqs["a"].aim-b.now)
+		if got := b.c.requests["a"].objectiveAt < b.now+sec; got != c.old {
+			t.Errorf("%+v: aim %v from now", c, b.c.requests["a"].objectiveAt-b.now)
 		}
 	}
 }
@@ -1036,8 +1036,8 @@
 		}
 		b := &bed{t: t, c: c, now: 100 * sec}
 		b.step(EndpointsChanged{Kind: Persisted, Engines: engines(fleet)})
-		for i := 0; len(b.c.reqs) < 60; i++ {
-			acts := pick[HealthCheck](append(b.step(req(fmt.Sprint("q", i), 0)), b.pass(wake)...))
+		for i := 0; len(b.c.requests) < 60; i++ {
+			acts := pick[HealthCheck](append(b.step(req(fmt.Sprint("q", i), 0)), b.pass(housekeepingInterval)...))
 			for _, p := range acts {
 				asked[p.Engine] = true
 			}
@@ -1046,7 +1046,7 @@
 			}
 		}
 	}
-	if probes != gateways*probeBurst || len(asked) < fleet*2/3 {
+	if probes != gateways*healthCheckBurst || len(asked) < fleet*2/3 {
 		t.Fatalf("%d probes of %d gateways reached %d of %d engines", probes, gateways, len(asked), fleet)
 	}
 }
@@ -1059,10 +1059,10 @@
 	b := start(t, s, engines(2))
 	lane := map[int]int{}
 	for class := range 2 {
-		b.c.classes[class].work, b.c.classes[class].n = []float64{0.1, 4}[class], 100
+		b.c.estimates[class].work, b.c.estimates[class].answers = []float64{0.1, 4}[class], 100
 		lane[class] = 1
 		r := req(fmt.Sprint("c", class), class)
-		r.Work, r.Timeout = time.Duration(b.c.classes[class].work*float64(sec)), 20*sec
+		r.Work, r.Timeout = time.Duration(b.c.estimates[class].work*float64(sec)), 20*sec
 		for _, a := range b.step(r) {
 			if tm, ok := a.(Terms); ok {
 				lane[class] = tm.Priority
@@ -1080,9 +1080,9 @@
 	slow, all := 0, 0
 	for i := range 400 {
 		for _, e := range b.c.engines {
-			e.pace = 1
+			e.slowdown = 1
 		}
-		b.c.byID[1].pace = 2
+		b.c.enginesByID[1].slowdown = 2
 		for _, s := range pick[Send](b.step(req(fmt.Sprint("p", i), 0))) {
 			if all++; s.Engine == 1 {
 				slow++
@@ -1099,13 +1099,13 @@
 // (ie87ac9: 60 sends a second to one that read 0.2 and turned most away). The idle get more, not nearly all.
 func TestTheDrawLeansWithMeasure(t *testing.T) {
 	few := base()
-	few.Replicas = stretchFrom
+	few.Replicas = subsetMinReplicas
 	few.GossipAllowed = true // all draw from the whole fleet
 	b := start(t, few, engines(2))
 	sent := map[uint32]int{}
 	for i := range 600 {
 		for _, e := range b.c.engines {
-			e.repAt, e.rep = b.now, Report{Util: 0.2 + 0.5*float64(e.ID-1), Held: -1, Queue: -1, Memory: -1, Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Util: 0.2 + 0.5*float64(e.ID-1), Held: -1, Queue: -1, Memory: -1, Disks: -1}
 		}
 		for _, s := range pick[Send](b.step(req(fmt.Sprint("d", i), 0))) {
 			sent[s.Engine]++
@@ -1122,10 +1122,10 @@
 // a gateway whose own stretch it is in looks further along the ring (i326ad6).
 func TestEnginesOfErrorsDrawLess(t *testing.T) {
 	s := base()
-	s.Replicas = 2 * stretchFrom
+	s.Replicas = 2 * subsetMinReplicas
 	b := start(t, s, engines(12))
-	b.c.nearby(&request{cls: &b.c.set.Classes[0], Request: Request{Group: -1}})
-	bad, before := b.c.near[0].ID, len(b.c.near)
+	b.c.collectCandidates(&requestState{classSettings: &b.c.settings.Classes[0], Request: Request{Group: -1}})
+	bad, before := b.c.candidates.engines[0].ID, len(b.c.candidates.engines)
 	sent, late := 0, 0
 	for i := range 300 {
 		out := pick[Send](b.step(req(fmt.Sprint("e", i), 0)))
@@ -1144,8 +1144,8 @@
 		}
 		b.now += 50 * ms
 	}
-	b.c.nearby(&request{cls: &b.c.set.Classes[0], Request: Request{Group: -1}})
-	if sent == 0 || late*8 > sent || len(b.c.near) <= before {
-		t.Fatalf("%d of %d sends to an engine of errors, stretch of %d, was %d", late, sent, len(b.c.near), before)
+	b.c.collectCandidates(&requestState{classSettings: &b.c.settings.Classes[0], Request: Request{Group: -1}})
+	if sent == 0 || late*8 > sent || len(b.c.candidates.engines) <= before {
+		t.Fatalf("%d of %d sends to an engine of errors, stretch of %d, was %d", late, sent, len(b.c.candidates.engines), before)
 	}
 }
--- a/admission/deadline.go
+++ b/admission/deadline.go
@@ -5,39 +5,52 @@
 	"time"
 )
 
+// How many times the expected time must fit before the deadline; less while the fleet is calm, as an idle engine may as
+// well try.
 const (
-	lateKeep   = 0.25 // late worth from which a late request stays in the queue
-	lateMargin = 2.5  // a waiting request is late once so many times its service no longer fits
-	fitMargin  = 1.5  // times the expected time that must fit before the client leaves ...
-	fitCalm    = 0.5  // ... and while the fleet is calm: an idle engine may as well try
+	deadlineMargin     = 1.5
+	calmDeadlineMargin = 0.5
 )
 
-// fits guards against work that nobody waits for: what is not expected with some margin, at that pace, before
-// its client leaves holds an engine in vain, the more so where none stops it (L9eba4f). It covers callers of
-// little patience, waits near their end, engines grown slow. May harm where expected times are far too high.
-func (c *Controller) fits(r *request, pace float64) bool {
-	margin := fitMargin
-	if c.fleet.avg < calmLevel {
-		margin = fitCalm
+// lateMargin is how many times the expected time must fit before the objective, or a waiting request is late.
+const lateMargin = 2.5
+
+// minLateWeight is the LateWeight from which on a late request still waits.
+const minLateWeight = 0.25
+
+// maxExpectedSlowdown bounds the slowdown of the fleet that a waiting request is judged by: it may pass.
+const maxExpectedSlowdown = 2
+
+// canMeetDeadline reports whether the request can be answered before its deadline with some margin, by an engine of
+// that slowdown. What can't would hold an engine for nobody.
+func (c *Controller) canMeetDeadline(request *requestState, slowdown float64) bool {
+	margin := deadlineMargin
+	if c.fleet.averageLoad < calmLoad {
+		margin = calmDeadlineMargin
 	}
-	return c.now+max(2*wake, time.Duration(margin*float64(c.service(r, pace)))) <= r.due
+	needed := time.Duration(margin * float64(c.expectedLatency(request, slowdown)))
+	return c.now+max(2*housekeepingInterval, needed) <= request.deadline
 }
 
-// expire refuses a waiting request as soon as it cannot be served in time; where late answers still earn well
-// it stays, behind those in time, unless it is ahead of one in the order of a key: all of that would be late.
-func (c *Controller) expire(r *request) {
-	if !r.queued {
+// expireWaiting gives a waiting request its final answer as soon as it can't be served in time. One that is only late
+// for its objective goes on waiting, deferred, where its class still earns enough; unless it delays another of its key.
+func (c *Controller) expireWaiting(request *requestState) {
+	if !request.queued {
 		return
 	}
-	need := c.service(r, math.Min(c.fleet.pace, 2))
-	late := !r.late && c.now+time.Duration(lateMargin*float64(need)) > r.aim
-	drop := (late && (r.cls.LateWeight < lateKeep || r.over)) || ((late || r.late) && c.holdsUp(r))
+	slowdown := math.Min(c.fleet.medianSlowdown, maxExpectedSlowdown)
+	needed := time.Duration(lateMargin * float64(c.expectedLatency(request, slowdown)))
+	late := request.pastObjective || c.now+needed > request.objectiveAt
+	becomesLate := late && !request.pastObjective
+	worthless := becomesLate && (request.classSettings.LateWeight < minLateWeight || request.overQuota)
 	switch {
-	case drop || !c.fits(r, math.Min(c.fleet.pace, 2)) || !c.mayRepeat(r):
-		c.giveUp(r)
-	case late:
-		c.dequeue(r)
-		r.late = true
-		c.enqueue(r, false)
+	case worthless || (late && c.delaysSameKey(request)):
+		c.rejectOrFail(request)
+	case !c.canMeetDeadline(request, slowdown) || !c.retryAllowed(request):
+		c.rejectOrFail(request)
+	case becomesLate:
+		c.dequeue(request)
+		request.pastObjective = true
+		c.enqueue(request)
 	}
 }
--- a/admission/engine.go
+++ b/admission/engine.go
@@ -9,114 +9,163 @@
 	"beechcart/decision/slowstart"
 )
 
-const (
-	goneFor  = 2 * time.Minute        // engines that are gone are remembered for, lest they come back
-	askAgain = 500 * time.Millisecond // after discovery failed
-)
+// removedEngineRetention is how long engines that have left are remembered, in case they come back.
+const removedEngineRetention = 2 * time.Minute
+
+// discoveryRetryInterval is how long discovery is left alone after it failed.
+const discoveryRetryInterval = 500 * time.Millisecond
 
-type engine struct {
+// discoveryState is the subscription to the engine list, where it has to be asked for.
+type discoveryState struct {
+	requested bool
+	retryAt   time.Duration // not requested before
+}
+
+// engineState is what the controller keeps of one engine.
+type engineState struct {
 	Engine
-	cores, memory float64
-	gone          bool
-	goneAt        time.Duration  // when it went
-	coldFrom      time.Duration  // when it started, as far as we know; negative: long ago
-	spent         []spend        // own work sent while it is cold
-	share         slowstart.Held // our share of what it may get while it is cold
-	rep           Report
-	repAt         time.Duration // negative: never
-	errs          float64       // share of errors in its answers
-	misses        int           // failed probes in a row
-	lost          bool          // ejected for failed connects or resets: its process may have died
-	guess         time.Duration // since when it is taken for cold without word from the list
-	rest          time.Duration // full: nothing before this
-	heard         time.Duration // when last asked or told of
-	hash          uint16        // its name among peers
-	outs          []*attemptRef
-	threads       float64
-	mem           float64
-	smallMem      float64 // ... that of small classes
-	usual         float64 // own threads, smoothed
-	factor        float64 // threads per core
-	pace          float64 // slowdown seen, smoothed
-	luck          float64 // draw for a part under one query of its cold budget
-	luckUntil     time.Duration
-	cutAt         time.Duration
-	lastOK        time.Duration
-	strikes       int
-	ejected       bool
-	until         time.Duration // no trickle before this
-	trickle       int           // attempts out since ejection
-	mutes         []mute        // by class
+	cores            float64
+	memoryMB         float64 // 0: not known
+	gossipID         uint16  // its name among front ends
+	unavailable      bool    // draining or removed
+	unavailableSince time.Duration
+
+	// Attempts in flight, and what they reserve.
+	attempts       []*attemptRef
+	threads        float64
+	memory         float64 // MB
+	smallMemory    float64 // MB, of small classes
+	averageThreads float64 // smoothed
+
+	// What the engine tells of its load, and what answers tell.
+	loadReport     Report
+	reportedAt     time.Duration // negative: never
+	checkedAt      time.Duration // the last health check, own or another front end's
+	threadFactor   float64       // threads per core that it carries well
+	limitReducedAt time.Duration // when threadFactor was reduced last
+	slowdown       float64       // of its answers against those of calm engines, smoothed
+
+	// Slow start. A warmingSince that is negative means that the engine is warm.
+	warmingSince     time.Duration
+	warmingAssumedAt time.Duration // when warming was assumed without word from discovery; 0: it wasn't
+	slowStartSends   []slowStartSend
+	slowStartShare   slowstart.Held
+	randomDraw       float64 // for a request heavier than its part of the budget
+	randomDrawUntil  time.Duration
+
+	// Failures.
+	lastAnswerAt        time.Duration // or another sign of life
+	errorRate           float64       // fraction of its answers that are errors, smoothed
+	missedChecks        int           // health checks that failed in a row
+	consecutiveFailures int           // resets in a row; once ejected, failures since then
+	processMayBeNew     bool          // connections were refused: its process may have been replaced
+	overloadedUntil     time.Duration // it rejected an attempt; nothing is sent to it before
+	ejected             bool
+	ejectedUntil        time.Duration // no recovery traffic before
+	recoveryInFlight    int           // attempts sent since it was ejected
+	classRests          []classRest   // by class
+}
+
+func (c *Controller) newEngine(endpoint Engine) *engineState {
+	return &engineState{
+		Engine:       endpoint,
+		gossipID:     uint16(rendezvousHash(0, endpoint.ID)),
+		reportedAt:   -1,
+		warmingSince: -1,
+		threadFactor: initialThreadFactor,
+		slowdown:     1,
+		lastAnswerAt: c.now,
+		classRests:   make([]classRest, len(c.estimates)),
+	}
 }
 
-// members applies a list, or a change to it, and starts the clocks of drains and cold starts.
-func (c *Controller) members(ev EndpointsChanged) {
-	if ev.Kind == ListError {
-		c.asked, c.retryAt = false, c.now+askAgain
+// handleEndpointsChanged applies a list, or a change to it.
+func (c *Controller) handleEndpointsChanged(event EndpointsChanged) {
+	if event.Kind == ListError {
+		c.discovery.requested, c.discovery.retryAt = false, c.now+discoveryRetryInterval
 		return
 	}
-	seen := map[uint32]bool{}
-	for _, en := range ev.Engines {
-		seen[en.ID] = true
-		c.listed(en)
+	listed := map[uint32]bool{}
+	for _, endpoint := range event.Engines {
+		listed[endpoint.ID] = true
+		c.applyEndpoint(endpoint)
 	}
-	if ev.Kind == Partial {
+	if event.Kind == Partial {
 		return
 	}
-	for _, e := range c.engines {
-		if !seen[e.ID] && !e.gone {
-			en := e.Engine
-			en.State = Removed
-			c.listed(en)
+	for _, engine := range c.engines {
+		if !listed[engine.ID] && !engine.unavailable {
+			endpoint := engine.Engine
+			endpoint.State = Removed
+			c.applyEndpoint(endpoint)
 		}
 	}
 }
 
-func (c *Controller) listed(en Engine) {
-	c.relisted = true
-	e := c.byID[en.ID]
-	fresh := e == nil
+// applyEndpoint takes in what the list says of one engine. One that started lately, or that comes back without a
+// time of start, begins its slow start.
+func (c *Controller) applyEndpoint(endpoint Engine) {
+	c.subset.listChanged = true
+	engine := c.enginesByID[endpoint.ID]
+	fresh := engine == nil
 	if fresh {
-		e = &engine{
-			Engine: en, repAt: -1, coldFrom: -1, factor: factorStart, pace: 1, lastOK: c.now,
-			mutes: make([]mute, len(c.classes)), hash: uint16(homeHash(0, en.ID)),
-		}
-		c.byHash[e.hash] = e
-		c.byID[en.ID] = e
-		at := sort.Search(len(c.engines), func(i int) bool {
-			return homeHash(1, c.engines[i].ID) >= homeHash(1, e.ID)
-		})
-		c.engines = slices.Insert(c.engines, at, e)
+		engine = c.newEngine(endpoint)
+		c.addEngine(engine)
 	}
-	restarted := en.Started > 0 && (fresh || en.Started != e.Started)
-	back := e.gone && en.State == Ready
-	e.Engine = en
-	e.cores, e.memory = 1, 0
-	if en.Kind >= 0 && en.Kind < len(c.set.Kinds) {
-		e.cores, e.memory = math.Max(float64(c.set.Kinds[en.Kind].Cores), 1), c.set.Kinds[en.Kind].MemoryMB
+	restarted := endpoint.Started > 0 && (fresh || endpoint.Started != engine.Started)
+	returned := engine.unavailable && endpoint.State == Ready
+	engine.Engine = endpoint
+	engine.cores, engine.memoryMB = c.machineOf(endpoint)
+	if !engine.unavailable && endpoint.State != Ready {
+		engine.unavailableSince = c.now
 	}
-	if !e.gone && en.State != Ready {
-		e.goneAt = c.now
+	engine.unavailable = endpoint.State != Ready
+	if restarted && c.now-endpoint.Started < c.settings.SlowStart.Duration {
+		c.beginSlowStart(engine, endpoint.Started)
+	} else if returned && !restarted {
+		c.beginSlowStart(engine, c.now)
 	}
-	e.gone = en.State != Ready
-	if restarted && c.now-en.Started < c.set.SlowStart.Duration {
-		c.startCold(e, en.Started)
-	} else if back && !restarted {
-		c.startCold(e, c.now)
+}
+
+// addEngine puts an engine into its place on the ring, which is by the hash of its ID.
+func (c *Controller) addEngine(engine *engineState) {
+	c.enginesByID[engine.ID] = engine
+	c.enginesByGossipID[engine.gossipID] = engine
+	at := sort.Search(len(c.engines), func(i int) bool {
+		return rendezvousHash(1, c.engines[i].ID) >= rendezvousHash(1, engine.ID)
+	})
+	c.engines = slices.Insert(c.engines, at, engine)
+}
+
+// machineOf is the size of an engine's machine; one core where its kind is not known.
+func (c *Controller) machineOf(endpoint Engine) (cores, memoryMB float64) {
+	if endpoint.Kind < 0 || endpoint.Kind >= len(c.settings.Kinds) {
+		return 1, 0
 	}
+	kind := c.settings.Kinds[endpoint.Kind]
+	return math.Max(float64(kind.Cores), 1), kind.MemoryMB
 }
 
-// forgetGone drops engines that left long ago and hold nothing. Guards against days on which engines are replaced
-// all the time: each step looks at all that are remembered. One that drains may still come back.
-func (c *Controller) forgetGone() {
-	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool {
-		old := e.State == Removed && len(e.outs) == 0 && c.now-e.goneAt > goneFor
+// forgetRemovedEngines drops engines that left long ago and have no attempt in flight: each step looks at all that
+// are remembered. One that drains may still come back.
+func (c *Controller) forgetRemovedEngines() {
+	c.engines = slices.DeleteFunc(c.engines, func(engine *engineState) bool {
+		old := engine.State == Removed && len(engine.attempts) == 0 &&
+			c.now-engine.unavailableSince > removedEngineRetention
 		if old {
-			delete(c.byID, e.ID)
-			if c.byHash[e.hash] == e {
-				delete(c.byHash, e.hash)
+			delete(c.enginesByID, engine.ID)
+			if c.enginesByGossipID[engine.gossipID] == engine {
+				delete(c.enginesByGossipID, engine.gossipID)
 			}
 		}
 		return old
 	})
 }
+
+// watchEndpoints subscribes to the engine list where discovery doesn't send it unasked.
+func (c *Controller) watchEndpoints() {
+	if c.settings.PollDiscovery && !c.discovery.requested && c.now >= c.discovery.retryAt {
+		c.discovery.requested = true
+		c.emit(WatchEndpoints{On: true})
+	}
+}
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -5,102 +5,175 @@
 	"time"
 )
 
+// The margins of memory over the estimate: where this front end grants it, as estimates have a long upper tail, and
+// where the engine alone decides.
 const (
-	fixRate    = 0.03 // how fast the correction of estimates follows
-	fixAfter   = 5    // answers before it is used
-	calmSlow   = 0.3  // logarithm of the slowdown assumed on calm engines before any was seen
-	ownGrant   = 1.25 // grant over the estimate where the engine alone decides
-	grantSpare = 1.5  // over the corrected estimate: at 1.15 over 40% spilled, at 2.0 memory ran short
+	reservationMargin = 1.5
+	engineGrantMargin = 1.25
 )
 
-type learned struct {
-	work, mem       float64 // mean seconds of work over all threads; mean MB
-	workFix, memFix float64 // truth over estimate
-	n, memN         float64
-	estN            float64
-	fixWork, fixMem ratio
-	answered        time.Duration // when any engine answered it last
-	late            overdue       // of the engine that is looked at
-	slow            float64       // usual slowdown on calm engines, as a logarithm
+// Corrections of estimates: how fast they follow, and from how many answers on they are used.
+const (
+	correctionRate       = 0.03
+	correctionMinSamples = 5
+)
+
+// How fast the means of a class follow at least, and how fast its slowdown on calm engines follows.
+const (
+	minMeanRate  = 0.01
+	slowdownRate = 0.03
+)
+
+// The work assumed of a class before its first answers counts as so many of them.
+const initialWorkSamples = 4
+
+// objectiveOverWork is the latency objective of a class over the time that its requests are assumed to take before its
+// first answers.
+const objectiveOverWork = 3
+
+// initialLogSlowdown is the logarithm of the slowdown that is assumed on calm engines before any was seen.
+const initialLogSlowdown = 0.3
+
+// minWork is the least work of a request, in seconds over all threads.
+const minWork = 0.001
+
+// Bounds on what one answer teaches: its latency as work, over the mean of the class, and its slowdown.
+const (
+	maxWorkByLatency = 20
+	minSeenSlowdown  = 0.2
+	maxSeenSlowdown  = 8
+)
+
+// classEstimate is what answers have taught of one class.
+type classEstimate struct {
+	requests float64 // that arrived
+
+	work           float64 // mean, in seconds over all threads
+	answers        float64 // that it is a mean of
+	workSamples    correction
+	workCorrection float64 // work over its estimate
+
+	memory           float64 // mean, in MB
+	memoryAnswers    float64
+	memorySamples    correction
+	memoryCorrection float64
+
+	logSlowdown float64         // mean slowdown on calm engines, as a logarithm
+	answeredAt  time.Duration   // when any engine answered the class last
+	overdue     overdueAttempts // of the engine that checkOverdueAttempts looks at
 }
 
-// ratio relates truths to their estimates.
-type ratio struct{ n, truth, estimate float64 }
+func newClassEstimate(class *Class) classEstimate {
+	return classEstimate{
+		work:             class.LatencyObjective.Seconds() * float64(class.Threads) / objectiveOverWork,
+		workCorrection:   1,
+		memoryCorrection: 1,
+		logSlowdown:      initialLogSlowdown,
+	}
+}
 
-func (q *ratio) add(truth, estimate float64) float64 {
-	q.n++
-	rate := math.Max(fixRate, 1/q.n)
-	q.truth += (truth - q.truth) * rate
-	q.estimate += (estimate - q.estimate) * rate
-	if q.n < fixAfter {
-		return 1
+// countRequest takes in a request that arrived. Its estimate counts for the class until answers do.
+func (e *classEstimate) countRequest(request *requestState) {
+	e.requests++
+	if request.Work > 0 && e.answers < correctionMinSamples {
+		e.work += (request.Work.Seconds() - e.work) / e.requests
 	}
-	return q.truth / math.Max(q.estimate, 1e-6)
 }
 
-// prior is the work assumed of a class before its first answers: its aim tells the scale.
-func prior(cl *Class) float64 { return cl.LatencyObjective.Seconds() * float64(cl.Threads) / 3 }
+// correction relates what was found to what was estimated.
+type correction struct{ samples, actual, estimate float64 }
+
+// observe takes a pair in and returns the factor by which estimates are to be corrected.
+func (c *correction) observe(actual, estimate float64) float64 {
+	c.samples++
+	rate := math.Max(correctionRate, 1/c.samples)
+	c.actual += (actual - c.actual) * rate
+	c.estimate += (estimate - c.estimate) * rate
+	if c.samples < correctionMinSamples {
+		return 1
+	}
+	return c.actual / math.Max(c.estimate, 1e-6)
+}
 
-// workOf is the expected work of a request, in seconds over all its threads.
-func (c *Controller) workOf(r *request) float64 {
-	work := c.classes[r.Class].work
-	if r.Work > 0 {
-		work = r.Work.Seconds() * c.classes[r.Class].workFix
+// expectedWork is the expected work of a request, in seconds over all its threads.
+func (c *Controller) expectedWork(request *requestState) float64 {
+	estimate := &c.estimates[request.Class]
+	work := estimate.work
+	if request.Work > 0 {
+		work = request.Work.Seconds() * estimate.workCorrection
 	}
-	return math.Max(work, 0.001)
+	return math.Max(work, minWork)
 }
 
-// memOf is the memory that a request will hold: our grant or the engine's own; 0 when nothing tells it.
-func (c *Controller) memOf(r *request) float64 {
-	k := &c.classes[r.Class]
+// expectedMemory is the memory to reserve for a request, in MB; 0 where nothing tells it.
+func (c *Controller) expectedMemory(request *requestState) float64 {
+	estimate := &c.estimates[request.Class]
 	switch {
-	case r.MemMB <= 0:
-		return k.mem * grantSpare
-	case c.set.Grants:
-		return r.MemMB * k.memFix * grantSpare
+	case request.MemMB <= 0:
+		return estimate.memory * reservationMargin
+	case c.settings.Grants:
+		return request.MemMB * estimate.memoryCorrection * reservationMargin
 	}
-	return r.MemMB * ownGrant
+	return request.MemMB * engineGrantMargin
+}
+
+// expectedLatency is the expected time from sending to answer, on an engine of that slowdown.
+func (c *Controller) expectedLatency(request *requestState, slowdown float64) time.Duration {
+	slowdown *= math.Exp(c.estimates[request.Class].logSlowdown)
+	threads := float64(request.classSettings.Threads)
+	return time.Duration(c.expectedWork(request) / threads * slowdown * float64(time.Second))
 }
 
-// service is the expected time from sending to answer.
-func (c *Controller) service(r *request, pace float64) time.Duration {
-	pace *= math.Exp(c.classes[r.Class].slow)
-	return time.Duration(c.workOf(r) / float64(r.cls.Threads) * pace * float64(time.Second))
+// learnFromAnswer takes work, memory and slowdown from an answer.
+func (c *Controller) learnFromAnswer(request *requestState, attempt *attemptState, event Outcome) {
+	c.learnWork(request, attempt, event)
+	c.estimates[request.Class].learnMemory(request, event)
+	c.learnSlowdown(request, attempt, event)
 }
 
-// learn takes the work, memory and pace from an answer.
-func (c *Controller) learn(r *request, a *attempt, ev Outcome) {
-	k, th := &c.classes[r.Class], float64(r.cls.Threads)
-	work := ev.Work.Seconds()
-	if work <= 0 && a.base {
-		// Nothing tells the cost: times on calm engines stand for it.
-		work = math.Min(ev.Latency.Seconds()*th, 20*k.work)
+// learnWork takes the work from an answer. Where it isn't told, the latency on a calm engine stands for it. A slow plan
+// doesn't count as the work of its class.
+func (c *Controller) learnWork(request *requestState, attempt *attemptState, event Outcome) {
+	estimate := &c.estimates[request.Class]
+	work := event.Work.Seconds()
+	if work <= 0 && attempt.onCalmEngine {
+		byLatency := event.Latency.Seconds() * float64(request.classSettings.Threads)
+		work = math.Min(byLatency, maxWorkByLatency*estimate.work)
 	}
-	if r.Work > 0 && ev.Work > 0 { // a bad plan is not the usual work of its class
-		work = math.Min(work, badBy*c.workOf(r))
-		k.workFix = k.fixWork.add(work, r.Work.Seconds())
+	if request.Work > 0 && event.Work > 0 {
+		work = math.Min(work, slowPlanMultiple*c.expectedWork(request))
+		estimate.workCorrection = estimate.workSamples.observe(work, request.Work.Seconds())
 	}
 	if work > 0 {
-		k.n++
-		k.work += (work - k.work) * math.Max(0.01, 1/(k.n+4))
+		estimate.answers++
+		estimate.work += (work - estimate.work) * math.Max(minMeanRate, 1/(estimate.answers+initialWorkSamples))
 	}
-	if ev.NeedMB > 0 {
-		k.memN++
-		k.mem += (ev.NeedMB - k.mem) * math.Max(0.01, 1/k.memN)
-		if r.MemMB > 0 {
-			k.memFix = k.fixMem.add(ev.NeedMB, r.MemMB)
-		}
+}
+
+func (e *classEstimate) learnMemory(request *requestState, event Outcome) {
+	if event.NeedMB <= 0 {
+		return
 	}
-	if ev.Work <= 0 {
-		work = k.work
+	e.memoryAnswers++
+	e.memory += (event.NeedMB - e.memory) * math.Max(minMeanRate, 1/e.memoryAnswers)
+	if request.MemMB > 0 {
+		e.memoryCorrection = e.memorySamples.observe(event.NeedMB, request.MemMB)
 	}
-	if ev.Work > 0 {
-		work = ev.Work.Seconds()
+}
+
+// learnSlowdown takes the slowdown from an answer: its latency over its work a thread, against what the class has on
+// calm engines.
+func (c *Controller) learnSlowdown(request *requestState, attempt *attemptState, event Outcome) {
+	estimate := &c.estimates[request.Class]
+	work := estimate.work
+	if event.Work > 0 {
+		work = event.Work.Seconds()
 	}
-	slow := math.Log(math.Min(math.Max(ev.Latency.Seconds()*th/math.Max(work, 1e-3), 0.2), 8))
-	if a.base {
-		k.slow += (slow - k.slow) * 0.03
+	slowdown := event.Latency.Seconds() * float64(request.classSettings.Threads) / math.Max(work, minWork)
+	logSlowdown := math.Log(math.Min(math.Max(slowdown, minSeenSlowdown), maxSeenSlowdown))
+	if attempt.onCalmEngine {
+		estimate.logSlowdown += (logSlowdown - estimate.logSlowdown) * slowdownRate
 	}
-	c.steer(a.eng, slow-k.slow)
-	c.steer(&c.all, slow-k.slow)
+	c.adjustThreadFactor(attempt.engine, logSlowdown-estimate.logSlowdown)
+	c.adjustThreadFactor(&c.allEngines, logSlowdown-estimate.logSlowdown)
 }
--- a/admission/events.go
+++ b/admission/events.go
@@ -1,104 +1,6 @@
 package admission
 
-import (
-	"time"
-)
-
-// Event is something that happened: Members, Request, First, Outcome, Gone, Timer, Probed, Peer, Note or Stopping.
-type Event interface{ event() }
-
-type (
-	// EndpointsChanged is a list of engines, or a change to it.
-	EndpointsChanged struct {
-		Kind    ListKind
-		Engines []Engine
-	}
-	// Request is a client's request; exactly one final answer is now owed.
-	Request struct {
-		ID            string
-		Class, Tenant int // Tenant is -1 when not known
-		Key           string
-		Timeout       time.Duration
-		Work          time.Duration // estimate; 0: none
-		MemMB         float64       // estimate; 0: none
-		Group         int           // group of tables; -1: none
-		Retry, Write  bool
-	}
-	// FirstByte tells that a streamed answer has begun.
-	FirstByte struct {
-		ID      string
-		Attempt int
-		Engine  uint32
-	}
-	// Outcome is how an attempt ended.
-	Outcome struct {
-		ID      string
-		Attempt int
-		Engine  uint32
-		Status  Status
-		Latency time.Duration
-		Closed  bool          // the request is over
-		Alive   bool          // Reset: only the connection was lost, and the engine has answered since
-		Work    time.Duration // what it took, where told
-		NeedMB  float64       // what it needed, where told
-		Report  *Report
-	}
-	// ClientDisconnected tells that the client has left.
-	ClientDisconnected struct{ ID string }
-	// Timer is the end of a SetTimer.
-	Timer struct{ Token uint64 }
-	// HealthCheckResult is the result of a Probe.
-	HealthCheckResult struct {
-		Engine  uint32
-		Status  Status
-		Latency time.Duration
-		Report  *Report
-	}
-	// GossipReceived is a message from another gateway.
-	GossipReceived struct {
-		From int
-		Data []byte
-	}
-	// Progress is word of an attempt that is out.
-	Progress struct {
-		ID      string
-		Attempt int
-		Engine  uint32
-		Kind    ProgressKind
-		Value   float64
-	}
-	// ShutdownRequested tells that the gateway ends after that time, and that requests keep coming meanwhile.
-	ShutdownRequested struct{ Timeout time.Duration }
-)
-
-func (EndpointsChanged) event() {}
-
-func (Request) event() {}
-
-func (FirstByte) event() {}
-
-func (Outcome) event() {}
-
-func (ClientDisconnected) event() {}
-
-func (Timer) event() {}
-
-func (HealthCheckResult) event() {}
-
-func (GossipReceived) event() {}
-
-func (Progress) event() {}
-
-func (ShutdownRequested) event() {}
-
-// Engine is one entry of the engine list.
-type Engine struct {
-	ID               uint32
-	Kind, Zone, Cell int // Kind and Zone are -1 when not known
-	State            State
-	Units            float64
-	Started          time.Duration // 0: long ago
-}
+import "time"
 
 // State is what discovery says of an engine.
 type State int
@@ -117,8 +19,18 @@
 		return "ready"
 	case Draining:
 		return "draining"
+	default:
+		return "gone"
 	}
-	return "gone"
+}
+
+// Engine is one entry of the engine list.
+type Engine struct {
+	ID               uint32
+	Kind, Zone, Cell int // Kind and Zone are -1 when not known
+	State            State
+	Units            float64
+	Started          time.Duration // 0: long ago
 }
 
 // ListKind tells a complete list from a change.
@@ -126,20 +38,20 @@
 
 // The kinds of list.
 const (
-	Complete ListKind = iota
-	Partial
-	Persisted
-	ListError
+	Complete  ListKind = iota // engines that it doesn't name are removed
+	Partial                   // a change: engines that it doesn't name stay as they are
+	Persisted                 // a complete list that was kept from an earlier run
+	ListError                 // discovery failed; there is no list
 )
 
-// Status is how an attempt or a probe ended.
+// Status is how an attempt or a health check ended.
 type Status int
 
 // The statuses, by their numbers on the wire.
 const (
 	Errored Status = iota
 	OK
-	Overloaded
+	Overloaded // the engine rejected the attempt
 	TimedOut
 	ConnectFailed
 	Reset
@@ -152,15 +64,98 @@
 
 // Report is an engine's load report. A field that was not reported is negative.
 type Report struct {
-	Held, Queue, Util, Memory, Disks float64
+	Held   float64 // requests in flight
+	Queue  float64 // requests that wait
+	Util   float64 // threads in use over cores
+	Memory float64 // in use, as a fraction
+	Disks  float64 // in use, as a fraction
 }
 
-// ProgressKind is what a progress note tells.
+// ProgressKind says what a [Progress] tells.
 type ProgressKind int
 
-// The kinds of note.
+// The kinds of progress.
 const (
-	ProgressFraction ProgressKind = 1
+	ProgressFraction ProgressKind = 1 // Value is the fraction of the work that is done
 	Spills           ProgressKind = 2
 	Waiting          ProgressKind = 3
 )
+
+// Event is something that happened: [EndpointsChanged], [Request], [FirstByte], [Outcome], [ClientDisconnected],
+// [Timer], [HealthCheckResult], [GossipReceived], [Progress] or [ShutdownRequested].
+type Event interface{ event() }
+
+type (
+	// EndpointsChanged is a list of engines, or a change to it.
+	EndpointsChanged struct {
+		Kind    ListKind
+		Engines []Engine
+	}
+	// Request is a client's request; exactly one final answer is now owed.
+	Request struct {
+		ID            string
+		Class, Tenant int           // indexes into the settings; Tenant is -1 when not known
+		Key           string        // for Ordered classes; may be empty
+		Timeout       time.Duration // after which the client gives up
+		Work          time.Duration // estimate over all threads; 0: none
+		MemMB         float64       // estimate; 0: none
+		Group         int           // table group; -1: none
+		Retry, Write  bool
+	}
+	// FirstByte tells that a streamed answer has begun.
+	FirstByte struct {
+		ID      string
+		Attempt int
+		Engine  uint32
+	}
+	// Outcome is how an attempt ended.
+	Outcome struct {
+		ID      string
+		Attempt int
+		Engine  uint32
+		Status  Status
+		Latency time.Duration
+		Closed  bool          // the request has its final answer
+		Alive   bool          // Reset: only the connection was lost, and the engine has answered since
+		Work    time.Duration // that it took over all threads; 0: not told
+		NeedMB  float64       // memory that it needed; 0: not told
+		Report  *Report       // nil: none
+	}
+	// ClientDisconnected tells that the client has left; no answer is owed any more.
+	ClientDisconnected struct{ ID string }
+	// Timer is the end of a [SetTimer].
+	Timer struct{ Token uint64 }
+	// HealthCheckResult is the result of a [HealthCheck].
+	HealthCheckResult struct {
+		Engine  uint32
+		Status  Status
+		Latency time.Duration
+		Report  *Report // nil: none
+	}
+	// GossipReceived is a message from another front end.
+	GossipReceived struct {
+		From int
+		Data []byte
+	}
+	// Progress is what an engine tells of an attempt in flight.
+	Progress struct {
+		ID      string
+		Attempt int
+		Engine  uint32
+		Kind    ProgressKind
+		Value   float64
+	}
+	// ShutdownRequested tells that the front end ends after Timeout. Requests keep coming meanwhile.
+	ShutdownRequested struct{ Timeout time.Duration }
+)
+
+func (EndpointsChanged) event()   {}
+func (Request) event()            {}
+func (FirstByte) event()          {}
+func (Outcome) event()            {}
+func (ClientDisconnected) event() {}
+func (Timer) event()              {}
+func (HealthCheckResult) event()  {}
+func (GossipReceived) event()     {}
+func (Progress) event()           {}
+func (ShutdownRequested) event()  {}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -32,8 +32,8 @@
 	ctls := gateways(t, set, func(me int) uint64 { return seed + uint64(me) }, func(me int) int { return me % set.Zones })
 	f := &fleetBed{now: 100 * sec, ctls: ctls, tries: map[string]int{}, work: []time.Duration{100 * ms, 100 * ms}}
 	f.answer = func(_ time.Duration, ctl int, s Send) (Status, time.Duration) {
-		r := f.ctls[ctl].reqs[s.ID]
-		return OK, r.Work / time.Duration(r.cls.Threads)
+		r := f.ctls[ctl].requests[s.ID]
+		return OK, r.Work / time.Duration(r.classSettings.Threads)
 	}
 	f.sent = func(time.Duration, int, Send) {}
 	f.tell(EndpointsChanged{Kind: Persisted, Engines: list})
@@ -65,7 +65,7 @@
 			f.tries[a.ID]++
 			f.sent(f.now, ctl, a)
 			status, after := f.answer(f.now, ctl, a)
-			f.later(after, ctl, Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: status, Latency: after, Closed: status == OK, Work: f.ctls[ctl].reqs[a.ID].Work})
+			f.later(after, ctl, Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: status, Latency: after, Closed: status == OK, Work: f.ctls[ctl].requests[a.ID].Work})
 		case HealthCheck:
 			f.later(2*ms, ctl, HealthCheckResult{Engine: a.Engine, Status: OK, Report: &Report{Held: -1, Queue: -1, Util: 0.4, Memory: -1, Disks: -1}})
 		case SetTimer:
@@ -91,7 +91,7 @@
 		if f.next++; f.next%10 == 0 {
 			class = 1
 		}
-		f.step(int(homeHash(f.next, 0)%uint64(len(f.ctls))), Request{ID: fmt.Sprint("c", f.next), Class: class, Timeout: f.ctls[0].set.Classes[class].Deadline, Group: -1, Work: f.work[class]})
+		f.step(int(rendezvousHash(f.next, 0)%uint64(len(f.ctls))), Request{ID: fmt.Sprint("c", f.next), Class: class, Timeout: f.ctls[0].settings.Classes[class].Deadline, Group: -1, Work: f.work[class]})
 	}
 }
 
@@ -108,7 +108,7 @@
 		if s.Engine == bad && at >= began {
 			sends++
 			used[ctl] = true
-			if f.ctls[ctl].reqs[s.ID].cls.Idempotency == NonIdempotent {
+			if f.ctls[ctl].requests[s.ID].classSettings.Idempotency == NonIdempotent {
 				unsafe++
 			}
 		}
@@ -167,7 +167,7 @@
 	by, heavy := map[uint32][]spent{}, 0
 	f.sent = func(at time.Duration, ctl int, s Send) {
 		if cold[s.Engine] {
-			class := f.ctls[ctl].reqs[s.ID].Class
+			class := f.ctls[ctl].requests[s.ID].Class
 			by[s.Engine] = append(by[s.Engine], spent{at, []float64{0.1, 3.5}[class]})
 			heavy += class
 		}
--- a/admission/further_test.go
+++ b/admission/further_test.go
@@ -18,7 +18,7 @@
 	}
 	b.step(keyed("head"))
 	b.pass(3 * sec)
-	if r := b.c.reqs["head"]; r == nil || !r.late {
+	if r := b.c.requests["head"]; r == nil || !r.pastObjective {
 		t.Fatal("the head is not late: the test shows nothing")
 	}
 	b.step(keyed("next"))
@@ -38,7 +38,7 @@
 		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, Group: -1, Work: 100 * ms}
 	}
 	head := one[Send](t, b.step(keyed("head", "k")))
-	for i := range 2 * lookAhead {
+	for i := range 2 * maxQueueLookahead {
 		b.step(keyed(fmt.Sprint("behind", i), "k"))
 	}
 	one[Send](t, b.step(keyed("other", "l")))
@@ -63,19 +63,19 @@
 	b.c.now = b.now
 	var all []Cancel
 	for _, e := range b.c.engines[:2] {
-		b.c.acts = nil
+		b.c.actions = nil
 		b.c.eject(e)
-		all = append(all, pick[Cancel](b.c.acts)...)
+		all = append(all, pick[Cancel](b.c.actions)...)
 	}
 	if len(all) != 2 {
 		t.Fatalf("%d attempts withdrawn, two can be repeated", len(all))
 	}
 	for _, x := range all {
-		r := b.c.reqs[x.ID]
-		one[Send](t, b.step(Outcome{ID: x.ID, Engine: r.tries[0].eng.ID, Status: Cancelled}))
+		r := b.c.requests[x.ID]
+		one[Send](t, b.step(Outcome{ID: x.ID, Engine: r.attempts[0].engine.ID, Status: Cancelled}))
 	}
-	if b.c.promised != 0 {
-		t.Fatalf("%d repeats still promised", b.c.promised)
+	if b.c.retryBudget.reserved != 0 {
+		t.Fatalf("%d repeats still promised", b.c.retryBudget.reserved)
 	}
 }
 
@@ -108,14 +108,14 @@
 					b.c.eject(e)
 				}
 			}
-			b.c.luckUntil = b.now + sec
-			e, r := b.c.byID[5], &request{Request: req("a", 0), cls: &s.Classes[0]}
-			e.luck, e.luckUntil = 0, b.now+sec
-			b.c.nearby(r)
-			near := slices.Contains(b.c.near, e)
+			b.c.randomDrawUntil = b.now + sec
+			e, r := b.c.enginesByID[5], &requestState{Request: req("a", 0), classSettings: &s.Classes[0]}
+			e.randomDraw, e.randomDrawUntil = 0, b.now+sec
+			b.c.collectCandidates(r)
+			near := slices.Contains(b.c.candidates.engines, e)
 			may := false
-			for end := b.now + long; b.c.now < end; b.c.now += wake { // each has its turn
-				may = may || (near && b.c.allowed(e, r))
+			for end := b.now + long; b.c.now < end; b.c.now += housekeepingInterval { // each has its turn
+				may = may || (near && b.c.permits(e, r))
 			}
 			if may {
 				n++
@@ -127,7 +127,7 @@
 	if all == 0 || some != all {
 		t.Fatalf("%d gateways may draw the cold engine, %d when others are ejected", all, some)
 	}
-	if n := open(0, 0, s.SlowStart.OverloadWindow-wake); n != 0 {
+	if n := open(0, 0, s.SlowStart.OverloadWindow-housekeepingInterval); n != 0 {
 		t.Fatalf("%d gateways draw a cold engine within a window of their own start", n)
 	}
 }
@@ -138,16 +138,16 @@
 	s := base()
 	s.Replicas = 60
 	b := start(t, s, engines(12))
-	e := b.c.engines[b.c.first]
-	e.rep, e.repAt = Report{Held: -1, Queue: 0, Util: -1, Memory: -1, Disks: -1}, b.now
+	e := b.c.engines[b.c.subset.first]
+	e.loadReport, e.reportedAt = Report{Held: -1, Queue: 0, Util: -1, Memory: -1, Disks: -1}, b.now
 	b.step(req("a", 0))
 	b.pass(100 * ms)
-	if load := b.c.reported(e); load > 0.3 {
+	if load := b.c.reportedLoad(e); load > 0.3 {
 		t.Fatalf("one query reads as a load of %.2f", load)
 	}
-	e.threads = e.cores * 2 * b.c.part
-	b.pass(3 * usualFade)
-	if load := b.c.reported(e); load < 1 {
+	e.threads = e.cores * 2 * b.c.engineShare
+	b.pass(3 * averageThreadsDecay)
+	if load := b.c.reportedLoad(e); load < 1 {
 		t.Fatalf("two threads a core read as a load of %.2f", load)
 	}
 }
@@ -163,7 +163,7 @@
 		for ; b.now < 130*sec; b.now += every {
 			id := fmt.Sprint(b.now)
 			acts := b.step(req(id, 0))
-			if r := b.c.reqs[id]; b.now > 110*sec && r != nil && r.over {
+			if r := b.c.requests[id]; b.now > 110*sec && r != nil && r.overQuota {
 				over++
 			}
 			n++
@@ -179,14 +179,14 @@
 	}
 	_, _, usual := load(sec)
 	_, _, idle := load(5 * sec)
-	if busy.ours < 8 || busy.ours > 12 || usual.ours != 1 || idle.ours != 1 {
-		t.Errorf("parts of %.1f, %.1f and %.1f times an equal one", busy.ours, usual.ours, idle.ours)
+	if busy.subset.quotaShare < 8 || busy.subset.quotaShare > 12 || usual.subset.quotaShare != 1 || idle.subset.quotaShare != 1 {
+		t.Errorf("parts of %.1f, %.1f and %.1f times an equal one", busy.subset.quotaShare, usual.subset.quotaShare, idle.subset.quotaShare)
 	}
-	if busy.fleet.run < 5*usual.fleet.run || busy.subset < 5*usual.subset {
+	if busy.fleet.threadLimit < 5*usual.fleet.threadLimit || busy.subset.size < 5*usual.subset.size {
 		t.Errorf("the bound is %.1f against %.1f, the stretch %.0f against %.0f",
-			busy.fleet.run, usual.fleet.run, busy.subset, usual.subset)
+			busy.fleet.threadLimit, usual.fleet.threadLimit, busy.subset.size, usual.subset.size)
 	}
-	if busy.part != usual.part || busy.base != usual.base {
+	if busy.engineShare != usual.engineShare || busy.subset.equalSize != usual.subset.equalSize {
 		t.Error("the part of an engine, which bounds a cold one, has grown")
 	}
 }
@@ -198,11 +198,11 @@
 	s.Replicas, s.Classes[1].Threads = 60, 4
 	b := start(t, s, engines(12))
 	for _, e := range b.c.engines {
-		e.rep, e.repAt = Report{Held: -1, Queue: 0, Util: 1, Memory: -1, Disks: -1}, b.now
+		e.loadReport, e.reportedAt = Report{Held: -1, Queue: 0, Util: 1, Memory: -1, Disks: -1}, b.now
 	}
-	b.c.luckUntil, b.c.luck = b.now+20*sec, 0.1
+	b.c.randomDrawUntil, b.c.randomDraw = b.now+20*sec, 0.1
 	b.step(Request{ID: "heavy", Class: 1, Timeout: 20 * sec, Group: -1, Work: 8 * sec, MemMB: 4000})
-	if b.c.running < b.c.fleet.run {
+	if b.c.threads < b.c.fleet.threadLimit {
 		t.Fatal("the heavy query is within our part: the test shows nothing")
 	}
 	small := req("small", 0)
@@ -215,13 +215,13 @@
 func TestThreadsHeldTellAJam(t *testing.T) {
 	s := base()
 	b := start(t, s, engines(4))
-	b.c.meanTh = 2
+	b.c.meanThreads = 2
 	for _, x := range []struct{ util, held, least, most float64 }{
 		{1, 2, 1, 1}, {1, 20, 2, 4}, {0.3, 20, 2, 4}, {-1, 20, 2, 4}, {0.3, -1, 0.3, 0.3},
 	} {
 		e := b.c.engines[0]
-		e.rep, e.repAt = Report{Held: x.held, Queue: -1, Util: x.util, Memory: -1, Disks: -1}, b.now
-		if load := b.c.reported(e); load < x.least || load > x.most {
+		e.loadReport, e.reportedAt = Report{Held: x.held, Queue: -1, Util: x.util, Memory: -1, Disks: -1}, b.now
+		if load := b.c.reportedLoad(e); load < x.least || load > x.most {
 			t.Errorf("use %.1f and %.0f held read as %.2f", x.util, x.held, load)
 		}
 	}
@@ -238,11 +238,11 @@
 	}
 	b.step(keyed("head", "k"), keyed("alone", "l"))
 	b.pass(3 * sec)
-	if !b.c.reqs["alone"].late {
+	if !b.c.requests["alone"].pastObjective {
 		t.Fatal("not late: the test shows nothing")
 	}
 	b.step(keyed("next", "k"))
-	if r := one[Reject](t, b.pass(2*wake)); r.ID != "head" {
+	if r := one[Reject](t, b.pass(2*housekeepingInterval)); r.ID != "head" {
 		t.Fatalf("refused %s", r.ID)
 	}
 	if snd := pick[Send](b.step(EndpointsChanged{Kind: Complete, Engines: engines(4)})); len(snd) != 2 {
@@ -256,16 +256,16 @@
 	s := base()
 	s.Replicas = 60
 	b := start(t, s, engines(12))
-	e := b.c.engines[b.c.first]
-	r := &request{Request: req("s", 0), cls: &b.c.set.Classes[0], ten: b.c.tens[0]}
+	e := b.c.engines[b.c.subset.first]
+	r := &requestState{Request: req("s", 0), classSettings: &b.c.settings.Classes[0], tenant: b.c.tenants[0]}
 	r.MemMB = 100
-	part := e.memory * b.c.part
-	b.c.classes[1].work = 4
-	e.threads, e.mem = 2, 2*part
-	if !b.c.room(e, r, b.c.fleet.avg) {
+	part := e.memoryMB * b.c.engineShare
+	b.c.estimates[1].work = 4
+	e.threads, e.memory = 2, 2*part
+	if !b.c.hasCapacity(e, r) {
 		t.Fatal("a heavy query keeps the small out")
 	}
-	if e.smallMem = part; b.c.room(e, r, b.c.fleet.avg) {
+	if e.smallMemory = part; b.c.hasCapacity(e, r) {
 		t.Fatal("the small pass our part by themselves")
 	}
 }
@@ -285,7 +285,7 @@
 		}
 	}
 	b.now += 1700 * ms
-	evs = append(evs, Timer{Token: uint64(b.c.timer)}, req("late", 0))
+	evs = append(evs, Timer{Token: uint64(b.c.housekeepingAt)}, req("late", 0))
 	acts := b.step(evs...)
 	if n := len(pick[Send](acts)); n == 0 {
 		t.Error("nothing was sent")
@@ -295,7 +295,7 @@
 			t.Errorf("engine %d ejected", e.ID)
 		}
 	}
-	if b.c.reqs["late"] == nil || b.c.reqs["late"].out != 1 {
+	if b.c.requests["late"] == nil || b.c.requests["late"].inFlight != 1 {
 		t.Error("what came in the stall was not sent")
 	}
 }
@@ -318,8 +318,8 @@
 			t.Errorf("did %T", a)
 		}
 	}
-	if b.c.running != 0 || b.c.smallRun != 0 {
-		t.Errorf("%v and %v threads are still held", b.c.running, b.c.smallRun)
+	if b.c.threads != 0 || b.c.smallThreads != 0 {
+		t.Errorf("%v and %v threads are still held", b.c.threads, b.c.smallThreads)
 	}
 }
 
@@ -328,14 +328,14 @@
 func TestResetsOfConnectionsAreNoStrikes(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		b := start(t, base(), engines(1))
-		for i := range resets {
+		for i := range ejectAfterResets {
 			id := fmt.Sprint("r", i)
 			b.step(Request{ID: id, Timeout: 4 * sec, Group: -1, Work: 50 * ms})
 			b.step(Outcome{ID: id, Engine: 1, Status: Reset, Alive: alive})
 			b.step(ClientDisconnected{ID: id})
 		}
-		if e := b.c.engines[0]; alive != (e.strikes == 0) {
-			t.Fatalf("alive %v: %d strikes", alive, e.strikes)
+		if e := b.c.engines[0]; alive != (e.consecutiveFailures == 0) {
+			t.Fatalf("alive %v: %d strikes", alive, e.consecutiveFailures)
 		}
 	}
 }
@@ -356,17 +356,17 @@
 	if r := one[Reject](t, b.step(ask("long", 1, 60*sec))); r.ID != "long" {
 		t.Fatalf("refused %s", r.ID)
 	}
-	for _, a := range pick[Cancel](b.pass(3*sec - stopMargin - wake)) {
+	for _, a := range pick[Cancel](b.pass(3*sec - shutdownMargin - housekeepingInterval)) {
 		t.Fatalf("%s was called back long before the end", a.ID)
 	}
 	called := map[string]bool{}
-	for _, a := range pick[Cancel](b.pass(2 * wake)) {
+	for _, a := range pick[Cancel](b.pass(2 * housekeepingInterval)) {
 		called[a.ID] = true
 	}
 	if !called["out"] || called["unsafe"] {
 		t.Fatalf("called back: %v", called)
 	}
-	e := b.c.reqs["out"].tries[0].eng.ID
+	e := b.c.requests["out"].attempts[0].engine.ID
 	if r := one[Reject](t, b.step(Outcome{ID: "out", Engine: e, Status: Cancelled})); r.ID != "out" {
 		t.Fatalf("refused %s", r.ID)
 	}
@@ -411,17 +411,17 @@
 		}
 	}
 	b.step(EndpointsChanged{Kind: Partial, Engines: list[1:]})
-	b.pass(goneFor / 2)
+	b.pass(removedEngineRetention / 2)
 	if len(b.c.engines) != 2 {
 		t.Fatal("forgotten at once")
 	}
-	b.pass(goneFor)
+	b.pass(removedEngineRetention)
 	if len(b.c.engines) != 2 {
 		t.Fatal("forgotten with an attempt out")
 	}
 	b.step(Outcome{ID: id, Engine: list[1].ID, Status: OK, Closed: true})
 	b.pass(sec)
-	if len(b.c.engines) != 1 || len(b.c.byID) != 1 || len(b.c.byHash) != 1 {
+	if len(b.c.engines) != 1 || len(b.c.enginesByID) != 1 || len(b.c.enginesByGossipID) != 1 {
 		t.Fatalf("%d engines remembered", len(b.c.engines))
 	}
 }
@@ -457,8 +457,8 @@
 			ev = append(ev, Request{ID: fmt.Sprint(n), Class: class, Tenant: n % 2, Timeout: 4 * sec, Group: n % 7, Work: time.Duration(1+2*class) * 20 * ms})
 		}
 		for _, snd := range pick[Send](b.step(ev...)) {
-			r := b.c.reqs[snd.ID]
-			o := Outcome{ID: snd.ID, Engine: snd.Engine, Attempt: len(r.tries) - 1, Status: OK, Latency: 40 * ms, Work: r.Work, Report: &Report{Held: 1, Queue: -1, Util: 0.1, Memory: -1, Disks: -1}}
+			r := b.c.requests[snd.ID]
+			o := Outcome{ID: snd.ID, Engine: snd.Engine, Attempt: len(r.attempts) - 1, Status: OK, Latency: 40 * ms, Work: r.Work, Report: &Report{Held: 1, Queue: -1, Util: 0.1, Memory: -1, Disks: -1}}
 			at := b.now + 40*ms
 			if r.Class == 1 && int(snd.Engine) <= hanging {
 				sends[int((b.now-began)/(5*sec))]++
@@ -493,7 +493,7 @@
 // TestAClassIsNeverKeptFromMostEngines: one engine alone can't serve what all others are kept from.
 func TestAClassIsNeverKeptFromMostEngines(t *testing.T) {
 	_, b := hangingDay(t, 3, 1, 5*sec)
-	if n := b.c.muted(1); n != 2 {
+	if n := b.c.restingEngines(1); n != 2 {
 		t.Fatalf("%d of 4 engines rest for the class, which hangs at 3", n)
 	}
 }
--- a/admission/gossip.go
+++ b/admission/gossip.go
@@ -1,27 +1,69 @@
 package admission
 
+import "encoding/binary"
+
+// A message of gossip is a sequence of entries of three bytes: the gossip ID of an engine, little-endian, and its load
+// in parts of gossipLoadScale, or gossipFailure for a failed health check.
 const (
-	tellBytes  = 160.0 // bytes for each own query at the most, over all receivers
-	tellSize   = 3     // bytes of a word: two for the engine, one for load or failure
-	tellScale  = 160   // parts in which a load is told
-	tellFailed = 255
+	gossipEntrySize = 3
+	gossipLoadScale = 160
+	gossipFailure   = 255
 )
 
-// told takes a peer's words of engines; what does not read, or names no engine, is passed over.
-func (c *Controller) told(ev GossipReceived) {
-	if ev.From < 0 || ev.From >= c.set.Replicas || ev.From == c.set.Me {
+// Bytes of gossip that a request earns, over all receivers, and that may be saved up.
+const (
+	gossipBytesPerRequest = 160.0
+	maxGossipCredit       = 64 * gossipBytesPerRequest
+)
+
+// gossipState is what is to be sent to other front ends.
+type gossipState struct {
+	credit  float64 // bytes that requests have earned
+	message []byte  // entries for the results of the last burst of health checks
+}
+
+func (g *gossipState) addLoad(gossipID uint16, load float64) {
+	g.add(gossipID, byte(min(max(load*gossipLoadScale, 0), gossipFailure-1)))
+}
+
+func (g *gossipState) addFailure(gossipID uint16) { g.add(gossipID, gossipFailure) }
+
+func (g *gossipState) add(gossipID uint16, value byte) {
+	g.message = append(binary.LittleEndian.AppendUint16(g.message, gossipID), value)
+}
+
+// sendGossip sends what is collected to all other front ends if requests have earned it, and drops it otherwise.
+func (c *Controller) sendGossip() {
+	message := c.gossip.message
+	c.gossip.message = nil
+	cost := float64(len(message) * (c.settings.Replicas - 1))
+	if c.settings.GossipAllowed && cost > 0 && c.gossip.credit >= cost {
+		c.gossip.credit -= cost
+		c.emit(SendGossip{To: -1, Data: message})
+	}
+}
+
+// handleGossip takes in what another front end says of engines. Entries that name no engine in use are passed over, as
+// is the rest of a message that is shorter than an entry.
+func (c *Controller) handleGossip(event GossipReceived) {
+	if event.From < 0 || event.From >= c.settings.Replicas || event.From == c.settings.Me {
 		return
 	}
-	for d := ev.Data; len(d) >= tellSize; d = d[tellSize:] {
-		e := c.byHash[uint16(d[0])|uint16(d[1])<<8]
-		switch word := float64(d[2]); {
-		case e == nil || e.gone:
-		case word == tellFailed:
-			c.miss(e, false)
-		default:
-			e.rep = Report{Held: -1, Queue: -1, Util: word / tellScale, Memory: -1, Disks: -1}
-			e.repAt, e.heard = c.now, c.now
-			c.alive(e)
+	for entries := event.Data; len(entries) >= gossipEntrySize; entries = entries[gossipEntrySize:] {
+		engine := c.enginesByGossipID[binary.LittleEndian.Uint16(entries)]
+		if engine != nil && !engine.unavailable {
+			c.applyGossip(engine, entries[2])
 		}
 	}
 }
+
+func (c *Controller) applyGossip(engine *engineState, value byte) {
+	if value == gossipFailure {
+		c.recordMissedCheck(engine)
+		return
+	}
+	load := float64(value) / gossipLoadScale
+	engine.loadReport = Report{Held: -1, Queue: -1, Util: load, Memory: -1, Disks: -1}
+	engine.reportedAt, engine.checkedAt = c.now, c.now
+	c.markAlive(engine)
+}
--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -7,69 +7,87 @@
 	"time"
 )
 
+// The health checks that a request earns: so many at most, and no more than cost so many points of service for each
+// request where the cost of a check is known.
 const (
-	probeShare = 0.3                    // probes for each own query at the most, in bursts of so many ...
-	probeSpend = 0.012                  // ... and points of service that they may cost
-	probeBurst = 6                      // ... kept until so many go at once
-	askFor     = 500 * time.Millisecond // the word of a burst waits so long for all its probes
+	maxHealthChecksPerRequest = 0.3
+	healthCheckCostPerRequest = 0.012
 )
 
-// probeRate is what a query earns for probes. Guards against as many at any price: on days that price them
-// tenfold they cost 0.025 to 0.037 of G, more than they told. May harm where reports alone tell a jam.
-func (c *Controller) probeRate() float64 {
-	if c.set.HealthCheckCost <= 0 {
-		return probeShare
+// healthCheckBurst is how many health checks are saved up for a burst.
+const healthCheckBurst = 6
+
+// healthCheckBurstTimeout is how long the results of a burst are waited for.
+const healthCheckBurstTimeout = 500 * time.Millisecond
+
+// healthCheckState paces the health checks.
+type healthCheckState struct {
+	credit  float64       // checks that requests have earned
+	pending int           // checks of the last burst without a result
+	sentAt  time.Duration // when the last burst was sent
+}
+
+// healthCheckRate is how many health checks a request earns.
+func (c *Controller) healthCheckRate() float64 {
+	if c.settings.HealthCheckCost <= 0 {
+		return maxHealthChecksPerRequest
 	}
-	return math.Min(probeShare, probeSpend/c.set.HealthCheckCost)
+	return math.Min(maxHealthChecksPerRequest, healthCheckCostPerRequest/c.settings.HealthCheckCost)
 }
 
-// probe asks engines of the own stretch, as own queries have earned it, and tells peers what the last burst
-// brought once all has come: a failed probe ends late, and is the word that counts most. Those least heard of
-// go first, but the more gateways share the work the more at random, or all ask the same few (if08b63: a cut
-// zone was known after 16 s). May harm: at random some engine stays unheard for longer.
-func (c *Controller) probe() {
-	if c.asking > 0 && c.now-c.askedAt < askFor {
+// sendHealthChecks ends a burst of health checks once all results have come, and sends the next once it is earned.
+// Failed checks end late and count most, hence the wait.
+func (c *Controller) sendHealthChecks() {
+	if c.healthChecks.pending > 0 && c.now-c.healthChecks.sentAt < healthCheckBurstTimeout {
 		return
 	}
-	cost := float64(len(c.news) * (c.set.Replicas - 1))
-	if len(c.news) > 0 && c.set.GossipAllowed && cost > 0 && c.bytes >= cost {
-		c.bytes -= cost
-		c.do(SendGossip{To: -1, Data: c.news})
+	c.sendGossip()
+	c.healthChecks.pending = 0
+	c.subsetFrom(c.subset.size, func(engine *engineState) (capacity float64, ok bool) { return engine.cores, true })
+	if c.settings.LoadReporting != HealthCheckReports || !c.settings.HealthChecksAllowed {
+		return
 	}
-	c.news, c.asking = nil, 0
-	c.along(c.subset, func(e *engine) (float64, bool) { return e.cores, true })
-	if c.set.LoadReporting != HealthCheckReports || !c.set.HealthChecksAllowed ||
-		c.probes < math.Min(probeBurst, float64(len(c.near))) {
+	if c.healthChecks.credit < math.Min(healthCheckBurst, float64(len(c.candidates.engines))) {
 		return
 	}
-	slices.SortStableFunc(c.near, func(a, b *engine) int { return cmp.Compare(a.heard, b.heard) })
-	skip := float64(max(len(c.near)-probeBurst, 0)) * (1 - 1/float64(c.set.Replicas))
-	for _, e := range c.near[int(c.rand()*skip):] {
-		if c.probes >= 1 {
-			c.probes, e.heard = c.probes-1, c.now
-			c.asking, c.askedAt = c.asking+1, c.now
-			c.do(HealthCheck{Engine: e.ID})
+	for _, engine := range c.enginesToCheck(c.candidates.engines) {
+		if c.healthChecks.credit >= 1 {
+			c.healthChecks.credit--
+			c.healthChecks.pending++
+			c.healthChecks.sentAt = c.now
+			engine.checkedAt = c.now
+			c.emit(HealthCheck{Engine: engine.ID})
 		}
 	}
 }
 
-func (c *Controller) probed(ev HealthCheckResult) {
-	e := c.byID[ev.Engine]
-	if e == nil {
+// enginesToCheck sorts the engines by the time of their last check, and leaves out some of the first at random: the
+// more the more front ends share the checks, or all would check the same.
+func (c *Controller) enginesToCheck(engines []*engineState) []*engineState {
+	slices.SortStableFunc(engines, func(a, b *engineState) int { return cmp.Compare(a.checkedAt, b.checkedAt) })
+	spare := float64(max(len(engines)-healthCheckBurst, 0)) * (1 - 1/float64(c.settings.Replicas))
+	return engines[int(c.random.float64()*spare):]
+}
+
+// handleHealthCheckResult takes in the result of a health check, and keeps it for the other front ends.
+func (c *Controller) handleHealthCheckResult(event HealthCheckResult) {
+	engine := c.enginesByID[event.Engine]
+	if engine == nil {
 		return
 	}
-	c.asking--
-	word := byte(tellFailed)
-	if ev.Status == OK {
-		c.alive(e)
-	} else {
-		c.miss(e, ev.Status == ConnectFailed)
-	}
-	if ev.Report != nil {
-		e.rep, e.repAt = *ev.Report, c.now
-		word = byte(min(max(c.reported(e)*tellScale, 0), tellFailed-1))
+	c.healthChecks.pending--
+	switch event.Status {
+	case OK:
+		c.markAlive(engine)
+	case ConnectFailed:
+		c.recordRefusedCheck(engine)
+	default:
+		c.recordMissedCheck(engine)
 	}
-	if ev.Report != nil || ev.Status != OK {
-		c.news = append(c.news, byte(e.hash), byte(e.hash>>8), word)
+	if event.Report != nil {
+		engine.loadReport, engine.reportedAt = *event.Report, c.now
+		c.gossip.addLoad(engine.gossipID, c.reportedLoad(engine))
+	} else if event.Status != OK {
+		c.gossip.addFailure(engine.gossipID)
 	}
 }
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -6,191 +6,298 @@
 	"time"
 )
 
+// An attempt is overdue after overdueMultiple times its expected time and overdueMinimum.
 const (
-	overdueBy   = 4.0 // an attempt is overdue after this many times its expected time, and overdueMin
-	overdueMin  = 300 * time.Millisecond
-	silentCount = 2    // overdue attempts, with no answer since, that make an engine silent
-	errorFade   = 0.1  // how fast an engine's share of errors falls with answers
-	errorStep   = 0.25 // ... and rises with errors: few of own queries tell of them
-	errorMany   = 0.5  // share from which an engine gets nothing that an error would end
-	resets      = 2    // in a row eject an engine: one alone may be a lost answer
-	probeMisses = 2    // failed probes in a row that eject
-	lossRate    = 0.04 // how fast the share of lost answers follows
-	lossy       = 0.08 // that share, from which small attempts are not waited for ...
-	lossWait    = 2.5  // ... longer than this many times their expected time
-	ejectFirst  = 1 * time.Second
-	ejectMost   = 8 * time.Second
-	fullRest    = 200 * time.Millisecond
+	overdueMultiple = 4.0
+	overdueMinimum  = 300 * time.Millisecond
 )
 
-// mute is what an engine makes of one class.
-type mute struct {
-	answered time.Duration // when it answered it last
-	until    time.Duration // nothing of it goes there before
-	hold     time.Duration // the rest in force; 0: none
+// silentAttempts overdue attempts since the last answer make an engine silent, if it is silent for silenceMultiple
+// times as long as others.
+const (
+	silentAttempts  = 2
+	silenceMultiple = 3
+)
+
+// missedProgressIntervals is after how many intervals without progress an attempt is taken for lost.
+const missedProgressIntervals = 3
+
+// The rate of errors of an engine: how fast it falls with an answer and rises with an error, and from what rate on an
+// engine gets nothing that an error would end.
+const (
+	errorRateDecay = 0.1
+	errorRateStep  = 0.25
+	highErrorRate  = 0.5
+)
+
+// The rate of lost answers: how fast it follows, and from what rate on small requests are not waited for longer than
+// lostAnswerWait times their expected time.
+const (
+	lostAnswerSmoothing = 0.04
+	highLostAnswerRate  = 0.08
+	lostAnswerWait      = 2.5
+)
+
+// Failures in a row that eject an engine. One reset alone may be a lost answer.
+const (
+	ejectAfterResets       = 2
+	ejectAfterMissedChecks = 2
+)
+
+// The time of an ejection and of a rest for a class doubles with each failure, from minEjection to maxEjection.
+const (
+	minEjection          = 1 * time.Second
+	maxEjection          = 8 * time.Second
+	maxEjectionDoublings = 3
+)
+
+// overloadPause is how long an engine that rejected an attempt gets none.
+const overloadPause = 200 * time.Millisecond
+
+// classRest keeps a class from one engine.
+type classRest struct {
+	answeredAt time.Duration // when the engine answered the class last
+	until      time.Duration // nothing of the class goes there before
+	duration   time.Duration // of the rest in force; 0: none
 }
 
-// overdue counts attempts that are overdue.
-type overdue struct {
-	n, group int
-	several  bool          // they are not all of one group of tables
-	first    time.Duration // when the first of them was sent
+// extend doubles a rest in force with each attempt of the class that is sent.
+func (r *classRest) extend(now time.Duration) {
+	if r.duration > 0 {
+		r.duration = min(2*r.duration, maxEjection)
+		r.until = now + r.duration
+	}
 }
 
-func (t *overdue) add(group int, sent time.Duration) {
-	t.several = t.several || group < 0 || (t.n > 0 && group != t.group)
-	if t.n == 0 || sent < t.first {
-		t.first = sent
+// overdueAttempts counts attempts that are overdue.
+type overdueAttempts struct {
+	count         int
+	tableGroup    int           // of the last of them
+	severalGroups bool          // they are not all of one table group: no lock explains them
+	firstSentAt   time.Duration // when the oldest was sent
+}
+
+func (o *overdueAttempts) add(tableGroup int, sentAt time.Duration) {
+	o.severalGroups = o.severalGroups || tableGroup < 0 || (o.count > 0 && tableGroup != o.tableGroup)
+	if o.count == 0 || sentAt < o.firstSentAt {
+		o.firstSentAt = sentAt
 	}
-	t.group = group
-	t.n++
+	o.tableGroup = tableGroup
+	o.count++
 }
 
-// health counts what an outcome says of the engine: an answer clears it, failed connects and resets eject it.
-// A lost connection to an engine that answers on the next one says nothing of it.
-func (c *Controller) health(e *engine, a *attempt, ev Outcome) {
-	if ev.Alive {
+// silence reports whether they tell of silence, and not of one lock or one slow request.
+func (o *overdueAttempts) silence() bool { return o.count >= silentAttempts && o.severalGroups }
+
+// recordHealth takes in what an outcome says of its engine: an answer clears it, refused connections and resets eject
+// it. A lost connection to an engine that answers on another says nothing of it.
+func (c *Controller) recordHealth(engine *engineState, attempt *attemptState, event Outcome) {
+	if event.Alive {
 		return
 	}
-	switch s := ev.Status; s {
+	switch event.Status {
 	case OK, Errored:
-		// Errors come fast and leave an engine idle, so that reports draw more to it (i326ad6). Covers a bad
-		// release, a full disk; may harm where requests are at fault.
-		e.errs -= e.errs * errorFade
-		if s == Errored {
-			e.errs += (1 - e.errs) * errorStep
-		}
-		e.lastOK, c.all.lastOK, e.strikes = c.now, c.now, 0
-		c.loss -= c.loss * lossRate
-		if e.ejected && a.sent >= e.until {
-			c.readmit(e)
-		}
+		c.recordAnswer(engine, attempt, event.Status)
 	case Reset:
-		c.loss += (1 - c.loss) * lossRate
-		if e.strikes++; e.strikes >= resets {
-			c.eject(e)
+		c.raiseLostAnswerRate()
+		engine.consecutiveFailures++
+		if engine.consecutiveFailures >= ejectAfterResets {
+			c.eject(engine)
 		}
 	case ConnectFailed:
-		c.eject(e)
-		e.lost = true
+		c.eject(engine)
+		engine.processMayBeNew = true
 	case Overloaded:
-		e.factor, e.rest = math.Max(factorLow, e.factor*0.9), c.now+fullRest
+		engine.cutThreadFactor()
+		engine.overloadedUntil = c.now + overloadPause
+	case TimedOut, Cancelled, NotSent: // say nothing of the engine
 	}
 }
 
-// erring is the share of errors that counts against an engine: a single one does not.
-func (e *engine) erring() float64 { return math.Max(0, e.errs-errorStep) }
+// recordAnswer takes an answer or an error for a sign of life. Errors count against their engine, though requests may
+// be at fault: they come fast and leave it idle, so that its load draws more.
+func (c *Controller) recordAnswer(engine *engineState, attempt *attemptState, status Status) {
+	engine.errorRate -= engine.errorRate * errorRateDecay
+	if status == Errored {
+		engine.errorRate += (1 - engine.errorRate) * errorRateStep
+	}
+	engine.lastAnswerAt, c.allEngines.lastAnswerAt = c.now, c.now
+	engine.consecutiveFailures = 0
+	c.lostAnswerRate -= c.lostAnswerRate * lostAnswerSmoothing
+	if engine.ejected && attempt.sentAt >= engine.ejectedUntil {
+		c.endEjection(engine)
+	}
+}
+
+func (c *Controller) raiseLostAnswerRate() {
+	c.lostAnswerRate += (1 - c.lostAnswerRate) * lostAnswerSmoothing
+}
 
-// alive takes an answered probe for a sign of life.
-func (c *Controller) alive(e *engine) {
-	if e.misses, e.lastOK = 0, c.now; e.ejected {
-		c.readmit(e)
+// errorExcess is the rate of errors that counts against an engine: one error alone doesn't.
+func (e *engineState) errorExcess() float64 { return math.Max(0, e.errorRate-errorRateStep) }
+
+// markAlive takes in an answered health check, own or another front end's.
+func (c *Controller) markAlive(engine *engineState) {
+	engine.missedChecks, engine.lastAnswerAt = 0, c.now
+	if engine.ejected {
+		c.endEjection(engine)
 	}
 }
 
-// miss counts a failed probe, own or told. A process that hangs answers none, while a busy one does.
-func (c *Controller) miss(e *engine, refused bool) {
-	if !e.ejected {
-		e.heard = 0 // asked again first
+// recordMissedCheck takes in a failed health check, own or another front end's. A process that hangs answers none,
+// while a busy one does. The engine is checked again first.
+func (c *Controller) recordMissedCheck(engine *engineState) {
+	if !engine.ejected {
+		engine.checkedAt = 0
+	}
+	engine.missedChecks++
+	if engine.missedChecks >= ejectAfterMissedChecks {
+		c.eject(engine)
 	}
-	if e.misses++; refused || e.misses >= probeMisses {
-		c.eject(e)
-		e.lost = e.lost || refused
+}
+
+// recordRefusedCheck takes in a health check whose connection was refused.
+func (c *Controller) recordRefusedCheck(engine *engineState) {
+	if !engine.ejected {
+		engine.checkedAt = 0
 	}
+	engine.missedChecks++
+	c.eject(engine)
+	engine.processMayBeNew = true
 }
 
-// eject takes an engine out of the draw, for longer each time, never more than half of the fleet.
-func (c *Controller) eject(e *engine) {
-	if e.ejected {
-		if c.now >= e.until {
-			e.strikes++
-			e.until = c.now + min(ejectFirst<<min(e.strikes, 3), ejectMost)
+// eject takes an engine out of selection, unless that would leave less than half of the engines in use (invariant 9).
+// One that is ejected and failed again after its time stays out for longer.
+func (c *Controller) eject(engine *engineState) {
+	if engine.ejected {
+		if c.now >= engine.ejectedUntil {
+			engine.consecutiveFailures++
+			doublings := min(engine.consecutiveFailures, maxEjectionDoublings)
+			engine.ejectedUntil = c.now + min(minEjection<<doublings, maxEjection)
 		}
 		return
 	}
-	if 2*(c.fleet.all-c.fleet.used+1) > c.fleet.all {
+	if 2*(c.fleet.engines-c.fleet.usable+1) > c.fleet.engines {
 		return
 	}
-	c.fleet.used--
-	e.ejected, e.strikes, e.until, e.trickle = true, 0, c.now+ejectFirst, 0
-	c.do(Log{Text: fmt.Sprintf("engine %d ejected, %d own attempts out", e.ID, len(e.outs))})
-	c.takeBackAll(e, -1)
-}
-
-// readmit takes an engine back. One that was lost may have restarted before the list says so: for a while
-// it is taken for cold.
-func (c *Controller) readmit(e *engine) {
-	e.ejected = false
-	c.fleet.used++
-	if e.lost {
-		c.startCold(e, c.now)
-		e.guess = c.now
-	}
-}
-
-// healthy lets an ejected engine have one small safe request at a time once its wait is over. One that errs
-// in most of its answers gets what may be sent again, as errors cost little there and it still serves some,
-// and what an error would end only where no other is near.
-func (c *Controller) healthy(e *engine, r *request) bool {
-	if !e.ejected {
-		ends := r.cls.Idempotency != Idempotent || len(r.tries)+1 >= c.set.MaxAttempts
-		return c.now >= e.rest && (e.errs <= errorMany || !ends || !c.clean)
-	}
-	return c.now >= e.until && e.trickle == 0 && r.cls.Idempotency == Idempotent && len(r.tries) == 0 && c.rank(r) == 0
-}
-
-// watch looks at what is out on an engine. One that answers none is told by several own attempts overdue, not
-// all of one table group (a holder would explain that); lost answers by notes that stopped or small attempts.
-func (c *Controller) watch(e *engine) {
-	due := overdue{}
-	for _, o := range e.outs {
-		t, small := &o.req.tries[o.n], c.small(o.req.Class)
-		out := float64(c.now - t.sent)
-		if out > overdueBy*float64(max(t.expect, c.service(o.req, c.fleet.pace)))+float64(overdueMin) {
-			if t.sent > e.mutes[o.req.Class].answered {
-				c.classes[o.req.Class].late.add(o.req.Group, t.sent)
-			}
-			if t.sent > e.lastOK {
-				due.add(o.req.Group, t.sent)
-			} else if small && !t.overdue {
-				t.overdue = true
-				c.loss += (1 - c.loss) * lossRate
-			}
+	c.fleet.usable--
+	engine.ejected, engine.ejectedUntil = true, c.now+minEjection
+	engine.consecutiveFailures, engine.recoveryInFlight = 0, 0
+	c.emit(Log{Text: fmt.Sprintf("engine %d ejected, %d own attempts out", engine.ID, len(engine.attempts))})
+	c.migrateAttempts(engine)
+}
+
+// endEjection takes an engine back. One whose process may be new is taken to be warming until discovery has had time
+// to tell.
+func (c *Controller) endEjection(engine *engineState) {
+	engine.ejected = false
+	c.fleet.usable++
+	if engine.processMayBeNew {
+		c.beginSlowStart(engine, c.now)
+		engine.warmingAssumedAt = c.now
+	}
+}
+
+// admitsRecoveryTraffic reports whether the health of an engine lets it have the request. Once the time of its ejection
+// is over, it gets one idempotent preferred request at a time. One that answers mostly with errors gets what may be
+// sent again, and what an error would end only where no other candidate is more reliable.
+func (c *Controller) admitsRecoveryTraffic(engine *engineState, request *requestState) bool {
+	idempotent := request.classSettings.Idempotency == Idempotent
+	if engine.ejected {
+		return c.now >= engine.ejectedUntil && engine.recoveryInFlight == 0 && idempotent &&
+			len(request.attempts) == 0 && request.rank() == preferredRank
+	}
+	if c.now < engine.overloadedUntil {
+		return false
+	}
+	errorEnds := !idempotent || len(request.attempts)+1 >= c.settings.MaxAttempts
+	return engine.errorRate <= highErrorRate || !errorEnds || !c.candidates.someReliable
+}
+
+// checkOverdueAttempts looks for engines and classes that are silent and for answers that got lost.
+func (c *Controller) checkOverdueAttempts(engine *engineState) {
+	overdue := overdueAttempts{} // sent since the last answer of the engine
+	for _, ref := range engine.attempts {
+		if c.isOverdue(ref) {
+			c.recordOverdue(ref, &overdue)
 		}
-		if (c.loss > lossy && small && o.n == 0 && out > lossWait*float64(t.expect)+float64(wake)) ||
-			(c.set.ProgressInterval > 0 && c.now-max(t.sent, t.noted) > 3*c.set.ProgressInterval) {
-			c.takeBack(o)
+		if c.mayBeLost(ref) {
+			c.migrateIfSlow(ref)
 		}
 	}
-	if due.n >= silentCount && due.several && c.now-e.lastOK > 3*(c.now-c.all.lastOK)+3*overdueMin {
-		c.eject(e)
+	if overdue.silence() && c.isSilenceOf(engine.lastAnswerAt, c.allEngines.lastAnswerAt) {
+		c.eject(engine)
 	}
-	for class := range c.classes {
-		c.quieten(e, class)
+	for class := range c.estimates {
+		c.restClass(engine, class)
 	}
 }
 
-// quieten rests an engine for a class of which it answers none while others do, and then lets one go at a
-// time, further apart each time. Guards against a class that hangs at engines that answer the rest: they look
-// idle, draw more, and hold what they get until clients leave. Never for most; may harm where one is slow.
-func (c *Controller) quieten(e *engine, class int) {
-	k, m := &c.classes[class], &e.mutes[class]
-	late := k.late
-	if k.late = (overdue{}); late.n < silentCount || !late.several || m.hold > 0 ||
-		e.lastOK < late.first || c.now-late.first <= 3*(c.now-k.answered)+3*overdueMin ||
-		2*(c.muted(class)+1) > c.fleet.used {
+// isSilenceOf reports whether the time since one sign of life is far longer than that since another: a stall of our own
+// makes both long.
+func (c *Controller) isSilenceOf(since, others time.Duration) bool {
+	return c.now-since > silenceMultiple*(c.now-others)+silenceMultiple*overdueMinimum
+}
+
+func (c *Controller) isOverdue(ref *attemptRef) bool {
+	attempt := ref.attempt()
+	expected := max(attempt.expected, c.expectedLatency(ref.request, c.fleet.medianSlowdown))
+	return float64(c.now-attempt.sentAt) > overdueMultiple*float64(expected)+float64(overdueMinimum)
+}
+
+// recordOverdue counts an overdue attempt against its class, and against its engine or, if the engine has answered
+// others since, the rate of lost answers.
+func (c *Controller) recordOverdue(ref *attemptRef, sinceAnswer *overdueAttempts) {
+	request, attempt := ref.request, ref.attempt()
+	if attempt.sentAt > attempt.engine.classRests[request.Class].answeredAt {
+		c.estimates[request.Class].overdue.add(request.Group, attempt.sentAt)
+	}
+	if attempt.sentAt > attempt.engine.lastAnswerAt {
+		sinceAnswer.add(request.Group, attempt.sentAt)
+	} else if c.isSmall(request.Class) && !attempt.countedAsLost {
+		attempt.countedAsLost = true
+		c.raiseLostAnswerRate()
+	}
+}
+
+// mayBeLost reports whether the answer of an attempt may be lost: a small first attempt takes long while answers get
+// lost, or its progress has stopped.
+func (c *Controller) mayBeLost(ref *attemptRef) bool {
+	attempt := ref.attempt()
+	if c.lostAnswerRate > highLostAnswerRate && ref.index == 0 && c.isSmall(ref.request.Class) {
+		patience := lostAnswerWait*float64(attempt.expected) + float64(housekeepingInterval)
+		if float64(c.now-attempt.sentAt) > patience {
+			return true
+		}
+	}
+	interval := c.settings.ProgressInterval
+	return interval > 0 && c.now-max(attempt.sentAt, attempt.lastProgressAt) > missedProgressIntervals*interval
+}
+
+// restClass keeps a class from an engine that answers none of it, while it answers others and other engines answer the
+// class; then the engine gets one request of it at a time, further and further apart. Such an engine looks idle, draws
+// more, and holds what it gets until clients leave. At most half of the engines rest for a class (invariant 9).
+func (c *Controller) restClass(engine *engineState, class int) {
+	estimate, rest := &c.estimates[class], &engine.classRests[class]
+	overdue := estimate.overdue
+	estimate.overdue = overdueAttempts{}
+	if rest.duration > 0 || !overdue.silence() || engine.lastAnswerAt < overdue.firstSentAt ||
+		!c.isSilenceOf(overdue.firstSentAt, estimate.answeredAt) {
+		return
+	}
+	if 2*(c.restingEngines(class)+1) > c.fleet.usable {
 		return
 	}
-	m.hold, m.until = ejectFirst, c.now+ejectFirst
-	c.do(Log{Text: fmt.Sprintf("engine %d answers nothing of class %d", e.ID, class)})
+	rest.duration, rest.until = minEjection, c.now+minEjection
+	c.emit(Log{Text: fmt.Sprintf("engine %d answers nothing of class %d", engine.ID, class)})
 }
 
-// muted is how many engines in use rest for a class.
-func (c *Controller) muted(class int) (n int) {
-	for _, e := range c.engines {
-		if !e.gone && !e.ejected && e.mutes[class].hold > 0 {
-			n++
+// restingEngines counts the engines in use that rest for a class.
+func (c *Controller) restingEngines(class int) (count int) {
+	for _, engine := range c.engines {
+		if !engine.unavailable && !engine.ejected && engine.classRests[class].duration > 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/admission/plan_test.go
+++ b/admission/plan_test.go
@@ -46,11 +46,11 @@
 	}
 	b, snd = heavy(t, nil)
 	for _, e := range b.c.engines {
-		e.pace = 4
+		e.slowdown = 4
 	}
 	b.pass(2 * sec)
 	for _, e := range b.c.engines {
-		e.pace = 4
+		e.slowdown = 4
 	}
 	if acts := b.note(0, snd, 0.15); len(pick[Cancel](acts)) != 0 {
 		t.Fatal("ended though all engines are slow")
@@ -93,7 +93,7 @@
 		b.now += sec
 		snd = one[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, Group: -1, Work: 2 * sec, MemMB: 64}))
 	}
-	if fix := b.c.classes[1].workFix; fix > 1.6 {
+	if fix := b.c.estimates[1].workCorrection; fix > 1.6 {
 		t.Fatalf("estimates are corrected by %.2f", fix)
 	}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,157 +6,234 @@
 	"time"
 )
 
+// The queue ranks. What is deferred goes only while nothing preferred is in turn in its class.
 const (
-	lookAhead   = 8  // requests of one list looked at behind one that has no room
-	queueFactor = 12 // queue depth per own thread, of at least queueLeast
-	queueLeast  = 32
+	preferredRank = iota // within its tenant's quota and in time
+	deferredRank         // over the quota or past its objective
+	queueRanks
 )
 
-type keyLine struct {
-	line []*request
-	rest time.Duration
+// The shared limit on queued requests: so many per own thread, and minQueueLimit at least.
+const (
+	queuedPerThread = 12
+	minQueueLimit   = 32
+)
+
+// maxQueueLookahead is how many requests of one queue are looked at behind one that no engine has capacity for.
+const maxQueueLookahead = 8
+
+// The deficit of a tenant is limited to deficitLimit times the heaviest class, and grows by a quantum of one in
+// quantaPerLimit of the limit a turn.
+const (
+	deficitLimit   = 4
+	quantaPerLimit = 32
+)
+
+// maxPassesPerTenant bounds the round robin of one step.
+const maxPassesPerTenant = 400
+
+// deferredPenalty puts what is deferred behind all that is preferred, whatever their weights per work.
+const deferredPenalty = 1e9
+
+// keyQueue is the unfinished requests of one key of an Ordered class, in order of arrival.
+type keyQueue struct {
+	requests     []*requestState
+	coolingUntil time.Duration // none goes before
 }
 
-// admit runs the deficit round robin, rank by rank: within the share and in time first.
+// admit sends what may go by deficit round robin over the tenants, preferred requests first.
 func (c *Controller) admit() {
-	for rank := range 2 {
-		for idle, pass := 0, 0; idle < len(c.tens) && pass < 400*len(c.tens); pass++ {
-			idle++
-			if c.serve(c.tens[c.turn%len(c.tens)], rank) {
+	for rank := range queueRanks {
+		idle := 0 // tenants in a row with nothing to send
+		for pass := 0; idle < len(c.tenants) && pass < maxPassesPerTenant*len(c.tenants); pass++ {
+			tenant := c.tenants[c.nextTenant%len(c.tenants)]
+			if c.serveTenant(tenant, rank) {
 				idle = 0
+			} else {
+				idle++
 			}
-			c.turn++
+			c.nextTenant++
 		}
 	}
 }
 
-// serve gives one tenant its quantum and sends what it covers; false when the tenant has nothing to send.
-func (c *Controller) serve(t *tenant, rank int) bool {
-	r, e := c.candidate(t, rank)
-	if r == nil {
-		if t.idle() {
-			t.deficit = 0 // credit is kept for want of room, not for want of requests
+// serveTenant gives a tenant its quantum and sends what its deficit covers. It reports whether the tenant had anything
+// to send. A deficit is kept where engines have no capacity, and lost where nothing waits.
+func (c *Controller) serveTenant(tenant *tenantState, rank int) bool {
+	request, engine := c.nextAdmissible(tenant, rank)
+	if request == nil {
+		if tenant.idle() {
+			tenant.deficit = 0
 		}
 		return false
 	}
-	most := 4 * c.heaviest() * t.weight // no query is larger than any deficit can grow to
-	t.deficit = math.Min(t.deficit+most/32, most)
-	for cost := 0.0; r != nil; r, e = c.candidate(t, rank) {
-		if cost = math.Min(c.workOf(r), most); cost > t.deficit {
+	limit := deficitLimit * c.heaviestWork() * tenant.weight
+	tenant.deficit = math.Min(tenant.deficit+limit/quantaPerLimit, limit)
+	for request != nil {
+		cost := math.Min(c.expectedWork(request), limit)
+		if cost > tenant.deficit {
 			break
 		}
-		t.deficit -= cost
-		c.send(r, e)
+		tenant.deficit -= cost
+		c.send(request, engine)
+		request, engine = c.nextAdmissible(tenant, rank)
 	}
 	return true
 }
 
-// candidate is the tenant's next request that may go, and its engine: by worth per work, then oldest first.
-func (c *Controller) candidate(t *tenant, rank int) (*request, *engine) {
-	for _, class := range c.order {
-		list := t.lists[class][rank]
-		if rank > 0 && c.waiting(class) {
+// nextAdmissible is the tenant's next request of the rank that may go, and its engine; nil where there is none. The
+// class with the highest weight per work goes first, and the oldest request of a class.
+func (c *Controller) nextAdmissible(tenant *tenantState, rank int) (*requestState, *engineState) {
+	for _, class := range c.classOrder {
+		if rank == deferredRank && c.hasPreferredInTurn(class) {
 			continue
 		}
 		looked := 0
-		for _, r := range list {
-			if !c.inTurn(r) {
+		for _, request := range tenant.queues[class][rank] {
+			if !c.inTurn(request) {
 				continue
 			}
-			if looked++; looked > lookAhead {
+			if looked++; looked > maxQueueLookahead {
 				break
 			}
-			if c.mayGo(r) {
-				if e := c.draw(r); e != nil {
-					return r, e
-				}
+			if !c.withinLimits(request) {
+				continue
+			}
+			if engine := c.pickEngine(request); engine != nil {
+				return request, engine
 			}
 		}
 	}
 	return nil, nil
 }
 
-// waiting tells whether a request of rank 0 and in turn waits in the class.
-func (c *Controller) waiting(class int) bool {
-	for _, t := range c.tens {
-		if slices.ContainsFunc(t.lists[class][0], c.inTurn) {
+// hasPreferredInTurn reports whether a preferred request of the class waits that is in turn.
+func (c *Controller) hasPreferredInTurn(class int) bool {
+	for _, tenant := range c.tenants {
+		if slices.ContainsFunc(tenant.queues[class][preferredRank], c.inTurn) {
 			return true
 		}
 	}
 	return false
 }
 
-// inTurn holds the order by key, and the budget of further attempts. What is not in turn holds back nothing:
-// else a late head of a key would wait for its own successors, and eight behind a key at rest hold up all.
-func (c *Controller) inTurn(r *request) bool {
-	if k := c.keys[r.Key]; r.cls.Ordered && r.Key != "" && (k == nil || k.line[0] != r || c.now < k.rest) {
-		return false
+// inTurn reports whether neither the order of its key nor the retry budget holds a request back. What is not in turn
+// holds back no other: a deferred first of a key would wait for its own successors.
+func (c *Controller) inTurn(request *requestState) bool {
+	if request.ordered() {
+		queue := c.keyQueues[request.Key]
+		if queue == nil || queue.requests[0] != request || c.now < queue.coolingUntil {
+			return false
+		}
+	}
+	return len(request.attempts) == 0 || c.withinRetryBudget(request, 0)
+}
+
+// rank is the queue rank of a request. It must not change while the request is queued.
+func (r *requestState) rank() int {
+	if r.overQuota || r.pastObjective {
+		return deferredRank
 	}
-	return len(r.tries) == 0 || c.inBudget(r, 0)
+	return preferredRank
 }
 
-func (c *Controller) enqueue(r *request, front bool) {
-	list := &r.ten.lists[r.Class][c.rank(r)]
-	if front {
-		*list = append([]*request{r}, *list...)
-	} else {
-		*list = append(*list, r)
+func (c *Controller) queueOf(request *requestState) *[]*requestState {
+	return &request.tenant.queues[request.Class][request.rank()]
+}
+
+// enqueue puts a request at the end of its queue.
+func (c *Controller) enqueue(request *requestState) {
+	queue := c.queueOf(request)
+	*queue = append(*queue, request)
+	request.queued = true
+	c.queuedRequests++
+}
+
+// enqueueFirst puts a request that is retried at the head of its queue.
+func (c *Controller) enqueueFirst(request *requestState) {
+	queue := c.queueOf(request)
+	*queue = slices.Insert(*queue, 0, request)
+	request.queued = true
+	c.queuedRequests++
+}
+
+// dequeue takes a request out of its queue, if it is in it.
+func (c *Controller) dequeue(request *requestState) {
+	if !request.queued {
+		return
 	}
-	r.queued = true
-	c.queued++
+	queue := c.queueOf(request)
+	if at := slices.Index(*queue, request); at >= 0 {
+		*queue = slices.Delete(*queue, at, at+1)
+	}
+	request.queued = false
+	c.queuedRequests--
 }
 
-func (c *Controller) dequeue(r *request) {
-	if !r.queued {
+// ordered reports whether the request is bound to the order of its key.
+func (r *requestState) ordered() bool { return r.classSettings.Ordered && r.Key != "" }
+
+func (c *Controller) joinKeyQueue(request *requestState) {
+	if !request.ordered() {
 		return
 	}
-	list := &r.ten.lists[r.Class][c.rank(r)]
-	for i, q := range *list {
-		if q == r {
-			*list = append((*list)[:i], (*list)[i+1:]...)
-			break
-		}
+	queue := c.keyQueues[request.Key]
+	if queue == nil {
+		queue = &keyQueue{}
+		c.keyQueues[request.Key] = queue
+	}
+	queue.requests = append(queue.requests, request)
+}
+
+func (c *Controller) leaveKeyQueue(request *requestState) {
+	queue := c.keyQueues[request.Key]
+	if queue == nil || !request.ordered() {
+		return
+	}
+	if at := slices.Index(queue.requests, request); at >= 0 {
+		queue.requests = slices.Delete(queue.requests, at, at+1)
 	}
-	r.queued = false
-	c.queued--
 }
 
-// rank is 1 for what is served only when nothing of rank 0 waits in its class.
-func (c *Controller) rank(r *request) int {
-	if !r.over && !r.late {
-		return 0
+// forgetIdleKeys drops the queues of keys that neither hold a request nor cool down.
+func (c *Controller) forgetIdleKeys() {
+	for key, queue := range c.keyQueues { // the order of the map reaches no action
+		if len(queue.requests) == 0 && c.now >= queue.coolingUntil {
+			delete(c.keyQueues, key)
+		}
 	}
-	return 1
 }
 
-// holdsUp tells whether a request in time waits behind this one for their key.
-func (c *Controller) holdsUp(r *request) bool {
-	k := c.keys[r.Key]
-	if !r.cls.Ordered || r.Key == "" || k == nil {
+// delaysSameKey reports whether a request that is in time waits behind this one for their key.
+func (c *Controller) delaysSameKey(request *requestState) bool {
+	queue := c.keyQueues[request.Key]
+	if queue == nil || !request.ordered() {
 		return false
 	}
-	at := slices.Index(k.line, r)
-	return at >= 0 && slices.ContainsFunc(k.line[at+1:], func(o *request) bool { return !o.late && !o.done })
+	at := slices.Index(queue.requests, request)
+	return at >= 0 && slices.ContainsFunc(queue.requests[at+1:], func(other *requestState) bool {
+		return !other.pastObjective && !other.answered
+	})
 }
 
-// shed refuses one request when the queue is full: over-share and late first, then least worth per work,
-// then the youngest of the longest list.
-func (c *Controller) shed() {
-	var worst *request
-	low, long := math.Inf(1), 0
-	for _, t := range c.tens {
-		for i := range t.lists {
-			for rank, list := range t.lists[i] {
-				if len(list) == 0 {
+// shedLoad rejects the last request of one queue: of the deferred ones if there are any, then of the class with the
+// least weight per work, then of the longest queue.
+func (c *Controller) shedLoad() {
+	var worst *requestState
+	lowest, longest := math.Inf(1), 0
+	for _, tenant := range c.tenants {
+		for _, ranks := range tenant.queues {
+			for rank, queue := range ranks {
+				if len(queue) == 0 {
 					continue
 				}
-				r := list[len(list)-1]
-				d := r.cls.PriorityWeight/c.workOf(r) - float64(rank)*1e9
-				if d < low || (d == low && len(list) > long) {
-					low, long, worst = d, len(list), r
+				last := queue[len(queue)-1]
+				value := last.classSettings.PriorityWeight/c.expectedWork(last) - float64(rank)*deferredPenalty
+				if value < lowest || (value == lowest && len(queue) > longest) {
+					lowest, longest, worst = value, len(queue), last
 				}
 			}
 		}
 	}
-	c.giveUp(worst)
+	c.rejectOrFail(worst)
 }
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -5,41 +5,64 @@
 	"time"
 )
 
+// A tenant's tokens are limited to so many seconds of its rate and a reserve, as arrivals come by chance.
 const (
-	spareTokens = 3.0              // reserve of a tenant beyond two seconds of its rate, for chance
-	rateFade    = 15 * time.Second // own arrivals are smoothed over so long: longer than most bursts
+	quotaBurstSeconds = 2
+	quotaTokenReserve = 3.0
 )
 
-// beyondShare meters a tenant against this gateway's part of its allowance.
-func (c *Controller) beyondShare(r *request) bool {
-	if r.Tenant >= len(c.set.Tenants) || c.set.Tenants[r.Tenant].RequestsPerSecond <= 0 {
+// arrivalRateDecay is the time constant over which arrivals are smoothed; longer than most bursts.
+const arrivalRateDecay = 15 * time.Second
+
+// minObservation is the least time over which a rate of arrivals is reckoned.
+const minObservation = 2 * time.Second
+
+// overQuota takes a token for the request from its tenant's bucket, and reports whether there was none. The bucket
+// fills at this front end's part of the tenant's rate.
+func (c *Controller) overQuota(request *requestState) bool {
+	if request.Tenant >= len(c.settings.Tenants) || c.settings.Tenants[request.Tenant].RequestsPerSecond <= 0 {
 		return false
 	}
-	t, rate := r.ten, c.set.Tenants[r.Tenant].RequestsPerSecond/float64(c.set.Replicas)
-	rate *= c.uneven(c.arrivals(t), rate)
-	t.tokens = math.Min(t.tokens+rate*(c.now-t.filled).Seconds(), 2*rate+spareTokens)
-	over := t.tokens < 1
-	if t.filled = c.now; !over {
-		t.tokens--
+	tenant := request.tenant
+	rate := c.settings.Tenants[request.Tenant].RequestsPerSecond / float64(c.settings.Replicas)
+	rate *= c.quotaShare(c.arrivalRate(tenant), rate)
+	limit := quotaBurstSeconds*rate + quotaTokenReserve
+	tenant.tokens = math.Min(tenant.tokens+rate*(c.now-tenant.tokensAt).Seconds(), limit)
+	tenant.tokensAt = c.now
+	if tenant.tokens < 1 {
+		return true
 	}
-	return over
+	tenant.tokens--
+	return false
 }
 
-// arrivals is a tenant's own rate, smoothed, and right from the start on.
-func (c *Controller) arrivals(t *tenant) float64 {
-	t.rate *= math.Exp(-float64(c.now-t.ratedAt) / float64(rateFade))
-	t.ratedAt = c.now
-	return t.rate / (1 - math.Exp(-max(c.now-c.startedAt, 2*time.Second).Seconds()/rateFade.Seconds()))
+// arrivalRate is the rate at which requests of a tenant arrive here, a second, smoothed. The division makes up for the
+// time before the first step, which the smoothing takes for one without requests.
+func (c *Controller) arrivalRate(tenant *tenantState) float64 {
+	tenant.arrivalRate *= math.Exp(-float64(c.now-tenant.arrivalRateAt) / float64(arrivalRateDecay))
+	tenant.arrivalRateAt = c.now
+	observed := max(c.now-c.startedAt, minObservation)
+	return tenant.arrivalRate / (1 - math.Exp(-observed.Seconds()/arrivalRateDecay.Seconds()))
 }
 
-// uneven is how many times an equal part our own part is, by what arrives here against an equal part of what
-// the allowances let through. Overload and repeats of clients come to 2.5 at equal gateways (from 1.5 on, an
-// overload lost 0.15); more is a gateway with more clients. The sum over all stays under the equal parts and
-// what arrives. Covers clients that stick to a gateway; may harm in a tenant's burst of longer than rateFade.
-func (c *Controller) uneven(rate, equal float64) float64 {
-	if c.set.Replicas < stretchFrom || equal <= 0 {
+// quotaShare is the part of this front end over an equal part, by the rate that arrives here and the one that an equal
+// part of the quotas allows. Overload and clients' retries bring more than an equal part everywhere, so that only
+// what is far above it tells of a front end with more clients. The parts of all front ends together stay below the
+// equal parts and what arrives. A burst of one tenant longer than arrivalRateDecay is taken for clients.
+func (c *Controller) quotaShare(rate, equal float64) float64 {
+	if c.settings.Replicas < subsetMinReplicas || equal <= 0 {
 		return 1
 	}
-	x := rate / equal
-	return math.Max(1, math.Min(x, 2*(x-2)))
+	ratio := rate / equal
+	return math.Max(1, math.Min(ratio, 2*(ratio-2)))
+}
+
+// fleetQuotaShare is the quotaShare over all tenants together.
+func (c *Controller) fleetQuotaShare() float64 {
+	rate, equal := 0.0, 0.0
+	for i, tenant := range c.settings.Tenants {
+		rate += c.arrivalRate(c.tenants[i])
+		equal += tenant.RequestsPerSecond / float64(c.settings.Replicas)
+	}
+	return c.quotaShare(rate, equal)
 }
--- a/admission/ramp_greedy_test.go
+++ b/admission/ramp_greedy_test.go
@@ -94,10 +94,10 @@
 		}
 	}
 	c.Step(at, []Event{EndpointsChanged{Kind: Persisted, Engines: list}})
-	for i := range c.classes {
-		c.classes[i].work = f.works[i]
+	for i := range c.estimates {
+		c.estimates[i].work = f.works[i]
 	}
-	c.classes[0].estN, c.classes[1].estN = 100*(1-f.heavy), 100*f.heavy
+	c.estimates[0].requests, c.estimates[1].requests = 100*(1-f.heavy), 100*f.heavy
 }
 
 // news is what a front end hears of the list by that time.
@@ -132,10 +132,9 @@
 }
 
 // send lets as many requests of that work go as the budget lets through, and books them as Controller.send does.
-func (f *greedyFleet) send(c *Controller, e *engine, work float64) {
-	for c.ready(e) < 1 && c.coldRoom(e, work) {
-		_, _, heavy := c.coldBudget(e, work)
-		e.spend(spend{c.now, work, heavy}, c.set.SlowStart.OverloadWindow)
+func (f *greedyFleet) send(c *Controller, e *engineState, work float64) {
+	for c.warmth(e) < 1 && c.slowStartAllows(e, work) {
+		c.recordSlowStartSend(e, work)
 		f.got[e.ID] = append(f.got[e.ID], rampSend{at: c.now, work: work, informed: true})
 	}
 }
@@ -158,7 +157,7 @@
 
 // play lets all send for the whole ramp of all engines.
 func (f *greedyFleet) play(t *testing.T, troubles greedyTroubles) {
-	for at := rampBegin; at < rampBegin+rampCold+4*sec; at += wake {
+	for at := rampBegin; at < rampBegin+rampCold+4*sec; at += housekeepingInterval {
 		age := at - rampBegin
 		if (troubles.restarts && age%sec == 0 && age < 8*sec) || (troubles.allAnew && age == 2*sec) {
 			f.restart(t, at, int(age/sec), troubles)
@@ -212,7 +211,7 @@
 	for seed := range uint64(3) {
 		f := newGreedyFleet(t, seed, greedyTroubles{})
 		for _, g := range f.ctls {
-			g.set.SlowStart.OverloadMultiple *= 2
+			g.settings.SlowStart.OverloadMultiple *= 2
 		}
 		f.play(t, greedyTroubles{})
 		w := f.judge()
--- a/admission/ramp_test.go
+++ b/admission/ramp_test.go
@@ -162,7 +162,7 @@
 	if d.troubles.errors && s.Engine == d.erring && d.rng.IntN(5) > 0 {
 		return Errored, 5 * ms
 	}
-	return OK, d.works[s.ID] / time.Duration(d.ctls[ctl].reqs[s.ID].cls.Threads)
+	return OK, d.works[s.ID] / time.Duration(d.ctls[ctl].requests[s.ID].classSettings.Threads)
 }
 
 // counts notes an attempt that reaches a cold engine. Each further attempt of a request counts again.
@@ -454,7 +454,7 @@
 	for _, mix := range rampMixes[4:5] {
 		d := newRampDay(t, mix, 6, rampTroubles{flood: true})
 		for _, c := range d.ctls {
-			c.set.SlowStart.OverloadMultiple = 0
+			c.settings.SlowStart.OverloadMultiple = 0
 		}
 		d.play()
 		if w := d.judge(); w.falls == 0 {
--- a/admission/request.go
+++ b/admission/request.go
@@ -5,108 +5,126 @@
 	"time"
 )
 
-type request struct {
+// requestState is what the controller keeps of a request, until it is answered and none of its attempts is in flight.
+type requestState struct {
 	Request
-	cls       *Class
-	ten       *tenant
-	arrived   time.Duration
-	due       time.Duration // the client gives up
-	aim       time.Duration // full worth until here
-	over      bool          // beyond its tenant's share
-	late      bool
-	queued    bool
-	done      bool
-	streaming bool
-	tries     []attempt
-	out       int
-	promised  bool          // withdrawn, and its repeat not yet sent
-	foretold  time.Duration // what the notes of an attempt that was ended for it foretold
-	doubt     bool          // an attempt may have run
-	doubtSent time.Duration // when the first such attempt was sent
-	doubtAt   *engine
+	classSettings *Class
+	tenant        *tenantState
+	deadline      time.Duration // the client gives up, or the front end ends
+	objectiveAt   time.Duration // until then an answer earns the full weight
+
+	overQuota     bool // beyond its tenant's quota
+	pastObjective bool // it can't be served by objectiveAt
+	queued        bool
+	streaming     bool // its answer has begun
+	answered      bool // has its final answer
+
+	attempts      []attemptState
+	inFlight      int           // attempts in flight
+	retryReserved bool          // an attempt was migrated, and its retry is not sent yet
+	predicted     time.Duration // time that the progress of an attempt foretold when it was migrated; 0: none was
+
+	// Set by the first attempt that may have run and whose answer is not known.
+	mayHaveRun      bool
+	mayHaveRunSince time.Duration // when that attempt was sent
+	mayHaveRunOn    *engineState
 }
 
-func (c *Controller) request(ev Request) {
-	if c.reqs[ev.ID] != nil || ev.Class < 0 || ev.Class >= len(c.set.Classes) {
+// handleRequest takes a request in. One whose ID is in use or whose class is not known is passed over.
+func (c *Controller) handleRequest(event Request) {
+	if c.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(c.settings.Classes) {
 		return
 	}
-	cl, k := &c.set.Classes[ev.Class], &c.classes[ev.Class]
-	r := &request{Request: ev, cls: cl, arrived: c.now, due: c.dueBy(c.now + ev.Timeout)}
-	if c.set.RetryBudget != nil {
-		c.takenAt = append(c.takenAt, c.now)
+	request := c.newRequest(event)
+	c.estimates[event.Class].countRequest(request)
+	request.objectiveAt = c.objectiveOf(request)
+	c.countArrival(request)
+	c.requests[request.ID] = request
+	c.unanswered = append(c.unanswered, request)
+	c.joinKeyQueue(request)
+	c.enqueue(request)
+	if !c.canMeetDeadline(request, 1) { // it may come with no time left at all
+		c.rejectOrFail(request)
+	} else if c.queuedRequests > max(minQueueLimit, int(c.fleet.threadLimit*queuedPerThread)) {
+		c.shedLoad()
 	}
-	if ev.Tenant < 0 || ev.Tenant >= len(c.tens) {
-		r.Tenant = 0
+}
+
+func (c *Controller) newRequest(event Request) *requestState {
+	request := &requestState{
+		Request:       event,
+		classSettings: &c.settings.Classes[event.Class],
+		deadline:      c.capDeadline(c.now + event.Timeout),
 	}
-	r.ten = c.tens[r.Tenant]
-	r.MemMB = math.Max(r.MemMB, 0)
-	if k.estN++; r.Work > 0 && k.n < fixAfter { // before answers tell, estimates do
-		k.work += (r.Work.Seconds() - k.work) / k.estN
+	if event.Tenant < 0 || event.Tenant >= len(c.tenants) {
+		request.Tenant = 0
 	}
-	// A try with less time left than any first try is of an older request, unless its caller marks such.
-	spent := max(0, cl.Deadline*3/4-ev.Timeout)
-	if c.set.MarksRetry && !ev.Retry {
+	request.tenant = c.tenants[request.Tenant]
+	request.MemMB = math.Max(request.MemMB, 0)
+	return request
+}
+
+// objectiveOf is when the request stops earning its full weight. The time that its client has spent on earlier
+// attempts counts. Clients that don't mark retries show them by a timeout that is shorter than that of a first try.
+func (c *Controller) objectiveOf(request *requestState) time.Duration {
+	class := request.classSettings
+	spent := max(0, class.Deadline*3/4-request.Timeout)
+	if c.settings.MarksRetry && !request.Retry {
 		spent = 0
 	}
-	stretch := time.Duration(cl.ObjectivePerWork * c.workOf(r) / float64(cl.Threads) * float64(time.Second))
-	r.aim = min(c.now+cl.LatencyObjective+stretch-spent, r.due)
-	c.arrivals(r.ten)
-	r.ten.rate += 1 / rateFade.Seconds()
-	r.over = c.beyondShare(r)
-	c.probes = math.Min(c.probes+c.probeRate(), probeBurst)
-	c.bytes = math.Min(c.bytes+tellBytes, 64*tellBytes)
-	c.reqs[r.ID] = r
-	c.open = append(c.open, r)
-	if cl.Ordered && r.Key != "" {
-		if c.keys[r.Key] == nil {
-			c.keys[r.Key] = &keyLine{}
-		}
-		c.keys[r.Key].line = append(c.keys[r.Key].line, r)
-	}
-	c.enqueue(r, false)
-	if !c.fits(r, 1) { // it may come with no time left at all
-		c.giveUp(r)
-	} else if c.queued > max(queueLeast, int(c.fleet.run*queueFactor)) {
-		c.shed()
+	forWork := class.ObjectivePerWork * c.expectedWork(request) / float64(class.Threads) * float64(time.Second)
+	return min(c.now+class.LatencyObjective+time.Duration(forWork)-spent, request.deadline)
+}
+
+// countArrival books the request with its tenant and earns what arrivals allow: retries, health checks and gossip.
+func (c *Controller) countArrival(request *requestState) {
+	if c.settings.RetryBudget != nil {
+		c.retryBudget.arrivals = append(c.retryBudget.arrivals, c.now)
 	}
+	c.arrivalRate(request.tenant)
+	request.tenant.arrivalRate += 1 / arrivalRateDecay.Seconds()
+	request.overQuota = c.overQuota(request)
+	c.healthChecks.credit = math.Min(c.healthChecks.credit+c.healthCheckRate(), healthCheckBurst)
+	c.gossip.credit = math.Min(c.gossip.credit+gossipBytesPerRequest, maxGossipCredit)
 }
 
-// giveUp gives the final answer at once: refused where a repeat is harmless, failed where it may not be.
-func (c *Controller) giveUp(r *request) {
-	if r.done || r.out > 0 {
+// rejectOrFail gives the final answer at once, if no attempt is in flight.
+func (c *Controller) rejectOrFail(request *requestState) {
+	if request.answered || request.inFlight > 0 {
 		return
 	}
-	if c.mayRepeat(r) && !r.streaming &&
-		(!r.doubt || r.cls.Idempotency == Idempotent || r.cls.DeduplicationScope == ScopeAll) {
-		c.do(Reject{ID: r.ID, RetryAfter: min(c.set.MaxRetryAfter, r.cls.LatencyObjective)})
+	if c.repeatIsHarmless(request) {
+		retryAfter := min(c.settings.MaxRetryAfter, request.classSettings.LatencyObjective)
+		c.emit(Reject{ID: request.ID, RetryAfter: retryAfter})
 	} else {
-		c.do(Fail{ID: r.ID})
+		c.emit(Fail{ID: request.ID})
 	}
-	c.close(r)
+	c.closeRequest(request)
 }
 
-// close marks the request as answered; its attempts that are still out keep their caps until they end.
-func (c *Controller) close(r *request) {
-	if !r.done {
-		r.done = true
-		c.settle(r)
-		c.dequeue(r)
+// repeatIsHarmless reports whether the client may send the request again. Its repeat may reach any engine, so that
+// one that may have run and is idempotent by key needs a scope of all engines.
+func (c *Controller) repeatIsHarmless(request *requestState) bool {
+	class := request.classSettings
+	return c.retryAllowed(request) && !request.streaming &&
+		(!request.mayHaveRun || class.Idempotency == Idempotent || class.DeduplicationScope == ScopeAll)
+}
+
+// closeRequest marks the request as answered. What its attempts in flight reserve stays reserved until they end.
+func (c *Controller) closeRequest(request *requestState) {
+	if !request.answered {
+		request.answered = true
+		c.releaseReservedRetry(request)
+		c.dequeue(request)
 	}
-	c.forget(r)
+	c.forgetRequest(request)
 }
 
-// forget drops a request that is over and has nothing out, and lets the next of its key go.
-func (c *Controller) forget(r *request) {
-	if r.out > 0 || c.reqs[r.ID] != r {
+// forgetRequest drops an answered request that has no attempt in flight, and with it its place in the queue of its key.
+func (c *Controller) forgetRequest(request *requestState) {
+	if request.inFlight > 0 || c.requests[request.ID] != request {
 		return
 	}
-	delete(c.reqs, r.ID)
-	if k := c.keys[r.Key]; k != nil && r.cls.Ordered && r.Key != "" {
-		for i, o := range k.line {
-			if o == r {
-				k.line = append(k.line[:i], k.line[i+1:]...)
-				break
-			}
-		}
-	}
+	delete(c.requests, request.ID)
+	c.leaveKeyQueue(request)
 }
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -6,102 +6,135 @@
 	"time"
 )
 
+// An attempt has a slow plan if its progress foretells slowPlanMultiple times its expected time or more; it is migrated
+// if another attempt saves slowPlanMinGain times its own expected time or more.
 const (
-	badBy    = 4.0 // times the expected time foretold that tell a bad plan ...
-	badGain  = 2.0 // ... and expected times that another attempt must save
-	vainPart = 0.7 // of the time foretold to be left: notes are rough
+	slowPlanMultiple = 4.0
+	slowPlanMinGain  = 2.0
 )
 
-// mayRepeat: an unsafe attempt in doubt is never sent again, a keyed one only within its window.
-func (c *Controller) mayRepeat(r *request) bool {
-	return !r.doubt || r.cls.Idempotency == Idempotent ||
-		(r.cls.Idempotency == IdempotentWithKey && c.now < r.doubtSent+r.cls.DeduplicationWindow)
+// remainingTimeFraction is how much of the time that progress foretells to be left is counted on; progress is rough.
+const remainingTimeFraction = 0.7
+
+// dearerClass is how many times the priority weight of a class is that of one for which it leaves the last retry.
+const dearerClass = 2
+
+// retryBudgetState counts what the retry budget is reckoned from.
+type retryBudgetState struct {
+	arrivals []time.Duration // of requests, within the budget's window
+	retries  []time.Duration // sent within the window
+	reserved int             // for migrated attempts whose retries are not sent yet
+}
+
+// mayRetry reports whether a request without an attempt in flight may have another.
+func (c *Controller) mayRetry(request *requestState) bool {
+	return !request.streaming && !c.aboutToEnd() && c.canMeetDeadline(request, 1) &&
+		len(request.attempts) < c.settings.MaxAttempts && c.retryAllowed(request)
 }
 
-// inBudget tells whether a further attempt of the request stays within the budget, where there is one, beside
-// so many others that are promised. The last one is kept for classes worth more than the request's.
-func (c *Controller) inBudget(r *request, promised int) bool {
-	if c.set.RetryBudget == nil {
+// retryAllowed reports whether the idempotency of the request allows another attempt (invariant 3).
+func (c *Controller) retryAllowed(request *requestState) bool {
+	if !request.mayHaveRun {
 		return true
 	}
-	c.slide(c.now - c.set.RetryBudget.Window)
-	if slices.ContainsFunc(c.set.Classes, func(o Class) bool { return o.PriorityWeight > 2*r.cls.PriorityWeight }) {
-		promised++
+	switch request.classSettings.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return c.now < request.mayHaveRunSince+request.classSettings.DeduplicationWindow
+	default:
+		return false
 	}
-	most := c.set.RetryBudget.MinRetries + c.set.RetryBudget.Ratio*float64(len(c.takenAt))
-	return float64(len(c.extraAt)+promised+1) <= most
 }
 
-// slide lets what is older leave the window of the budget; an arrival at its edge no longer counts.
-func (c *Controller) slide(from time.Duration) {
-	for len(c.takenAt) > 0 && c.takenAt[0] <= from {
-		c.takenAt = c.takenAt[1:]
+// withinRetryBudget reports whether a retry of the request keeps to the budget beside so many reserved ones
+// (invariant 7). The last one is left for classes of more weight.
+func (c *Controller) withinRetryBudget(request *requestState, reserved int) bool {
+	budget := c.settings.RetryBudget
+	if budget == nil {
+		return true
 	}
-	for len(c.extraAt) > 0 && c.extraAt[0] < from {
-		c.extraAt = c.extraAt[1:]
+	c.trimRetryWindow(c.now - budget.Window)
+	weight := request.classSettings.PriorityWeight
+	if slices.ContainsFunc(c.settings.Classes, func(other Class) bool {
+		return other.PriorityWeight > dearerClass*weight
+	}) {
+		reserved++
 	}
+	limit := budget.MinRetries + budget.Ratio*float64(len(c.retryBudget.arrivals))
+	return float64(len(c.retryBudget.retries)+reserved+1) <= limit
 }
 
-// settle takes the promise of a repeat off the books, once it is sent or the request is over.
-func (c *Controller) settle(r *request) {
-	if r.promised {
-		r.promised = false
-		c.promised--
+// trimRetryWindow forgets what is before the window. At its edge a retry still counts and an arrival doesn't.
+func (c *Controller) trimRetryWindow(from time.Duration) {
+	state := &c.retryBudget
+	for len(state.arrivals) > 0 && state.arrivals[0] <= from {
+		state.arrivals = state.arrivals[1:]
+	}
+	for len(state.retries) > 0 && state.retries[0] < from {
+		state.retries = state.retries[1:]
 	}
 }
 
-// mayMove tells whether an attempt may be withdrawn for another in its place.
-func (c *Controller) mayMove(o *attemptRef) bool {
-	r, t := o.req, &o.req.tries[o.n]
-	return c.set.CancellationAllowed && t.open && !t.recalled &&
-		r.cls.Idempotency == Idempotent && !r.streaming && !r.done &&
-		len(r.tries) < c.set.MaxAttempts && c.inBudget(r, c.promised)
+// releaseReservedRetry gives the reservation of a retry back, once it is sent or the request is over.
+func (c *Controller) releaseReservedRetry(request *requestState) {
+	if request.retryReserved {
+		request.retryReserved = false
+		c.retryBudget.reserved--
+	}
 }
 
-func (c *Controller) withdraw(o *attemptRef) {
-	r, t := o.req, &o.req.tries[o.n]
-	t.recalled, r.promised = true, true
-	c.promised++
-	c.do(Cancel{ID: r.ID, Attempt: o.n})
+// migratable reports whether an attempt may be cancelled for another in its place. Where retries are limited, only one
+// whose retry may follow is.
+func (c *Controller) migratable(ref *attemptRef) bool {
+	request, attempt := ref.request, ref.attempt()
+	return c.settings.CancellationAllowed && attempt.inFlight && !attempt.cancelled &&
+		request.classSettings.Idempotency == Idempotent && !request.streaming && !request.answered &&
+		len(request.attempts) < c.settings.MaxAttempts && c.withinRetryBudget(request, c.retryBudget.reserved)
 }
 
-// takeBack withdraws an attempt out for longer than expected that may be repeated, so that it goes elsewhere.
-// Where further attempts are rationed, none is withdrawn whose repeat could not follow (inBudget).
-func (c *Controller) takeBack(o *attemptRef) {
-	t := &o.req.tries[o.n]
-	if c.mayMove(o) && c.now-t.sent > t.expect {
-		c.withdraw(o)
+// migrate cancels a migratable attempt; its retry is sent once its outcome has come.
+func (c *Controller) migrate(ref *attemptRef) {
+	ref.request.retryReserved = true
+	c.retryBudget.reserved++
+	c.cancelAttempt(ref)
+}
+
+// migrateIfSlow migrates an attempt that takes longer than expected.
+func (c *Controller) migrateIfSlow(ref *attemptRef) {
+	if attempt := ref.attempt(); c.migratable(ref) && c.now-attempt.sentAt > attempt.expected {
+		c.migrate(ref)
 	}
 }
 
-// takeBackAll looks at what is out on an engine, of one class or of all where that is negative.
-func (c *Controller) takeBackAll(e *engine, class int) {
-	for _, o := range e.outs {
-		if class < 0 || o.req.Class == class {
-			c.takeBack(o)
-		}
+// migrateAttempts migrates the slow ones of an engine's attempts.
+func (c *Controller) migrateAttempts(engine *engineState) {
+	for _, ref := range engine.attempts {
+		c.migrateIfSlow(ref)
 	}
 }
 
-// badPlan ends an attempt whose notes foretell many times the expected time at the pace of its engine, where
-// another should end well before it. The plan is drawn anew for each attempt while the cost stays: a query
-// that showed as much before is costly, and left to run. Covers also an engine grown slow, and long waits for
-// memory. May harm where estimates of one class scatter by more than badBy. What can't end before its client
-// leaves and can't be repeated is ended too: its work is lost in any case.
-func (c *Controller) badPlan(o *attemptRef, done float64) {
-	r, t := o.req, &o.req.tries[o.n]
-	out := float64(c.now - t.sent)
-	total := out / math.Max(done, 1e-3)
-	usual := float64(c.service(r, math.Max(t.eng.pace, c.fleet.pace)))
-	again := float64(c.service(r, c.fleet.pace))
-	bad := total >= badBy*usual && total-out >= badGain*again
-	bad = bad && (r.foretold == 0 || total < float64(r.foretold)/2)
-	switch vain := out+(total-out)*vainPart > float64(r.due-t.sent); {
-	case bad && c.mayMove(o) && c.fits(r, c.fleet.pace):
-		r.foretold = time.Duration(total)
-		c.withdraw(o)
-	case vain && c.set.CancellationAllowed && t.open && !t.recalled && r.cls.Idempotency == Idempotent && !r.streaming:
-		t.recalled = true
-		c.do(Cancel{ID: r.ID, Attempt: o.n})
+// migrateSlowPlan takes the fraction of an attempt's work that is done, and migrates the attempt if that foretells many
+// times its expected time and another should end well before it. The plan differs from attempt to attempt, but not
+// the cost of the request: one whose earlier attempt foretold as much is costly, and left to run. Progress that is
+// slow as the engine is, or waits for memory, is taken for a slow plan too; and estimates of a class that scatter by
+// more than slowPlanMultiple cost attempts. An idempotent attempt that can't end before its deadline is cancelled in
+// any case.
+func (c *Controller) migrateSlowPlan(ref *attemptRef, done float64) {
+	request, attempt := ref.request, ref.attempt()
+	elapsed := float64(c.now - attempt.sentAt)
+	total := elapsed / math.Max(done, 1e-3)
+	expected := float64(c.expectedLatency(request, math.Max(attempt.engine.slowdown, c.fleet.medianSlowdown)))
+	expectedElsewhere := float64(c.expectedLatency(request, c.fleet.medianSlowdown))
+
+	slow := total >= slowPlanMultiple*expected && total-elapsed >= slowPlanMinGain*expectedElsewhere
+	costly := request.predicted > 0 && total >= float64(request.predicted)/2
+	inVain := elapsed+(total-elapsed)*remainingTimeFraction > float64(request.deadline-attempt.sentAt)
+	switch {
+	case slow && !costly && c.migratable(ref) && c.canMeetDeadline(request, c.fleet.medianSlowdown):
+		request.predicted = time.Duration(total)
+		c.migrate(ref)
+	case inVain && attempt.inFlight && request.classSettings.Idempotency == Idempotent && !request.streaming:
+		c.cancelAttempt(ref)
 	}
 }
--- a/admission/shutdown.go
+++ b/admission/shutdown.go
@@ -1,41 +1,41 @@
 package admission
 
-import (
-	"time"
-)
+import "time"
 
-const (
-	stopMargin = 600 * time.Millisecond // before the gateway's end: for cancels to be proved
-)
+// shutdownMargin is how long before the end of the front end its attempts are cancelled, so that their outcomes come.
+const shutdownMargin = 600 * time.Millisecond
 
-// stop caps all waits by the gateway's end: what can't be served before is refused while its client has time
-// to ask another gateway (fits), and what may be repeated is called back shortly before (callBack).
-func (c *Controller) stop(ev ShutdownRequested) {
-	c.stopAt = c.now + ev.Timeout
-	for _, r := range c.open {
-		r.due = c.dueBy(r.due)
+// handleShutdownRequested caps all deadlines by the end of the front end. What can't be served before it is rejected
+// while clients have time to ask another front end, and what may be repeated is cancelled shortly before it.
+func (c *Controller) handleShutdownRequested(event ShutdownRequested) {
+	c.shutdownAt = c.now + event.Timeout
+	for _, request := range c.unanswered {
+		request.deadline = c.capDeadline(request.deadline)
 	}
 }
 
-func (c *Controller) dueBy(due time.Duration) time.Duration {
-	if c.stopAt > 0 {
-		due = min(due, c.stopAt)
+// capDeadline is the deadline, or the end of the front end if that is earlier.
+func (c *Controller) capDeadline(deadline time.Duration) time.Duration {
+	if c.shutdownAt > 0 {
+		deadline = min(deadline, c.shutdownAt)
 	}
-	return due
+	return deadline
 }
 
-// ending tells that the gateway is about to end: what ends without an answer now goes to another gateway.
-func (c *Controller) ending() bool { return c.stopAt > 0 && c.now >= c.stopAt-stopMargin }
+// aboutToEnd reports whether the front end ends so soon that nothing is retried here.
+func (c *Controller) aboutToEnd() bool {
+	return c.shutdownAt > 0 && c.now >= c.shutdownAt-shutdownMargin
+}
 
-// callBack ends what is out and may be repeated elsewhere, once the gateway is about to end: else its clients
-// would wait out their time for an answer that never comes.
-func (c *Controller) callBack() {
-	if !c.ending() {
+// cancelBeforeShutdown cancels the idempotent attempts in flight once the front end is about to end, so that their
+// clients are rejected and ask another one.
+func (c *Controller) cancelBeforeShutdown() {
+	if !c.aboutToEnd() {
 		return
 	}
-	for _, r := range c.open {
-		if r.cls.Idempotency == Idempotent && !r.streaming {
-			c.recall(r)
+	for _, request := range c.unanswered {
+		if request.classSettings.Idempotency == Idempotent && !request.streaming {
+			c.cancelAttempts(request)
 		}
 	}
 }
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -8,103 +8,163 @@
 	"beechcart/decision/slowstart"
 )
 
+// The parts of a warming engine's budget: for fine work, from all front ends together, and for each of the two turns
+// that any window meets. A front end that is shutting down keeps to a part of its part, as its successor may run.
 const (
-	coldFine    = 0.5             // part of the cold budget for work finer than our part of it ...
-	coldLeaving = 0.5             // ... of our part while we end: our successor may run beside us ...
-	coldTurn    = 0.27            // ... and for each of the two turns that any window holds
-	coldSlot    = 0.55            // slots of turns in windows: half a one, and the time that a turn lasts
-	guessFor    = 3 * time.Second // an engine that was lost counts as cold until the list had time to tell
+	fineWorkFraction = 0.5
+	turnFraction     = 0.27
+	shutdownFraction = 0.5
 )
 
-type spend struct {
-	at    time.Duration
-	work  float64
-	heavy bool // went in a turn
+// slotFraction is the length of a slot of turns over the overload window: half of it, and the time that a turn lasts.
+const slotFraction = 0.55
+
+// minFineRequests is how many requests of a work a front end's part has to hold for that work to be fine.
+const minFineRequests = 2
+
+// assumedWarmingLimit is how long an engine counts as warming without word from discovery that it has restarted.
+const assumedWarmingLimit = 3 * time.Second
+
+// workKind says how work goes to a warming engine.
+type workKind int
+
+const (
+	fineWork  workKind = iota // at any time, within this front end's part
+	heavyWork                 // in this front end's turns
+)
+
+// slowStartSend is a send to a warming engine.
+type slowStartSend struct {
+	sentAt time.Duration
+	work   float64 // seconds over all threads
+	kind   workKind
 }
 
-func (c *Controller) startCold(e *engine, at time.Duration) {
-	e.coldFrom, e.repAt, e.guess, e.lost, e.rest = at, -1, 0, false, 0
-	clear(e.mutes)
-	e.ejected, e.strikes, e.pace, e.factor, e.lastOK = false, 0, 1, factorStart, c.now
+// warmingBudget is the work that a warming engine may get within an overload window, in seconds over all threads.
+type warmingBudget struct {
+	total float64 // from all front ends
+	fine  float64 // of fine work, from this front end
 }
 
-// ready is what an engine can do now, as a share of what it can do warm.
-func (c *Controller) ready(e *engine) float64 {
-	age := float64(c.now-e.coldFrom) / math.Max(float64(c.set.SlowStart.Duration), 1)
-	if e.coldFrom >= 0 && (age >= 1 || (e.guess > 0 && c.now-e.guess > guessFor)) {
-		e.coldFrom, e.spent, e.guess = -1, nil, 0
+// kindOf is heavyWork for work that is more than a fraction of this front end's part.
+func (b warmingBudget) kindOf(work float64) workKind {
+	if work > b.fine/minFineRequests {
+		return heavyWork
 	}
-	if e.coldFrom < 0 {
+	return fineWork
+}
+
+// beginSlowStart takes an engine for a new process that started at that time.
+func (c *Controller) beginSlowStart(engine *engineState, at time.Duration) {
+	engine.warmingSince, engine.warmingAssumedAt = at, 0
+	engine.reportedAt = -1
+	engine.slowdown, engine.threadFactor = 1, initialThreadFactor
+	engine.lastAnswerAt = c.now
+	engine.ejected, engine.processMayBeNew = false, false
+	engine.consecutiveFailures, engine.overloadedUntil = 0, 0
+	clear(engine.classRests)
+}
+
+// warmth is the capacity of an engine now over its full capacity, 1 once it is warm. It ends a slow start whose time is
+// over.
+func (c *Controller) warmth(engine *engineState) float64 {
+	age := float64(c.now-engine.warmingSince) / math.Max(float64(c.settings.SlowStart.Duration), 1)
+	assumed := engine.warmingAssumedAt > 0
+	if engine.warmingSince >= 0 && (age >= 1 || (assumed && c.now-engine.warmingAssumedAt > assumedWarmingLimit)) {
+		engine.warmingSince, engine.warmingAssumedAt = -1, 0
+		engine.slowStartSends = nil
+	}
+	if engine.warmingSince < 0 {
 		return 1
 	}
-	return c.set.SlowStart.InitialCapacity + (1-c.set.SlowStart.InitialCapacity)*math.Max(age, 0)
+	initial := c.settings.SlowStart.InitialCapacity
+	return initial + (1-initial)*math.Max(age, 0)
 }
 
-// coldRoom guards against pushing a cold engine over: all gateways together stay within its budget in any
-// window, in the usual work of the classes, against the least it can do (ColdFrom). Work much finer than our
-// part goes within that part. Heavier work goes in turns: each gateway whose stretch reaches it has one, by
-// the list and the clock, and no window meets more than two (decision/slowstart). When it went by chance, never
-// beside fine work, it stood for 15 s while new engines idled (docs/fleet.md). Those that came past engines
-// ejected or erring leave it alone, and so does one that started within the window and does not know what its
-// last run spent; one that ends may have its successor beside it. May harm where no gateway near it has
-// anything to send, and after a change of the list; where clocks differ, turns meet by chance.
-func (c *Controller) coldRoom(e *engine, work float64) bool {
-	if c.ready(e) >= 1 || c.set.SlowStart.OverloadMultiple <= 0 {
+// slowStartAllows reports whether an engine that is warming may get a request of that work. All front ends together
+// keep to its budget in any window (invariant 8). Work much finer than this front end's part goes within that part.
+// Heavier work goes in turns, by the list and the clock; where front ends' clocks differ, their turns meet by chance.
+// Nothing goes in the first window of this front end, which doesn't know what its previous process sent; and no heavy
+// work once it is shutting down, as its successor may have the same turns.
+func (c *Controller) slowStartAllows(engine *engineState, work float64) bool {
+	window := c.settings.SlowStart.OverloadWindow
+	if c.warmth(engine) >= 1 || c.settings.SlowStart.OverloadMultiple <= 0 {
 		return true
 	}
-	window := c.set.SlowStart.OverloadWindow
-	if c.now < c.startedAt+window || e.share.PartAt(c.now, window) == 0 {
+	if c.now < c.startedAt+window || engine.slowStartShare.PartAt(c.now, window) == 0 {
 		return false
 	}
-	budget, fine, heavy := c.coldBudget(e, work)
-	if c.stopAt > 0 {
-		fine *= coldLeaving
+	budget := c.warmingBudget(engine)
+	if budget.kindOf(work) == heavyWork {
+		return c.shutdownAt == 0 && c.turnAllows(engine, work, budget.total)
 	}
-	if !heavy {
-		return work+e.spentSince(c.now-window, false) <= fine
+	if c.shutdownAt > 0 {
+		budget.fine *= shutdownFraction
 	}
-	slot := time.Duration(coldSlot * float64(window))
-	if c.stopAt > 0 || !e.share.Turn(c.now, slot) {
+	return work+engine.slowStartWorkSince(c.now-window, fineWork) <= budget.fine
+}
+
+// turnAllows reports whether it is this front end's turn at the engine and the turn has room for the work. One request
+// heavier than the turn's part goes by chance, with a draw that holds for the slot.
+func (c *Controller) turnAllows(engine *engineState, work, budget float64) bool {
+	slot := time.Duration(slotFraction * float64(c.settings.SlowStart.OverloadWindow))
+	if !engine.slowStartShare.Turn(c.now, slot) {
 		return false
 	}
-	if c.now >= e.luckUntil {
-		e.luck, e.luckUntil = c.rand(), c.now+slot
+	if c.now >= engine.randomDrawUntil {
+		engine.randomDraw, engine.randomDrawUntil = c.random.float64(), c.now+slot
 	}
-	spent := e.spentSince(c.now-slot, true)
-	w := slowstart.Window{Budget: budget, Mean: c.meanWork(), Fine: coldFine, Turn: coldTurn}
-	return spent+work <= budget*coldTurn || (spent == 0 && e.luck < w.HeavyChance(work, c.now, slot))
+	spent := engine.slowStartWorkSince(c.now-slot, heavyWork)
+	if spent+work <= budget*turnFraction {
+		return true
+	}
+	window := slowstart.Window{
+		Budget: budget, Mean: c.meanRequestWork(), Fine: fineWorkFraction, Turn: turnFraction,
+	}
+	return spent == 0 && engine.randomDraw < window.HeavyChance(work, c.now, slot)
 }
 
-// coldBudget is what a cold engine may get in a window, at the least, our part of it for fine work, and
-// whether this work is too heavy for that part.
-func (c *Controller) coldBudget(e *engine, work float64) (all, fine float64, heavy bool) {
-	s := &c.set.SlowStart
-	all = s.OverloadMultiple * (s.InitialCapacity + c.ready(e)) / 2 * e.cores * s.OverloadWindow.Seconds()
-	fine = all * coldFine * e.share.PartAt(c.now, c.set.SlowStart.OverloadWindow)
-	return all, fine, work > fine/2
+// warmingBudget is reckoned with the mean of what the engine can do now and at its start.
+func (c *Controller) warmingBudget(engine *engineState) warmingBudget {
+	slowStart := &c.settings.SlowStart
+	total := slowStart.OverloadMultiple * (slowStart.InitialCapacity + c.warmth(engine)) / 2 * engine.cores *
+		slowStart.OverloadWindow.Seconds()
+	return warmingBudget{
+		total: total,
+		fine:  total * fineWorkFraction * engine.slowStartShare.PartAt(c.now, slowStart.OverloadWindow),
+	}
 }
 
-// meanWork is the mean work of the requests that came here, by what is known now of their classes.
-func (c *Controller) meanWork() float64 {
+// meanRequestWork is the mean work of the requests that came here, by what is known now of their classes.
+func (c *Controller) meanRequestWork() float64 {
 	work, requests := 0.0, 0.0
-	for i := range c.classes {
-		k := &c.classes[i]
-		work, requests = work+k.estN*k.work, requests+k.estN
+	for i := range c.estimates {
+		estimate := &c.estimates[i]
+		work += estimate.requests * estimate.work
+		requests += estimate.requests
 	}
 	return work / math.Max(requests, 1)
 }
 
-// spentSince sums the own work sent since then, heavy or fine.
-func (e *engine) spentSince(from time.Duration, heavy bool) (sum float64) {
-	for _, s := range e.spent {
-		if s.at > from && s.heavy == heavy {
-			sum += s.work
+// slowStartWorkSince sums up the work of that kind that this front end sent after that time.
+func (e *engineState) slowStartWorkSince(from time.Duration, kind workKind) (sum float64) {
+	for _, send := range e.slowStartSends {
+		if send.sentAt > from && send.kind == kind {
+			sum += send.work
 		}
 	}
 	return sum
 }
 
-// spend books own work, and forgets what no window of that length holds any more.
-func (e *engine) spend(s spend, window time.Duration) {
-	e.spent = append(slices.DeleteFunc(e.spent, func(o spend) bool { return o.at <= s.at-window }), s)
+// recordSlowStartSend books a send to an engine that is warming, and forgets what no window holds any more.
+func (c *Controller) recordSlowStartSend(engine *engineState, work float64) {
+	if c.warmth(engine) >= 1 {
+		return
+	}
+	outside := c.now - c.settings.SlowStart.OverloadWindow
+	engine.slowStartSends = slices.DeleteFunc(engine.slowStartSends, func(send slowStartSend) bool {
+		return send.sentAt <= outside
+	})
+	kind := c.warmingBudget(engine).kindOf(work)
+	engine.slowStartSends = append(engine.slowStartSends, slowStartSend{c.now, work, kind})
 }
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -6,64 +6,83 @@
 	"beechcart/decision/slowstart"
 )
 
-const (
-	stretch     = 2  // engines to draw from, where only own answers bring reports
-	stretchFrom = 10 // gateways from which on; fewer see enough of all engines each
-)
+// subsetEngines is how many engines a front end sends to where it hears of them by its own answers only.
+const subsetEngines = 2
+
+// subsetMinReplicas is the number of front ends from which on they send to subsets; fewer hear enough of all engines.
+const subsetMinReplicas = 10
+
+// subsetState is the stretch of the ring of engines that this front end sends to.
+type subsetState struct {
+	first       int       // index of the engine at which it begins
+	capacities  []float64 // cores of the engines along the ring; 0: not in use
+	listChanged bool      // since the slow start shares were assigned
+	size        float64   // in cores; +Inf: all engines
+	equalSize   float64   // the size for a front end with an equal part of the clients
+	quotaShare  float64   // this front end's part of the clients over an equal one
+}
 
-// arc gives each gateway its own stretch of a ring of the engines, where it can't hear enough of all. They
-// start evenly over the capacity and are of equal capacity, so that all engines get as much, each from fewer.
-// With more clients a stretch is longer by as much, and the part of each engine the same.
-func (c *Controller) arc() {
-	c.subset, c.base, c.part = math.Inf(1), math.Inf(1), 1/float64(c.set.Replicas)
-	share := stretch / math.Max(float64(c.fleet.all), 1)
-	if !c.set.GossipAllowed && c.set.Replicas >= stretchFrom && share < 1 {
-		c.base, c.part = c.fleet.cores*share, math.Min(1, c.part/share)
-		c.subset = c.base * c.ours
+// updateSubset sizes the subset of this front end. Subsets begin evenly over the capacity of the ring and are of equal
+// capacity, so that all engines get as much, each from fewer front ends. One with more clients has a longer one, and
+// the same part of each engine.
+func (c *Controller) updateSubset() {
+	subset := &c.subset
+	subset.size, subset.equalSize = math.Inf(1), math.Inf(1)
+	c.engineShare = 1 / float64(c.settings.Replicas)
+	fraction := subsetEngines / math.Max(float64(c.fleet.engines), 1)
+	if !c.settings.GossipAllowed && c.settings.Replicas >= subsetMinReplicas && fraction < 1 {
+		subset.equalSize = c.fleet.cores * fraction
+		subset.size = subset.equalSize * subset.quotaShare
+		c.engineShare = math.Min(1, c.engineShare/fraction)
 	}
-	c.divide()
+	c.assignSubset()
 }
 
-// divide finds where the own stretch begins and, after a change of the list, our shares of the engines while they are
-// cold, with all engines well and an equal part of the clients.
-func (c *Controller) divide() {
-	c.capacity = c.capacity[:0]
-	for _, e := range c.engines {
-		cores := e.cores
-		if e.gone {
+// assignSubset finds where the subset begins and, after a change of the list, this front end's shares of the engines'
+// slow starts. These are reckoned with no engine ejected and an equal part of the clients, so that all front ends come
+// to the same division.
+func (c *Controller) assignSubset() {
+	subset, me, replicas := &c.subset, c.settings.Me, c.settings.Replicas
+	subset.capacities = subset.capacities[:0]
+	for _, engine := range c.engines {
+		cores := engine.cores
+		if engine.unavailable {
 			cores = 0
 		}
-		c.capacity = append(c.capacity, cores)
+		subset.capacities = append(subset.capacities, cores)
 	}
-	if c.first = 0; !math.IsInf(c.base, 1) {
-		c.first = slowstart.First(c.capacity, c.set.Me, c.set.Replicas)
+	all := math.IsInf(subset.equalSize, 1)
+	subset.first = 0
+	if !all {
+		subset.first = slowstart.First(subset.capacities, me, replicas)
 	}
-	if !c.relisted {
+	if !subset.listChanged {
 		return
 	}
-	c.relisted = false
-	for i, share := range slowstart.Shares(c.capacity, c.set.Me, c.set.Replicas, c.base) {
-		e := c.engines[i]
-		if math.IsInf(c.base, 1) {
-			e.share = slowstart.Fixed(share)
+	subset.listChanged = false
+	for i, share := range slowstart.Shares(subset.capacities, me, replicas, subset.equalSize) {
+		engine := c.engines[i]
+		if all {
+			engine.slowStartShare = slowstart.Fixed(share)
 		} else {
-			e.share = e.share.Change(share, c.now, c.set.SlowStart.OverloadWindow)
+			engine.slowStartShare = engine.slowStartShare.Change(share, c.now, c.settings.SlowStart.OverloadWindow)
 		}
 	}
 }
 
-// along gathers in near the engines of the ring from our own place on, neither draining nor gone, that count,
-// until what they come to makes up the size.
-func (c *Controller) along(size float64, count func(*engine) (float64, bool)) {
-	c.near = c.near[:0]
-	for i, seen := 0, 0.0; i < len(c.engines) && seen < size; i++ {
-		e := c.engines[(c.first+i)%len(c.engines)]
-		if e.gone {
+// subsetFrom gathers as candidates the engines from the begin of the subset on that are in use and that the function
+// admits, until the capacities that it gives make up the size.
+func (c *Controller) subsetFrom(size float64, admit func(*engineState) (capacity float64, ok bool)) {
+	c.candidates.engines = c.candidates.engines[:0]
+	gathered := 0.0
+	for i := 0; i < len(c.engines) && gathered < size; i++ {
+		engine := c.engines[(c.subset.first+i)%len(c.engines)]
+		if engine.unavailable {
 			continue
 		}
-		if w, ok := count(e); ok {
-			seen += w
-			c.near = append(c.near, e)
+		if capacity, ok := admit(engine); ok {
+			gathered += capacity
+			c.candidates.engines = append(c.candidates.engines, engine)
 		}
 	}
 }
--- a/internal/scale/capacity/rows_front_end.go
+++ b/internal/scale/capacity/rows_front_end.go
@@ -11,7 +11,7 @@
 	byMachine   = "state machine: decision/rollout"
 	byHandler   = "HTTP calls of a replica: internal/fleet/api.go"
 	byList      = "change log or Consul: internal/source"
-	byArc       = "arc: admission/controller.go"
+	bySubset    = "updateSubset: admission/subset.go"
 	bySessions  = "client sessions: internal/mysql"
 	byExchange  = "a statement's way: internal/mysql, internal/dispatch, internal/engine"
 	byFiles     = "files, SIGHUP by hand: cmd/gateway/run.go"
@@ -154,15 +154,15 @@
 
 func probeRows() []Row {
 	return []Row{
-		{What: "pairs of a front end and a database", Unit: Count, Mechanism: byArc,
+		{What: "pairs of a front end and a database", Unit: Count, Mechanism: bySubset,
 			Terms: arithmetic(allMembers, Factor{"databases", planEngines})},
-		{What: "databases that a front end sends to, the mean", Unit: Count, Mechanism: byArc, Terms: one(perEngine("databases_sent_to_count"))},
-		{What: "databases that a front end probes, the mean", Unit: Count, Mechanism: byArc, Terms: one(perEngine("databases_probed_count"))},
-		{What: "databases that a front end speaks to, the mean", Unit: Count, Mechanism: byArc, Terms: one(perEngine("databases_spoken_to_count"))},
-		{What: "databases that a front end speaks to, the most", Unit: Count, Mechanism: byArc, Terms: worst("databases_spoken_to_most_count")},
-		{What: "pairs that speak, in the fleet", Unit: Count, Mechanism: byArc, Terms: one(perEngine("databases_spoken_to_count", allMembers))},
-		{What: "probes that a front end sends", Unit: PerSecond, Mechanism: byArc, Terms: one(perEngine("alone_probes_sent_per_second"))},
-		{What: "statements of a front end that run at once, the most", Unit: Count, Mechanism: byArc, Terms: worst("alone_statements_out_most_count")},
+		{What: "databases that a front end sends to, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_sent_to_count"))},
+		{What: "databases that a front end probes, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_probed_count"))},
+		{What: "databases that a front end speaks to, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_spoken_to_count"))},
+		{What: "databases that a front end speaks to, the most", Unit: Count, Mechanism: bySubset, Terms: worst("databases_spoken_to_most_count")},
+		{What: "pairs that speak, in the fleet", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_spoken_to_count", allMembers))},
+		{What: "probes that a front end sends", Unit: PerSecond, Mechanism: bySubset, Terms: one(perEngine("alone_probes_sent_per_second"))},
+		{What: "statements of a front end that run at once, the most", Unit: Count, Mechanism: bySubset, Terms: worst("alone_statements_out_most_count")},
 		{What: "connections to one database that a front end keeps, the most", Unit: Count, Mechanism: "decision/reuse",
 			Terms: worst("database_connections_kept_most_count")},
 	}
--- a/internal/scale/capacity/rows_others.go
+++ b/internal/scale/capacity/rows_others.go
@@ -12,9 +12,9 @@
 
 func databaseRows() []Row {
 	return []Row{
-		{What: "front ends that a database sees, the mean", Unit: Count, Mechanism: byArc, Terms: one(perMember("front_ends_seen_count"))},
-		{What: "front ends that a database sees, the most", Unit: Count, Mechanism: byArc, Terms: worst("front_ends_seen_most_count")},
-		{What: "probes at a database", Unit: PerSecond, Mechanism: byArc, Terms: one(perMember("alone_probes_received_per_second"))},
+		{What: "front ends that a database sees, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perMember("front_ends_seen_count"))},
+		{What: "front ends that a database sees, the most", Unit: Count, Mechanism: bySubset, Terms: worst("front_ends_seen_most_count")},
+		{What: "probes at a database", Unit: PerSecond, Mechanism: bySubset, Terms: one(perMember("alone_probes_received_per_second"))},
 	}
 }
 
