--- a/Makefile
+++ b/Makefile
@@ -4,57 +4,64 @@
 
 # A front end with stand-in engines and a stand-in Consul on loopback, until Ctrl-C.
 demo: build
-	bin/beechctl demo
+	bin/gatewayctl demo
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
+	ln -sf gateway bin/gateway
+	ln -sf gatewayctl bin/beechctl
+	ln -sf gateway-sim bin/gateway-sim
 
 test:
 	bash .ci/run
 
-# What README's test command runs: form, vet, staticcheck, and all tests in release and debug builds with the race detector.
+# What README's test command runs: form, linters, and all tests in release and debug builds with the race detector.
 check: lint cheap
 	go build ./...
-	go build -tags lean -o /dev/null ./cmd/beechcart
+	go build -tags lean -o /dev/null ./cmd/gateway
 	go test -race -count=1 ./...
-	go test -count=1 -run 'Search|At300|Walks|Mutations' ./decision/rollout ./decision/ledger
+	go test -count=1 -run 'Search|At300|Walks|Mutations' ./decision/rollout ./decision/execution
 	go test -race -count=1 -tags debug ./internal/... ./decision/...
 
+# Form, vet on each build, staticcheck, and golangci-lint, whose version tools/go.mod fixes and whose rules are in
+# .golangci.yml.
 lint:
 	@unformatted=$$(gofmt -l .); test -z "$$unformatted" || { echo "not gofmt-clean: $$unformatted"; exit 1; }
-	go vet ./... && go vet -tags debug ./... && go vet -tags lean ./cmd/beechcart ./internal/source/...
+	go vet ./... && go vet -tags debug ./... && go vet -tags lean ./cmd/gateway ./internal/source/...
 	go tool staticcheck ./...
+	go build -C tools -o ../bin/golangci-lint github.com/golangci/golangci-lint/v2/cmd/golangci-lint
+	bin/golangci-lint run
 
 # Counts what requests cost and holds them to bench/baseline.json.
 cheap: build
-	go build -tags count -o bin/beechcart-count ./cmd/beechcart
-	bin/beechctl bench path --counting bin/beechcart-count --gate bench/baseline.json
+	go build -tags count -o bin/gateway-count ./cmd/gateway
+	bin/gatewayctl bench path --counting bin/gateway-count --gate bench/baseline.json
 
 cheap-record: build
-	go build -tags count -o bin/beechcart-count ./cmd/beechcart
-	bin/beechctl bench path --counting bin/beechcart-count --record bench/baseline.json
+	go build -tags count -o bin/gateway-count ./cmd/gateway
+	bin/gatewayctl bench path --counting bin/gateway-count --record bench/baseline.json
 
 # make drill SEED=7 SECONDS=60
 SECONDS ?= 30
 drill: build
-	bin/beechctl drill catalogue --seconds $(SECONDS) $(if $(SEED),--seed $(SEED))
+	bin/gatewayctl drill catalogue --seconds $(SECONDS) $(if $(SEED),--seed $(SEED))
 
 # The seeds that failed once, with all faults: about four minutes.
 drill-seeds:
-	DRILL_SEEDS=1 go test -count=1 -run SeedsThatFailedOnce ./internal/drill
+	DRILL_SEEDS=1 go test -count=1 -run SeedsThatFailedOnce ./internal/faulttest
 
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/engine
 	go test -run '^$$' -fuzz '^FuzzParseQuery$$' -fuzztime 20s ./internal/mysql
 	go test -run '^$$' -fuzz '^FuzzParseLogin$$' -fuzztime 20s ./internal/mysql
-	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/figure
-	go test -run '^$$' -fuzz '^FuzzRead$$' -fuzztime 20s ./internal/roster
+	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/decimal
+	go test -run '^$$' -fuzz '^FuzzRead$$' -fuzztime 20s ./internal/endpoints
 	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/consul
-	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/lastgood
+	go test -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s ./internal/source/endpointcache
 
 # make run CONFIG=path/to/config.json
 run: build
-	PROXY_CONFIG=$(CONFIG) bin/beechcart
+	PROXY_CONFIG=$(CONFIG) bin/gateway
 
 # Lays what the bench reads beside a site file next to the variants of deploy/sites; git ignores it.
 GIVEN ?= ../given
--- a/cmd/beechcart/consul_test.go
+++ b/cmd/gateway/consul_test.go
@@ -25,8 +25,8 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/admin"
+	"beechcart/internal/fake/consul"
 	"beechcart/internal/source"
-	"beechcart/internal/standin/consul"
 )
 
 // catalogue starts a stand-in Consul that names those engines.
@@ -342,7 +342,7 @@
 		says     string
 	}{
 		"help":                  {"", []string{"--help"}, 0, "completion"},
-		"version":               {"", []string{"version"}, 0, "beechcart"},
+		"version":               {"", []string{"version"}, 0, "gateway"},
 		"unknown flag":          {"", []string{"--nope"}, 2, "unknown flag: --nope"},
 		"unknown command":       {"", []string{"nope"}, 2, `unknown command "nope"`},
 		"surplus word":          {"", []string{"run", "nope"}, 2, "nope"},
--- a/cmd/beechcart/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -11,8 +11,8 @@
 	"beechcart/internal/engine"
 	"beechcart/internal/fleet"
 	"beechcart/internal/invariant"
-	"beechcart/internal/operators"
-	"beechcart/internal/settings"
+	"beechcart/internal/operatorconfig"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/source"
 )
 
@@ -28,12 +28,12 @@
 	feed     *source.Feed
 	engines  *engine.Fleet
 	counters *invariant.Counters
-	names    settings.Names
+	names    platformconfig.Names
 	cores    []admission.Kind
 	goes     chan int
 }
 
-func joinFleet(cfg *settings.Config, ops operators.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
+func joinFleet(cfg *platformconfig.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
 	f := ops.Fleet
 	if f.Gossip == "" {
 		return outside{}, nil
--- a/cmd/beechcart/helper_test.go
+++ b/cmd/gateway/helper_test.go
@@ -23,14 +23,14 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/door"
-	"beechcart/internal/testprogram"
+	"beechcart/internal/processstats"
+	"beechcart/internal/testbinary"
 )
 
 // program is the binary under test: a debug build, so that a broken invariant ends it.
 var program string
 
-func TestMain(m *testing.M) { testprogram.Main(m, &program, "-race", "-tags", "debug") }
+func TestMain(m *testing.M) { testbinary.Main(m, &program, "-race", "-tags", "debug") }
 
 const facts = `{"discovery":"push","family_info":{"holds_tables":[false,true],"kind_memory_mb":[24576],"lanes_count":true,
 "overbooked":"overcommit","says_cost":true,"size_cores":[12],"tells_every":1000000000,"threads_by_class":[1,2],
@@ -63,7 +63,7 @@
 	deaf   int                                          // the polls up to this one hear nothing of the news
 	spoil  func(w http.ResponseWriter, q *http.Request) // what they get in its place
 
-	door *door.Client
+	door *processstats.Client
 }
 
 type lockedBuffer struct {
@@ -165,9 +165,9 @@
 	require.NoError(r.t, err)
 	theirs := os.NewFile(uintptr(pair[1]), "door")
 	defer theirs.Close()
-	r.door = door.NewClient(os.NewFile(uintptr(pair[0]), "door"))
+	r.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
 	r.t.Cleanup(r.door.Close)
-	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, door.Env+"=3")
+	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, processstats.Env+"=3")
 	require.NoError(r.t, r.cmd.Start())
 	go func() { r.exit <- r.cmd.Wait() }()
 }
--- a/cmd/beechcart/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command beechcart is a real front end: it takes queries over the MySQL protocol and runs them on engines.
+// Command gateway is a real front end: it takes queries over the MySQL protocol and runs them on engines.
 package main
 
 import (
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"beechcart/internal/operators"
-	"beechcart/internal/settings"
+	"beechcart/internal/operatorconfig"
+	"beechcart/internal/platformconfig"
 )
 
 // The exit codes.
@@ -16,7 +16,7 @@
 	exitUsage  = 2 // the command line does not read
 
 	// The fleet has let it go out: what starts programs here is to start it again ...
-	exitRestart = 75 // ... on the revision that 'beechctl fleet wanted' names
+	exitRestart = 75 // ... on the revision that 'gatewayctl fleet wanted' names
 	exitDrained = 76 // ... once it is undrained
 )
 
@@ -37,10 +37,10 @@
 	case errors.As(err, &code):
 		os.Exit(int(code))
 	case errors.As(err, &usage):
-		fmt.Fprintf(os.Stderr, "beechcart: %v\n", err)
+		fmt.Fprintf(os.Stderr, "gateway: %v\n", err)
 		os.Exit(exitUsage)
 	default:
-		fmt.Fprintln(os.Stderr, "beechcart:", err)
+		fmt.Fprintln(os.Stderr, "gateway:", err)
 		os.Exit(exitFailed)
 	}
 }
@@ -49,22 +49,22 @@
 type files struct{ config, settings string }
 
 // load reads both files and checks what can be checked without starting.
-func (f *files) load() (*settings.Config, operators.Settings, error) {
-	ops, err := operators.Load(f.settings)
+func (f *files) load() (*platformconfig.Config, operatorconfig.Settings, error) {
+	ops, err := operatorconfig.Load(f.settings)
 	if err != nil {
 		return nil, ops, err
 	}
 	if err := ops.Check(); err != nil {
 		return nil, ops, fmt.Errorf("settings %s: %w", f.settings, err)
 	}
-	cfg, err := settings.Load(f.config, os.Getenv)
+	cfg, err := platformconfig.Load(f.config, os.Getenv)
 	if err != nil {
 		return nil, ops, err
 	}
 	if err := cfg.Check(); err != nil {
 		return nil, ops, fmt.Errorf("configuration %s: %w", f.config, err)
 	}
-	if ops.Source == operators.ChangeLog && cfg.ChangeLog == "" {
+	if ops.Source == operatorconfig.ChangeLog && cfg.ChangeLog == "" {
 		return nil, ops, fmt.Errorf("configuration %s: changelog: no address is given", f.config)
 	}
 	return cfg, ops, nil
--- a/cmd/beechcart/run.go
+++ b/cmd/gateway/run.go
@@ -18,19 +18,19 @@
 
 	"beechcart/admission"
 	"beechcart/internal/admin"
-	"beechcart/internal/copies"
-	"beechcart/internal/door"
+	"beechcart/internal/copycount"
+	"beechcart/internal/dispatch"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
-	"beechcart/internal/operators"
-	"beechcart/internal/planner"
-	"beechcart/internal/roster"
-	"beechcart/internal/settings"
+	"beechcart/internal/operatorconfig"
+	"beechcart/internal/platformconfig"
+	"beechcart/internal/processstats"
 	"beechcart/internal/source"
 	"beechcart/internal/source/changelog"
 	"beechcart/internal/source/consul"
-	"beechcart/internal/source/lastgood"
+	"beechcart/internal/source/endpointcache"
 )
 
 const (
@@ -73,9 +73,9 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	changes := roster.NewLog(cfg.Names)
-	var known []roster.List
-	if len(cfg.Known) > 0 && ops.Source == operators.ChangeLog {
+	changes := endpoints.NewLog(cfg.Names)
+	var known []endpoints.List
+	if len(cfg.Known) > 0 && ops.Source == operatorconfig.ChangeLog {
 		if known, err = changes.Read(cfg.Known); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
@@ -87,14 +87,14 @@
 	if err := fit(cfg, out); err != nil {
 		return err
 	}
-	plan := planner.New(ctl, cfg.Admission.Classes, counters, log)
+	plan := dispatch.New(ctl, cfg.Admission.Classes, counters, log)
 	trust, err := ops.Connections(cfg.HandshakePrice, cfg.Sockets)
 	if err != nil {
 		return err
 	}
 	fleet := engine.New(engine.Options{
 		ConnectTimeout: cfg.ConnectTimeout, DrainGrace: cfg.Admission.DrainGrace, Sockets: cfg.Sockets / 2, Counters: counters,
-		Classes: cfg.Admission.Classes, Deletes: cfg.Admission.MayCancel, Reuse: trust,
+		Classes: cfg.Admission.Classes, Deletes: cfg.Admission.CancellationAllowed, Reuse: trust,
 	}, plan)
 	front, err := mysql.New(mysql.Options{
 		Names: cfg.Names, Sessions: ops.Clients.Sessions(cfg.Sockets), Idle: ops.Clients.Idle, Counters: counters, Log: log,
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	if err := door.Open(func(f *door.Figures) { f.Counters, f.Copies = counters.Map(), copies.Counts() }); err != nil {
+	if err := processstats.Open(func(f *processstats.Figures) { f.Counters, f.Copies = counters.Map(), copycount.Counts() }); err != nil {
 		return err
 	}
 	go report(ctx, counters, log)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func newLog(w io.Writer, l operators.Log) *slog.Logger {
+func newLog(w io.Writer, l operatorconfig.Log) *slog.Logger {
 	opt := &slog.HandlerOptions{Level: l.Level}
 	if l.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, opt))
@@ -195,7 +195,7 @@
 }
 
 // fit sizes the run time to the machine that the front end has.
-func fit(cfg *settings.Config, log io.Writer) error {
+func fit(cfg *platformconfig.Config, log io.Writer) error {
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores)))
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 7 / 10)
 	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
@@ -205,30 +205,30 @@
 type list struct {
 	files    *files
 	fleet    *engine.Fleet
-	changes  *roster.Log
+	changes  *endpoints.Log
 	feed     *source.Feed
 	log      *slog.Logger
 	counters *invariant.Counters
 
-	ops    operators.Settings // in force
-	consul *consul.Source     // nil: the change log is followed
-	store  *lastgood.Store
+	ops    operatorconfig.Settings // in force
+	consul *consul.Source          // nil: the change log is followed
+	store  *endpointcache.Store
 }
 
 // newSource makes the catalogue that the settings name; nil where they name the change log.
-func newSource(cfg *settings.Config, ops operators.Settings, store consul.Store, counters *invariant.Counters, log *slog.Logger) (*consul.Source, error) {
-	if ops.Source != operators.Consul {
+func newSource(cfg *platformconfig.Config, ops operatorconfig.Settings, store consul.Store, counters *invariant.Counters, log *slog.Logger) (*consul.Source, error) {
+	if ops.Source != operatorconfig.Consul {
 		return nil, nil
 	}
 	return consul.New(ops.Consul, cfg.Names, store, counters, log, cfg.Seed)
 }
 
 // follow moves to the source that the settings name. An error changes nothing.
-func (l *list) follow(cfg *settings.Config, ops operators.Settings) error {
-	var store *lastgood.Store
+func (l *list) follow(cfg *platformconfig.Config, ops operatorconfig.Settings) error {
+	var store *endpointcache.Store
 	var keep consul.Store // stays nil where nothing is kept
-	if ops.LastGood.Path != "" && ops.Source == operators.Consul {
-		store = lastgood.New(ops.LastGood.Path, ops.LastGood.WriteEvery, ops.LastGood.MaxAge, l.log)
+	if ops.LastGood.Path != "" && ops.Source == operatorconfig.Consul {
+		store = endpointcache.New(ops.LastGood.Path, ops.LastGood.WriteEvery, ops.LastGood.MaxAge, l.log)
 		keep = store
 	}
 	src, err := newSource(cfg, ops, keep, l.counters, l.log)
@@ -239,10 +239,10 @@
 	switch {
 	case src == nil:
 		// The events of the change log are numbered on; after another source its first event is asked for again.
-		if was == operators.Consul {
-			l.changes = roster.NewLog(cfg.Names)
+		if was == operatorconfig.Consul {
+			l.changes = endpoints.NewLog(cfg.Names)
 		}
-		l.feed.Follow(changelog.New(l.fleet, cfg.ChangeLog, l.changes, l.log), was != operators.Consul)
+		l.feed.Follow(changelog.New(l.fleet, cfg.ChangeLog, l.changes, l.log), was != operatorconfig.Consul)
 	case l.consul != nil:
 		src.Inherit(l.consul)
 		l.feed.Follow(src, true)
@@ -268,7 +268,7 @@
 // source of the engine list is all that can change while the program runs.
 func (l *list) reload() {
 	cfg, ops, err := l.files.load()
-	if err == nil && ops.Source == operators.Consul && l.consul != nil && reflect.DeepEqual(ops, l.ops) {
+	if err == nil && ops.Source == operatorconfig.Consul && l.consul != nil && reflect.DeepEqual(ops, l.ops) {
 		l.log.Info("reloaded", "source", ops.Source, "changed", false)
 		return
 	}
@@ -279,7 +279,7 @@
 		l.log.Error("reload failed", "error", err)
 		return
 	}
-	if ops.Source == operators.Consul {
+	if ops.Source == operatorconfig.Consul {
 		l.log.Info("reloaded", "source", ops.Source, "addresses", ops.Consul.Addresses)
 		return
 	}
--- a/cmd/beechctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -13,7 +13,7 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/fleet"
-	"beechcart/internal/operators"
+	"beechcart/internal/operatorconfig"
 )
 
 // statusInterval is how often a command that waits asks for the fleet's status.
@@ -38,7 +38,7 @@
 			"whether the command was taken; repeat it with the same --id, and it is done once.",
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"), "operators' settings, as built by 'beechctl config build' (BEECHCART_SETTINGS)")
+	flags.StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"), "operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS)")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 	flags.StringVar(&f.id, "id", "", "id of the command, so that a repeat does it once; none: drawn, and printed if the answer is lost")
 	flags.StringVar(&f.by, "by", os.Getenv("USER"), "who asks, for the audit")
@@ -49,7 +49,7 @@
 
 // client returns a client of the control replicas that the settings name.
 func (f *fleetCommands) client() (*fleet.Client, error) {
-	settings, err := operators.Load(f.settings)
+	settings, err := operatorconfig.Load(f.settings)
 	if err == nil {
 		err = settings.Check()
 	}
--- a/cmd/beechctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/internal/admin"
 	"beechcart/internal/source"
-	"beechcart/internal/source/lastgood"
+	"beechcart/internal/source/endpointcache"
 )
 
 func listCommand() *cobra.Command {
@@ -22,8 +22,8 @@
 	show := &cobra.Command{
 		Use: "show", Short: "Show each engine with its state and the reason", Args: cobra.NoArgs,
 		Long: "show asks a running front end by its admin socket (setting admin_socket), or reads a last good list.",
-		Example: "  beechctl list show --socket /run/beechcart/admin.sock\n" +
-			"  beechctl list show --file /var/lib/beechcart/engines.list --json",
+		Example: "  gatewayctl list show --socket /run/beechcart/admin.sock\n" +
+			"  gatewayctl list show --file /var/lib/beechcart/engines.list --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var list []source.Belief
 			switch {
@@ -38,7 +38,7 @@
 					return fmt.Errorf("list: %w", err)
 				}
 			default:
-				entries, kept, err := lastgood.ReadFile(file)
+				entries, kept, err := endpointcache.ReadFile(file)
 				if err != nil {
 					return noError{fmt.Errorf("%s: %w", file, err)}
 				}
@@ -65,13 +65,13 @@
 }
 
 // stored shows the entries of a file as a front end would that starts with them.
-func stored(entries []membership.Entry) (list []source.Belief) {
+func stored(entries []discovery.Entry) (list []source.Belief) {
 	for _, e := range entries {
-		b := source.Belief{Name: e.Key, ID: membership.Number(e.Key), Address: e.Addr, State: membership.Ready.String(),
-			Reason: string(membership.Restored), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.Started.Milliseconds()}
+		b := source.Belief{Name: e.Key, ID: discovery.Number(e.Key), Address: e.Addr, State: discovery.Ready.String(),
+			Reason: string(discovery.Restored), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.Started.Milliseconds()}
 		switch {
 		case e.Drain:
-			b.State, b.Reason = membership.Draining.String(), string(membership.Commanded)
+			b.State, b.Reason = discovery.Draining.String(), string(discovery.Commanded)
 		case !e.Passing:
 			b.Reason = "check failed when it was kept"
 		}
@@ -98,7 +98,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "counters", Short: "Show the counters of a running front end", Args: cobra.NoArgs,
-		Example: "  beechctl counters --socket /run/beechcart/admin.sock",
+		Example: "  gatewayctl counters --socket /run/beechcart/admin.sock",
 		RunE: func(c *cobra.Command, _ []string) error {
 			text, err := admin.Call(socket, "counters")
 			if err != nil {
--- a/cmd/beechctl/recorded_test.go
+++ b/cmd/gatewayctl/recorded_fleet_test.go
@@ -36,30 +36,30 @@
 }
 
 // fill sets every exported field that v reaches, in the order of their declaration, to a value of its own.
-func fill(v reflect.Value, n *int) {
+func fillFleetValue(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fillFleetValue(v.Elem(), n)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i), n)
+				fillFleetValue(v.Field(i), n)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0), n)
-		fill(v.Index(1), n)
+		fillFleetValue(v.Index(0), n)
+		fillFleetValue(v.Index(1), n)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fillFleetValue(v.Index(i), n)
 		}
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(value, n)
+		fillFleetValue(key, n)
+		fillFleetValue(value, n)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.String:
@@ -77,12 +77,12 @@
 	}
 }
 
-// filled is the JSON text of a value with every field set.
-func filled[T any](t *testing.T) json.RawMessage {
+// filledFleetValue is the JSON text of a value with every field set.
+func filledFleetValue[T any](t *testing.T) json.RawMessage {
 	t.Helper()
 	var value T
 	n := 0
-	fill(reflect.ValueOf(&value).Elem(), &n)
+	fillFleetValue(reflect.ValueOf(&value).Elem(), &n)
 	text, err := json.Marshal(value)
 	require.NoError(t, err)
 	return text
@@ -104,7 +104,7 @@
 // set.
 func TestRecordedFleetJSON(t *testing.T) {
 	replica := &fakeReplica{values: map[string]json.RawMessage{
-		"/status": filled[fleet.Status](t), "/plan": filled[[]rollout.Wave](t), "/apply": filled[rollout.Result](t),
+		"/status": filledFleetValue[fleet.Status](t), "/plan": filledFleetValue[[]rollout.Wave](t), "/apply": filledFleetValue[rollout.Result](t),
 	}}
 	accepted := struct {
 		Permit  uint64 `json:"permit"`
--- a/cmd/beechctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"beechcart/internal/drill"
+	"beechcart/internal/faulttest"
 	"beechcart/internal/scale"
 )
 
@@ -33,7 +33,7 @@
 	c.Long = "Control replicas and some front ends are real processes; the other members are hollow: all of a front end's part in the fleet, with\n" +
 		"no client traffic behind it, many to a process. Everything is on loopback addresses.\n" +
 		"Exit code 0: in the budgets; 1: one missed, which is named on standard error; 2: could not run."
-	c.Example = "  beechctl scale --members 710 --engines 810 --real 4 --control 5 --zones 7 --regions 2 --seconds 60 --seed 7 --json"
+	c.Example = "  gatewayctl scale --members 710 --engines 810 --real 4 --control 5 --zones 7 --regions 2 --seconds 60 --seed 7 --json"
 	f := c.Flags()
 	f.IntVar(&s.options.Members, "members", s.options.Members, "front ends in all: real, hollow, and the control replicas among the hollow ones")
 	f.IntVar(&s.options.Engines, "engines", s.options.Engines, "databases")
@@ -48,7 +48,7 @@
 
 func (s *scaleRun) flags(c *cobra.Command) {
 	o, f := &s.options, c.Flags()
-	f.IntVar(&o.Real, "real", o.Real, "beechcart processes among the members")
+	f.IntVar(&o.Real, "real", o.Real, "gateway processes among the members")
 	f.IntVar(&o.Control, "control", o.Control, "control replicas: 1, 3, 5 or 7")
 	f.IntVar(&o.Zones, "zones", o.Zones, "zones, over which members and databases are spread")
 	f.IntVar(&o.Regions, "regions", o.Regions, "regions, over which zones are spread")
@@ -91,7 +91,7 @@
 	}
 	o.HostCommand = []string{self, "scale", "host"}
 	if o.Real > 0 {
-		if o.Program, err = drill.Program(o.Program); err != nil {
+		if o.Program, err = faulttest.Program(o.Program); err != nil {
 			return err
 		}
 	}
@@ -147,7 +147,7 @@
 	repeats := scale.Repeats{First: 1}
 	c := &cobra.Command{
 		Use: "sweep", Short: "Run several sizes and tell what each quantity grows with", Args: cobra.NoArgs,
-		Example: "  beechctl scale sweep --sizes 50,100,200,400,710 --repeats 3 --seconds 15 --record sweep",
+		Example: "  gatewayctl scale sweep --sizes 50,100,200,400,710 --repeats 3 --seconds 15 --record sweep",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := s.prepare(c); err != nil {
 				return err
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -10,10 +10,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/door"
-	"beechcart/internal/drill"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/engine"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/engine"
+	"beechcart/internal/faulttest"
+	"beechcart/internal/processstats"
 )
 
 // listTimeout is how long a front end may take to read its list of engines.
@@ -33,8 +33,8 @@
 	dir     string
 	log     *changelog.Log
 	engines []*engine.Engine
-	front   *drill.Front
-	door    *door.Client // nil without one
+	front   *faulttest.Front
+	door    *processstats.Client // nil without one
 }
 
 // newTestbed starts a front end on stub engines that answer at once. Probes are off: the controller sends them by time, and
@@ -99,7 +99,7 @@
 // startFront starts the front end, and returns once it has listed all engines.
 func (t *testbed) startFront(o testbedOptions) error {
 	listed := make(chan struct{}, 4096)
-	options := drill.FrontOptions{
+	options := faulttest.FrontOptions{
 		Program:   o.program,
 		Dir:       t.dir,
 		Name:      "n0",
@@ -107,9 +107,9 @@
 		Sockets:   o.sockets,
 		ChangeLog: t.log.Addr,
 		Settings:  o.settings,
-		Facts:     strings.Replace(drill.Facts, `"probes":true`, `"probes":false`, 1),
+		Facts:     strings.Replace(faulttest.Facts, `"probes":true`, `"probes":false`, 1),
 		Line: func(line string) {
-			if _, ok := drill.ParseListed(line); ok {
+			if _, ok := faulttest.ParseListed(line); ok {
 				listed <- struct{}{}
 			}
 		},
@@ -120,10 +120,10 @@
 			return err
 		}
 		defer theirs.Close()
-		options.Files, options.Env = []*os.File{theirs}, []string{door.Env + "=3"}
+		options.Files, options.Env = []*os.File{theirs}, []string{processstats.Env + "=3"}
 	}
 	var err error
-	if t.front, err = drill.StartFront(options); err != nil {
+	if t.front, err = faulttest.StartFront(options); err != nil {
 		return err
 	}
 	return awaitListed(listed, o.engines)
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.door = door.NewClient(os.NewFile(uintptr(pair[0]), "door"))
+	t.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
 	return os.NewFile(uintptr(pair[1]), "door"), nil
 }
 
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"errors"
 
-	"beechcart/internal/copies"
-	"beechcart/internal/figure"
+	"beechcart/internal/copycount"
+	"beechcart/internal/decimal"
 	"beechcart/internal/http1"
 )
 
@@ -188,7 +188,7 @@
 
 // number reads a figure of a size that anything here may have.
 func number(text []byte) (float64, bool) {
-	f, ok := figure.Parse(text)
+	f, ok := decimal.Parse(text)
 	return f, ok && f <= mostFigure
 }
 
@@ -214,7 +214,7 @@
 			return nil, 0, err
 		}
 		copy(buf[w:], buf[n+from:n+from+size])
-		copies.Add(copies.Chunks, size)
+		copycount.Add(copycount.Chunks, size)
 		w, n = w+size, n+from+size+2
 		if size == 0 {
 			return buf[:w], n, nil
--- a/internal/drill/front.go
+++ b/internal/faulttest/front.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"beechcart/internal/drill/rig"
+	"beechcart/internal/faulttest/cluster"
 )
 
 // Front is one real front end process.
@@ -56,7 +56,7 @@
 		if err != nil {
 			return "", fmt.Errorf("drill: %w", err)
 		}
-		named = filepath.Join(filepath.Dir(self), "beechcart")
+		named = filepath.Join(filepath.Dir(self), "gateway")
 	}
 	if _, err := os.Stat(named); err != nil {
 		return "", fmt.Errorf("drill: no front end to start: %w (build it with 'make build', or name it with --beechcart)", err)
@@ -187,7 +187,7 @@
 func (f *Front) Pid() int { return f.cmd.Process.Pid }
 
 // Wait returns once the front end has ended, with its exit code; once, and not beside Stop.
-func (f *Front) Wait() int { return rig.Code(<-f.exit) }
+func (f *Front) Wait() int { return cluster.Code(<-f.exit) }
 
 // Broken tells that an invariant of the front end was broken; empty for none.
 func (f *Front) Broken() string {
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -15,10 +15,10 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // Taker takes requests; their exchanges bring the final answers.
@@ -29,7 +29,7 @@
 
 // Options are what the client side is built with.
 type Options struct {
-	Names    settings.Names
+	Names    platformconfig.Names
 	Sessions int           // most sessions at once
 	Idle     time.Duration // a session that asks nothing is closed after this; 0: idleWait
 	Counters *invariant.Counters
@@ -390,7 +390,7 @@
 
 func (s *session) write(b []byte) error {
 	if len(b) < directWrite {
-		copies.Add(copies.Output, len(b)) // netpoll copies what is small, and links what is large
+		copycount.Add(copycount.Output, len(b)) // netpoll copies what is small, and links what is large
 	}
 	if _, err := s.conn.Writer().WriteBinary(b); err != nil {
 		return err
@@ -536,7 +536,7 @@
 	if err != nil {
 		return false
 	}
-	copies.Add(copies.Encode, len(rows))
+	copycount.Add(copycount.Encode, len(rows))
 	b := appendResult(out[:0], &s.seq, rows)
 	s.srv.opt.Counters.Hold(len(b) == size, "result_size")
 	return s.conn.Writer().Flush() == nil
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -7,15 +7,15 @@
 	"strconv"
 	"time"
 
-	"beechcart/internal/copies"
+	"beechcart/internal/copycount"
+	"beechcart/internal/decimal"
 	"beechcart/internal/exchange"
-	"beechcart/internal/figure"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 )
 
 // parseQuery reads the comment of fields ahead of a statement. What it returns owns its memory: a request
 // outlives the buffer that it came in.
-func parseQuery(q []byte, names settings.Names) (r exchange.Request, err error) {
+func parseQuery(q []byte, names platformconfig.Names) (r exchange.Request, err error) {
 	q = bytes.TrimSpace(q)
 	if !bytes.HasPrefix(q, []byte("/*")) {
 		return r, errors.New("the comment with the fields of the request is missing")
@@ -53,7 +53,7 @@
 		return r, errors.New("there is no statement")
 	}
 	r.Statement = bytes.Clone(text)
-	copies.Add(copies.Statement, len(text))
+	copycount.Add(copycount.Statement, len(text))
 	r.Group = tableGroup(text)
 	return r, nil
 }
@@ -108,10 +108,10 @@
 
 // setField takes one field. Each is checked here, before any is passed on: an engine must not see what it can't
 // use, nor the controller a figure that is none.
-func setField(r *exchange.Request, name, value []byte, names settings.Names) error {
+func setField(r *exchange.Request, name, value []byte, names platformconfig.Names) error {
 	bad := func() error { return fmt.Errorf("field %s: %.40q can't be used", name, value) }
 	number := func(most float64) (float64, bool) {
-		f, ok := figure.Parse(value)
+		f, ok := decimal.Parse(value)
 		return f, ok && f <= most
 	}
 	switch string(name) {
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/decision/watch"
-	"beechcart/internal/drill"
-	"beechcart/internal/roster"
+	"beechcart/decision/watchtimeout"
+	"beechcart/internal/endpoints"
+	"beechcart/internal/fake/changelog"
+	"beechcart/internal/fake/consul"
+	"beechcart/internal/faulttest"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/scale/record"
-	"beechcart/internal/settings"
-	"beechcart/internal/standin/changelog"
-	"beechcart/internal/standin/consul"
 )
 
 const (
@@ -39,11 +39,11 @@
 }
 
 // factsOf are the settings of one front end of a fleet.
-func factsOf(me, members int) (admission.Settings, settings.Names, error) {
-	set, names, err := settings.Parse([]byte(drill.Facts))
+func factsOf(me, members int) (admission.Settings, platformconfig.Names, error) {
+	set, names, err := platformconfig.Parse([]byte(faulttest.Facts))
 	set.Me, set.Replicas = me, members
 	for i := range set.Tenants {
-		set.Tenants[i].AllowPerS = 2 * PlannedRate * float64(members)
+		set.Tenants[i].RequestsPerSecond = 2 * PlannedRate * float64(members)
 	}
 	return set, names, err
 }
@@ -51,7 +51,7 @@
 // measureLists measures what lists of databases weigh at their source and what they cost a front end to read.
 func measureLists(ctx context.Context, o *Options, c *collector) error {
 	c.note("bytes are those of the HTTP streams, question and answer, without headers of IP and TCP; entries are written by the stand-in change log and the stand-in Consul")
-	c.note("CPU of a list: the change log's reader (internal/roster) and the controller's step (admission), in this process")
+	c.note("CPU of a list: the change log's reader (internal/endpoints) and the controller's step (admission), in this process")
 	return o.each(ctx, c, record.ChangeLog, func(p place) error {
 		if err := measureChangeLog(ctx, p); err != nil {
 			return err
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	wait := watch.New(set.DrainGrace, 250*time.Millisecond).Wait()
+	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).Wait()
 	p.as(record.FrontEnd).add("change_log_idle_polls_per_second", 1/wait.Seconds())
 	p.as(record.FrontEnd).add("change_log_idle_bytes_per_second", nothing/wait.Seconds())
 	return nil
@@ -169,7 +169,7 @@
 		return err
 	}
 	now := time.Duration(startedMillis) * time.Millisecond
-	take := func(changes *roster.Log, text []byte) error {
+	take := func(changes *endpoints.Log, text []byte) error {
 		lists, err := changes.Read(text)
 		if err != nil {
 			return err
@@ -180,11 +180,11 @@
 		}
 		return nil
 	}
-	whole, err := cpuEach(func() error { return take(roster.NewLog(names), text) })
+	whole, err := cpuEach(func() error { return take(endpoints.NewLog(names), text) })
 	if err != nil {
 		return err
 	}
-	changes := roster.NewLog(names)
+	changes := endpoints.NewLog(names)
 	event, err := cpuEach(func() error {
 		seq := changes.Seq() + 2 // the first event is a whole list
 		status := []string{"draining", "ready"}[seq%2]
--- a/internal/scale/runner_test.go
+++ b/internal/scale/runner_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/testprogram"
+	"beechcart/internal/testbinary"
 )
 
 // hostVariable lets the test program run as a host, in place of its tests.
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(hostVariable) == "" {
-		testprogram.Main(m, &program, "-tags", "debug")
+		testbinary.Main(m, &program, "-tags", "debug")
 	}
 	if err := RunHost(context.Background(), os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -43,7 +43,7 @@
 }
 
 // The short form: a fleet comes together, drains reach every live member and stay, also when the leading replica is killed. How long that
-// takes, and whether it is in the budgets, is measured by hand ('beechctl scale').
+// takes, and whether it is in the budgets, is measured by hand ('gatewayctl scale').
 func TestASmallFleetHasEveryChangeInForce(t *testing.T) {
 	t.Setenv(hostVariable, "1")
 	o := testOptions(t)
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -1,7 +1,7 @@
 // Package consul makes the engine list from a Consul catalogue, by blocking queries on the health of one service
 // (GET /v1/health/service/NAME: developer.hashicorp.com/consul/api-docs/health). One answer holds node, service and
 // checks of each instance, so that neither the catalogue nor the state of checks is asked apart. When and where to ask
-// is decided by decision/poll, what to believe by decision/membership; this package carries bytes.
+// is decided by decision/poll, what to believe by decision/discovery; this package carries bytes.
 package consul
 
 import (
@@ -15,11 +15,11 @@
 	"time"
 
 	"beechcart/admission"
-	"beechcart/decision/membership"
+	"beechcart/decision/discovery"
 	"beechcart/decision/poll"
+	"beechcart/internal/endpoints"
 	"beechcart/internal/invariant"
-	"beechcart/internal/roster"
-	"beechcart/internal/settings"
+	"beechcart/internal/platformconfig"
 	"beechcart/internal/source"
 )
 
@@ -29,23 +29,23 @@
 // Store keeps the last good list.
 type Store interface {
 	// Load returns the list kept last, and when it was kept.
-	Load() (list []membership.Entry, kept time.Time, err error)
+	Load() (list []discovery.Entry, kept time.Time, err error)
 	// Save keeps a list; it may put it off, and must not block for long.
-	Save(list []membership.Entry)
+	Save(list []discovery.Entry)
 }
 
 // Source follows one catalogue.
 type Source struct {
 	opt      Options
 	addrs    []address
-	names    settings.Names
+	names    platformconfig.Names
 	store    Store // nil: none
 	counters *invariant.Counters
 	log      *slog.Logger
 	now      func() time.Duration // Unix time, monotonic
 
 	mu       sync.Mutex
-	set      *membership.Set
+	set      *discovery.Set
 	restored bool
 	before   *Source // the one that this one takes over from
 
@@ -58,7 +58,7 @@
 }
 
 // New returns a Source, or an error that names the setting that can't be used. store may be nil.
-func New(opt Options, names settings.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64) (*Source, error) {
+func New(opt Options, names platformconfig.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64) (*Source, error) {
 	s := &Source{opt: opt, names: names, store: store, counters: counters, log: log, now: unixClock()}
 	s.client.opt = &s.opt
 	if opt.Service == "" {
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("consul: map: %w", err)
 	}
 	var err error
-	if s.set, err = membership.New(opt.Membership); err != nil {
+	if s.set, err = discovery.New(opt.Membership); err != nil {
 		return nil, fmt.Errorf("consul: %w", err)
 	}
 	if s.poller, err = poll.New(opt.Poll, len(s.addrs), rand.New(rand.NewPCG(seed, 0x6c6973747321))); err != nil {
@@ -129,7 +129,7 @@
 }
 
 // Run reads the catalogue until ctx ends.
-func (s *Source) Run(ctx context.Context, take func(roster.List)) {
+func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
 	defer s.client.close()
 	s.inherit()
 	s.restore(take)
@@ -148,7 +148,7 @@
 }
 
 // restore begins with the last good list, so that a start needs no catalogue.
-func (s *Source) restore(take func(roster.List)) {
+func (s *Source) restore(take func(endpoints.List)) {
 	if s.store == nil || s.restored {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // wait sleeps until a call is due, and carries out what time alone changes.
-func (s *Source) wait(ctx context.Context, due time.Duration, take func(roster.List)) {
+func (s *Source) wait(ctx context.Context, due time.Duration, take func(endpoints.List)) {
 	for ctx.Err() == nil {
 		now := s.now()
 		s.advance(now, take)
@@ -205,9 +205,9 @@
 	return true
 }
 
-func (s *Source) advance(now time.Duration, take func(roster.List)) {
+func (s *Source) advance(now time.Duration, take func(endpoints.List)) {
 	s.mu.Lock()
-	var a membership.Answer
+	var a discovery.Answer
 	if next, ok := s.set.Next(); ok && next <= now {
 		a = s.set.Advance(now)
 	}
@@ -216,7 +216,7 @@
 }
 
 // ask makes one call. What time alone changes meanwhile is carried out while it waits.
-func (s *Source) ask(ctx context.Context, call poll.Call, take func(roster.List)) {
+func (s *Source) ask(ctx context.Context, call poll.Call, take func(endpoints.List)) {
 	s.newToken()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -251,7 +251,7 @@
 	}
 }
 
-func (s *Source) ended(call poll.Call, r reply, err error, take func(roster.List)) {
+func (s *Source) ended(call poll.Call, r reply, err error, take func(endpoints.List)) {
 	at := s.addrs[call.Address].hostPort
 	if err != nil {
 		s.counters.Add("catalogue_failed", 1)
@@ -287,7 +287,7 @@
 }
 
 // carry hands an answer on: the first as a whole list, the later ones as changes.
-func (s *Source) carry(a membership.Answer, take func(roster.List)) {
+func (s *Source) carry(a discovery.Answer, take func(endpoints.List)) {
 	for _, n := range a.Notices {
 		s.counters.Add("notice_"+counterName(n.Kind), 1)
 		s.log.Warn("catalogue", "says", string(n.Kind), "engines", n.Count, "detail", n.Detail)
@@ -296,11 +296,11 @@
 		return
 	}
 	s.counters.Add("catalogue_changes", int64(len(a.Changes)))
-	list := roster.List{Complete: !s.started}
+	list := endpoints.List{Complete: !s.started}
 	s.started = true
 	for _, c := range a.Changes {
-		list.Engines = append(list.Engines, roster.Engine{
-			Engine: admission.Engine{ID: c.ID, Kind: settings.Find(s.names.Kinds, c.Kind), Zone: settings.Find(s.names.Zones, c.Zone),
+		list.Engines = append(list.Engines, endpoints.Engine{
+			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.Find(s.names.Kinds, c.Kind), Zone: platformconfig.Find(s.names.Zones, c.Zone),
 				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.Started},
 			Name: c.Key, Addr: c.Addr, Reason: string(c.Reason),
 		})
@@ -308,26 +308,26 @@
 	take(list)
 }
 
-var states = map[membership.State]admission.State{
-	membership.Ready: admission.Ready, membership.Draining: admission.Draining, membership.Gone: admission.Removed,
+var states = map[discovery.State]admission.State{
+	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Gone: admission.Removed,
 }
 
 // counterName makes one word of a notice.
-func counterName(k membership.NoticeKind) string {
+func counterName(k discovery.NoticeKind) string {
 	switch k {
-	case membership.DoubtBegun:
+	case discovery.DoubtBegun:
 		return "doubt_begun"
-	case membership.DoubtCleared:
+	case discovery.DoubtCleared:
 		return "doubt_cleared"
-	case membership.DoubtSettled:
+	case discovery.DoubtSettled:
 		return "doubt_confirmed"
-	case membership.DoubtExpired:
+	case discovery.DoubtExpired:
 		return "doubt_expired"
-	case membership.EmptyKept:
+	case discovery.EmptyKept:
 		return "empty_kept"
-	case membership.OldWord:
+	case discovery.OldWord:
 		return "old_word"
-	case membership.EpochBegun:
+	case discovery.EpochBegun:
 		return "index_reset"
 	}
 	return "malformed"
