--- a/decision/rollout/command.go
+++ b/decision/rollout/command.go
@@ -204,7 +204,7 @@
 	if err := s.Check(); err != nil {
 		return refuse(BadValue, "%v", err)
 	}
-	m.audit(by, "settings", fmt.Sprintf("%+v", m.Settings), fmt.Sprintf("%+v", s))
+	m.audit(by, "settings", m.Settings.auditText(), s.auditText())
 	m.Settings = s
 	return Result{}
 }
--- a/decision/rollout/settings.go
+++ b/decision/rollout/settings.go
@@ -57,6 +57,20 @@
 	}
 }
 
+// auditText spells the settings as audit entries store them. The names in it are those of the stored form.
+func (s *Settings) auditText() string {
+	return fmt.Sprintf("{FrontEnds:%s Engines:%s WayBack:%s Judge:{Alpha:%v Tolerance:%v Least:%d Dispersion:%v} "+
+		"NotBack:%v CrashLoop:%d CrashWindow:%v Protocol:%v KeepIDs:%d KeepAudit:%d KeepGone:%d}",
+		s.FrontEnds.auditText(), s.Engines.auditText(), s.WayBack.auditText(),
+		s.Judge.Alpha, s.Judge.Tolerance, s.Judge.Least, s.Judge.Dispersion,
+		s.NotBack, s.CrashLoop, s.CrashWindow, s.Protocol, s.KeepIDs, s.KeepAudit, s.KeepGone)
+}
+
+func (b Budget) auditText() string {
+	return fmt.Sprintf("{Most:%d Share:%v RoomMost:%d RoomShare:%v KindMost:%d KindShare:%v Headroom:%v}",
+		b.Most, b.Share, b.RoomMost, b.RoomShare, b.KindMost, b.KindShare, b.Headroom)
+}
+
 // Check names the first setting that can't be used.
 func (s *Settings) Check() error {
 	for _, b := range []struct {
