--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -65,7 +65,7 @@
 
 func (f *inFleet) Goes() <-chan int { return f.goes }
 func (f *inFleet) Serves()          { f.member.Say(rollout.Serving) }
-func (f *inFleet) Leaves()          { f.member.Say(rollout.Leaving) }
+func (f *inFleet) Leaves()          { f.member.Say(rollout.Draining) }
 func (f *inFleet) Gone()            { f.member.Close(goneWithin) }
 
 // Veto implements fleet.Front.
@@ -85,7 +85,7 @@
 func (f *inFleet) Engines() (out []rollout.Engine) {
 	for _, e := range f.feed.Known() {
 		r := rollout.Engine{Name: e.Name, Process: uint64(e.Started), Listed: true, Ready: e.State == admission.Ready}
-		r.Room, r.Kind = nameOf(f.names.Zones, e.Zone), nameOf(f.names.Kinds, e.Kind)
+		r.Zone, r.Kind = nameOf(f.names.Zones, e.Zone), nameOf(f.names.Kinds, e.Kind)
 		if e.Kind >= 0 && e.Kind < len(f.cores) {
 			r.Cores = float64(f.cores[e.Kind].Cores)
 		}
--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -88,11 +88,11 @@
 		return result, noError{err}
 	case err != nil:
 		return result, fmt.Errorf("%w\nit is not known whether it was taken; repeat with --id %s", err, command.ID)
-	case result.Refusal != nil:
+	case result.Rejected != nil:
 		if f.json {
 			_ = printJSON(c.OutOrStdout(), result)
 		}
-		return result, noError{result.Refusal}
+		return result, noError{result.Rejected}
 	case f.json && !f.wait:
 		return result, printJSON(c.OutOrStdout(), result)
 	}
--- a/cmd/gatewayctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -12,23 +12,23 @@
 
 func (f *fleetCommands) drainCommand() *cobra.Command {
 	c := f.holderCommand("drain", "Take a front end or an engine out, where the budget has room",
-		func(h *rollout.Holder) rollout.Command { return rollout.Command{Drain: h} })
+		func(h *rollout.Subject) rollout.Command { return rollout.Command{Drain: h} })
 	f.addWaitFlags(c)
 	return c
 }
 
 func (f *fleetCommands) undrainCommand() *cobra.Command {
 	return f.holderCommand("undrain", "Let it come back",
-		func(h *rollout.Holder) rollout.Command { return rollout.Command{Undrain: h} })
+		func(h *rollout.Subject) rollout.Command { return rollout.Command{Undrain: h} })
 }
 
 func (f *fleetCommands) forgetCommand() *cobra.Command {
 	return f.holderCommand("forget", "Say that it is gone for good: what it holds is free",
-		func(h *rollout.Holder) rollout.Command { return rollout.Command{Forget: h} })
+		func(h *rollout.Subject) rollout.Command { return rollout.Command{RemoveMember: h} })
 }
 
 // holderCommand is a command on one front end or engine. With --wait it returns once that may be stopped.
-func (f *fleetCommands) holderCommand(use, short string, command func(*rollout.Holder) rollout.Command) *cobra.Command {
+func (f *fleetCommands) holderCommand(use, short string, command func(*rollout.Subject) rollout.Command) *cobra.Command {
 	return &cobra.Command{
 		Use: use + " front-end|engine NAME", Short: short,
 		Args: func(_ *cobra.Command, args []string) error {
@@ -39,7 +39,7 @@
 		},
 		Example: "  gatewayctl fleet " + use + " engine s-00c41f7a",
 		RunE: func(c *cobra.Command, args []string) error {
-			holder := rollout.Holder{Name: args[1], Engine: args[0] == "engine"}
+			holder := rollout.Subject{Name: args[1], Engine: args[0] == "engine"}
 			result, err := f.apply(c, command(&holder))
 			if err != nil || !f.wait {
 				return err
@@ -55,14 +55,14 @@
 }
 
 // drainProgress tells whether a holder that is drained under a permit may be stopped.
-func drainProgress(status fleet.Status, holder rollout.Holder, number uint64) (progress, error) {
+func drainProgress(status fleet.Status, holder rollout.Subject, number uint64) (progress, error) {
 	permit := status.State.Permits[number]
 	if permit == nil {
 		return progress{}, noError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number, holder.Name)}
 	}
 	if holder.Engine {
-		return progress{permit.MayStop > 0, status.Blocks[holder.Name]}, nil
+		return progress{permit.DrainedAt > 0, status.Blocks[holder.Name]}, nil
 	}
 	member := status.State.Members[holder.Name]
-	return progress{member != nil && member.Phase == rollout.Gone, []string{holder.Name + " to end"}}, nil
+	return progress{member != nil && member.Phase == rollout.Terminated, []string{holder.Name + " to end"}}, nil
 }
--- a/cmd/gatewayctl/fleet_release.go
+++ b/cmd/gatewayctl/fleet_release.go
@@ -19,7 +19,7 @@
 		f.releaseStepCommand("halt", "Let nobody more go out; with --wait until all that were told to go are seen out",
 			rollout.Command{Halt: &rollout.Halt{Cause: "by an operator"}}, rollout.Halted),
 		f.releaseStepCommand("resume", "Go on with a release that was halted", rollout.Command{Resume: &struct{}{}}, rollout.Done),
-		f.releaseStepCommand("back", "Bring all back to the old revision", rollout.Command{WayBack: &struct{}{}}, rollout.Done))
+		f.releaseStepCommand("back", "Bring all back to the old revision", rollout.Command{Rollback: &struct{}{}}, rollout.Done))
 	return root
 }
 
@@ -36,8 +36,8 @@
 }
 
 // start returns the release of a revision that the flags describe.
-func (r *releaseFlags) start(revision string) (rollout.Start, error) {
-	start := rollout.Start{Revision: revision, From: r.from, Soak: r.soak}
+func (r *releaseFlags) start(revision string) (rollout.StartRelease, error) {
+	start := rollout.StartRelease{Revision: revision, PreviousRevision: r.from, Soak: r.soak}
 	for _, text := range strings.Split(r.waves, ",") {
 		share, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil {
@@ -105,7 +105,7 @@
 			if err != nil {
 				return err
 			}
-			result, err := f.apply(c, rollout.Command{Start: &start})
+			result, err := f.apply(c, rollout.Command{StartRelease: &start})
 			if err != nil || !f.wait {
 				return err
 			}
@@ -151,7 +151,7 @@
 }
 
 // releaseStepCommand is a command on the release that is active. With --wait it returns once the release is in that state.
-func (f *fleetCommands) releaseStepCommand(use, short string, command rollout.Command, done rollout.Condition) *cobra.Command {
+func (f *fleetCommands) releaseStepCommand(use, short string, command rollout.Command, done rollout.ReleaseState) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/gatewayctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -42,7 +42,7 @@
 			lines := status.State.Audit
 			if f.json {
 				if lines == nil {
-					lines = []rollout.Line{}
+					lines = []rollout.AuditEntry{}
 				}
 				return printJSON(c.OutOrStdout(), lines)
 			}
@@ -78,11 +78,11 @@
 		return "", noError{fmt.Errorf("there is no front end %s", name)}
 	}
 	for _, permit := range state.Permits {
-		if permit.Holder == name && !permit.Engine && permit.For == rollout.Drain && !permit.Lifted {
+		if permit.Subject == name && !permit.Engine && permit.Purpose == rollout.Drain && !permit.Cancelled {
 			return "", noError{fmt.Errorf("%s is drained by %s", name, permit.By)}
 		}
 	}
-	return member.Wanted, nil
+	return member.TargetRevision, nil
 }
 
 // writeStatus prints a status for people.
@@ -102,42 +102,42 @@
 }
 
 // permitsByHolder returns the permits by who holds them.
-func permitsByHolder(state *rollout.State) map[rollout.Holder]*rollout.Permit {
-	permits := map[rollout.Holder]*rollout.Permit{}
+func permitsByHolder(state *rollout.State) map[rollout.Subject]*rollout.Permit {
+	permits := map[rollout.Subject]*rollout.Permit{}
 	for _, permit := range state.Permits {
-		permits[rollout.Holder{Name: permit.Holder, Engine: permit.Engine}] = permit
+		permits[rollout.Subject{Name: permit.Subject, Engine: permit.Engine}] = permit
 	}
 	return permits
 }
 
-func writeMembers(w io.Writer, status fleet.Status, permits map[rollout.Holder]*rollout.Permit) {
+func writeMembers(w io.Writer, status fleet.Status, permits map[rollout.Subject]*rollout.Permit) {
 	fmt.Fprintln(w, "FRONT END\tROOM\tREVISION\tSTATE\tPERMIT\tSINCE")
 	for _, name := range slices.Sorted(maps.Keys(status.State.Members)) {
 		member := status.State.Members[name]
 		phase, held := string(member.Phase), ""
-		if member.Doubted {
+		if member.Suspected {
 			phase += ", not heard of"
 		}
-		if permit := permits[rollout.Holder{Name: name}]; permit != nil {
-			held = fmt.Sprintf("%d %s %s", permit.Number, permit.For, permit.Revision)
+		if permit := permits[rollout.Subject{Name: name}]; permit != nil {
+			held = fmt.Sprintf("%d %s %s", permit.Number, permit.Purpose, permit.Revision)
 		}
 		since := (time.Duration(time.Now().UnixNano()) - member.Changed).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, member.Room, member.Revision, phase, held, since)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, member.Zone, member.Revision, phase, held, since)
 	}
 }
 
-func writeEngines(w io.Writer, status fleet.Status, permits map[rollout.Holder]*rollout.Permit) {
+func writeEngines(w io.Writer, status fleet.Status, permits map[rollout.Subject]*rollout.Permit) {
 	fmt.Fprintln(w, "\nENGINE\tROOM\tCORES\tSTATE\tPERMIT\tWAITS FOR")
 	for _, name := range slices.Sorted(maps.Keys(status.State.Engines)) {
 		engine := status.State.Engines[name]
 		held, waits := "", ""
-		if permit := permits[rollout.Holder{Name: name, Engine: true}]; permit != nil {
+		if permit := permits[rollout.Subject{Name: name, Engine: true}]; permit != nil {
 			held = fmt.Sprintf("%d drain", permit.Number)
-			if waits = strings.Join(status.Blocks[name], "; "); permit.MayStop > 0 {
+			if waits = strings.Join(status.Blocks[name], "; "); permit.DrainedAt > 0 {
 				waits = "may be stopped"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%g\t%s\t%s\t%s\n", name, engine.Room, engine.Cores, engineState(engine), held, waits)
+		fmt.Fprintf(w, "%s\t%s\t%g\t%s\t%s\t%s\n", name, engine.Zone, engine.Cores, engineState(engine), held, waits)
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 }
 
-func writeAudit(w io.Writer, lines []rollout.Line) error {
+func writeAudit(w io.Writer, lines []rollout.AuditEntry) error {
 	t := newTable(w)
 	for _, line := range lines {
 		at := time.Unix(0, int64(line.At)).Format(time.RFC3339)
@@ -174,9 +174,9 @@
 		fmt.Fprintln(w, "\nno release yet")
 		return
 	}
-	way, target := "to "+release.Revision+" from "+release.From, release.Revision
-	if release.Back {
-		way, target = "back to "+release.From+" from "+release.Revision, release.From
+	way, target := "to "+release.Revision+" from "+release.PreviousRevision, release.Revision
+	if release.RollingBack {
+		way, target = "back to "+release.PreviousRevision+" from "+release.Revision, release.PreviousRevision
 	}
 	onTarget := 0
 	for _, member := range status.State.Members {
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -14,11 +14,11 @@
 
 func TestWantedRevision(t *testing.T) {
 	state := &rollout.State{
-		Members: map[string]*rollout.Member{"n0": {Wanted: "r2"}, "n1": {Wanted: "r2"}},
+		Members: map[string]*rollout.Member{"n0": {TargetRevision: "r2"}, "n1": {TargetRevision: "r2"}},
 		Permits: map[uint64]*rollout.Permit{
-			1: {Holder: "n1", For: rollout.Drain, By: "ops"},
-			2: {Holder: "n0", For: rollout.Drain, Engine: true}, // of an engine with the name of a front end
-			3: {Holder: "n0", For: rollout.Drain, Lifted: true},
+			1: {Subject: "n1", Purpose: rollout.Drain, By: "ops"},
+			2: {Subject: "n0", Purpose: rollout.Drain, Engine: true}, // of an engine with the name of a front end
+			3: {Subject: "n0", Purpose: rollout.Drain, Cancelled: true},
 		},
 	}
 	revision, err := wantedRevision(state, "n0")
@@ -33,29 +33,29 @@
 
 func TestDrainProgress(t *testing.T) {
 	status := fleet.Status{Blocks: map[string][]string{"e0": {"n0 has a query on it"}}}
-	status.State.Permits = map[uint64]*rollout.Permit{1: {Holder: "e0", Engine: true}, 2: {Holder: "e1", Engine: true, MayStop: 1}, 3: {Holder: "n0"}, 4: {Holder: "n1"}}
-	status.State.Members = map[string]*rollout.Member{"n0": {Phase: rollout.Serving}, "n1": {Phase: rollout.Gone}}
+	status.State.Permits = map[uint64]*rollout.Permit{1: {Subject: "e0", Engine: true}, 2: {Subject: "e1", Engine: true, DrainedAt: 1}, 3: {Subject: "n0"}, 4: {Subject: "n1"}}
+	status.State.Members = map[string]*rollout.Member{"n0": {Phase: rollout.Serving}, "n1": {Phase: rollout.Terminated}}
 	for _, k := range []struct {
-		holder rollout.Holder
+		holder rollout.Subject
 		permit uint64
 		want   progress
 	}{
-		{rollout.Holder{Name: "e0", Engine: true}, 1, progress{false, []string{"n0 has a query on it"}}},
-		{rollout.Holder{Name: "e1", Engine: true}, 2, progress{done: true}},
-		{rollout.Holder{Name: "n0"}, 3, progress{false, []string{"n0 to end"}}},
-		{rollout.Holder{Name: "n1"}, 4, progress{true, []string{"n1 to end"}}},
+		{rollout.Subject{Name: "e0", Engine: true}, 1, progress{false, []string{"n0 has a query on it"}}},
+		{rollout.Subject{Name: "e1", Engine: true}, 2, progress{done: true}},
+		{rollout.Subject{Name: "n0"}, 3, progress{false, []string{"n0 to end"}}},
+		{rollout.Subject{Name: "n1"}, 4, progress{true, []string{"n1 to end"}}},
 	} {
 		got, err := drainProgress(status, k.holder, k.permit)
 		require.NoError(t, err)
 		assert.Equal(t, k.want, got, k.holder.Name)
 	}
-	_, err := drainProgress(status, rollout.Holder{Name: "e0", Engine: true}, 9)
+	_, err := drainProgress(status, rollout.Subject{Name: "e0", Engine: true}, 9)
 	assert.True(t, errors.As(err, new(noError)), "a permit that was lifted is an answer of no")
 }
 
 func TestReleaseProgress(t *testing.T) {
 	status := fleet.Status{Waiting: []string{"n2 to serve"}}
-	at := func(state rollout.Condition) (progress, error) {
+	at := func(state rollout.ReleaseState) (progress, error) {
 		status.State.Release = &rollout.Release{Number: 3, State: state, Cause: "errors"}
 		return releaseProgress(status, 3)
 	}
@@ -65,7 +65,7 @@
 	got, err = at(rollout.Done)
 	require.NoError(t, err)
 	assert.True(t, got.done)
-	for _, state := range []rollout.Condition{rollout.Halting, rollout.Halted} {
+	for _, state := range []rollout.ReleaseState{rollout.Halting, rollout.Halted} {
 		_, err = at(state)
 		assert.True(t, errors.As(err, new(noError)))
 		assert.EqualError(t, err, "halted: errors")
@@ -79,7 +79,7 @@
 	flags := releaseFlags{waves: "0.02, 0.25,1", from: "r1", soak: time.Minute}
 	start, err := flags.start("r2")
 	require.NoError(t, err)
-	assert.Equal(t, rollout.Start{Revision: "r2", From: "r1", Waves: []float64{0.02, 0.25, 1}, Soak: time.Minute}, start)
+	assert.Equal(t, rollout.StartRelease{Revision: "r2", PreviousRevision: "r1", Waves: []float64{0.02, 0.25, 1}, Soak: time.Minute}, start)
 	flags.waves = "0.02,x"
 	_, err = flags.start("r2")
 	assert.ErrorContains(t, err, `waves: found "x"`)
--- a/decision/rollout/budget.go
+++ b/decision/rollout/budget.go
@@ -16,19 +16,19 @@
 }
 
 // inFleet tells whether a front end counts as in: it serves, is heard of, and holds no permit.
-func (m *Machine) inFleet(o *Member) bool {
+func (m *StateMachine) inFleet(o *Member) bool {
 	if m.skip(checkDoubtedOut) {
 		return o.Phase == Serving && m.permitOf(o.Name, false) == nil
 	}
 	return o.serves() && m.permitOf(o.Name, false) == nil
 }
 
-func (m *Machine) memberUnit(o *Member) unit {
-	return unit{o.Name, o.Room, o.Kind, o.Weight, m.inFleet(o)}
+func (m *StateMachine) memberUnit(o *Member) unit {
+	return unit{o.Name, o.Zone, o.Kind, o.Weight, m.inFleet(o)}
 }
 
-func (m *Machine) engineUnit(e *Engine) unit {
-	return unit{e.Name, e.Room, e.Kind, e.Cores, e.Listed && e.Ready && m.permitOf(e.Name, true) == nil}
+func (m *StateMachine) engineUnit(e *Engine) unit {
+	return unit{e.Name, e.Zone, e.Kind, e.Cores, e.Listed && e.Ready && m.permitOf(e.Name, true) == nil}
 }
 
 // tally sums the units up, so that many may be held against the budgets at the cost of one pass.
@@ -91,7 +91,7 @@
 }
 
 // fits tells whether the unit may go out by choice; it counts as in for that, whatever it is.
-func (m *Machine) fits(t *tally, u unit) *Refusal {
+func (m *StateMachine) fits(t *tally, u unit) *RejectedError {
 	mine := 0
 	if !u.in {
 		mine = 1 // it is out already, and adds nothing
@@ -105,12 +105,12 @@
 		room, check bool
 	}{
 		{"all", t.all, t.b.Most, t.b.Share, false, true},
-		{"room " + u.room, *room, t.b.RoomMost, t.b.RoomShare, true, !m.skip(checkRoomBudget)},
+		{"room " + u.room, *room, t.b.ZoneMost, t.b.ZoneShare, true, !m.skip(checkRoomBudget)},
 		{"kind " + u.kind, *kind, t.b.KindMost, t.b.KindShare, false, true},
 	} {
 		most := limit(s.most, s.share, s.of.n)
 		if s.check && s.of.out-mine+1 > most {
-			return &Refusal{Code: NoBudget, Scope: s.name, Limit: most,
+			return &RejectedError{Code: NoBudget, Scope: s.name, Limit: most,
 				Text: fmt.Sprintf("%s may not go out: %d of %d (%s) are out, and %d may be", u.name, s.of.out-mine, s.of.n, s.name, most)}
 		}
 	}
@@ -123,7 +123,7 @@
 			}
 		}
 		if need := t.load * (1 + t.b.Headroom); left-most < need {
-			return &Refusal{Code: NoBudget, Scope: "capacity",
+			return &RejectedError{Code: NoBudget, Scope: "capacity",
 				Text: fmt.Sprintf("%s may not go out: with one more loss %.4g would be left, and %.4g are needed (measured %.4g, headroom %.0f%%)",
 					u.name, max(0, left-most), need, t.load, 100*t.b.Headroom)}
 		}
@@ -142,7 +142,7 @@
 	t.weight -= u.weight // the two greatest stay: they may be over the truth by one that is out, which errs on the safe side
 }
 
-func (m *Machine) memberUnits() []unit {
+func (m *StateMachine) memberUnits() []unit {
 	out := make([]unit, 0, len(m.Members))
 	for _, o := range m.Members {
 		out = append(out, m.memberUnit(o))
@@ -150,7 +150,7 @@
 	return out
 }
 
-func (m *Machine) engineUnits() []unit {
+func (m *StateMachine) engineUnits() []unit {
 	out := make([]unit, 0, len(m.Engines))
 	for _, e := range m.Engines {
 		out = append(out, m.engineUnit(e))
@@ -159,18 +159,18 @@
 }
 
 // frontBudget is the budget in force for front ends, of a release or of an operator.
-func (m *Machine) frontBudget(back bool) Budget {
+func (m *StateMachine) frontBudget(back bool) Budget {
 	if back {
-		return m.Settings.WayBack
+		return m.Settings.Rollback
 	}
 	return m.Settings.FrontEnds
 }
 
-func (m *Machine) memberTally(back bool) *tally {
+func (m *StateMachine) memberTally(back bool) *tally {
 	return newTally(m.frontBudget(back), m.Load.FrontEnds, m.memberUnits())
 }
 
-func (m *Machine) engineTally() *tally {
+func (m *StateMachine) engineTally() *tally {
 	return newTally(m.Settings.Engines, m.Load.Engines, m.engineUnits())
 }
 
@@ -186,7 +186,7 @@
 }
 
 // Due is the next time at which a tick may change something; false where none may.
-func (m *Machine) Due() (time.Duration, bool) {
+func (m *StateMachine) Due() (time.Duration, bool) {
 	due := time.Duration(math.MaxInt64)
 	at := func(t time.Duration) {
 		if t > m.Now && t < due {
@@ -194,22 +194,22 @@
 		}
 	}
 	if r := m.Release; r.active() && r.State == Running {
-		if r.SoakFrom > 0 {
-			at(r.SoakFrom + r.Soak)
+		if r.SoakingSince > 0 {
+			at(r.SoakingSince + r.Soak)
 		}
 		for _, n := range slices.Sorted(maps.Keys(m.Permits)) {
-			if p := m.Permits[n]; p.Release == r.Number && p.Begun > 0 {
-				at(p.Begun + m.Settings.NotBack)
+			if p := m.Permits[n]; p.Release == r.Number && p.ActivatedAt > 0 {
+				at(p.ActivatedAt + m.Settings.ReturnTimeout)
 			}
 		}
 	}
 	for _, p := range m.Permits {
-		if !p.Engine || p.MayStop > 0 {
+		if !p.Engine || p.DrainedAt > 0 {
 			continue
 		}
 		for _, o := range m.Members {
-			at(o.Before + m.Settings.Protocol)
-			if o.Phase == Gone {
+			at(o.PreviousEndedAt + m.Settings.Protocol)
+			if o.Phase == Terminated {
 				at(o.Changed + m.Settings.Protocol)
 			}
 		}
--- a/decision/rollout/command.go
+++ b/decision/rollout/command.go
@@ -12,63 +12,63 @@
 	By string        `json:"by,omitempty"` // who asked
 	At time.Duration `json:"at"`           // Unix time at the keeper that entered it
 
-	Say       *Say      `json:"say,omitempty"`
-	Doubt     *Doubt    `json:"doubt,omitempty"`
-	Begin     *Begin    `json:"begin,omitempty"`
-	Return    *Begin    `json:"return,omitempty"`
-	Empty     *Empty    `json:"empty,omitempty"`
-	Engine    *Engine   `json:"engine,omitempty"`
-	Health    *Health   `json:"health,omitempty"`
-	Load      *Load     `json:"load,omitempty"`
-	Drain     *Holder   `json:"drain,omitempty"`
-	Undrain   *Holder   `json:"undrain,omitempty"`
-	Forget    *Holder   `json:"forget,omitempty"`
-	Start     *Start    `json:"start,omitempty"`
-	Halt      *Halt     `json:"halt,omitempty"`
-	Resume    *struct{} `json:"resume,omitempty"`
-	WayBack   *struct{} `json:"way_back,omitempty"`
-	Configure *Settings `json:"configure,omitempty"`
-	Tick      *struct{} `json:"tick,omitempty"`
+	ReportStatus   *ReportStatus    `json:"say,omitempty"`
+	Suspect        *Suspect         `json:"doubt,omitempty"`
+	ActivatePermit *PermitReference `json:"begin,omitempty"`
+	ReturnPermit   *PermitReference `json:"return,omitempty"`
+	ReportDrained  *ReportDrained   `json:"empty,omitempty"`
+	Engine         *Engine          `json:"engine,omitempty"`
+	Health         *Health          `json:"health,omitempty"`
+	Load           *Load            `json:"load,omitempty"`
+	Drain          *Subject         `json:"drain,omitempty"`
+	Undrain        *Subject         `json:"undrain,omitempty"`
+	RemoveMember   *Subject         `json:"forget,omitempty"`
+	StartRelease   *StartRelease    `json:"start,omitempty"`
+	Halt           *Halt            `json:"halt,omitempty"`
+	Resume         *struct{}        `json:"resume,omitempty"`
+	Rollback       *struct{}        `json:"way_back,omitempty"`
+	Configure      *Settings        `json:"configure,omitempty"`
+	Tick           *struct{}        `json:"tick,omitempty"`
 }
 
 type (
-	// Say is a front end's own word of itself.
-	Say struct {
-		Name        string  `json:"name"`
-		Room        string  `json:"room"`
-		Kind        string  `json:"kind,omitempty"`
-		Weight      float64 `json:"weight"`
-		Incarnation uint64  `json:"incarnation"`
-		Seq         uint64  `json:"seq"`
-		Revision    string  `json:"revision"`
-		Phase       Phase   `json:"phase"`
-	}
-	// Doubt tells that a process is not heard of.
-	Doubt struct {
+	// ReportStatus is a front end's own word of itself.
+	ReportStatus struct {
+		Name           string  `json:"name"`
+		Zone           string  `json:"room"`
+		Kind           string  `json:"kind,omitempty"`
+		Weight         float64 `json:"weight"`
+		Incarnation    uint64  `json:"incarnation"`
+		StatusSequence uint64  `json:"seq"`
+		Revision       string  `json:"revision"`
+		Phase          Phase   `json:"phase"`
+	}
+	// Suspect tells that a process is not heard of.
+	Suspect struct {
 		Name        string `json:"name"`
 		Incarnation uint64 `json:"incarnation"`
 	}
-	// Begin asks, at the last moment, whether the permit still stands; as Return it hands it back: the process serves.
-	Begin struct {
+	// PermitReference asks, at the last moment, whether the permit still stands; as Return it hands it back: the process serves.
+	PermitReference struct {
 		Name        string `json:"name"`
 		Incarnation uint64 `json:"incarnation"`
 		Permit      uint64 `json:"permit"`
 	}
-	// Empty tells that the process sends no more to the engine of a drain, and has nothing out there.
-	Empty struct {
+	// ReportDrained tells that the process sends no more to the engine of a drain, and has nothing out there.
+	ReportDrained struct {
 		Name        string `json:"name"`
 		Incarnation uint64 `json:"incarnation"`
 		Permit      uint64 `json:"permit"`
 	}
 	// Health is what front ends on the new and on other revisions did in one window, by room.
 	Health struct {
-		Release uint64 `json:"release"`
-		Window  uint64 `json:"window"` // only grows
-		Rooms   []Room `json:"rooms"`
+		Release uint64       `json:"release"`
+		Window  uint64       `json:"window"` // only grows
+		Zones   []ZoneCounts `json:"rooms"`
 	}
-	// Room is one room's part of a Health.
-	Room struct {
-		Room string `json:"room"`
+	// ZoneCounts is one room's part of a Health.
+	ZoneCounts struct {
+		Zone string `json:"room"`
 		New  Count  `json:"new"`
 		Old  Count  `json:"old"`
 	}
@@ -77,17 +77,17 @@
 		FrontEnds float64 `json:"front_ends"`
 		Engines   float64 `json:"engines"`
 	}
-	// Holder names a front end or an engine.
-	Holder struct {
+	// Subject names a front end or an engine.
+	Subject struct {
 		Name   string `json:"name"`
 		Engine bool   `json:"engine,omitempty"`
 	}
-	// Start begins a release.
-	Start struct {
-		Revision string        `json:"revision"`
-		From     string        `json:"from,omitempty"` // empty: what most serve on
-		Waves    []float64     `json:"waves"`
-		Soak     time.Duration `json:"soak"`
+	// StartRelease begins a release.
+	StartRelease struct {
+		Revision         string        `json:"revision"`
+		PreviousRevision string        `json:"from,omitempty"` // empty: what most serve on
+		Waves            []float64     `json:"waves"`
+		Soak             time.Duration `json:"soak"`
 	}
 	// Halt stops a release.
 	Halt struct {
@@ -95,8 +95,8 @@
 	}
 )
 
-// Refusal says why a command was not carried out.
-type Refusal struct {
+// RejectedError says why a command was not carried out.
+type RejectedError struct {
 	Code  string   `json:"code"`
 	Text  string   `json:"text"`
 	Scope string   `json:"scope,omitempty"` // of the budget: "all", "room room-a", "kind std-12", "capacity"
@@ -106,16 +106,16 @@
 
 // The codes of refusals.
 const (
-	NoBudget    = "no-budget"
-	NoPermit    = "no-permit"
-	NotKnown    = "not-known"
-	NotNow      = "not-now"
-	BadValue    = "bad-value"
-	OlderWord   = "older-word"
-	NothingToDo = "nothing-to-do"
+	NoBudget           = "no-budget"
+	NoPermit           = "no-permit"
+	NotFound           = "not-known"
+	FailedPrecondition = "not-now"
+	InvalidArgument    = "bad-value"
+	StaleMessage       = "older-word"
+	NothingToDo        = "nothing-to-do"
 )
 
-func (r *Refusal) Error() string {
+func (r *RejectedError) Error() string {
 	if len(r.Out) == 0 {
 		return r.Text
 	}
@@ -123,34 +123,34 @@
 }
 
 func refuse(code, format string, args ...any) Result {
-	return Result{Refusal: &Refusal{Code: code, Text: fmt.Sprintf(format, args...)}}
+	return Result{Rejected: &RejectedError{Code: code, Text: fmt.Sprintf(format, args...)}}
 }
 
 // Result answers a command.
 type Result struct {
-	Refusal *Refusal  `json:"refusal,omitempty"`
-	Permit  uint64    `json:"permit,omitempty"`
-	Go      bool      `json:"go,omitempty"` // Begin: go out now
-	Release uint64    `json:"release,omitempty"`
-	State   Condition `json:"state,omitempty"`   // of the release
-	Applied uint64    `json:"applied,omitempty"` // Say: the number of the command in the log
-	Drained []string  `json:"drained,omitempty"` // Say: engines that get nothing more
+	Rejected *RejectedError `json:"refusal,omitempty"`
+	Permit   uint64         `json:"permit,omitempty"`
+	Shutdown bool           `json:"go,omitempty"` // Begin: go out now
+	Release  uint64         `json:"release,omitempty"`
+	State    ReleaseState   `json:"state,omitempty"`   // of the release
+	Applied  uint64         `json:"applied,omitempty"` // Say: the number of the command in the log
+	Drained  []string       `json:"drained,omitempty"` // Say: engines that get nothing more
 }
 
 // Apply carries one command out. Commands of a log are applied in its order.
-func (m *Machine) Apply(c Command) Result {
+func (m *StateMachine) Apply(c Command) Result {
 	m.Applied++
 	m.Now = max(m.Now, c.At)
 	if at, seen := m.ids[c.ID]; seen && c.ID != "" && !m.skip(checkRepeat) {
-		return m.Answers[at].Result
+		return m.Results[at].Result
 	}
 	r := m.carryOut(&c)
 	m.advance()
-	if c.Say != nil {
+	if c.ReportStatus != nil {
 		r.Applied = m.Applied
 		for _, n := range m.numbers() {
 			if p := m.Permits[n]; p.Engine {
-				r.Drained = append(r.Drained, p.Holder)
+				r.Drained = append(r.Drained, p.Subject)
 			}
 		}
 	}
@@ -161,18 +161,18 @@
 	return r
 }
 
-func (m *Machine) carryOut(c *Command) Result {
+func (m *StateMachine) carryOut(c *Command) Result {
 	switch {
-	case c.Say != nil:
-		return m.say(c.Say)
-	case c.Doubt != nil:
-		return m.doubt(c.Doubt)
-	case c.Begin != nil:
-		return m.begin(c.Begin)
-	case c.Return != nil:
-		return m.handBack(c.Return)
-	case c.Empty != nil:
-		return m.empty(c.Empty)
+	case c.ReportStatus != nil:
+		return m.say(c.ReportStatus)
+	case c.Suspect != nil:
+		return m.doubt(c.Suspect)
+	case c.ActivatePermit != nil:
+		return m.begin(c.ActivatePermit)
+	case c.ReturnPermit != nil:
+		return m.handBack(c.ReturnPermit)
+	case c.ReportDrained != nil:
+		return m.empty(c.ReportDrained)
 	case c.Engine != nil:
 		return m.engine(*c.Engine)
 	case c.Health != nil:
@@ -184,15 +184,15 @@
 		return m.drain(c.Drain, c.By)
 	case c.Undrain != nil:
 		return m.undrain(c.Undrain, c.By)
-	case c.Forget != nil:
-		return m.forget(c.Forget, c.By)
-	case c.Start != nil:
-		return m.start(c.Start, c.By)
+	case c.RemoveMember != nil:
+		return m.forget(c.RemoveMember, c.By)
+	case c.StartRelease != nil:
+		return m.start(c.StartRelease, c.By)
 	case c.Halt != nil:
 		return m.halt(c.By, c.Halt.Cause)
 	case c.Resume != nil:
 		return m.resume(c.By)
-	case c.WayBack != nil:
+	case c.Rollback != nil:
 		return m.wayBack(c.By)
 	case c.Configure != nil:
 		return m.configure(*c.Configure, c.By)
@@ -200,9 +200,9 @@
 	return Result{} // a tick
 }
 
-func (m *Machine) configure(s Settings, by string) Result {
+func (m *StateMachine) configure(s Settings, by string) Result {
 	if err := s.Check(); err != nil {
-		return refuse(BadValue, "%v", err)
+		return refuse(InvalidArgument, "%v", err)
 	}
 	m.audit(by, "settings", m.Settings.auditText(), s.auditText())
 	m.Settings = s
@@ -239,4 +239,4 @@
 	checkWave
 )
 
-func (m *Machine) skip(c check) bool { return m.skipped == c }
+func (m *StateMachine) skip(c check) bool { return m.skipped == c }
--- a/decision/rollout/judge.go
+++ b/decision/rollout/judge.go
@@ -24,21 +24,21 @@
 type evidence [len(measures)][len(worse)]int64
 
 // health takes one window's counts.
-func (m *Machine) health(h *Health) Result {
+func (m *StateMachine) health(h *Health) Result {
 	r := m.Release
-	if !r.active() || r.Back || h.Release != r.Number {
+	if !r.active() || r.RollingBack || h.Release != r.Number {
 		return refuse(NothingToDo, "no release %d is under way", h.Release)
 	}
 	if h.Window <= r.Window && !m.skip(checkWindow) {
-		return refuse(OlderWord, "window %d was taken", h.Window)
+		return refuse(StaleMessage, "window %d was taken", h.Window)
 	}
-	for _, c := range h.Rooms {
+	for _, c := range h.Zones {
 		if !c.New.sound() || !c.Old.sound() {
-			return refuse(BadValue, "room %s: counts must lie between 0 and the requests", c.Room)
+			return refuse(InvalidArgument, "room %s: counts must lie between 0 and the requests", c.Zone)
 		}
 	}
 	r.Window = h.Window
-	for _, c := range h.Rooms {
+	for _, c := range h.Zones {
 		r.Sample += c.New.Requests
 		if c.New.Requests == 0 || c.Old.Requests == 0 {
 			continue // nothing to compare with
@@ -46,7 +46,7 @@
 		r.New.add(c.New)
 		r.Old.add(c.Old)
 		for i, x := range c.New.measures() {
-			r.Evidence.bet(i, c.New.Requests, c.Old.Requests, x, c.Old.measures()[i], m.Settings.Judge)
+			r.Evidence.bet(i, c.New.Requests, c.Old.Requests, x, c.Old.measures()[i], m.Settings.Analyzer)
 		}
 	}
 	return Result{Release: r.Number}
@@ -64,7 +64,7 @@
 }
 
 // bet books x failures among n1 requests on the new revision and y among n0 on the old.
-func (e *evidence) bet(measure int, n1, n0, x, y int64, j Judge) {
+func (e *evidence) bet(measure int, n1, n0, x, y int64, j Analyzer) {
 	if x+y == 0 {
 		return
 	}
@@ -88,12 +88,12 @@
 
 // judged tells whether the new revision is worse; empty for not known to be. Each wave is a game of its own, or what was
 // lost while all was well would have to be won back before a fault shows; the chance is shared among waves and measures.
-func (m *Machine) judged(r *Release) string {
-	j := m.Settings.Judge
+func (m *StateMachine) judged(r *Release) string {
+	j := m.Settings.Analyzer
 	for i, name := range measures {
 		if r.Evidence.value(i) >= float64(len(measures)*len(r.Waves))/j.Alpha {
 			return fmt.Sprintf("%s on %s: %d in %d requests, beside %d in %d on %s", name, r.Revision,
-				r.New.measures()[i], r.New.Requests, r.Old.measures()[i], r.Old.Requests, r.From)
+				r.New.measures()[i], r.New.Requests, r.Old.measures()[i], r.Old.Requests, r.PreviousRevision)
 		}
 	}
 	return ""
--- a/decision/rollout/permit.go
+++ b/decision/rollout/permit.go
@@ -7,44 +7,44 @@
 )
 
 // say takes a front end's own word.
-func (m *Machine) say(w *Say) Result {
+func (m *StateMachine) say(w *ReportStatus) Result {
 	if w.Name == "" || w.Incarnation == 0 {
-		return refuse(BadValue, "a word needs a name and an incarnation")
+		return refuse(InvalidArgument, "a word needs a name and an incarnation")
 	}
 	switch w.Phase {
-	case Starting, Serving, Leaving, Gone:
+	case Starting, Serving, Draining, Terminated:
 	default:
-		return refuse(BadValue, "phase: found %q, allowed is starting, serving, leaving, gone", string(w.Phase))
+		return refuse(InvalidArgument, "phase: found %q, allowed is starting, serving, leaving, gone", string(w.Phase))
 	}
 	if !(w.Weight >= 0) {
-		return refuse(BadValue, "weight: found %v, allowed is 0 or more", w.Weight)
+		return refuse(InvalidArgument, "weight: found %v, allowed is 0 or more", w.Weight)
 	}
-	if over, was := m.Forgotten[w.Name]; was && w.Incarnation <= over && !m.skip(checkForgotten) {
-		return refuse(OlderWord, "%s was forgotten as process %d", w.Name, over)
+	if over, was := m.Removed[w.Name]; was && w.Incarnation <= over && !m.skip(checkForgotten) {
+		return refuse(StaleMessage, "%s was forgotten as process %d", w.Name, over)
 	}
 	o := m.Members[w.Name]
 	if o == nil {
-		o = &Member{Name: w.Name, Wanted: w.Revision}
+		o = &Member{Name: w.Name, TargetRevision: w.Revision}
 		if r := m.Release; r.active() {
 			r.Order = append(r.Order, w.Name)
-			if r.Back {
-				o.Wanted = r.From
+			if r.RollingBack {
+				o.TargetRevision = r.PreviousRevision
 			}
 		}
 		m.Members[w.Name] = o
 	}
-	older := w.Incarnation < o.Incarnation || (w.Incarnation == o.Incarnation && w.Seq <= o.Seq)
+	older := w.Incarnation < o.Incarnation || (w.Incarnation == o.Incarnation && w.StatusSequence <= o.StatusSequence)
 	if older && !m.skip(checkOlderWord) {
-		return refuse(OlderWord, "%s has said more since, as process %d", w.Name, o.Incarnation)
+		return refuse(StaleMessage, "%s has said more since, as process %d", w.Name, o.Incarnation)
 	}
 	p := m.permitOf(w.Name, false)
 	if w.Incarnation > o.Incarnation {
 		if o.Incarnation > 0 {
-			o.Before = m.Now
+			o.PreviousEndedAt = m.Now
 			m.crashed(o, p)
 		}
-		if p != nil && p.Begun == 0 { // given to a process that is no more, and never begun
-			if p.For == Drain {
+		if p != nil && p.ActivatedAt == 0 { // given to a process that is no more, and never begun
+			if p.Purpose == Drain {
 				p.Incarnation = w.Incarnation
 			} else {
 				m.end(p)
@@ -52,15 +52,15 @@
 			}
 		}
 	}
-	if o.Phase != w.Phase || o.Doubted || w.Incarnation > o.Incarnation {
+	if o.Phase != w.Phase || o.Suspected || w.Incarnation > o.Incarnation {
 		o.Changed = m.Now
 	}
-	o.Room, o.Kind, o.Weight = w.Room, w.Kind, w.Weight
-	o.Incarnation, o.Seq, o.Revision, o.Phase, o.Doubted = w.Incarnation, w.Seq, w.Revision, w.Phase, false
+	o.Zone, o.Kind, o.Weight = w.Zone, w.Kind, w.Weight
+	o.Incarnation, o.StatusSequence, o.Revision, o.Phase, o.Suspected = w.Incarnation, w.StatusSequence, w.Revision, w.Phase, false
 	// The proof that ends a permit: a newer process serves. The same one may have said so before it was told to go.
 	newer := p != nil && (w.Incarnation > p.Incarnation || m.skip(checkLateServing))
 	if newer && w.Phase == Serving {
-		if p.For == Drain && !p.Lifted {
+		if p.Purpose == Drain && !p.Cancelled {
 			p.Incarnation = w.Incarnation // an operator's drain holds through a restart
 			return Result{Permit: p.Number}
 		}
@@ -70,8 +70,8 @@
 }
 
 // crashed books the end of a process that had not said so, and that no permit had asked for.
-func (m *Machine) crashed(o *Member, p *Permit) {
-	if o.Phase == Leaving || o.Phase == Gone || (p != nil && p.Begun > 0 && p.Incarnation == o.Incarnation) {
+func (m *StateMachine) crashed(o *Member, p *Permit) {
+	if o.Phase == Draining || o.Phase == Terminated || (p != nil && p.ActivatedAt > 0 && p.Incarnation == o.Incarnation) {
 		return
 	}
 	o.Crashes = append(o.Crashes, int64(m.Now))
@@ -81,19 +81,19 @@
 	}
 }
 
-func (m *Machine) doubt(d *Doubt) Result {
+func (m *StateMachine) doubt(d *Suspect) Result {
 	o := m.Members[d.Name]
-	if o == nil || o.Incarnation != d.Incarnation || o.Doubted || o.Phase == Gone {
+	if o == nil || o.Incarnation != d.Incarnation || o.Suspected || o.Phase == Terminated {
 		return Result{}
 	}
-	o.Doubted, o.Changed = true, m.Now
+	o.Suspected, o.Changed = true, m.Now
 	return Result{}
 }
 
 // grant gives a front end or an engine a permit; the budgets have been asked.
-func (m *Machine) grant(p Permit) *Permit {
-	m.Last++
-	p.Number, p.Granted = m.Last, m.Now
+func (m *StateMachine) grant(p Permit) *Permit {
+	m.LastPermit++
+	p.Number, p.GrantedAt = m.LastPermit, m.Now
 	if m.skip(checkNumber) { // a number that is free again would let an old word pass for a new one
 		p.Number = 1
 		for m.Permits[p.Number] != nil {
@@ -106,14 +106,14 @@
 }
 
 // begin tells, at the last moment, whether the member may go out on its permit.
-func (m *Machine) begin(b *Begin) Result {
+func (m *StateMachine) begin(b *PermitReference) Result {
 	p, o := m.Permits[b.Permit], m.Members[b.Name]
 	switch {
-	case p == nil || p.Engine || p.Holder != b.Name || o == nil:
+	case p == nil || p.Engine || p.Subject != b.Name || o == nil:
 		return refuse(NoPermit, "permit %d of %s does not stand", b.Permit, b.Name)
 	case (p.Incarnation != b.Incarnation || o.Incarnation != b.Incarnation) && !m.skip(checkProcess):
 		return refuse(NoPermit, "permit %d was given to process %d of %s", b.Permit, p.Incarnation, b.Name)
-	case p.Lifted:
+	case p.Cancelled:
 		return refuse(NoPermit, "permit %d was lifted", b.Permit)
 	}
 	if r := m.Release; p.Release != 0 && !m.skip(checkHaltedBegin) && (r == nil || r.Number != p.Release || r.State != Running) {
@@ -122,60 +122,60 @@
 	// What happened since the grant counts too: a budget that others have used up lets nobody go by choice. Also one that asks again, since its
 	// answer was lost: it has not gone, and counts as out until it has handed the permit back.
 	if !m.skip(checkBeginBudget) {
-		if no := m.fits(m.memberTally(p.Release != 0 && m.Release.Back), m.memberUnit(o)); no != nil {
-			if p.Begun == 0 {
+		if no := m.fits(m.memberTally(p.Release != 0 && m.Release.RollingBack), m.memberUnit(o)); no != nil {
+			if p.ActivatedAt == 0 {
 				m.end(p)
 			}
 			no.Out = out(m.memberUnits(), b.Name)
-			return Result{Refusal: no}
+			return Result{Rejected: no}
 		}
 	}
-	if p.Begun > 0 {
-		return Result{Permit: p.Number, Go: true}
+	if p.ActivatedAt > 0 {
+		return Result{Permit: p.Number, Shutdown: true}
 	}
-	p.Begun = m.Now
-	if p.For == Restart {
-		o.Wanted = p.Revision
+	p.ActivatedAt = m.Now
+	if p.Purpose == Restart {
+		o.TargetRevision = p.Revision
 	}
-	return Result{Permit: p.Number, Go: true}
+	return Result{Permit: p.Number, Shutdown: true}
 }
 
 // handBack takes a permit from a process that serves, and that will not go out under that number any more.
-func (m *Machine) handBack(b *Begin) Result {
+func (m *StateMachine) handBack(b *PermitReference) Result {
 	p, o := m.Permits[b.Permit], m.Members[b.Name]
-	if p == nil || p.Engine || p.Holder != b.Name || o == nil || o.Incarnation != b.Incarnation {
+	if p == nil || p.Engine || p.Subject != b.Name || o == nil || o.Incarnation != b.Incarnation {
 		return refuse(NoPermit, "permit %d of %s does not stand", b.Permit, b.Name)
 	}
 	if o.Phase != Serving {
-		return refuse(NotNow, "%s is %s: it can't hand its permit back", b.Name, string(o.Phase))
+		return refuse(FailedPrecondition, "%s is %s: it can't hand its permit back", b.Name, string(o.Phase))
 	}
 	m.end(p)
 	return Result{}
 }
 
 // drain takes a front end or an engine out, where the budget has room for it.
-func (m *Machine) drain(h *Holder, by string) Result {
+func (m *StateMachine) drain(h *Subject, by string) Result {
 	if p := m.permitOf(h.Name, h.Engine); p != nil {
-		if p.For == Drain && !p.Lifted {
+		if p.Purpose == Drain && !p.Cancelled {
 			return Result{Permit: p.Number} // it is what was asked for
 		}
-		return refuse(NotNow, "%s holds permit %d for %s", h.Name, p.Number, string(p.For))
+		return refuse(FailedPrecondition, "%s holds permit %d for %s", h.Name, p.Number, string(p.Purpose))
 	}
-	p := Permit{Holder: h.Name, Engine: h.Engine, For: Drain, By: by}
-	var no *Refusal
+	p := Permit{Subject: h.Name, Engine: h.Engine, Purpose: Drain, By: by}
+	var no *RejectedError
 	if h.Engine {
 		e := m.Engines[h.Name]
 		if e == nil {
-			return refuse(NotKnown, "there is no engine %s", h.Name)
+			return refuse(NotFound, "there is no engine %s", h.Name)
 		}
-		p.Incarnation, p.Empty, p.Begun = e.Process, map[string]uint64{}, m.Now
+		p.Incarnation, p.DrainedBy, p.ActivatedAt = e.Process, map[string]uint64{}, m.Now
 		if no = m.fits(m.engineTally(), m.engineUnit(e)); no != nil {
 			no.Out = out(m.engineUnits(), h.Name)
 		}
 	} else {
 		o := m.Members[h.Name]
 		if o == nil {
-			return refuse(NotKnown, "there is no front end %s", h.Name)
+			return refuse(NotFound, "there is no front end %s", h.Name)
 		}
 		p.Incarnation = o.Incarnation
 		if no = m.fits(m.memberTally(false), m.memberUnit(o)); no != nil {
@@ -183,54 +183,54 @@
 		}
 	}
 	if no != nil && !m.skip(checkGrantBudget) {
-		return Result{Refusal: no}
+		return Result{Rejected: no}
 	}
 	given := m.grant(p)
 	m.audit(by, "drain "+given.key(), "in", "out")
 	return Result{Permit: given.Number}
 }
 
-func (m *Machine) undrain(h *Holder, by string) Result {
+func (m *StateMachine) undrain(h *Subject, by string) Result {
 	p := m.permitOf(h.Name, h.Engine)
-	if p == nil || p.For != Drain {
+	if p == nil || p.Purpose != Drain {
 		return refuse(NothingToDo, "%s is not drained", h.Name)
 	}
 	m.audit(by, "undrain "+p.key(), "out", "in")
-	if h.Engine || p.Begun == 0 {
+	if h.Engine || p.ActivatedAt == 0 {
 		m.end(p)
 	} else {
-		p.Lifted = true // it counts as out until it says that it serves
+		p.Cancelled = true // it counts as out until it says that it serves
 	}
 	return Result{Permit: p.Number}
 }
 
 // forget takes an operator's word that somebody is gone for good.
-func (m *Machine) forget(h *Holder, by string) Result {
+func (m *StateMachine) forget(h *Subject, by string) Result {
 	key := holderKey(h.Name, h.Engine)
 	if h.Engine {
 		if m.Engines[h.Name] == nil {
-			return refuse(NotKnown, "there is no engine %s", h.Name)
+			return refuse(NotFound, "there is no engine %s", h.Name)
 		}
 		delete(m.Engines, h.Name)
 	} else {
 		o := m.Members[h.Name]
 		if o == nil {
-			return refuse(NotKnown, "there is no front end %s", h.Name)
+			return refuse(NotFound, "there is no front end %s", h.Name)
 		}
 		delete(m.Members, h.Name)
 		if r := m.Release; r != nil {
 			r.Order = slices.DeleteFunc(r.Order, func(n string) bool { return n == h.Name })
 		}
-		if _, was := m.Forgotten[h.Name]; !was {
-			m.Gone = append(m.Gone, h.Name)
+		if _, was := m.Removed[h.Name]; !was {
+			m.RemovedOrder = append(m.RemovedOrder, h.Name)
 		}
-		m.Forgotten[h.Name] = o.Incarnation
-		for len(m.Gone) > m.Settings.KeepGone {
-			delete(m.Forgotten, m.Gone[0])
-			m.Gone = m.Gone[1:]
+		m.Removed[h.Name] = o.Incarnation
+		for len(m.RemovedOrder) > m.Settings.KeepRemoved {
+			delete(m.Removed, m.RemovedOrder[0])
+			m.RemovedOrder = m.RemovedOrder[1:]
 		}
 		for _, p := range m.Permits {
-			delete(p.Empty, h.Name)
+			delete(p.DrainedBy, h.Name)
 		}
 	}
 	if p := m.permitOf(h.Name, h.Engine); p != nil {
@@ -241,13 +241,13 @@
 }
 
 // engine takes what the lists tell of an engine. A list that is behind tells of an older process.
-func (m *Machine) engine(e Engine) Result {
+func (m *StateMachine) engine(e Engine) Result {
 	if e.Name == "" || !(e.Cores >= 0) {
-		return refuse(BadValue, "an engine needs a name, and cores of 0 or more")
+		return refuse(InvalidArgument, "an engine needs a name, and cores of 0 or more")
 	}
 	o := m.Engines[e.Name]
 	if o != nil && e.Process < o.Process && !m.skip(checkOlderWord) {
-		return refuse(OlderWord, "%s has a newer process", e.Name)
+		return refuse(StaleMessage, "%s has a newer process", e.Name)
 	}
 	if o != nil && !e.Listed { // a list that does not name it tells nothing else
 		o.Listed, o.Ready = false, false
@@ -262,34 +262,34 @@
 }
 
 // empty takes a front end's word that it sends no more to a drained engine, and has nothing out there.
-func (m *Machine) empty(w *Empty) Result {
+func (m *StateMachine) empty(w *ReportDrained) Result {
 	p, o := m.Permits[w.Permit], m.Members[w.Name]
 	if p == nil || !p.Engine || o == nil {
 		return refuse(NoPermit, "permit %d is no drain of an engine", w.Permit)
 	}
 	if o.Incarnation != w.Incarnation && !m.skip(checkEmptyProcess) {
-		return refuse(OlderWord, "%s is process %d now", w.Name, o.Incarnation)
+		return refuse(StaleMessage, "%s is process %d now", w.Name, o.Incarnation)
 	}
-	p.Empty[w.Name] = o.Incarnation
+	p.DrainedBy[w.Name] = o.Incarnation
 	return Result{Permit: p.Number}
 }
 
 // blocks tells why an engine may not be stopped yet for the sake of one front end; empty where it may.
-func (m *Machine) blocks(p *Permit, o *Member) string {
-	if m.skip(checkEmptyAll) && o.Doubted {
+func (m *StateMachine) blocks(p *Permit, o *Member) string {
+	if m.skip(checkEmptyAll) && o.Suspected {
 		return ""
 	}
-	if over := o.Before + m.Settings.Protocol; o.Before > 0 && m.Now < over && !m.skip(checkProtocolTime) {
+	if over := o.PreviousEndedAt + m.Settings.Protocol; o.PreviousEndedAt > 0 && m.Now < over && !m.skip(checkProtocolTime) {
 		return fmt.Sprintf("%s: queries of its last process may run for %v more", o.Name, over-m.Now)
 	}
-	if o.Phase == Gone {
+	if o.Phase == Terminated {
 		if over := o.Changed + m.Settings.Protocol; m.Now < over && !m.skip(checkProtocolTime) {
 			return fmt.Sprintf("%s: its queries may run for %v more", o.Name, over-m.Now)
 		}
 		return ""
 	}
-	if p.Empty[o.Name] != o.Incarnation {
-		if o.Doubted {
+	if p.DrainedBy[o.Name] != o.Incarnation {
+		if o.Suspected {
 			return o.Name + ": not heard of; forget it if it is gone"
 		}
 		return o.Name + ": has not said that nothing of its own is out there"
--- a/decision/rollout/property_test.go
+++ b/decision/rollout/property_test.go
@@ -15,7 +15,7 @@
 // fleet plays words and wishes at random, true ones and such as no well-behaved front end sends, and holds each step of
 // the machine to the invariants, told anew here from the state alone.
 type fleet struct {
-	m     *Machine
+	m     *StateMachine
 	rng   *rand.Rand
 	now   time.Duration
 	size  int
@@ -30,10 +30,10 @@
 
 func newFleet(t interface{ Fatal(...any) }, rng *rand.Rand, size int, skip check) *fleet {
 	set := Defaults()
-	set.FrontEnds = Budget{Share: 0.2, RoomShare: 0.25, Headroom: 0.1}
-	set.Engines = Budget{Most: 2, RoomMost: 1}
-	set.KeepIDs, set.KeepAudit, set.KeepGone = 20, 30, 500
-	set.Judge.Least = 0
+	set.FrontEnds = Budget{Share: 0.2, ZoneShare: 0.25, Headroom: 0.1}
+	set.Engines = Budget{Most: 2, ZoneMost: 1}
+	set.KeepIDs, set.KeepAudit, set.KeepRemoved = 20, 30, 500
+	set.Analyzer.Least = 0
 	m, err := New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		f.step(f.say(f.member(i), 1, 1, Serving))
 	}
 	for i := range 6 {
-		f.step(Command{Engine: &Engine{Name: fmt.Sprint("e", i), Room: testRooms[i%3], Cores: 12, Process: 1, Listed: true, Ready: true}})
+		f.step(Command{Engine: &Engine{Name: fmt.Sprint("e", i), Zone: testRooms[i%3], Cores: 12, Process: 1, Listed: true, Ready: true}})
 	}
 	return f
 }
@@ -59,10 +59,10 @@
 	rev := "old"
 	if o := f.m.Members[name]; o != nil {
 		if rev = o.Revision; inc > o.Incarnation {
-			rev = o.Wanted
+			rev = o.TargetRevision
 		}
 	}
-	return Command{Say: &Say{Name: name, Room: room, Weight: 10, Incarnation: inc, Seq: seq, Revision: rev, Phase: p}}
+	return Command{ReportStatus: &ReportStatus{Name: name, Zone: room, Weight: 10, Incarnation: inc, StatusSequence: seq, Revision: rev, Phase: p}}
 }
 
 // draw is the next command.
@@ -87,35 +87,35 @@
 	case 2, 3, 4:
 		return f.say(name, inc, seq, Serving)
 	case 5: // an older word
-		return Command{Say: &Say{Name: name, Room: "room-z", Incarnation: uint64(f.rng.IntN(int(inc) + 1)), Seq: uint64(f.rng.IntN(3)), Revision: "odd", Phase: Serving}}
+		return Command{ReportStatus: &ReportStatus{Name: name, Zone: "room-z", Incarnation: uint64(f.rng.IntN(int(inc) + 1)), StatusSequence: uint64(f.rng.IntN(3)), Revision: "odd", Phase: Serving}}
 	case 6:
 		if o != nil {
-			return Command{Doubt: &Doubt{name, o.Incarnation}}
+			return Command{Suspect: &Suspect{name, o.Incarnation}}
 		}
 	case 7, 8, 9, 10: // who holds a permit begins
 		if p := f.permit(); p != nil && !p.Engine {
-			return Command{Begin: &Begin{p.Holder, f.inc[p.Holder], p.Number}}
+			return Command{ActivatePermit: &PermitReference{p.Subject, f.inc[p.Subject], p.Number}}
 		}
 	case 11: // on an old permit, or another's
-		return Command{Begin: &Begin{name, f.inc[name], uint64(f.rng.IntN(int(f.m.Last) + 2))}}
+		return Command{ActivatePermit: &PermitReference{name, f.inc[name], uint64(f.rng.IntN(int(f.m.LastPermit) + 2))}}
 	case 12: // one that was told to go, as the process before
 		if p := f.permit(); p != nil && !p.Engine {
-			return Command{Begin: &Begin{p.Holder, f.inc[p.Holder] - 1, p.Number}}
+			return Command{ActivatePermit: &PermitReference{p.Subject, f.inc[p.Subject] - 1, p.Number}}
 		}
 	case 13:
 		if p := f.permit(); p != nil && !p.Engine {
-			return Command{Return: &Begin{p.Holder, f.inc[p.Holder], p.Number}}
+			return Command{ReturnPermit: &PermitReference{p.Subject, f.inc[p.Subject], p.Number}}
 		}
 	case 14, 15, 16: // who was told to go leaves, and comes back
-		if p := f.permit(); p != nil && p.Begun > 0 && !p.Engine {
+		if p := f.permit(); p != nil && p.ActivatedAt > 0 && !p.Engine {
 			if f.rng.IntN(2) == 0 {
-				return f.say(p.Holder, f.inc[p.Holder], f.seq[p.Holder]+1, Leaving)
+				return f.say(p.Subject, f.inc[p.Subject], f.seq[p.Subject]+1, Draining)
 			}
-			return f.say(p.Holder, f.inc[p.Holder]+1, 1, Serving)
+			return f.say(p.Subject, f.inc[p.Subject]+1, 1, Serving)
 		}
 	case 17, 18:
 		if p := f.permit(); p != nil && p.Engine {
-			return Command{Empty: &Empty{name, f.inc[name] - uint64(f.rng.IntN(8)/7), p.Number}}
+			return Command{ReportDrained: &ReportDrained{name, f.inc[name] - uint64(f.rng.IntN(8)/7), p.Number}}
 		}
 	case 19:
 		e := fmt.Sprint("e", f.rng.IntN(6))
@@ -125,36 +125,36 @@
 			c.Listed, c.Ready = f.rng.IntN(4) > 0, f.rng.IntN(4) > 0
 			return Command{Engine: &c}
 		}
-		return Command{Engine: &Engine{Name: e, Room: testRooms[int(e[1])%3], Cores: 12, Process: 1, Listed: true, Ready: true}}
+		return Command{Engine: &Engine{Name: e, Zone: testRooms[int(e[1])%3], Cores: 12, Process: 1, Listed: true, Ready: true}}
 	case 20:
-		return f.operator(Command{Drain: &Holder{fmt.Sprint("e", f.rng.IntN(6)), true}})
+		return f.operator(Command{Drain: &Subject{fmt.Sprint("e", f.rng.IntN(6)), true}})
 	case 21:
 		if f.rng.IntN(4) == 0 {
-			return f.operator(Command{Undrain: &Holder{fmt.Sprint("e", f.rng.IntN(6)), true}})
+			return f.operator(Command{Undrain: &Subject{fmt.Sprint("e", f.rng.IntN(6)), true}})
 		}
-		return f.operator(Command{Drain: &Holder{Name: name}})
+		return f.operator(Command{Drain: &Subject{Name: name}})
 	case 22:
 		if p := f.permit(); p != nil {
-			return f.operator(Command{Undrain: &Holder{p.Holder, p.Engine}})
+			return f.operator(Command{Undrain: &Subject{p.Subject, p.Engine}})
 		}
 	case 23:
 		if f.rng.IntN(10) == 0 {
-			return f.operator(Command{Forget: &Holder{name, false}})
+			return f.operator(Command{RemoveMember: &Subject{name, false}})
 		}
 		return Command{Load: &Load{FrontEnds: float64(f.rng.IntN(10 * f.size)), Engines: 0}}
 	case 24:
-		return f.operator(Command{Start: &Start{Revision: fmt.Sprint("r", f.rng.IntN(100)), Waves: []float64{0.1, 0.5, 1}, Soak: time.Second}})
+		return f.operator(Command{StartRelease: &StartRelease{Revision: fmt.Sprint("r", f.rng.IntN(100)), Waves: []float64{0.1, 0.5, 1}, Soak: time.Second}})
 	case 25:
 		switch f.rng.IntN(6) {
 		case 0:
 			return f.operator(Command{Halt: &Halt{"a test"}})
 		case 1:
-			return f.operator(Command{WayBack: &struct{}{}})
+			return f.operator(Command{Rollback: &struct{}{}})
 		}
 		return f.operator(Command{Resume: &struct{}{}})
 	case 26:
 		if r := f.m.Release; r != nil {
-			return Command{Health: &Health{Release: r.Number, Window: r.Window + uint64(f.rng.IntN(2)), Rooms: []Room{{"room-a", Count{Requests: 50}, Count{Requests: 50}}}}}
+			return Command{Health: &Health{Release: r.Number, Window: r.Window + uint64(f.rng.IntN(2)), Zones: []ZoneCounts{{"room-a", Count{Requests: 50}, Count{Requests: 50}}}}}
 		}
 	case 27: // heard a second time, and late
 		if len(f.known) > 0 {
@@ -182,7 +182,7 @@
 // before is what the oracle needs of the state as it was.
 type before struct {
 	last, release, window uint64
-	condition             Condition
+	condition             ReleaseState
 	back                  bool
 	permits               map[uint64]Permit
 	in                    map[string]bool
@@ -192,21 +192,21 @@
 }
 
 func (f *fleet) look(c Command) before {
-	b := before{last: f.m.Last, permits: map[uint64]Permit{}, in: map[string]bool{}, word: map[string][2]uint64{}}
+	b := before{last: f.m.LastPermit, permits: map[uint64]Permit{}, in: map[string]bool{}, word: map[string][2]uint64{}}
 	for n, p := range f.m.Permits {
 		b.permits[n] = *p
 	}
 	for n, o := range f.m.Members {
 		b.in["front end "+n] = f.in(n)
-		b.word[n] = [2]uint64{o.Incarnation, o.Seq}
+		b.word[n] = [2]uint64{o.Incarnation, o.StatusSequence}
 	}
 	for n := range f.m.Engines {
 		b.in["engine "+n] = f.engineIn(n)
 	}
 	if r := f.m.Release; r != nil {
-		b.release, b.window, b.condition, b.back, b.sample = r.Number, r.Window, r.State, r.Back, r.New.Requests
+		b.release, b.window, b.condition, b.back, b.sample = r.Number, r.Window, r.State, r.RollingBack, r.New.Requests
 	}
-	for _, a := range f.m.Answers {
+	for _, a := range f.m.Results {
 		if a.ID == c.ID && c.ID != "" {
 			b.answer = &a.Result
 		}
@@ -216,7 +216,7 @@
 
 func (f *fleet) holds(name string, engine bool) bool {
 	for _, p := range f.m.Permits {
-		if p.Holder == name && p.Engine == engine {
+		if p.Subject == name && p.Engine == engine {
 			return true
 		}
 	}
@@ -225,7 +225,7 @@
 
 func (f *fleet) in(name string) bool {
 	o := f.m.Members[name]
-	return o.Phase == Serving && !o.Doubted && !f.holds(name, false)
+	return o.Phase == Serving && !o.Suspected && !f.holds(name, false)
 }
 
 func (f *fleet) engineIn(name string) bool {
@@ -248,15 +248,15 @@
 	if engines {
 		b = f.m.Settings.Engines
 		for name, e := range f.m.Engines {
-			count(e.Room, f.engineIn(name))
+			count(e.Zone, f.engineIn(name))
 		}
 	} else {
 		if back {
-			b = f.m.Settings.WayBack
+			b = f.m.Settings.Rollback
 		}
 		for name, o := range f.m.Members {
 			in := f.in(name)
-			count(o.Room, in)
+			count(o.Zone, in)
 			if in {
 				weight, most = weight+o.Weight, max(most, o.Weight)
 			}
@@ -266,7 +266,7 @@
 		l := n[scope]
 		m, s := b.Most, b.Share
 		if scope != "" {
-			m, s = b.RoomMost, b.RoomShare
+			m, s = b.ZoneMost, b.ZoneShare
 		}
 		if m > 0 {
 			l = min(l, m)
@@ -286,9 +286,9 @@
 
 func (f *fleet) room(p *Permit) string {
 	if p.Engine {
-		return f.m.Engines[p.Holder].Room
+		return f.m.Engines[p.Subject].Zone
 	}
-	return f.m.Members[p.Holder].Room
+	return f.m.Members[p.Subject].Zone
 }
 
 // step applies a command and tells the first invariant that does not hold.
@@ -301,7 +301,7 @@
 		f.known = f.known[1:]
 	}
 	if b.answer != nil { // a repeat
-		if fmt.Sprint(*b.answer) != fmt.Sprint(r) && fmt.Sprint(b.answer.Refusal) != fmt.Sprint(r.Refusal) {
+		if fmt.Sprint(*b.answer) != fmt.Sprint(r) && fmt.Sprint(b.answer.Rejected) != fmt.Sprint(r.Rejected) {
 			return fmt.Sprintf("8: %s was answered %v and then %v", c.ID, *b.answer, r)
 		}
 		for n := range f.m.Permits {
@@ -312,10 +312,10 @@
 	}
 	m := f.m
 	rel := m.Release
-	if c.Begin != nil && r.Go && rel != nil && m.Permits[r.Permit].Release == rel.Number && b.condition != Running {
+	if c.ActivatePermit != nil && r.Shutdown && rel != nil && m.Permits[r.Permit].Release == rel.Number && b.condition != Running {
 		return "4: told to go while the release is " + string(b.condition)
 	}
-	back := rel != nil && rel.Back && rel.State != Done
+	back := rel != nil && rel.RollingBack && rel.State != Done
 	for n, p := range m.Permits {
 		was, had := b.permits[n]
 		switch {
@@ -326,10 +326,10 @@
 			if over := f.over(p.Engine, p.Release != 0 && back, f.room(p)); over != "" {
 				return "1: granted, and " + over
 			}
-		case had && was.Begun == 0 && p.Begun > 0:
+		case had && was.ActivatedAt == 0 && p.ActivatedAt > 0:
 			f.done["begun"]++
-			o := m.Members[p.Holder]
-			if c.Begin == nil || c.Begin.Incarnation != o.Incarnation || p.Incarnation != o.Incarnation {
+			o := m.Members[p.Subject]
+			if c.ActivatePermit == nil || c.ActivatePermit.Incarnation != o.Incarnation || p.Incarnation != o.Incarnation {
 				return fmt.Sprintf("2: permit %d was begun by another process", n)
 			}
 			if over := f.over(false, p.Release != 0 && back, f.room(p)); over != "" {
@@ -339,51 +339,51 @@
 				return fmt.Sprintf("4: permit %d was begun while its release was %s", n, b.condition)
 			}
 		}
-		if rel != nil && p.Release == rel.Number && p.Begun == 0 && (rel.State == Halted || rel.State == Halting) {
+		if rel != nil && p.Release == rel.Number && p.ActivatedAt == 0 && (rel.State == Halted || rel.State == Halting) {
 			return fmt.Sprintf("4: permit %d stands while the release is %s", n, rel.State)
 		}
-		if back && p.Release == rel.Number && p.Begun == 0 && (p.Revision != rel.From || m.Members[p.Holder].Revision == rel.From) {
-			return fmt.Sprintf("9: permit %d brings %s from %s to %s", n, p.Holder, m.Members[p.Holder].Revision, p.Revision)
+		if back && p.Release == rel.Number && p.ActivatedAt == 0 && (p.Revision != rel.PreviousRevision || m.Members[p.Subject].Revision == rel.PreviousRevision) {
+			return fmt.Sprintf("9: permit %d brings %s from %s to %s", n, p.Subject, m.Members[p.Subject].Revision, p.Revision)
 		}
-		if p.Engine && p.MayStop > 0 && !(had && was.MayStop > 0) {
+		if p.Engine && p.DrainedAt > 0 && !(had && was.DrainedAt > 0) {
 			f.done["may stop"]++
 			for _, o := range m.Members {
-				left := o.Phase == Gone && m.Now-o.Changed >= m.Settings.Protocol
-				if !left && p.Empty[o.Name] != o.Incarnation {
-					return fmt.Sprintf("6: %s may be stopped without a word of %s", p.Holder, o.Name)
+				left := o.Phase == Terminated && m.Now-o.Changed >= m.Settings.Protocol
+				if !left && p.DrainedBy[o.Name] != o.Incarnation {
+					return fmt.Sprintf("6: %s may be stopped without a word of %s", p.Subject, o.Name)
 				}
-				if o.Before > 0 && m.Now-o.Before < m.Settings.Protocol {
-					return fmt.Sprintf("6: %s may be stopped while queries of the last process of %s may run", p.Holder, o.Name)
+				if o.PreviousEndedAt > 0 && m.Now-o.PreviousEndedAt < m.Settings.Protocol {
+					return fmt.Sprintf("6: %s may be stopped while queries of the last process of %s may run", p.Subject, o.Name)
 				}
 			}
 		}
-		if p.Engine && c.Empty != nil && c.Empty.Permit == n && r.Refusal == nil {
-			if o := m.Members[c.Empty.Name]; o != nil && c.Empty.Incarnation != o.Incarnation {
+		if p.Engine && c.ReportDrained != nil && c.ReportDrained.Permit == n && r.Rejected == nil {
+			if o := m.Members[c.ReportDrained.Name]; o != nil && c.ReportDrained.Incarnation != o.Incarnation {
 				return "6: a word of an older process was taken"
 			}
 		}
 	}
 	for n, p := range b.permits {
-		if m.Permits[n] != nil || p.Begun == 0 {
+		if m.Permits[n] != nil || p.ActivatedAt == 0 {
 			continue
 		}
-		proof := c.Forget != nil && c.Forget.Name == p.Holder && c.Forget.Engine == p.Engine
-		proof = proof || (c.Return != nil && c.Return.Permit == n && !p.Engine && m.Members[p.Holder].Incarnation == c.Return.Incarnation)
-		proof = proof || (c.Say != nil && c.Say.Name == p.Holder && !p.Engine && c.Say.Phase == Serving && c.Say.Incarnation > p.Incarnation)
-		proof = proof || (c.Undrain != nil && c.Undrain.Name == p.Holder && p.Engine)
-		proof = proof || (c.Engine != nil && c.Engine.Name == p.Holder && p.Engine && c.Engine.Process > p.Incarnation && c.Engine.Ready && c.Engine.Listed)
+		proof := c.RemoveMember != nil && c.RemoveMember.Name == p.Subject && c.RemoveMember.Engine == p.Engine
+		proof = proof || (c.ReturnPermit != nil && c.ReturnPermit.Permit == n && !p.Engine && m.Members[p.Subject].Incarnation == c.ReturnPermit.Incarnation)
+		proof = proof || (c.ReportStatus != nil && c.ReportStatus.Name == p.Subject && !p.Engine && c.ReportStatus.Phase == Serving && c.ReportStatus.Incarnation > p.Incarnation)
+		proof = proof || (c.Undrain != nil && c.Undrain.Name == p.Subject && p.Engine)
+		proof = proof || (c.Engine != nil && c.Engine.Name == p.Subject && p.Engine && c.Engine.Process > p.Incarnation && c.Engine.Ready && c.Engine.Listed)
 		if !proof {
-			return fmt.Sprintf("3: permit %d of %s, begun, ended by %+v", n, p.Holder, c)
+			return fmt.Sprintf("3: permit %d of %s, begun, ended by %+v", n, p.Subject, c)
 		}
 		f.done["proved"]++
 	}
 	for n, was := range b.word {
-		if o := m.Members[n]; o != nil && (o.Incarnation < was[0] || (o.Incarnation == was[0] && o.Seq < was[1])) {
-			return fmt.Sprintf("5: %s went from word %v to %d %d", n, was, o.Incarnation, o.Seq)
+		if o := m.Members[n]; o != nil && (o.Incarnation < was[0] || (o.Incarnation == was[0] && o.StatusSequence < was[1])) {
+			return fmt.Sprintf("5: %s went from word %v to %d %d", n, was, o.Incarnation, o.StatusSequence)
 		}
 	}
 	for n, o := range m.Members {
-		if over, was := m.Forgotten[n]; was && o.Incarnation <= over {
+		if over, was := m.Removed[n]; was && o.Incarnation <= over {
 			return "5: " + n + " is back as the process that was forgotten"
 		}
 	}
@@ -402,8 +402,8 @@
 		}
 		if rel.State == Halted && b.condition != Halted { // later words are those of processes that act once on a go
 			for _, p := range m.Permits {
-				if o := m.Members[p.Holder]; !p.Engine && p.Release == rel.Number && o.Incarnation == p.Incarnation && o.Phase == Serving {
-					return "4: halted, and " + p.Holder + " may yet go out"
+				if o := m.Members[p.Subject]; !p.Engine && p.Release == rel.Number && o.Incarnation == p.Incarnation && o.Phase == Serving {
+					return "4: halted, and " + p.Subject + " may yet go out"
 				}
 			}
 		}
@@ -416,7 +416,7 @@
 			}
 		}
 	}
-	if len(m.Answers) > 2*m.Settings.KeepIDs || len(m.Audit) > m.Settings.KeepAudit || len(m.Gone) > m.Settings.KeepGone || len(m.Forgotten) > m.Settings.KeepGone {
+	if len(m.Results) > 2*m.Settings.KeepIDs || len(m.Audit) > m.Settings.KeepAudit || len(m.RemovedOrder) > m.Settings.KeepRemoved || len(m.Removed) > m.Settings.KeepRemoved {
 		return "10: the state has grown"
 	}
 	return ""
--- a/decision/rollout/recorded_test.go
+++ b/decision/rollout/recorded_test.go
@@ -137,7 +137,7 @@
 }
 
 // newMachine returns an empty fleet's state machine whose settings are the defaults with a JSON text over them.
-func newMachine(t *testing.T, settings string) *rollout.Machine {
+func newMachine(t *testing.T, settings string) *rollout.StateMachine {
 	t.Helper()
 	set := rollout.Defaults()
 	require.NoError(t, json.Unmarshal([]byte(settings), &set))
@@ -170,7 +170,7 @@
 // seededRun plays commands of every type, drawn from a seed as JSON texts, and hashes every answer and the state.
 type seededRun struct {
 	t       *testing.T
-	machine *rollout.Machine
+	machine *rollout.StateMachine
 	rng     *rand.Rand
 	now     time.Duration
 	view    view
@@ -442,7 +442,7 @@
 // look hashes what the machine tells beside its answers.
 func (r *seededRun) look() {
 	due, ok := r.machine.Due()
-	var plan rollout.Start
+	var plan rollout.StartRelease
 	require.NoError(r.t, json.Unmarshal([]byte(`{"revision":"p","waves":[0.2,1],"soak":1000}`), &plan))
 	waves, err := r.machine.Plan(plan)
 	require.NoError(r.t, err)
--- a/decision/rollout/release.go
+++ b/decision/rollout/release.go
@@ -11,15 +11,15 @@
 )
 
 // start begins a release, unless one is under way.
-func (m *Machine) start(s *Start, by string) Result {
+func (m *StateMachine) start(s *StartRelease, by string) Result {
 	if r := m.Release; r.active() && !m.skip(checkOneRelease) {
-		return Result{Release: r.Number, Refusal: &Refusal{Code: NotNow,
+		return Result{Release: r.Number, Rejected: &RejectedError{Code: FailedPrecondition,
 			Text: fmt.Sprintf("release %d to %s, started by %s, is %s: one at a time", r.Number, r.Revision, r.By, r.State)}}
 	}
 	if err := s.check(); err != nil {
-		return refuse(BadValue, "%v", err)
+		return refuse(InvalidArgument, "%v", err)
 	}
-	from := s.From
+	from := s.PreviousRevision
 	if from == "" {
 		from = m.common()
 	}
@@ -27,13 +27,13 @@
 		return refuse(NothingToDo, "the fleet serves on %s already", from)
 	}
 	m.Releases++
-	m.Release = &Release{Number: m.Releases, Revision: s.Revision, From: from, By: by, Waves: slices.Clone(s.Waves), Soak: s.Soak,
+	m.Release = &Release{Number: m.Releases, Revision: s.Revision, PreviousRevision: from, By: by, Waves: slices.Clone(s.Waves), Soak: s.Soak,
 		Order: m.order(m.Releases), State: Running, Started: m.Now}
 	m.audit(by, fmt.Sprintf("release %d", m.Releases), from, s.Revision)
 	return Result{Release: m.Releases}
 }
 
-func (s *Start) check() error {
+func (s *StartRelease) check() error {
 	switch {
 	case s.Revision == "" || strings.ContainsAny(s.Revision, "/\\ \t\n\x00") || s.Revision[0] == '.':
 		return fmt.Errorf("revision: found %q, allowed is one word that may name a folder", s.Revision)
@@ -56,7 +56,7 @@
 }
 
 // common is the revision that most serve on; the first by name of equals.
-func (m *Machine) common() (most string) {
+func (m *StateMachine) common() (most string) {
 	n := map[string]int{}
 	for _, name := range m.names() {
 		if o := m.Members[name]; o.serves() {
@@ -71,7 +71,7 @@
 
 // order draws the members room by room in turn, within a room by a hash of name and release: each wave spreads over the
 // rooms, and no machine is the canary of every release.
-func (m *Machine) order(release uint64) []string {
+func (m *StateMachine) order(release uint64) []string {
 	rooms, names := map[string][]string{}, []string(nil)
 	place := func(name string) uint64 {
 		h := fnv.New64a()
@@ -81,10 +81,10 @@
 	var list []string
 	for _, name := range m.names() {
 		o := m.Members[name]
-		if rooms[o.Room] == nil {
-			list = append(list, o.Room)
+		if rooms[o.Zone] == nil {
+			list = append(list, o.Zone)
 		}
-		rooms[o.Room] = append(rooms[o.Room], name)
+		rooms[o.Zone] = append(rooms[o.Zone], name)
 	}
 	slices.SortFunc(list, func(a, b string) int { return cmp.Compare(place("room "+a), place("room "+b)) })
 	for _, r := range list {
@@ -101,7 +101,7 @@
 }
 
 // halt stops the release: what was not begun is revoked, and what was is waited for before it is acknowledged.
-func (m *Machine) halt(by, cause string) Result {
+func (m *StateMachine) halt(by, cause string) Result {
 	r := m.Release
 	if !r.active() {
 		return refuse(NothingToDo, "no release is under way")
@@ -110,60 +110,60 @@
 		return Result{Release: r.Number}
 	}
 	m.audit(by, fmt.Sprintf("halt release %d: %s", r.Number, cause), string(r.State), string(Halting))
-	r.State, r.Cause, r.SoakFrom = Halting, cause, 0
+	r.State, r.Cause, r.SoakingSince = Halting, cause, 0
 	m.revoke(r)
 	return Result{Release: r.Number}
 }
 
 // revoke ends the permits of a release that were not begun.
-func (m *Machine) revoke(r *Release) {
+func (m *StateMachine) revoke(r *Release) {
 	for _, n := range m.numbers() {
-		if p := m.Permits[n]; p.Release == r.Number && p.Begun == 0 && !m.skip(checkHaltRevokes) {
+		if p := m.Permits[n]; p.Release == r.Number && p.ActivatedAt == 0 && !m.skip(checkHaltRevokes) {
 			m.end(p)
 		}
 	}
 }
 
 // going lists members that were told to go for the release and were not seen out since: they may yet go.
-func (m *Machine) going(r *Release) (names []string) {
+func (m *StateMachine) going(r *Release) (names []string) {
 	for _, n := range m.numbers() {
 		p := m.Permits[n]
-		if p.Release != r.Number || p.Begun == 0 {
+		if p.Release != r.Number || p.ActivatedAt == 0 {
 			continue
 		}
-		if o := m.Members[p.Holder]; o.Incarnation == p.Incarnation && o.Phase == Serving {
-			names = append(names, p.Holder)
+		if o := m.Members[p.Subject]; o.Incarnation == p.Incarnation && o.Phase == Serving {
+			names = append(names, p.Subject)
 		}
 	}
 	return names
 }
 
-func (m *Machine) resume(by string) Result {
+func (m *StateMachine) resume(by string) Result {
 	r := m.Release
 	if !r.active() || r.State == Running {
 		return refuse(NothingToDo, "no release is halted")
 	}
 	m.audit(by, fmt.Sprintf("resume release %d", r.Number), string(r.State), string(Running))
-	r.State, r.Cause, r.SoakFrom = Running, "", 0
+	r.State, r.Cause, r.SoakingSince = Running, "", 0
 	r.Evidence, r.New, r.Old = evidence{}, Count{}, Count{} // the operator has seen it and goes on
 	for _, o := range m.Members {
 		o.Crashes = nil
 	}
 	for _, p := range m.Permits { // who is still out has its time once more
-		if p.Release == r.Number && p.Begun > 0 {
-			p.Begun = m.Now
+		if p.Release == r.Number && p.ActivatedAt > 0 {
+			p.ActivatedAt = m.Now
 		}
 	}
 	return Result{Release: r.Number}
 }
 
 // wayBack turns the release round: all go back to the old revision, and what starts meanwhile starts on it.
-func (m *Machine) wayBack(by string) Result {
+func (m *StateMachine) wayBack(by string) Result {
 	r := m.Release
 	if r == nil {
 		return refuse(NothingToDo, "there is no release to take back")
 	}
-	if r.Back {
+	if r.RollingBack {
 		if r.State == Done {
 			return refuse(NothingToDo, "release %d was taken back", r.Number)
 		}
@@ -172,20 +172,20 @@
 		}
 		return Result{Release: r.Number}
 	}
-	m.audit(by, fmt.Sprintf("take release %d back", r.Number), r.Revision, r.From)
+	m.audit(by, fmt.Sprintf("take release %d back", r.Number), r.Revision, r.PreviousRevision)
 	if r.State == Done {
 		r.Order = m.order(r.Number)
 	}
-	r.State, r.Back, r.SoakFrom, r.Cause = Running, true, 0, ""
+	r.State, r.RollingBack, r.SoakingSince, r.Cause = Running, true, 0, ""
 	if !m.skip(checkBackRevokes) {
 		m.revoke(r)
 	}
 	for _, o := range m.Members {
-		o.Wanted = r.From
+		o.TargetRevision = r.PreviousRevision
 	}
 	for _, p := range m.Permits {
 		if p.Release == r.Number {
-			p.Revision = r.From
+			p.Revision = r.PreviousRevision
 		}
 	}
 	return Result{Release: r.Number}
@@ -193,17 +193,17 @@
 
 // cut is how many of the order the waves so far hold.
 func (r *Release) cut() int {
-	if r.Back {
+	if r.RollingBack {
 		return len(r.Order)
 	}
 	return min(len(r.Order), max(1, int(math.Ceil(r.Waves[r.Wave]*float64(len(r.Order))-1e-9))))
 }
 
 // advance carries on what time and the last command allow.
-func (m *Machine) advance() {
+func (m *StateMachine) advance() {
 	for _, n := range m.numbers() {
-		if p := m.Permits[n]; p.Engine && p.MayStop == 0 && m.empties(p) {
-			p.MayStop = m.Now
+		if p := m.Permits[n]; p.Engine && p.DrainedAt == 0 && m.empties(p) {
+			p.DrainedAt = m.Now
 		}
 	}
 	r := m.Release
@@ -216,7 +216,7 @@
 	if r.State != Running {
 		return
 	}
-	if cause := m.fault(r); cause != "" && !r.Back {
+	if cause := m.fault(r); cause != "" && !r.RollingBack {
 		m.halt("the fleet", cause)
 		if len(m.going(r)) == 0 {
 			r.State = Halted
@@ -227,7 +227,7 @@
 	m.progress(r)
 }
 
-func (m *Machine) empties(p *Permit) bool {
+func (m *StateMachine) empties(p *Permit) bool {
 	for _, o := range m.Members {
 		if m.blocks(p, o) != "" {
 			return false
@@ -237,7 +237,7 @@
 }
 
 // fault tells why a release must not go on; empty for nothing.
-func (m *Machine) fault(r *Release) string {
+func (m *StateMachine) fault(r *Release) string {
 	if cause := m.judged(r); cause != "" {
 		return cause
 	}
@@ -253,42 +253,42 @@
 				lately++
 			}
 		}
-		if lately >= m.Settings.CrashLoop && o.Wanted == r.Revision {
+		if lately >= m.Settings.CrashLoop && o.TargetRevision == r.Revision {
 			return fmt.Sprintf("%s crashed %d times within %v", name, lately, m.Settings.CrashWindow)
 		}
 	}
 	for _, n := range m.numbers() {
 		p := m.Permits[n]
-		if p.Release == r.Number && p.Begun > 0 && m.Now-p.Begun >= m.Settings.NotBack {
-			return fmt.Sprintf("%s went out and is not back within %v", p.Holder, m.Settings.NotBack)
+		if p.Release == r.Number && p.ActivatedAt > 0 && m.Now-p.ActivatedAt >= m.Settings.ReturnTimeout {
+			return fmt.Sprintf("%s went out and is not back within %v", p.Subject, m.Settings.ReturnTimeout)
 		}
 	}
 	return ""
 }
 
 // give hands permits to the members of the waves so far, as many as the budgets allow.
-func (m *Machine) give(r *Release) {
-	t := m.memberTally(r.Back)
+func (m *StateMachine) give(r *Release) {
+	t := m.memberTally(r.RollingBack)
 	for _, name := range r.Order[:r.cut()] {
 		o := m.Members[name]
 		if o.Revision == r.target() || !m.inFleet(o) {
 			continue
 		}
 		if u := m.memberUnit(o); m.fits(t, u) == nil || m.skip(checkGrantBudget) {
-			m.grant(Permit{Holder: name, For: Restart, Revision: r.target(), Release: r.Number, Incarnation: o.Incarnation})
+			m.grant(Permit{Subject: name, Purpose: Restart, Revision: r.target(), Release: r.Number, Incarnation: o.Incarnation})
 			t.take(u)
 		}
 	}
 }
 
 // waiting lists members of the waves so far that keep them from being complete.
-func (m *Machine) waiting(r *Release) (names []string) {
+func (m *StateMachine) waiting(r *Release) (names []string) {
 	for _, name := range r.Order[:r.cut()] {
 		o := m.Members[name]
 		p := m.permitOf(name, false)
 		mine := p != nil && p.Release == r.Number
 		// Who was out before its turn is not waited for; who was taken to the new revision must serve there.
-		if mine || (m.inFleet(o) && o.Revision != r.target()) || (p == nil && !o.serves() && o.Wanted == r.target()) {
+		if mine || (m.inFleet(o) && o.Revision != r.target()) || (p == nil && !o.serves() && o.TargetRevision == r.target()) {
 			names = append(names, name)
 		}
 	}
@@ -296,23 +296,23 @@
 }
 
 // progress ends a wave that is complete and has soaked, and the release with the last.
-func (m *Machine) progress(r *Release) {
+func (m *StateMachine) progress(r *Release) {
 	if len(m.waiting(r)) > 0 && !m.skip(checkWave) {
-		r.SoakFrom = 0
+		r.SoakingSince = 0
 		return
 	}
-	if r.Back {
+	if r.RollingBack {
 		m.finish(r)
 		return
 	}
-	if r.SoakFrom == 0 {
-		r.SoakFrom = m.Now
+	if r.SoakingSince == 0 {
+		r.SoakingSince = m.Now
 	}
-	if m.Now-r.SoakFrom < r.Soak || r.Sample < m.least(r) {
+	if m.Now-r.SoakingSince < r.Soak || r.Sample < m.least(r) {
 		return
 	}
 	if r.Wave++; r.Wave < len(r.Waves) {
-		r.SoakFrom, r.Sample, r.Evidence = 0, 0, evidence{}
+		r.SoakingSince, r.Sample, r.Evidence = 0, 0, evidence{}
 		m.give(r)
 		return
 	}
@@ -321,21 +321,21 @@
 }
 
 // least is how many requests the new revision must have had: once nobody is left on the old, there is none to compare with.
-func (m *Machine) least(r *Release) int64 {
+func (m *StateMachine) least(r *Release) int64 {
 	if r.cut() == len(r.Order) {
 		return 0
 	}
-	return m.Settings.Judge.Least
+	return m.Settings.Analyzer.Least
 }
 
-func (m *Machine) finish(r *Release) {
+func (m *StateMachine) finish(r *Release) {
 	what := "done"
-	if r.Back {
+	if r.RollingBack {
 		what = "taken back"
 	}
 	m.audit("the fleet", fmt.Sprintf("release %d %s", r.Number, what), string(r.State), string(Done))
 	r.State = Done
 	for _, o := range m.Members {
-		o.Wanted = r.target()
+		o.TargetRevision = r.target()
 	}
 }
--- a/decision/rollout/release_test.go
+++ b/decision/rollout/release_test.go
@@ -16,14 +16,14 @@
 // bed is a fleet of well-behaved members in three rooms, on one clock.
 type bed struct {
 	t   *testing.T
-	m   *Machine
+	m   *StateMachine
 	now time.Duration
 	n   int
 }
 
 func newBed(t *testing.T, n int, change func(*Settings)) *bed {
 	set := Defaults()
-	set.FrontEnds, set.WayBack, set.Judge.Least = Budget{Most: 2, RoomMost: 1}, Budget{Most: 3}, 0
+	set.FrontEnds, set.Rollback, set.Analyzer.Least = Budget{Most: 2, ZoneMost: 1}, Budget{Most: 3}, 0
 	if change != nil {
 		change(&set)
 	}
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	b := &bed{t: t, m: m, now: time.Hour, n: n}
 	for i := range n {
-		require.Nil(t, b.say(i, 1, 1, "old", Serving).Refusal)
+		require.Nil(t, b.say(i, 1, 1, "old", Serving).Rejected)
 	}
 	return b
 }
@@ -47,23 +47,23 @@
 }
 
 func (b *bed) say(i int, inc, seq uint64, rev string, p Phase) Result {
-	return b.do(Command{Say: &Say{Name: fmt.Sprint("n", i), Room: testRooms[i%3], Weight: 10, Incarnation: inc, Seq: seq, Revision: rev, Phase: p}})
+	return b.do(Command{ReportStatus: &ReportStatus{Name: fmt.Sprint("n", i), Zone: testRooms[i%3], Weight: 10, Incarnation: inc, StatusSequence: seq, Revision: rev, Phase: p}})
 }
 
 // turn lets every holder of a permit go out and come back on the revision that the log names.
 func (b *bed) turn() (went []string) {
 	for _, n := range b.m.numbers() {
 		p := b.m.Permits[n]
-		if p == nil || p.Engine || p.For != Restart {
+		if p == nil || p.Engine || p.Purpose != Restart {
 			continue
 		}
-		if b.do(Command{Begin: &Begin{p.Holder, p.Incarnation, n}}).Go {
+		if b.do(Command{ActivatePermit: &PermitReference{p.Subject, p.Incarnation, n}}).Shutdown {
 			b.after(time.Second)
-			o := b.m.Members[p.Holder]
+			o := b.m.Members[p.Subject]
 			i := 0
-			_, _ = fmt.Sscanf(p.Holder, "n%d", &i)
-			b.say(i, o.Incarnation+1, 1, o.Wanted, Serving)
-			went = append(went, p.Holder)
+			_, _ = fmt.Sscanf(p.Subject, "n%d", &i)
+			b.say(i, o.Incarnation+1, 1, o.TargetRevision, Serving)
+			went = append(went, p.Subject)
 		}
 	}
 	return went
@@ -79,11 +79,11 @@
 
 func TestReleaseGoesInWaves(t *testing.T) {
 	b := newBed(t, 9, nil)
-	r := b.do(Command{ID: "1", By: "ann", Start: &Start{Revision: "new", Waves: []float64{0.1, 0.5, 1}, Soak: 10 * time.Second}})
-	require.Nil(t, r.Refusal)
-	again := b.do(Command{ID: "2", By: "bob", Start: &Start{Revision: "newer", Waves: []float64{1}}})
-	require.NotNil(t, again.Refusal)
-	assert.Equal(t, "release 1 to new, started by ann, is running: one at a time", again.Refusal.Text)
+	r := b.do(Command{ID: "1", By: "ann", StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.1, 0.5, 1}, Soak: 10 * time.Second}})
+	require.Nil(t, r.Rejected)
+	again := b.do(Command{ID: "2", By: "bob", StartRelease: &StartRelease{Revision: "newer", Waves: []float64{1}}})
+	require.NotNil(t, again.Rejected)
+	assert.Equal(t, "release 1 to new, started by ann, is running: one at a time", again.Rejected.Text)
 
 	assert.Len(t, b.turn(), 1, "the canary")
 	assert.Empty(t, b.turn(), "it soaks")
@@ -105,7 +105,7 @@
 	assert.Equal(t, Done, b.m.Release.State)
 	assert.Equal(t, map[string]int{"new": 9}, b.revisions())
 
-	require.Nil(t, b.do(Command{ID: "3", WayBack: &struct{}{}}).Refusal)
+	require.Nil(t, b.do(Command{ID: "3", Rollback: &struct{}{}}).Rejected)
 	for range 10 {
 		b.turn()
 	}
@@ -117,24 +117,24 @@
 // although no process of the new revision ever spoke.
 func TestWayBackFromARevisionThatCannotStart(t *testing.T) {
 	b := newBed(t, 6, nil)
-	b.do(Command{Start: &Start{Revision: "broken", Waves: []float64{0.1, 1}}})
+	b.do(Command{StartRelease: &StartRelease{Revision: "broken", Waves: []float64{0.1, 1}}})
 	var p *Permit
 	for _, p = range b.m.Permits {
 	}
 	require.NotNil(t, p)
-	require.True(t, b.do(Command{Begin: &Begin{p.Holder, 1, p.Number}}).Go)
-	assert.Equal(t, "broken", b.m.Members[p.Holder].Wanted)
-	b.after(b.m.Settings.NotBack - time.Second)
+	require.True(t, b.do(Command{ActivatePermit: &PermitReference{p.Subject, 1, p.Number}}).Shutdown)
+	assert.Equal(t, "broken", b.m.Members[p.Subject].TargetRevision)
+	b.after(b.m.Settings.ReturnTimeout - time.Second)
 	assert.Equal(t, Running, b.m.Release.State)
 	b.after(2 * time.Second)
 	assert.Equal(t, Halting, b.m.Release.State, "nobody has seen it out: it may yet be about to go")
-	assert.Contains(t, b.m.Release.Cause, p.Holder+" went out and is not back")
-	b.do(Command{WayBack: &struct{}{}})
-	o := b.m.Members[p.Holder]
-	assert.Equal(t, "old", o.Wanted)
+	assert.Contains(t, b.m.Release.Cause, p.Subject+" went out and is not back")
+	b.do(Command{Rollback: &struct{}{}})
+	o := b.m.Members[p.Subject]
+	assert.Equal(t, "old", o.TargetRevision)
 	assert.NotNil(t, b.m.Permits[p.Number], "it is out until it has said that it serves")
 	i := 0
-	_, _ = fmt.Sscanf(p.Holder, "n%d", &i)
+	_, _ = fmt.Sscanf(p.Subject, "n%d", &i)
 	b.say(i, 2, 1, "old", Serving)
 	assert.Equal(t, Done, b.m.Release.State)
 	assert.Empty(t, b.m.Permits)
@@ -142,7 +142,7 @@
 
 func TestCrashLoopHalts(t *testing.T) {
 	b := newBed(t, 6, func(s *Settings) { s.FrontEnds = Budget{Most: 2} })
-	b.do(Command{Start: &Start{Revision: "new", Waves: []float64{0.1, 1}, Soak: time.Hour}})
+	b.do(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.1, 1}, Soak: time.Hour}})
 	went := b.turn()
 	require.Len(t, went, 1)
 	i := 0
@@ -154,30 +154,30 @@
 	}
 	assert.Equal(t, Halted, b.m.Release.State)
 	assert.Contains(t, b.m.Release.Cause, "crashed 3 times")
-	require.Nil(t, b.do(Command{By: "ann", Resume: &struct{}{}}).Refusal)
+	require.Nil(t, b.do(Command{By: "ann", Resume: &struct{}{}}).Rejected)
 	assert.Equal(t, Running, b.m.Release.State, "an operator goes on all the same")
 }
 
 // A burst of crashes uses the budget up: the release waits and says why, and is halted where more are out than may be.
 func TestCrashesUseTheBudgetUp(t *testing.T) {
 	b := newBed(t, 9, nil)
-	b.do(Command{Start: &Start{Revision: "new", Waves: []float64{1}}})
+	b.do(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{1}}})
 	require.Len(t, b.m.Permits, 2)
 	for _, n := range b.m.numbers() {
-		b.do(Command{Return: &Begin{b.m.Permits[n].Holder, 1, n}})
+		b.do(Command{ReturnPermit: &PermitReference{b.m.Permits[n].Subject, 1, n}})
 	}
 	for n := range b.m.Permits { // what was given again is handed back too, once two others have crashed
 		p := b.m.Permits[n]
 		for _, o := range b.m.names() {
 			if b.m.permitOf(o, false) == nil && b.m.Members[o].serves() {
-				b.do(Command{Doubt: &Doubt{o, 1}})
+				b.do(Command{Suspect: &Suspect{o, 1}})
 				break
 			}
 		}
-		r := b.do(Command{Begin: &Begin{p.Holder, 1, n}})
-		assert.False(t, r.Go, "others are out")
-		if r.Refusal != nil {
-			assert.NotEmpty(t, r.Refusal.Error())
+		r := b.do(Command{ActivatePermit: &PermitReference{p.Subject, 1, n}})
+		assert.False(t, r.Shutdown, "others are out")
+		if r.Rejected != nil {
+			assert.NotEmpty(t, r.Rejected.Error())
 		}
 		break
 	}
@@ -188,65 +188,65 @@
 func TestDrainIsRefusedByName(t *testing.T) {
 	b := newBed(t, 4, nil)
 	for i := range 3 {
-		b.do(Command{Engine: &Engine{Name: fmt.Sprint("e", i), Room: testRooms[i], Cores: 12, Process: 5, Listed: true, Ready: true}})
+		b.do(Command{Engine: &Engine{Name: fmt.Sprint("e", i), Zone: testRooms[i], Cores: 12, Process: 5, Listed: true, Ready: true}})
 	}
 	b.do(Command{Load: &Load{Engines: 10}})
-	require.Nil(t, b.do(Command{ID: "a", By: "ann", Drain: &Holder{"e0", true}}).Refusal)
-	no := b.do(Command{ID: "b", Drain: &Holder{"e1", true}})
-	require.NotNil(t, no.Refusal)
-	assert.Equal(t, "e1 may not go out: 1 of 3 (all) are out, and 1 may be: out are e0", no.Refusal.Error())
-	assert.Equal(t, no.Refusal.Error(), b.do(Command{ID: "b", Drain: &Holder{"e1", true}}).Refusal.Error(), "a repeat is answered as the first")
-	b.do(Command{Undrain: &Holder{"e0", true}})
+	require.Nil(t, b.do(Command{ID: "a", By: "ann", Drain: &Subject{"e0", true}}).Rejected)
+	no := b.do(Command{ID: "b", Drain: &Subject{"e1", true}})
+	require.NotNil(t, no.Rejected)
+	assert.Equal(t, "e1 may not go out: 1 of 3 (all) are out, and 1 may be: out are e0", no.Rejected.Error())
+	assert.Equal(t, no.Rejected.Error(), b.do(Command{ID: "b", Drain: &Subject{"e1", true}}).Rejected.Error(), "a repeat is answered as the first")
+	b.do(Command{Undrain: &Subject{"e0", true}})
 	b.do(Command{Load: &Load{Engines: 12}})
-	no = b.do(Command{Drain: &Holder{"e1", true}})
-	assert.Equal(t, "capacity", no.Refusal.Scope)
-	assert.Contains(t, no.Refusal.Text, "with one more loss 12 would be left, and 13.2 are needed")
-	assert.Equal(t, NotKnown, b.do(Command{Drain: &Holder{"e9", true}}).Refusal.Code)
-	assert.Equal(t, NotKnown, b.do(Command{Drain: &Holder{"n9", false}}).Refusal.Code)
+	no = b.do(Command{Drain: &Subject{"e1", true}})
+	assert.Equal(t, "capacity", no.Rejected.Scope)
+	assert.Contains(t, no.Rejected.Text, "with one more loss 12 would be left, and 13.2 are needed")
+	assert.Equal(t, NotFound, b.do(Command{Drain: &Subject{"e9", true}}).Rejected.Code)
+	assert.Equal(t, NotFound, b.do(Command{Drain: &Subject{"n9", false}}).Rejected.Code)
 }
 
 func TestEngineIsEmptyWhenAllHaveSaidSo(t *testing.T) {
 	b := newBed(t, 3, nil)
-	b.do(Command{Engine: &Engine{Name: "e0", Room: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
-	p := b.do(Command{Drain: &Holder{"e0", true}}).Permit
-	says := func(i int, inc uint64) { b.do(Command{Empty: &Empty{fmt.Sprint("n", i), inc, p}}) }
+	b.do(Command{Engine: &Engine{Name: "e0", Zone: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
+	p := b.do(Command{Drain: &Subject{"e0", true}}).Permit
+	says := func(i int, inc uint64) { b.do(Command{ReportDrained: &ReportDrained{fmt.Sprint("n", i), inc, p}}) }
 	says(0, 1)
 	says(1, 1)
-	b.do(Command{Doubt: &Doubt{"n2", 1}})
+	b.do(Command{Suspect: &Suspect{"n2", 1}})
 	b.after(time.Hour)
-	assert.Zero(t, b.m.Permits[p].MayStop, "silence is no proof, however long")
+	assert.Zero(t, b.m.Permits[p].DrainedAt, "silence is no proof, however long")
 	assert.Equal(t, []string{"n2: not heard of; forget it if it is gone"}, b.m.Blocks(p))
 	b.say(2, 2, 1, "old", Serving) // its process was over, and what it had sent may run on for a while
 	says(2, 1)
-	assert.Zero(t, b.m.Permits[p].MayStop)
+	assert.Zero(t, b.m.Permits[p].DrainedAt)
 	says(2, 2)
-	assert.Zero(t, b.m.Permits[p].MayStop)
+	assert.Zero(t, b.m.Permits[p].DrainedAt)
 	due, ok := b.m.Due()
 	require.True(t, ok)
 	b.after(due - b.now)
-	assert.Equal(t, b.now, b.m.Permits[p].MayStop)
-	b.do(Command{Engine: &Engine{Name: "e0", Room: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
+	assert.Equal(t, b.now, b.m.Permits[p].DrainedAt)
+	b.do(Command{Engine: &Engine{Name: "e0", Zone: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
 	assert.NotNil(t, b.m.Permits[p], "a list that is behind")
 	b.do(Command{Engine: &Engine{Name: "e0", Listed: false, Process: 5}})
-	b.do(Command{Engine: &Engine{Name: "e0", Room: "room-a", Cores: 12, Process: 6, Listed: true, Ready: true}})
+	b.do(Command{Engine: &Engine{Name: "e0", Zone: "room-a", Cores: 12, Process: 6, Listed: true, Ready: true}})
 	assert.Nil(t, b.m.Permits[p])
 }
 
 // An operator's drain of a front end holds through a crash, and ends with the member's own word.
 func TestFrontEndDrainHolds(t *testing.T) {
 	b := newBed(t, 3, nil)
-	p := b.do(Command{ID: "a", By: "ann", Drain: &Holder{Name: "n1"}}).Permit
-	require.True(t, b.do(Command{Begin: &Begin{"n1", 1, p}}).Go)
-	b.say(1, 1, 2, "old", Leaving)
+	p := b.do(Command{ID: "a", By: "ann", Drain: &Subject{Name: "n1"}}).Permit
+	require.True(t, b.do(Command{ActivatePermit: &PermitReference{"n1", 1, p}}).Shutdown)
+	b.say(1, 1, 2, "old", Draining)
 	b.say(1, 2, 1, "old", Serving)
 	require.NotNil(t, b.m.Permits[p])
-	require.True(t, b.do(Command{Begin: &Begin{"n1", 2, p}}).Go)
-	b.say(1, 2, 2, "old", Leaving)
-	assert.Equal(t, NotNow, b.do(Command{Return: &Begin{"n1", 2, p}}).Refusal.Code)
-	b.do(Command{By: "ann", Undrain: &Holder{Name: "n1"}})
-	assert.False(t, b.do(Command{Begin: &Begin{"n1", 2, p}}).Go)
+	require.True(t, b.do(Command{ActivatePermit: &PermitReference{"n1", 2, p}}).Shutdown)
+	b.say(1, 2, 2, "old", Draining)
+	assert.Equal(t, FailedPrecondition, b.do(Command{ReturnPermit: &PermitReference{"n1", 2, p}}).Rejected.Code)
+	b.do(Command{By: "ann", Undrain: &Subject{Name: "n1"}})
+	assert.False(t, b.do(Command{ActivatePermit: &PermitReference{"n1", 2, p}}).Shutdown)
 	b.say(1, 2, 3, "old", Serving)
-	require.Nil(t, b.do(Command{Return: &Begin{"n1", 2, p}}).Refusal)
+	require.Nil(t, b.do(Command{ReturnPermit: &PermitReference{"n1", 2, p}}).Rejected)
 	assert.Empty(t, b.m.Permits)
 	assert.Equal(t, []string{"drain front end n1", "undrain front end n1"}, []string{b.m.Audit[0].What, b.m.Audit[1].What})
 }
@@ -254,23 +254,23 @@
 func TestBadValuesChangeNothing(t *testing.T) {
 	b := newBed(t, 2, nil)
 	for field, c := range map[string]Command{
-		"weight":        {Say: &Say{Name: "n9", Incarnation: 1, Seq: 1, Phase: Serving, Weight: -1}},
-		"phase":         {Say: &Say{Name: "n9", Incarnation: 1, Seq: 1, Phase: "odd"}},
-		"incarnation":   {Say: &Say{Name: "n9", Phase: Serving}},
-		"revision":      {Start: &Start{Revision: "../x", Waves: []float64{1}}},
-		"waves":         {Start: &Start{Revision: "x", Waves: []float64{0.5, 0.2, 1}}},
-		"must be 1":     {Start: &Start{Revision: "x", Waves: []float64{0.5}}},
-		"soak":          {Start: &Start{Revision: "x", Waves: []float64{1}, Soak: -1}},
+		"weight":        {ReportStatus: &ReportStatus{Name: "n9", Incarnation: 1, StatusSequence: 1, Phase: Serving, Weight: -1}},
+		"phase":         {ReportStatus: &ReportStatus{Name: "n9", Incarnation: 1, StatusSequence: 1, Phase: "odd"}},
+		"incarnation":   {ReportStatus: &ReportStatus{Name: "n9", Phase: Serving}},
+		"revision":      {StartRelease: &StartRelease{Revision: "../x", Waves: []float64{1}}},
+		"waves":         {StartRelease: &StartRelease{Revision: "x", Waves: []float64{0.5, 0.2, 1}}},
+		"must be 1":     {StartRelease: &StartRelease{Revision: "x", Waves: []float64{0.5}}},
+		"soak":          {StartRelease: &StartRelease{Revision: "x", Waves: []float64{1}, Soak: -1}},
 		"front_ends":    {Configure: &Settings{}},
 		"under way":     {Halt: &Halt{"x"}},
 		"is halted":     {Resume: &struct{}{}},
-		"take back":     {WayBack: &struct{}{}},
+		"take back":     {Rollback: &struct{}{}},
 		"cores":         {Engine: &Engine{Name: "e", Cores: -1}},
-		"serves on old": {Start: &Start{Revision: "old", Waves: []float64{1}}},
+		"serves on old": {StartRelease: &StartRelease{Revision: "old", Waves: []float64{1}}},
 	} {
 		r := b.do(c)
-		if assert.NotNil(t, r.Refusal, field) {
-			assert.Contains(t, r.Refusal.Text, field)
+		if assert.NotNil(t, r.Rejected, field) {
+			assert.Contains(t, r.Rejected.Text, field)
 		}
 	}
 	assert.Len(t, b.m.Members, 2)
@@ -301,7 +301,7 @@
 		for _, room := range testRooms {
 			// The canary and two waves: a part of the room's traffic is on the new revision.
 			share := []float64{0.05, 0.3, 0.6}[min(2, b.m.Release.Wave)]
-			c := Room{Room: room}
+			c := ZoneCounts{Zone: room}
 			base := 0.005
 			if rng.IntN(10) == 0 {
 				base = 0.1 // a bad engine, for this window
@@ -318,7 +318,7 @@
 					k.Slow++
 				}
 			}
-			h.Rooms = append(h.Rooms, c)
+			h.Zones = append(h.Zones, c)
 		}
 		b.now += 10 * time.Second
 		b.do(Command{Health: h})
@@ -333,8 +333,8 @@
 }
 
 func judgeBed(t *testing.T) *bed {
-	b := newBed(t, 12, func(s *Settings) { s.FrontEnds, s.Judge.Least = Budget{Most: 6}, 200 })
-	b.do(Command{Start: &Start{Revision: "new", Waves: []float64{0.05, 0.4, 1}, Soak: 60 * time.Second}})
+	b := newBed(t, 12, func(s *Settings) { s.FrontEnds, s.Analyzer.Least = Budget{Most: 6}, 200 })
+	b.do(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.05, 0.4, 1}, Soak: 60 * time.Second}})
 	b.turn()
 	return b
 }
@@ -355,7 +355,7 @@
 		}
 	}
 	t.Logf("%d of %d healthy releases were halted", halts, releases)
-	assert.LessOrEqual(t, float64(halts), Defaults().Judge.Alpha*float64(releases))
+	assert.LessOrEqual(t, float64(halts), Defaults().Analyzer.Alpha*float64(releases))
 }
 
 func TestBadRevisionIsHaltedAtTheCanary(t *testing.T) {
@@ -386,13 +386,13 @@
 func TestPlanTouchesNothing(t *testing.T) {
 	b := newBed(t, 9, nil)
 	was, _ := b.m.Snapshot()
-	waves, err := b.m.Plan(Start{Revision: "new", Waves: []float64{0.1, 1}, Soak: time.Minute})
+	waves, err := b.m.Plan(StartRelease{Revision: "new", Waves: []float64{0.1, 1}, Soak: time.Minute})
 	require.NoError(t, err)
 	require.Len(t, waves, 2)
 	assert.Len(t, waves[0].Members, 1)
 	assert.Len(t, waves[1].Members, 8)
 	assert.Equal(t, 4*time.Minute+time.Minute, waves[1].Longest)
-	_, err = b.m.Plan(Start{Revision: "new"})
+	_, err = b.m.Plan(StartRelease{Revision: "new"})
 	assert.ErrorContains(t, err, "waves")
 	now, _ := b.m.Snapshot()
 	assert.Equal(t, string(was), string(now))
@@ -404,36 +404,36 @@
 // sent to an engine that all others, and its own last process, had said to be empty.
 func TestANewProcessLearnsOfDrains(t *testing.T) {
 	b := newBed(t, 2, nil)
-	b.do(Command{Engine: &Engine{Name: "e0", Room: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
-	p := b.do(Command{Drain: &Holder{"e0", true}}).Permit
-	b.do(Command{Empty: &Empty{"n0", 1, p}})
+	b.do(Command{Engine: &Engine{Name: "e0", Zone: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
+	p := b.do(Command{Drain: &Subject{"e0", true}}).Permit
+	b.do(Command{ReportDrained: &ReportDrained{"n0", 1, p}})
 	r := b.say(1, 2, 1, "old", Starting)
 	assert.Equal(t, []string{"e0"}, r.Drained)
 	assert.Equal(t, b.m.Applied, r.Applied)
-	b.do(Command{Empty: &Empty{"n1", 1, p}})
+	b.do(Command{ReportDrained: &ReportDrained{"n1", 1, p}})
 	b.after(time.Hour)
-	assert.Zero(t, b.m.Permits[p].MayStop, "the word of its last process does not count")
-	b.do(Command{Empty: &Empty{"n1", 2, p}})
-	assert.NotZero(t, b.m.Permits[p].MayStop)
+	assert.Zero(t, b.m.Permits[p].DrainedAt, "the word of its last process does not count")
+	b.do(Command{ReportDrained: &ReportDrained{"n1", 2, p}})
+	assert.NotZero(t, b.m.Permits[p].DrainedAt)
 }
 
 // One that is told to go and does not hear it asks again: in the meantime two others may have gone without being asked. Drill rollout, seed
 // 2008, let a third one out on the old answer.
 func TestAnAnswerThatWasLostIsNoPermissionForGood(t *testing.T) {
 	b := newBed(t, 6, nil)
-	p := b.do(Command{Drain: &Holder{Name: "n0"}}).Permit
+	p := b.do(Command{Drain: &Subject{Name: "n0"}}).Permit
 	require.NotZero(t, p)
-	begin := Command{Begin: &Begin{"n0", 1, p}}
-	require.True(t, b.do(begin).Go)
-	require.True(t, b.do(begin).Go, "nothing has changed: the answer was lost")
+	begin := Command{ActivatePermit: &PermitReference{"n0", 1, p}}
+	require.True(t, b.do(begin).Shutdown)
+	require.True(t, b.do(begin).Shutdown, "nothing has changed: the answer was lost")
 	for _, name := range []string{"n1", "n2"} {
-		require.Nil(t, b.do(Command{Doubt: &Doubt{Name: name, Incarnation: 1}}).Refusal)
+		require.Nil(t, b.do(Command{Suspect: &Suspect{Name: name, Incarnation: 1}}).Rejected)
 	}
 	r := b.do(begin)
-	require.NotNil(t, r.Refusal)
-	assert.False(t, r.Go)
-	assert.Equal(t, []string{"n1", "n2"}, r.Refusal.Out)
+	require.NotNil(t, r.Rejected)
+	assert.False(t, r.Shutdown)
+	assert.Equal(t, []string{"n1", "n2"}, r.Rejected.Out)
 	require.NotNil(t, b.m.Permits[p], "it may have gone for all that is known: it counts as out until it says that it stays")
-	require.Nil(t, b.do(Command{Return: &Begin{"n0", 1, p}}).Refusal)
+	require.Nil(t, b.do(Command{ReturnPermit: &PermitReference{"n0", 1, p}}).Rejected)
 	assert.Nil(t, b.m.Permits[p])
 }
--- a/decision/rollout/search_test.go
+++ b/decision/rollout/search_test.go
@@ -32,7 +32,7 @@
 }
 
 type world struct {
-	m            *Machine
+	m            *StateMachine
 	p            []process
 	words        map[word]bool // whatever was sent may arrive, at any time, any number of times
 	halted       bool          // an operator was told so, and has not gone on
@@ -48,7 +48,7 @@
 	return &c
 }
 
-func (m *Machine) clone() *Machine {
+func (m *StateMachine) clone() *StateMachine {
 	c := *m
 	c.Members, c.Engines, c.Permits = map[string]*Member{}, map[string]*Engine{}, map[uint64]*Permit{}
 	for k, v := range m.Members {
@@ -62,7 +62,7 @@
 	}
 	for k, v := range m.Permits {
 		o := *v
-		o.Empty = maps.Clone(v.Empty)
+		o.DrainedBy = maps.Clone(v.DrainedBy)
 		c.Permits[k] = &o
 	}
 	if m.Release != nil {
@@ -70,7 +70,7 @@
 		r.Order = slices.Clone(r.Order)
 		c.Release = &r
 	}
-	c.held, c.Audit, c.Answers = maps.Clone(m.held), nil, nil
+	c.held, c.Audit, c.Results = maps.Clone(m.held), nil, nil
 	return &c
 }
 
@@ -87,22 +87,22 @@
 	for _, name := range w.m.names() {
 		o := w.m.Members[name]
 		num(o.Incarnation)
-		num(o.Seq)
-		yes(o.Doubted)
+		num(o.StatusSequence)
+		yes(o.Suspected)
 		b = append(b, o.Phase...)
-		b = append(append(b, o.Revision...), o.Wanted...)
+		b = append(append(b, o.Revision...), o.TargetRevision...)
 	}
 	for _, n := range w.m.numbers() {
 		p := w.m.Permits[n]
 		num(n)
-		b = append(append(b, p.Holder...), p.Revision...)
+		b = append(append(b, p.Subject...), p.Revision...)
 		num(p.Incarnation)
-		yes(p.Begun > 0)
+		yes(p.ActivatedAt > 0)
 	}
-	num(w.m.Last)
+	num(w.m.LastPermit)
 	if r := w.m.Release; r != nil {
 		b = append(b, r.State...)
-		yes(r.Back)
+		yes(r.RollingBack)
 	}
 	for _, p := range w.p {
 		num(p.inc)
@@ -152,7 +152,7 @@
 		case x.answers:
 			return p.inc > x.inc || p.out || x.n <= p.gave
 		case x.kind == 's':
-			return x.inc < o.Incarnation || (x.inc == o.Incarnation && x.n <= o.Seq)
+			return x.inc < o.Incarnation || (x.inc == o.Incarnation && x.n <= o.StatusSequence)
 		}
 		return x.inc < o.Incarnation || w.m.Permits[x.n] == nil
 	})
@@ -194,17 +194,17 @@
 	case x.kind == 's':
 		phase := Serving
 		if x.out {
-			phase = Leaving
+			phase = Draining
 		}
-		w.apply(Command{Say: &Say{Name: name(x.who), Room: "r", Incarnation: x.inc, Seq: x.n, Revision: x.rev, Phase: phase}})
+		w.apply(Command{ReportStatus: &ReportStatus{Name: name(x.who), Zone: "r", Incarnation: x.inc, StatusSequence: x.n, Revision: x.rev, Phase: phase}})
 	case x.kind == 'b':
-		if w.apply(Command{Begin: &Begin{name(x.who), x.inc, x.n}}).Go {
+		if w.apply(Command{ActivatePermit: &PermitReference{name(x.who), x.inc, x.n}}).Shutdown {
 			y := x
 			y.answers = true
 			w.send(y)
 		}
 	case x.kind == 'r':
-		w.apply(Command{Return: &Begin{name(x.who), x.inc, x.n}})
+		w.apply(Command{ReturnPermit: &PermitReference{name(x.who), x.inc, x.n}})
 	}
 }
 
@@ -228,7 +228,7 @@
 func (w *world) start(i int) {
 	p := &w.p[i]
 	p.inc, p.seq, p.out, p.gave, p.why = p.inc+1, 1, false, 0, 0
-	p.rev = w.m.Members[name(i)].Wanted
+	p.rev = w.m.Members[name(i)].TargetRevision
 	w.send(w.phase(i))
 }
 
@@ -241,7 +241,7 @@
 	for i, p := range w.p {
 		for _, number := range w.m.numbers() {
 			g := w.m.Permits[number]
-			if g.Holder == name(i) && g.Incarnation == p.inc && !p.out && number > p.gave {
+			if g.Subject == name(i) && g.Incarnation == p.inc && !p.out && number > p.gave {
 				add(func(n *world) { n.send(word{kind: 'b', who: i, inc: p.inc, n: number}) })
 				if w.mind > 0 { // it may also change its mind, asked or not
 					add(func(n *world) {
@@ -258,10 +258,10 @@
 		if w.crash > 0 {
 			add(func(n *world) { n.crash--; n.start(i) })
 		}
-		if o := w.m.Members[name(i)]; w.doubt > 0 && !o.Doubted {
-			add(func(n *world) { n.doubt--; n.apply(Command{Doubt: &Doubt{name(i), o.Incarnation}}) })
+		if o := w.m.Members[name(i)]; w.doubt > 0 && !o.Suspected {
+			add(func(n *world) { n.doubt--; n.apply(Command{Suspect: &Suspect{name(i), o.Incarnation}}) })
 		}
-		if o := w.m.Members[name(i)]; o.Doubted && o.Incarnation == p.inc && o.Seq == p.seq { // it learns that it is doubted, and says more
+		if o := w.m.Members[name(i)]; o.Suspected && o.Incarnation == p.inc && o.StatusSequence == p.seq { // it learns that it is doubted, and says more
 			add(func(n *world) { n.p[i].seq++; n.send(n.phase(i)) })
 		}
 	}
@@ -269,15 +269,15 @@
 		add(func(n *world) { n.halt = false; n.apply(Command{Halt: &Halt{"operator"}}) })
 	}
 	if w.back && !w.halt {
-		add(func(n *world) { n.back = false; n.apply(Command{WayBack: &struct{}{}}) })
+		add(func(n *world) { n.back = false; n.apply(Command{Rollback: &struct{}{}}) })
 	}
 	return all
 }
 
 func small(t testing.TB, skip check, members int) *world {
 	set := Defaults()
-	set.FrontEnds, set.WayBack = Budget{Most: 1}, Budget{Most: 1}
-	set.CrashLoop, set.Judge.Least = 5, 0
+	set.FrontEnds, set.Rollback = Budget{Most: 1}, Budget{Most: 1}
+	set.CrashLoop, set.Analyzer.Least = 5, 0
 	m, err := New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -285,12 +285,12 @@
 	w := &world{m: m, words: map[word]bool{}, halt: true, back: true, mind: 1}
 	for i := range members {
 		w.p = append(w.p, process{inc: 1, seq: 1, rev: "old"})
-		w.apply(Command{Say: &Say{Name: name(i), Room: "r", Incarnation: 1, Seq: 1, Revision: "old", Phase: Serving}})
+		w.apply(Command{ReportStatus: &ReportStatus{Name: name(i), Zone: "r", Incarnation: 1, StatusSequence: 1, Revision: "old", Phase: Serving}})
 		// A word from before the release that is still on its way.
 		w.send(w.phase(i))
 	}
 	m.skipped = skip
-	w.apply(Command{Start: &Start{Revision: "new", Waves: []float64{0.3, 1}}})
+	w.apply(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.3, 1}}})
 	return w
 }
 
--- a/decision/rollout/state.go
+++ b/decision/rollout/state.go
@@ -18,35 +18,35 @@
 
 // The phases of a process.
 const (
-	Starting Phase = "starting"
-	Serving  Phase = "serving"
-	Leaving  Phase = "leaving" // it takes no more requests
-	Gone     Phase = "gone"    // it has answered all and ends
+	Starting   Phase = "starting"
+	Serving    Phase = "serving"
+	Draining   Phase = "leaving" // it takes no more requests
+	Terminated Phase = "gone"    // it has answered all and ends
 )
 
 // Member is a front end.
 type Member struct {
-	Name        string        `json:"name"`
-	Room        string        `json:"room"`
-	Kind        string        `json:"kind,omitempty"`
-	Weight      float64       `json:"weight"`      // what it can carry, in the unit of Load
-	Incarnation uint64        `json:"incarnation"` // of its process; a later one is greater
-	Seq         uint64        `json:"seq"`         // of its last word
-	Revision    string        `json:"revision"`
-	Wanted      string        `json:"wanted"` // the revision that it is to be started on
-	Phase       Phase         `json:"phase"`
-	Doubted     bool          `json:"doubted,omitempty"` // not heard of since its last word
-	Changed     time.Duration `json:"changed"`           // when phase or doubt last did
-	Before      time.Duration `json:"before,omitempty"`  // when an earlier process was known to be over; 0: there was none
-	Crashes     []int64       `json:"crashes,omitempty"` // when processes of it ended unannounced, Unix nanoseconds, lately
+	Name            string        `json:"name"`
+	Zone            string        `json:"room"`
+	Kind            string        `json:"kind,omitempty"`
+	Weight          float64       `json:"weight"`      // what it can carry, in the unit of Load
+	Incarnation     uint64        `json:"incarnation"` // of its process; a later one is greater
+	StatusSequence  uint64        `json:"seq"`         // of its last word
+	Revision        string        `json:"revision"`
+	TargetRevision  string        `json:"wanted"` // the revision that it is to be started on
+	Phase           Phase         `json:"phase"`
+	Suspected       bool          `json:"doubted,omitempty"` // not heard of since its last word
+	Changed         time.Duration `json:"changed"`           // when phase or doubt last did
+	PreviousEndedAt time.Duration `json:"before,omitempty"`  // when an earlier process was known to be over; 0: there was none
+	Crashes         []int64       `json:"crashes,omitempty"` // when processes of it ended unannounced, Unix nanoseconds, lately
 }
 
-func (m *Member) serves() bool { return m.Phase == Serving && !m.Doubted }
+func (m *Member) serves() bool { return m.Phase == Serving && !m.Suspected }
 
 // Engine is a query engine, as the lists of the front ends tell.
 type Engine struct {
 	Name    string  `json:"name"`
-	Room    string  `json:"room"`
+	Zone    string  `json:"room"`
 	Kind    string  `json:"kind,omitempty"`
 	Cores   float64 `json:"cores"`
 	Process uint64  `json:"process"` // when its process started; a later one is greater
@@ -66,30 +66,30 @@
 // Permit allows one front end or engine to be out.
 type Permit struct {
 	Number      uint64        `json:"number"`
-	Holder      string        `json:"holder"`
+	Subject     string        `json:"holder"`
 	Engine      bool          `json:"engine,omitempty"` // the holder is an engine
-	For         Purpose       `json:"for"`
+	Purpose     Purpose       `json:"for"`
 	Revision    string        `json:"revision,omitempty"`
 	Release     uint64        `json:"release,omitempty"` // that it was given for; 0: an operator's
 	By          string        `json:"by,omitempty"`
-	Granted     time.Duration `json:"granted"`
-	Begun       time.Duration `json:"begun,omitempty"` // when the holder was told to go; 0: not yet
+	GrantedAt   time.Duration `json:"granted"`
+	ActivatedAt time.Duration `json:"begun,omitempty"` // when the holder was told to go; 0: not yet
 	Incarnation uint64        `json:"incarnation"`     // of the process that it was given to
 
-	Empty   map[string]uint64 `json:"empty,omitempty"`    // engines: who has nothing out there, as which process
-	MayStop time.Duration     `json:"may_stop,omitempty"` // engines: since when nothing is out there; 0: not yet
-	Lifted  bool              `json:"lifted,omitempty"`   // front ends: undrained, and not yet back
+	DrainedBy map[string]uint64 `json:"empty,omitempty"`    // engines: who has nothing out there, as which process
+	DrainedAt time.Duration     `json:"may_stop,omitempty"` // engines: since when nothing is out there; 0: not yet
+	Cancelled bool              `json:"lifted,omitempty"`   // front ends: undrained, and not yet back
 }
 
-// Condition is where a release stands.
-type Condition string
+// ReleaseState is where a release stands.
+type ReleaseState string
 
 // The conditions of a release.
 const (
-	Running Condition = "running"
-	Halting Condition = "halting" // nobody is told to go any more; some that were are not yet seen out
-	Halted  Condition = "halted"
-	Done    Condition = "done"
+	Running ReleaseState = "running"
+	Halting ReleaseState = "halting" // nobody is told to go any more; some that were are not yet seen out
+	Halted  ReleaseState = "halted"
+	Done    ReleaseState = "done"
 )
 
 // Count is what some front ends did in a window.
@@ -102,38 +102,38 @@
 
 // Release brings the fleet to a revision, in waves.
 type Release struct {
-	Number   uint64        `json:"number"`
-	Revision string        `json:"revision"`
-	From     string        `json:"from"` // the revision of the way back
-	By       string        `json:"by"`
-	Waves    []float64     `json:"waves"` // shares of the fleet, rising to 1
-	Soak     time.Duration `json:"soak"`
-	Wave     int           `json:"wave"`
-	Order    []string      `json:"order"` // members, those of the first wave first
-	State    Condition     `json:"state"`
-	Back     bool          `json:"back,omitempty"` // it is on the way back
-	Cause    string        `json:"cause,omitempty"`
-	Started  time.Duration `json:"started"`
-	SoakFrom time.Duration `json:"soak_from,omitempty"` // since when all of the wave serve on it; 0: they don't
-	Sample   int64         `json:"sample"`              // requests on the new revision since the wave began
-	Window   uint64        `json:"window"`              // the last of which counts were taken
-	New      Count         `json:"new"`                 // in windows and rooms that had both
-	Old      Count         `json:"old"`
-	Evidence evidence      `json:"evidence"`
+	Number           uint64        `json:"number"`
+	Revision         string        `json:"revision"`
+	PreviousRevision string        `json:"from"` // the revision of the way back
+	By               string        `json:"by"`
+	Waves            []float64     `json:"waves"` // shares of the fleet, rising to 1
+	Soak             time.Duration `json:"soak"`
+	Wave             int           `json:"wave"`
+	Order            []string      `json:"order"` // members, those of the first wave first
+	State            ReleaseState  `json:"state"`
+	RollingBack      bool          `json:"back,omitempty"` // it is on the way back
+	Cause            string        `json:"cause,omitempty"`
+	Started          time.Duration `json:"started"`
+	SoakingSince     time.Duration `json:"soak_from,omitempty"` // since when all of the wave serve on it; 0: they don't
+	Sample           int64         `json:"sample"`              // requests on the new revision since the wave began
+	Window           uint64        `json:"window"`              // the last of which counts were taken
+	New              Count         `json:"new"`                 // in windows and rooms that had both
+	Old              Count         `json:"old"`
+	Evidence         evidence      `json:"evidence"`
 }
 
 // target is the revision that the release brings members to now.
 func (r *Release) target() string {
-	if r.Back {
-		return r.From
+	if r.RollingBack {
+		return r.PreviousRevision
 	}
 	return r.Revision
 }
 
 func (r *Release) active() bool { return r != nil && r.State != Done }
 
-// Line is one line of the audit: who changed what, when.
-type Line struct {
+// AuditEntry is one line of the audit: who changed what, when.
+type AuditEntry struct {
 	Number uint64        `json:"number"`
 	At     time.Duration `json:"at"`
 	By     string        `json:"by"`
@@ -142,34 +142,34 @@
 	To     string        `json:"to,omitempty"`
 }
 
-// remembered is the answer of a command, for its repeats.
-type remembered struct {
+// commandResult is the answer of a command, for its repeats.
+type commandResult struct {
 	ID     string `json:"id"`
 	Result Result `json:"result"`
 }
 
 // State is all that the machine remembers. It is read only for those that hold a copy.
 type State struct {
-	Version   int                `json:"version"`
-	Now       time.Duration      `json:"now"` // Unix time of the latest command
-	Applied   uint64             `json:"applied"`
-	Settings  Settings           `json:"settings"`
-	Members   map[string]*Member `json:"members"`
-	Engines   map[string]*Engine `json:"engines"`
-	Permits   map[uint64]*Permit `json:"permits"`
-	Last      uint64             `json:"last"` // number of the last permit
-	Release   *Release           `json:"release,omitempty"`
-	Releases  uint64             `json:"releases"`
-	Load      Load               `json:"load"`
-	Forgotten map[string]uint64  `json:"forgotten,omitempty"` // the incarnation that was
-	Gone      []string           `json:"gone,omitempty"`      // those forgotten, oldest first
-	Audit     []Line             `json:"audit,omitempty"`
-	Lines     uint64             `json:"lines"`
-	Answers   []remembered       `json:"answers,omitempty"`
+	Version      int                `json:"version"`
+	Now          time.Duration      `json:"now"` // Unix time of the latest command
+	Applied      uint64             `json:"applied"`
+	Settings     Settings           `json:"settings"`
+	Members      map[string]*Member `json:"members"`
+	Engines      map[string]*Engine `json:"engines"`
+	Permits      map[uint64]*Permit `json:"permits"`
+	LastPermit   uint64             `json:"last"` // number of the last permit
+	Release      *Release           `json:"release,omitempty"`
+	Releases     uint64             `json:"releases"`
+	Load         Load               `json:"load"`
+	Removed      map[string]uint64  `json:"forgotten,omitempty"` // the incarnation that was
+	RemovedOrder []string           `json:"gone,omitempty"`      // those forgotten, oldest first
+	Audit        []AuditEntry       `json:"audit,omitempty"`
+	AuditCount   uint64             `json:"lines"`
+	Results      []commandResult    `json:"answers,omitempty"`
 }
 
-// Machine is the state and what may be done to it.
-type Machine struct {
+// StateMachine is the state and what may be done to it.
+type StateMachine struct {
 	State
 	ids     map[string]int // place in Answers, by id
 	held    map[string]uint64
@@ -177,24 +177,24 @@
 }
 
 // New returns a machine of an empty fleet, or an error that names the setting that can't be used.
-func New(set Settings) (*Machine, error) {
+func New(set Settings) (*StateMachine, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	m := &Machine{State: State{Version: Version, Settings: set, Members: map[string]*Member{}, Engines: map[string]*Engine{},
-		Permits: map[uint64]*Permit{}, Forgotten: map[string]uint64{}}}
+	m := &StateMachine{State: State{Version: Version, Settings: set, Members: map[string]*Member{}, Engines: map[string]*Engine{},
+		Permits: map[uint64]*Permit{}, Removed: map[string]uint64{}}}
 	m.index()
 	return m, nil
 }
 
 // Snapshot is the whole state as JSON.
-func (m *Machine) Snapshot() ([]byte, error) { return json.Marshal(&m.State) }
+func (m *StateMachine) Snapshot() ([]byte, error) { return json.Marshal(&m.State) }
 
 // errLater tells a state that a later program has written.
 var errLater = errors.New("rollout: the state was written by a later version")
 
 // Restore takes a snapshot's state in place of the machine's. On an error the machine is as it was.
-func (m *Machine) Restore(text []byte) error {
+func (m *StateMachine) Restore(text []byte) error {
 	var head struct {
 		Version int `json:"version"`
 	}
@@ -204,7 +204,7 @@
 	if head.Version > Version {
 		return fmt.Errorf("%w: %d, and this program knows %d", errLater, head.Version, Version)
 	}
-	s := State{Members: map[string]*Member{}, Engines: map[string]*Engine{}, Permits: map[uint64]*Permit{}, Forgotten: map[string]uint64{}}
+	s := State{Members: map[string]*Member{}, Engines: map[string]*Engine{}, Permits: map[uint64]*Permit{}, Removed: map[string]uint64{}}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
@@ -219,9 +219,9 @@
 }
 
 // index builds what is derived from the state.
-func (m *Machine) index() {
+func (m *StateMachine) index() {
 	m.ids, m.held = map[string]int{}, map[string]uint64{}
-	for i, a := range m.Answers {
+	for i, a := range m.Results {
 		m.ids[a.ID] = i
 	}
 	for n, p := range m.Permits {
@@ -230,7 +230,7 @@
 }
 
 // key tells a holder among front ends and engines.
-func (p *Permit) key() string { return holderKey(p.Holder, p.Engine) }
+func (p *Permit) key() string { return holderKey(p.Subject, p.Engine) }
 
 func holderKey(name string, engine bool) string {
 	if engine {
@@ -240,41 +240,41 @@
 }
 
 // permitOf is the permit that somebody holds; nil for none.
-func (m *Machine) permitOf(name string, engine bool) *Permit {
+func (m *StateMachine) permitOf(name string, engine bool) *Permit {
 	return m.Permits[m.held[holderKey(name, engine)]]
 }
 
-func (m *Machine) end(p *Permit) {
+func (m *StateMachine) end(p *Permit) {
 	delete(m.Permits, p.Number)
 	delete(m.held, p.key())
 }
 
 // Numbers lists the permits in order.
-func (m *Machine) Numbers() []uint64 { return m.numbers() }
+func (m *StateMachine) Numbers() []uint64 { return m.numbers() }
 
-func (m *Machine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.Permits)) }
+func (m *StateMachine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.Permits)) }
 
 // names lists the members in order.
-func (m *Machine) names() []string { return slices.Sorted(maps.Keys(m.Members)) }
+func (m *StateMachine) names() []string { return slices.Sorted(maps.Keys(m.Members)) }
 
-func (m *Machine) audit(by, what, from, to string) {
-	m.Lines++
-	m.Audit = append(m.Audit, Line{Number: m.Lines, At: m.Now, By: by, What: what, From: from, To: to})
+func (m *StateMachine) audit(by, what, from, to string) {
+	m.AuditCount++
+	m.Audit = append(m.Audit, AuditEntry{Number: m.AuditCount, At: m.Now, By: by, What: what, From: from, To: to})
 	if over := len(m.Audit) - m.Settings.KeepAudit; over > 0 {
 		m.Audit = slices.Delete(m.Audit, 0, over)
 	}
 }
 
 // remember keeps the answer of a command for its repeats.
-func (m *Machine) remember(id string, r Result) {
+func (m *StateMachine) remember(id string, r Result) {
 	if id == "" {
 		return
 	}
-	m.Answers = append(m.Answers, remembered{id, r})
-	if len(m.Answers) > 2*m.Settings.KeepIDs { // in halves, so that the index is not built at each command
-		m.Answers = slices.Delete(m.Answers, 0, len(m.Answers)-m.Settings.KeepIDs)
+	m.Results = append(m.Results, commandResult{id, r})
+	if len(m.Results) > 2*m.Settings.KeepIDs { // in halves, so that the index is not built at each command
+		m.Results = slices.Delete(m.Results, 0, len(m.Results)-m.Settings.KeepIDs)
 		m.index()
 		return
 	}
-	m.ids[id] = len(m.Answers) - 1
+	m.ids[id] = len(m.Results) - 1
 }
--- a/decision/rollout/view.go
+++ b/decision/rollout/view.go
@@ -17,9 +17,9 @@
 }
 
 // Budgets tells how the budgets in force stand, rooms and kinds included where they are bounded.
-func (m *Machine) Budgets() []BudgetLine {
+func (m *StateMachine) Budgets() []BudgetLine {
 	r := m.Release
-	back := r.active() && r.Back
+	back := r.active() && r.RollingBack
 	lines := budgetLines("front ends", m.frontBudget(back), m.memberUnits())
 	return append(lines, budgetLines("engines", m.Settings.Engines, m.engineUnits())...)
 }
@@ -54,13 +54,13 @@
 			add(name+" "+k, most, share, func(u unit) bool { return of(u) == k })
 		}
 	}
-	group("room", b.RoomMost, b.RoomShare, func(u unit) string { return u.room })
+	group("room", b.ZoneMost, b.ZoneShare, func(u unit) string { return u.room })
 	group("kind", b.KindMost, b.KindShare, func(u unit) string { return u.kind })
 	return lines
 }
 
 // Blocks tells, for the drain of an engine, each front end that keeps it from being stopped, and why.
-func (m *Machine) Blocks(permit uint64) (lines []string) {
+func (m *StateMachine) Blocks(permit uint64) (lines []string) {
 	p := m.Permits[permit]
 	if p == nil || !p.Engine {
 		return nil
@@ -74,7 +74,7 @@
 }
 
 // Waiting tells what a release waits for.
-func (m *Machine) Waiting() (lines []string) {
+func (m *StateMachine) Waiting() (lines []string) {
 	r := m.Release
 	if !r.active() {
 		return nil
@@ -85,16 +85,16 @@
 		}
 		return lines
 	}
-	t := m.memberTally(r.Back)
+	t := m.memberTally(r.RollingBack)
 	for _, name := range m.waiting(r) {
 		o := m.Members[name]
 		switch p := m.permitOf(name, false); {
-		case p != nil && p.Begun > 0:
-			lines = append(lines, fmt.Sprintf("%s: out for %v", name, (m.Now-p.Begun).Round(time.Millisecond)))
+		case p != nil && p.ActivatedAt > 0:
+			lines = append(lines, fmt.Sprintf("%s: out for %v", name, (m.Now-p.ActivatedAt).Round(time.Millisecond)))
 		case p != nil:
 			lines = append(lines, name+": has permit "+fmt.Sprint(p.Number)+", and has not begun")
 		case !o.serves():
-			lines = append(lines, fmt.Sprintf("%s: is to serve on %s, and is %s", name, o.Wanted, o.Phase))
+			lines = append(lines, fmt.Sprintf("%s: is to serve on %s, and is %s", name, o.TargetRevision, o.Phase))
 		default:
 			if no := m.fits(t, m.memberUnit(o)); no != nil {
 				lines = append(lines, no.Text)
@@ -103,8 +103,8 @@
 			}
 		}
 	}
-	if len(lines) == 0 && !r.Back {
-		if left := r.SoakFrom + r.Soak - m.Now; left > 0 {
+	if len(lines) == 0 && !r.RollingBack {
+		if left := r.SoakingSince + r.Soak - m.Now; left > 0 {
 			lines = append(lines, fmt.Sprintf("wave %d soaks for %v more", r.Wave+1, left.Round(time.Millisecond)))
 		} else if least := m.least(r); r.Sample < least {
 			lines = append(lines, fmt.Sprintf("wave %d has had %d requests on %s, and needs %d", r.Wave+1, r.Sample, r.Revision, least))
@@ -121,7 +121,7 @@
 }
 
 // Plan tells what a release would do, and touches nothing. Longest holds while nobody else is out.
-func (m *Machine) Plan(s Start) ([]Wave, error) {
+func (m *StateMachine) Plan(s StartRelease) ([]Wave, error) {
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
 	}
@@ -136,7 +136,7 @@
 		w := Wave{Members: r.Order[before:max(before, r.cut())]}
 		w.AtOnce = min(most, len(w.Members))
 		if w.AtOnce > 0 {
-			w.Longest = time.Duration(math.Ceil(float64(len(w.Members))/float64(w.AtOnce))) * m.Settings.NotBack
+			w.Longest = time.Duration(math.Ceil(float64(len(w.Members))/float64(w.AtOnce))) * m.Settings.ReturnTimeout
 		}
 		w.Longest += s.Soak
 		before = max(before, r.cut())
--- a/internal/faulttest/cluster/fleet.go
+++ b/internal/faulttest/cluster/fleet.go
@@ -288,12 +288,12 @@
 		s, err := m.f.Client.Status()
 		if err == nil && s.Leader != "" && s.State.Members[m.Name] != nil {
 			for _, p := range s.State.Permits {
-				if p.Holder == m.Name && !p.Engine && p.For == rollout.Drain && !p.Lifted && code == 76 {
+				if p.Subject == m.Name && !p.Engine && p.Purpose == rollout.Drain && !p.Cancelled && code == 76 {
 					sleep(ctx, 200*time.Millisecond)
 					return "", false
 				}
 			}
-			return s.State.Members[m.Name].Wanted, true
+			return s.State.Members[m.Name].TargetRevision, true
 		}
 		sleep(ctx, 200*time.Millisecond)
 	}
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -52,10 +52,10 @@
 	processes := m.Processes()
 	current := processes[len(processes)-1]
 	switch {
-	case agreed == nil || agreed.Phase != rollout.Serving || agreed.Doubted || !m.Up():
+	case agreed == nil || agreed.Phase != rollout.Serving || agreed.Suspected || !m.Up():
 		return m.Name + " does not serve"
-	case agreed.Revision != agreed.Wanted || current.Revision != agreed.Wanted:
-		return fmt.Sprintf("%s runs %s, and %s is agreed", m.Name, current.Revision, agreed.Wanted)
+	case agreed.Revision != agreed.TargetRevision || current.Revision != agreed.TargetRevision:
+		return fmt.Sprintf("%s runs %s, and %s is agreed", m.Name, current.Revision, agreed.TargetRevision)
 	case state.Release == nil || state.Release.State != rollout.Done:
 		return "a release is under way"
 	}
--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -112,14 +112,14 @@
 // grantDrain asks for the drain of an engine until it is granted, and returns its permit; false if ctx ended before.
 func (r *rolloutRun) grantDrain(ctx context.Context, name string) (permit uint64, granted bool) {
 	for {
-		result, err := r.apply(ctx, rollout.Command{Drain: &rollout.Holder{Name: name, Engine: true}})
+		result, err := r.apply(ctx, rollout.Command{Drain: &rollout.Subject{Name: name, Engine: true}})
 		if err != nil {
 			return 0, false
 		}
-		if result.Refusal == nil {
+		if result.Rejected == nil {
 			return result.Permit, true
 		}
-		r.options.note("drain of %s refused: %v", name, result.Refusal)
+		r.options.note("drain of %s refused: %v", name, result.Rejected)
 		if !pause(ctx, time.Second) {
 			return 0, false
 		}
@@ -130,7 +130,7 @@
 func (r *rolloutRun) waitMayStop(ctx context.Context, number uint64) bool {
 	for {
 		if status := r.leaderStatus(); status != nil {
-			if permit := status.State.Permits[number]; permit != nil && permit.MayStop > 0 {
+			if permit := status.State.Permits[number]; permit != nil && permit.DrainedAt > 0 {
 				return true
 			}
 		}
--- a/internal/faulttest/rollout_release.go
+++ b/internal/faulttest/rollout_release.go
@@ -60,16 +60,16 @@
 
 // startRelease asks for a release until it is granted, and returns its number; false if ctx ended before.
 func (r *rolloutRun) startRelease(ctx context.Context, revision string) (number uint64, started bool) {
-	start := rollout.Start{Revision: revision, Waves: []float64{0.05, 0.5, 1}, Soak: 5 * time.Second}
+	start := rollout.StartRelease{Revision: revision, Waves: []float64{0.05, 0.5, 1}, Soak: 5 * time.Second}
 	if r.options.Seconds < shortRunSeconds {
 		start.Waves, start.Soak = []float64{0.05, 1}, 3*time.Second
 	}
 	for {
-		result, err := r.apply(ctx, rollout.Command{Start: &start})
+		result, err := r.apply(ctx, rollout.Command{StartRelease: &start})
 		if err != nil {
 			return 0, false
 		}
-		if result.Refusal == nil {
+		if result.Rejected == nil {
 			return result.Release, true
 		}
 		if !pause(ctx, 500*time.Millisecond) {
@@ -98,7 +98,7 @@
 	case release.State == rollout.Done:
 		took := time.Since(o.began)
 		o.run.count("release_s_"+o.revision, took.Seconds())
-		o.run.options.note("release %d ended, back %v, after %v", o.number, release.Back, took.Round(time.Millisecond))
+		o.run.options.note("release %d ended, back %v, after %v", o.number, release.RollingBack, took.Round(time.Millisecond))
 		return true
 	case release.State == rollout.Halted && !o.rolledBack:
 		o.handleHalt(ctx, release.Cause)
@@ -124,5 +124,5 @@
 		return
 	}
 	o.rolledBack = true
-	_, _ = o.run.apply(ctx, rollout.Command{WayBack: &struct{}{}})
+	_, _ = o.run.apply(ctx, rollout.Command{Rollback: &struct{}{}})
 }
--- a/internal/faulttest/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -180,16 +180,16 @@
 
 // settings returns the fleet settings of the test.
 func (r *rolloutRun) settings() rollout.Settings {
-	budget := rollout.Budget{Most: maxUnavailable, RoomMost: maxUnavailableInZone}
+	budget := rollout.Budget{Most: maxUnavailable, ZoneMost: maxUnavailableInZone}
 	settings := rollout.Defaults()
-	settings.FrontEnds, settings.WayBack = budget, budget
+	settings.FrontEnds, settings.Rollback = budget, budget
 	settings.Engines = rollout.Budget{Most: maxUnavailableEngines}
-	settings.NotBack = 25 * time.Second
+	settings.ReturnTimeout = 25 * time.Second
 	settings.CrashLoop = 4
-	settings.Judge.Least = 200
-	settings.Judge.Dispersion = 1 // failures here are independent
+	settings.Analyzer.Least = 200
+	settings.Analyzer.Dispersion = 1 // failures here are independent
 	if r.options.Policy == policyUnjudged {
-		settings.Judge.Alpha = 1e-300
+		settings.Analyzer.Alpha = 1e-300
 	}
 	return settings
 }
@@ -214,7 +214,7 @@
 	}
 	serving := 0
 	for _, m := range status.State.Members {
-		if m.Phase == rollout.Serving && !m.Doubted {
+		if m.Phase == rollout.Serving && !m.Suspected {
 			serving++
 		}
 	}
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -71,9 +71,9 @@
 	f, err := startRollout(ctx, Options{Program: program, Seed: seed, Seconds: 2, Rate: 60, Engines: 4, Fronts: 6, Faults: "none"})
 	require.NoError(t, err)
 	t.Cleanup(f.close)
-	r, err := f.apply(ctx, rollout.Command{Drain: &rollout.Holder{Name: "e1", Engine: true}})
+	r, err := f.apply(ctx, rollout.Command{Drain: &rollout.Subject{Name: "e1", Engine: true}})
 	require.NoError(t, err)
-	require.Nil(t, r.Refusal)
+	require.Nil(t, r.Rejected)
 	return ctx, f, r.Permit
 }
 
@@ -99,7 +99,7 @@
 	require.True(t, n0.Keeps && n1.Keeps)
 	n0.Signal(syscall.SIGSTOP)
 	n1.Signal(syscall.SIGSTOP)
-	_, err := f.cluster.Client.Apply(rollout.Command{ID: "lost", By: "a test", Start: &rollout.Start{Revision: "r2", Waves: []float64{1}}})
+	_, err := f.cluster.Client.Apply(rollout.Command{ID: "lost", By: "a test", StartRelease: &rollout.StartRelease{Revision: "r2", Waves: []float64{1}}})
 	require.Error(t, err, "nothing is agreed")
 	assertServes(t, ctx, f)
 	for _, m := range f.cluster.Members {
@@ -110,7 +110,7 @@
 	back := time.Now()
 	has := func() bool {
 		s := f.leaderStatus()
-		return s != nil && len(s.Servers) == 3 && s.State.Permits[permit] != nil && s.State.Permits[permit].MayStop > 0
+		return s != nil && len(s.Servers) == 3 && s.State.Permits[permit] != nil && s.State.Permits[permit].DrainedAt > 0
 	}
 	require.Eventually(t, has, 10*time.Second, 20*time.Millisecond)
 	assert.Less(t, time.Since(back), 5*time.Second)
@@ -166,7 +166,7 @@
 		}
 	}
 	require.Eventually(t, func() bool { at := leader(); return at != "" && at != "n0" }, 15*time.Second, 20*time.Millisecond, "the others agree")
-	_, err := f.apply(ctx, rollout.Command{Undrain: &rollout.Holder{Name: "e3", Engine: true}}) // something to write
+	_, err := f.apply(ctx, rollout.Command{Undrain: &rollout.Subject{Name: "e3", Engine: true}}) // something to write
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { _, err := f.cluster.Client.StatusOf("n0"); return err != nil }, 15*time.Second, 20*time.Millisecond, "it keeps the log no more")
 	require.NoError(t, n0.FailDisk(""))
@@ -174,7 +174,7 @@
 	assert.Equal(t, was, identity("n0"), "what is on a full disk holds")
 
 	require.NoError(t, n0.FailDisk("sync"))
-	_, err = f.apply(ctx, rollout.Command{Undrain: &rollout.Holder{Name: "e3", Engine: true}})
+	_, err = f.apply(ctx, rollout.Command{Undrain: &rollout.Subject{Name: "e3", Engine: true}})
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { _, err := f.cluster.Client.StatusOf("n0"); return err != nil }, 15*time.Second, 20*time.Millisecond)
 	require.NoError(t, n0.FailDisk(""))
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -60,20 +60,20 @@
 	Said   bool   `json:"said"` // this member, as the process that it is, has said that nothing of its own is there
 }
 
-func viewOf(m *rollout.Machine, name string) View {
+func viewOf(m *rollout.StateMachine, name string) View {
 	v := View{}
 	if o := m.Members[name]; o != nil {
-		v = View{Known: true, Incarnation: o.Incarnation, Seq: o.Seq, Phase: o.Phase, Doubted: o.Doubted, Wanted: o.Wanted}
+		v = View{Known: true, Incarnation: o.Incarnation, Seq: o.StatusSequence, Phase: o.Phase, Doubted: o.Suspected, Wanted: o.TargetRevision}
 	}
 	for _, n := range m.Numbers() {
 		p := *m.Permits[n]
 		if p.Engine {
-			v.Drains = append(v.Drains, Drained{p.Holder, n, p.Empty[name] == v.Incarnation && v.Known})
-		} else if p.Holder == name {
+			v.Drains = append(v.Drains, Drained{p.Subject, n, p.DrainedBy[name] == v.Incarnation && v.Known})
+		} else if p.Subject == name {
 			v.Permit = &p
 		}
 	}
-	if r := m.Release; r != nil && r.State != rollout.Done && !r.Back {
+	if r := m.Release; r != nil && r.State != rollout.Done && !r.RollingBack {
 		v.Release, v.Target = r.Number, r.Revision
 	}
 	return v
@@ -111,13 +111,13 @@
 	}))
 	m.HandleFunc("POST /init", k.serve(func(*http.Request) (any, error) { return nil, k.Init() }))
 	m.HandleFunc("POST /plan", k.serve(func(r *http.Request) (any, error) {
-		var s rollout.Start
+		var s rollout.StartRelease
 		if err := read(r, &s); err != nil {
 			return nil, err
 		}
 		var waves []rollout.Wave
 		var err error
-		k.look(func(m *rollout.Machine) { waves, err = m.Plan(s) })
+		k.look(func(m *rollout.StateMachine) { waves, err = m.Plan(s) })
 		return waves, err
 	}))
 	m.HandleFunc("GET /status", k.serve(func(*http.Request) (any, error) { return k.Status() }))
@@ -165,7 +165,7 @@
 		}
 	}
 	var err error
-	k.look(func(m *rollout.Machine) {
+	k.look(func(m *rollout.StateMachine) {
 		var text []byte
 		if text, err = m.Snapshot(); err == nil { // a copy: the machine goes on
 			err = json.Unmarshal(text, &s.State)
@@ -173,7 +173,7 @@
 		s.Budgets, s.Waiting = m.Budgets(), m.Waiting()
 		for _, n := range m.Numbers() {
 			if b := m.Blocks(n); len(b) > 0 {
-				s.Blocks[m.Permits[n].Holder] = b
+				s.Blocks[m.Permits[n].Subject] = b
 			}
 		}
 	})
@@ -195,7 +195,7 @@
 	for {
 		next := k.next()
 		var w watched
-		k.look(func(m *rollout.Machine) { w.View, w.Applied = viewOf(m, name), m.Applied })
+		k.look(func(m *rollout.StateMachine) { w.View, w.Applied = viewOf(m, name), m.Applied })
 		text, err := json.Marshal(w.View)
 		if err != nil {
 			return nil, err
@@ -309,7 +309,7 @@
 }
 
 // Plan tells what a release would do.
-func (c *Client) Plan(s rollout.Start) (waves []rollout.Wave, err error) {
+func (c *Client) Plan(s rollout.StartRelease) (waves []rollout.Wave, err error) {
 	err = c.ask(0, "/plan", s, &waves)
 	return waves, err
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -111,7 +111,7 @@
 		}, 10*time.Second, 20*time.Millisecond)
 		return r
 	}
-	apply(k, rollout.Command{Say: &rollout.Say{Name: "n0", Room: "room-a", Incarnation: 1, Seq: 1, Revision: "r1", Phase: rollout.Serving}})
+	apply(k, rollout.Command{ReportStatus: &rollout.ReportStatus{Name: "n0", Zone: "room-a", Incarnation: 1, StatusSequence: 1, Revision: "r1", Phase: rollout.Serving}})
 	was := k.id
 	k.Close()
 
@@ -119,7 +119,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, was, k.id)
 	apply(k, rollout.Command{Tick: &struct{}{}})
-	k.look(func(m *rollout.Machine) { assert.Equal(t, "r1", m.Members["n0"].Revision) })
+	k.look(func(m *rollout.StateMachine) { assert.Equal(t, "r1", m.Members["n0"].Revision) })
 	v, err := k.watch(httptest.NewRequest(http.MethodGet, "/watch?name=n0", nil))
 	require.NoError(t, err)
 	assert.True(t, v.(watched).View.Known)
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -35,7 +35,7 @@
 	http  *http.Server
 
 	mu      sync.Mutex
-	machine *rollout.Machine
+	machine *rollout.StateMachine
 	changed chan struct{} // closed and replaced at each command
 
 	counts counts
@@ -245,7 +245,7 @@
 }
 
 // look calls f with the state as this keeper knows it.
-func (k *Keeper) look(f func(*rollout.Machine)) {
+func (k *Keeper) look(f func(*rollout.StateMachine)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f(k.machine)
@@ -267,7 +267,7 @@
 	defer m.mu.Unlock()
 	var r rollout.Result
 	if err := json.Unmarshal(l.Data, &c); err != nil {
-		r.Refusal = &rollout.Refusal{Code: rollout.BadValue, Text: err.Error()}
+		r.Rejected = &rollout.RejectedError{Code: rollout.InvalidArgument, Text: err.Error()}
 	} else {
 		r = m.machine.Apply(c)
 	}
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -99,9 +99,9 @@
 func (k *Keeper) due(heard map[string]uint64, silent map[string]time.Time, engines []rollout.Engine) (out []rollout.Command) {
 	now := k.opt.now()
 	windows, numbers := k.counts.whole(window(now) - 2)
-	k.look(func(m *rollout.Machine) {
+	k.look(func(m *rollout.StateMachine) {
 		for name, o := range m.Members {
-			if o.Doubted || o.Phase == rollout.Gone || heard[name] == o.Incarnation {
+			if o.Suspected || o.Phase == rollout.Terminated || heard[name] == o.Incarnation {
 				delete(silent, name)
 				continue
 			}
@@ -109,7 +109,7 @@
 				silent[name] = now
 			}
 			if now.Sub(silent[name]) >= doubtFor {
-				out = append(out, rollout.Command{Doubt: &rollout.Doubt{Name: name, Incarnation: o.Incarnation}})
+				out = append(out, rollout.Command{Suspect: &rollout.Suspect{Name: name, Incarnation: o.Incarnation}})
 				delete(silent, name)
 			}
 		}
@@ -128,12 +128,12 @@
 		for i, w := range windows {
 			load := rollout.Load{Engines: m.Load.Engines}
 			h := rollout.Health{Window: uint64(numbers[i])}
-			rooms := map[string]*rollout.Room{}
+			rooms := map[string]*rollout.ZoneCounts{}
 			for _, c := range w {
 				load.FrontEnds += c.Load
 				r := rooms[c.Room]
 				if r == nil {
-					r = &rollout.Room{Room: c.Room}
+					r = &rollout.ZoneCounts{Zone: c.Room}
 					rooms[c.Room] = r
 				}
 				if rel := m.Release; rel != nil && c.Revision == rel.Revision {
@@ -145,12 +145,12 @@
 			if change := load.FrontEnds - m.Load.FrontEnds; change > m.Load.FrontEnds/10 || -change > m.Load.FrontEnds/10 {
 				out = append(out, rollout.Command{Load: &load})
 			}
-			if rel := m.Release; rel != nil && rel.State != rollout.Done && !rel.Back {
+			if rel := m.Release; rel != nil && rel.State != rollout.Done && !rel.RollingBack {
 				h.Release = rel.Number
 				for _, r := range rooms {
-					h.Rooms = append(h.Rooms, *r)
+					h.Zones = append(h.Zones, *r)
 				}
-				slices.SortFunc(h.Rooms, func(a, b rollout.Room) int { return cmp.Compare(a.Room, b.Room) })
+				slices.SortFunc(h.Zones, func(a, b rollout.ZoneCounts) int { return cmp.Compare(a.Zone, b.Zone) })
 				out = append(out, rollout.Command{Health: &h})
 			}
 		}
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -150,7 +150,7 @@
 
 // Close says that the process is gone, for so long at most, and ends its part.
 func (m *Member) Close(within time.Duration) {
-	m.Say(rollout.Gone)
+	m.Say(rollout.Terminated)
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		m.mu.Lock()
 		told := m.told == m.seq
@@ -197,7 +197,7 @@
 	var first sync.Once
 	for {
 		m.mu.Lock()
-		w := rollout.Say{Name: m.opt.Name, Room: m.opt.Room, Kind: m.opt.Kind, Weight: m.opt.Weight, Incarnation: m.inc, Seq: m.seq,
+		w := rollout.ReportStatus{Name: m.opt.Name, Zone: m.opt.Room, Kind: m.opt.Kind, Weight: m.opt.Weight, Incarnation: m.inc, StatusSequence: m.seq,
 			Revision: m.opt.Revision, Phase: m.phase}
 		pending := m.told < m.seq
 		m.mu.Unlock()
@@ -209,9 +209,9 @@
 			}
 			continue
 		}
-		r, err := m.client.Apply(rollout.Command{Say: &w})
-		if err == nil && r.Refusal != nil && r.Refusal.Code != rollout.OlderWord {
-			m.log.Error("the fleet does not take a word", "word", string(w.Phase), "error", r.Refusal.Error())
+		r, err := m.client.Apply(rollout.Command{ReportStatus: &w})
+		if err == nil && r.Rejected != nil && r.Rejected.Code != rollout.StaleMessage {
+			m.log.Error("the fleet does not take a word", "word", string(w.Phase), "error", r.Rejected.Error())
 		}
 		if err == nil {
 			drained := map[string]bool{}
@@ -220,7 +220,7 @@
 			}
 			m.veto(r.Applied, drained)
 			m.mu.Lock()
-			m.told = max(m.told, w.Seq)
+			m.told = max(m.told, w.StatusSequence)
 			m.mu.Unlock()
 			first.Do(func() { close(m.known) })
 		} else if !m.rest(100 * time.Millisecond) {
@@ -298,7 +298,7 @@
 			again = true
 			continue
 		}
-		_, err := m.client.Apply(rollout.Command{Empty: &rollout.Empty{Name: m.opt.Name, Incarnation: m.inc, Permit: d.Permit}})
+		_, err := m.client.Apply(rollout.Command{ReportDrained: &rollout.ReportDrained{Name: m.opt.Name, Incarnation: m.inc, Permit: d.Permit}})
 		again = again || err != nil
 	}
 	if p := v.Permit; p != nil && p.Incarnation == m.inc && phase == rollout.Serving {
@@ -309,23 +309,23 @@
 
 // begin asks, at the last moment, whether the permit still stands, and goes out on it once.
 func (m *Member) begin(p *rollout.Permit) (again bool) {
-	if m.asked[p.Number] || p.Lifted {
+	if m.asked[p.Number] || p.Cancelled {
 		return false
 	}
 	asked := time.Now()
-	r, err := m.client.Apply(rollout.Command{Begin: &rollout.Begin{Name: m.opt.Name, Incarnation: m.inc, Permit: p.Number}})
+	r, err := m.client.Apply(rollout.Command{ActivatePermit: &rollout.PermitReference{Name: m.opt.Name, Incarnation: m.inc, Permit: p.Number}})
 	if err != nil {
 		return true // it may have been taken: ask again, under the same number
 	}
-	if r.Refusal != nil {
-		m.log.Info("not going out", "permit", p.Number, "why", r.Refusal.Error())
-		if p.Begun > 0 { // told to go once, and the answer was lost: it stays, and says so
-			_, err := m.client.Apply(rollout.Command{Return: &rollout.Begin{Name: m.opt.Name, Incarnation: m.inc, Permit: p.Number}})
+	if r.Rejected != nil {
+		m.log.Info("not going out", "permit", p.Number, "why", r.Rejected.Error())
+		if p.ActivatedAt > 0 { // told to go once, and the answer was lost: it stays, and says so
+			_, err := m.client.Apply(rollout.Command{ReturnPermit: &rollout.PermitReference{Name: m.opt.Name, Incarnation: m.inc, Permit: p.Number}})
 			return err != nil
 		}
 		return false
 	}
-	if !r.Go {
+	if !r.Shutdown {
 		return false
 	}
 	// Guards against an answer that was long on its way, or a process that stood still with it in hand: others may be out by now.
@@ -333,9 +333,9 @@
 		return true
 	}
 	m.asked[p.Number] = true
-	m.log.Info("going out", "permit", p.Number, "for", string(p.For), "revision", p.Revision)
+	m.log.Info("going out", "permit", p.Number, "for", string(p.Purpose), "revision", p.Revision)
 	select {
-	case m.goes <- Go{p.Number, p.For, p.Revision}:
+	case m.goes <- Go{p.Number, p.Purpose, p.Revision}:
 	default:
 	}
 	return false
--- a/internal/fleet/recorded_test.go
+++ b/internal/fleet/recorded_test.go
@@ -428,7 +428,7 @@
 		_, err := client.Apply(parseCommand(t, text))
 		require.NoError(t, err)
 	}
-	var start rollout.Start
+	var start rollout.StartRelease
 	require.NoError(t, json.Unmarshal([]byte(`{"revision":"r4","from":"r1","waves":[0.2,1],"soak":1000000000}`), &start))
 	_, err := client.Plan(start)
 	require.Error(t, err, "the fake's answer is no list")
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -78,7 +78,7 @@
 	r.changes.made = append(r.changes.made, c)
 	within, cancel := context.WithTimeout(ctx, r.opt.ChangeWithin)
 	defer cancel()
-	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Holder{Name: c.engine, Engine: true}})
+	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Subject{Name: c.engine, Engine: true}})
 	if err != nil {
 		r.note("drain of %s is not accepted: %v", c.engine, err)
 		c.live = r.opt.Members
@@ -105,7 +105,7 @@
 	}
 	within, cancel := context.WithTimeout(ctx, r.opt.ChangeWithin)
 	defer cancel()
-	if _, err := r.apply(within, rollout.Command{Undrain: &rollout.Holder{Name: c.engine, Engine: true}}); err != nil {
+	if _, err := r.apply(within, rollout.Command{Undrain: &rollout.Subject{Name: c.engine, Engine: true}}); err != nil {
 		r.note("undrain of %s is not accepted: %v", c.engine, err)
 		return
 	}
--- a/internal/scale/fault_cut.go
+++ b/internal/scale/fault_cut.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	engine := engineName(r.changes.nextEngine % r.opt.Engines)
 	r.changes.nextEngine++
-	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Holder{Name: engine, Engine: true}})
+	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Subject{Name: engine, Engine: true}})
 	if err != nil {
 		return nil, fmt.Errorf("no drain is agreed on during the cut: %w", err)
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -55,7 +55,7 @@
 
 func listedEngines(engines []HollowEngine) (listed []rollout.Engine) {
 	for _, engine := range engines {
-		listed = append(listed, rollout.Engine{Name: engine.Name, Room: engine.Zone, Cores: engine.Cores, Process: 1, Listed: true, Ready: true})
+		listed = append(listed, rollout.Engine{Name: engine.Name, Zone: engine.Zone, Cores: engine.Cores, Process: 1, Listed: true, Ready: true})
 	}
 	return listed
 }
@@ -114,7 +114,7 @@
 	select {
 	case <-ctx.Done():
 	case grant = <-started.member.Goes():
-		started.member.Say(rollout.Leaving)
+		started.member.Say(rollout.Draining)
 	}
 	started.member.Close(goneWithin)
 	h.set(process{})
--- a/internal/scale/host_test.go
+++ b/internal/scale/host_test.go
@@ -153,14 +153,14 @@
 		status, err := client.Status()
 		serving := 0
 		for _, member := range status.State.Members {
-			if member.Phase == rollout.Serving && !member.Doubted {
+			if member.Phase == rollout.Serving && !member.Suspected {
 				serving++
 			}
 		}
 		return err == nil && serving == 11 && len(status.State.Engines) == len(config.Engines)
 	}
 	require.Eventually(t, ready, longWait, 50*time.Millisecond)
-	drain := rollout.Command{ID: "drain-e1", Drain: &rollout.Holder{Name: "e1", Engine: true}}
+	drain := rollout.Command{ID: "drain-e1", Drain: &rollout.Subject{Name: "e1", Engine: true}}
 	var result rollout.Result
 	began := time.Now()
 	require.Eventually(t, func() bool {
@@ -168,7 +168,7 @@
 		result, err = client.Apply(drain)
 		return err == nil
 	}, longWait, 100*time.Millisecond)
-	require.Nil(t, result.Refusal)
+	require.Nil(t, result.Rejected)
 	report = h.await("the drain in force at all", func(r HostReport) bool { return len(r.Drains) == 1 && r.Drains[0].InForce == 11 })
 	state := report.Drains[0]
 	assert.Equal(t, "e1", state.Engine)
--- a/internal/scale/notice.go
+++ b/internal/scale/notice.go
@@ -73,7 +73,7 @@
 
 func allUnsuspected(state map[string]*rollout.Member, members []string) bool {
 	for _, name := range members {
-		if member := state[name]; member == nil || member.Doubted {
+		if member := state[name]; member == nil || member.Suspected {
 			return false
 		}
 	}
@@ -102,7 +102,7 @@
 func (w *suspicionWatch) observe(state map[string]*rollout.Member, after time.Duration) {
 	for _, name := range w.members {
 		_, known := w.suspectedAt[name]
-		if member := state[name]; !known && member != nil && member.Doubted {
+		if member := state[name]; !known && member != nil && member.Suspected {
 			w.suspectedAt[name] = after
 		}
 	}
--- a/internal/scale/notice_test.go
+++ b/internal/scale/notice_test.go
@@ -40,7 +40,7 @@
 func stateOf(suspected ...string) map[string]*rollout.Member {
 	state := map[string]*rollout.Member{"m1": {}, "m2": {}, "other": {}}
 	for _, name := range suspected {
-		state[name].Doubted = true
+		state[name].Suspected = true
 	}
 	return state
 }
--- a/internal/scale/parts/replica.go
+++ b/internal/scale/parts/replica.go
@@ -107,8 +107,8 @@
 
 // apply enters a command; a refusal is an error.
 func (r *replicaClient) apply(ctx context.Context, command rollout.Command) (result rollout.Result, err error) {
-	if _, err = r.call(ctx, r.operator, "/apply", command, &result); err == nil && result.Refusal != nil {
-		err = result.Refusal
+	if _, err = r.call(ctx, r.operator, "/apply", command, &result); err == nil && result.Rejected != nil {
+		err = result.Rejected
 	}
 	return result, err
 }
--- a/internal/scale/parts/state.go
+++ b/internal/scale/parts/state.go
@@ -24,8 +24,8 @@
 
 // reportOf is a front end's report that it serves.
 func reportOf(i int, seq uint64) rollout.Command {
-	return rollout.Command{Say: &rollout.Say{Name: memberName(i), Room: zoneName(i), Kind: "std-4", Weight: PlannedRate,
-		Incarnation: firstProcess + uint64(i), Seq: seq, Revision: revision, Phase: rollout.Serving}}
+	return rollout.Command{ReportStatus: &rollout.ReportStatus{Name: memberName(i), Zone: zoneName(i), Kind: "std-4", Weight: PlannedRate,
+		Incarnation: firstProcess + uint64(i), StatusSequence: seq, Revision: revision, Phase: rollout.Serving}}
 }
 
 // fillCommands enter a fleet into an empty log.
@@ -34,7 +34,7 @@
 		commands = append(commands, reportOf(i, 1))
 	}
 	for i := range size.Engines {
-		commands = append(commands, rollout.Command{Engine: &rollout.Engine{Name: engineName(i), Room: zoneName(i), Kind: "std-4", Cores: 4,
+		commands = append(commands, rollout.Command{Engine: &rollout.Engine{Name: engineName(i), Zone: zoneName(i), Kind: "std-4", Cores: 4,
 			Process: firstProcess + uint64(i), Listed: true, Ready: true}})
 	}
 	return commands
@@ -42,23 +42,23 @@
 
 // drainCommand asks for the drain of a database.
 func drainCommand() rollout.Command {
-	return rollout.Command{ID: "drain-1", By: "operator@control-1", Drain: &rollout.Holder{Name: engineName(drainedEngine), Engine: true}}
+	return rollout.Command{ID: "drain-1", By: "operator@control-1", Drain: &rollout.Subject{Name: engineName(drainedEngine), Engine: true}}
 }
 
 // emptyCommand is a front end's report that nothing of its own is at the drained database.
 func emptyCommand(i int, permit uint64) rollout.Command {
-	return rollout.Command{Empty: &rollout.Empty{Name: memberName(i), Incarnation: firstProcess + uint64(i), Permit: permit}}
+	return rollout.Command{ReportDrained: &rollout.ReportDrained{Name: memberName(i), Incarnation: firstProcess + uint64(i), Permit: permit}}
 }
 
 // releaseCommand starts a release whose only wave is the whole fleet: as many front ends hold permits as the budget allows.
 func releaseCommand() rollout.Command {
 	return rollout.Command{ID: "release-1", By: "operator@control-1",
-		Start: &rollout.Start{Revision: nextRevision, Waves: []float64{1}, Soak: 5 * time.Minute}}
+		StartRelease: &rollout.StartRelease{Revision: nextRevision, Waves: []float64{1}, Soak: 5 * time.Minute}}
 }
 
 // stateOf is the log's state with a fleet in it.
 type stateOf struct {
-	*rollout.Machine
+	*rollout.StateMachine
 	now time.Duration
 	seq uint64
 }
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &stateOf{Machine: machine, now: time.Duration(firstProcess), seq: 1}
+	s := &stateOf{StateMachine: machine, now: time.Duration(firstProcess), seq: 1}
 	for _, command := range fillCommands(size) {
 		if _, err := s.apply(command); err != nil {
 			return nil, err
@@ -81,9 +81,9 @@
 func (s *stateOf) apply(command rollout.Command) (rollout.Result, error) {
 	s.now += time.Millisecond
 	command.At = s.now
-	result := s.Machine.Apply(command)
-	if result.Refusal != nil {
-		return result, result.Refusal
+	result := s.StateMachine.Apply(command)
+	if result.Rejected != nil {
+		return result, result.Rejected
 	}
 	return result, nil
 }
@@ -177,7 +177,7 @@
 		}
 	}
 	p.add("database_drain_state_cpu_seconds", ownCPU()-began)
-	if s.Permits[drained.Permit].MayStop == 0 {
+	if s.Permits[drained.Permit].DrainedAt == 0 {
 		return fmt.Errorf("the database may not be stopped although all have reported it empty: %v", s.Blocks(drained.Permit))
 	}
 	after, err := s.Snapshot()
@@ -199,7 +199,7 @@
 		return err
 	}
 	for i := range s.Settings.KeepIDs {
-		holder := &rollout.Holder{Name: memberName(i % p.size.Members)}
+		holder := &rollout.Subject{Name: memberName(i % p.size.Members)}
 		drain := rollout.Command{ID: fmt.Sprintf("operator-%016x-d", i), By: "operator@control-1", Drain: holder}
 		undrain := rollout.Command{ID: fmt.Sprintf("operator-%016x-u", i), By: "operator@control-1", Undrain: holder}
 		for _, command := range []rollout.Command{drain, undrain} {
--- a/internal/scale/runner.go
+++ b/internal/scale/runner.go
@@ -250,8 +250,8 @@
 	for {
 		sent := time.Now()
 		result, err := r.client.Apply(c)
-		if err == nil && result.Refusal != nil {
-			return applied{}, result.Refusal
+		if err == nil && result.Rejected != nil {
+			return applied{}, result.Rejected
 		}
 		if err == nil {
 			return applied{result, sent}, nil
