--- a/Makefile
+++ b/Makefile
@@ -8,9 +8,9 @@
 
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
-	ln -sf gateway bin/gateway
+	ln -sf gateway bin/beechcart
 	ln -sf gatewayctl bin/beechctl
-	ln -sf gateway-sim bin/gateway-sim
+	ln -sf gateway-sim bin/beechcart-sim
 
 test:
 	bash .ci/run
