--- a/cmd/gateway/consul_test.go
+++ b/cmd/gateway/consul_test.go
@@ -96,7 +96,7 @@
 		if err != nil {
 			return false
 		}
-		var list []source.Belief
+		var list []source.EngineStatus
 		require.NoError(r.t, json.Unmarshal(v, &list))
 		have := 0
 		for _, b := range list {
--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -26,14 +26,14 @@
 type inFleet struct {
 	member   *fleet.Member
 	feed     *source.Feed
-	engines  *engine.Fleet
+	engines  *engine.Client
 	counters *invariant.Counters
 	names    platformconfig.Names
 	cores    []admission.Kind
 	goes     chan int
 }
 
-func joinFleet(cfg *platformconfig.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
+func joinFleet(cfg *platformconfig.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Client, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
 	f := ops.Fleet
 	if f.Gossip == "" {
 		return outside{}, nil
@@ -69,13 +69,13 @@
 func (f *inFleet) Gone()            { f.member.Close(goneWithin) }
 
 // Veto implements fleet.Front.
-func (f *inFleet) Veto(engines map[string]bool) { f.feed.Veto(engines) }
+func (f *inFleet) Veto(engines map[string]bool) { f.feed.Exclude(engines) }
 
 // Idle implements fleet.Front.
 func (f *inFleet) Idle(name string) bool {
-	for _, e := range f.feed.Known() {
+	for _, e := range f.feed.Endpoints() {
 		if e.Name == name {
-			return f.engines.Idle(e.ID)
+			return f.engines.Drained(e.ID)
 		}
 	}
 	return true
@@ -83,7 +83,7 @@
 
 // Engines implements fleet.Front.
 func (f *inFleet) Engines() (out []rollout.Engine) {
-	for _, e := range f.feed.Known() {
+	for _, e := range f.feed.Endpoints() {
 		r := rollout.Engine{Name: e.Name, Process: uint64(e.Started), Listed: true, Ready: e.State == admission.Ready}
 		r.Room, r.Kind = nameOf(f.names.Zones, e.Zone), nameOf(f.names.Kinds, e.Kind)
 		if e.Kind >= 0 && e.Kind < len(f.cores) {
--- a/cmd/gateway/fleet_lean.go
+++ b/cmd/gateway/fleet_lean.go
@@ -14,7 +14,7 @@
 )
 
 // joinFleet refuses what this build has left out.
-func joinFleet(_ *platformconfig.Config, ops operatorconfig.Settings, _ *source.Feed, _ *engine.Fleet, _ *invariant.Counters, _ *slog.Logger) (fleetMember, error) {
+func joinFleet(_ *platformconfig.Config, ops operatorconfig.Settings, _ *source.Feed, _ *engine.Client, _ *invariant.Counters, _ *slog.Logger) (fleetMember, error) {
 	if ops.Fleet.Gossip != "" {
 		return nil, errors.New("settings: fleet: this build has none (tag lean)")
 	}
--- a/cmd/gateway/run.go
+++ b/cmd/gateway/run.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	changes := endpoints.NewLog(cfg.Names)
+	changes := endpoints.NewChangeLog(cfg.Names)
 	var known []endpoints.List
 	if len(cfg.Known) > 0 && ops.Source == operatorconfig.ChangeLog {
 		if known, err = changes.Read(cfg.Known); err != nil {
@@ -94,10 +94,10 @@
 	}
 	fleet := engine.New(engine.Options{
 		ConnectTimeout: cfg.ConnectTimeout, DrainGrace: cfg.Admission.DrainGrace, Sockets: cfg.Sockets / 2, Counters: counters,
-		Classes: cfg.Admission.Classes, Deletes: cfg.Admission.CancellationAllowed, Reuse: trust,
+		Classes: cfg.Admission.Classes, MayDelete: cfg.Admission.CancellationAllowed, Reuse: trust,
 	}, plan)
 	front, err := mysql.New(mysql.Options{
-		Names: cfg.Names, Sessions: ops.Clients.Sessions(cfg.Sockets), Idle: ops.Clients.Idle, Counters: counters, Log: log,
+		Names: cfg.Names, MaxSessions: ops.Clients.Sessions(cfg.Sockets), IdleTimeout: ops.Clients.Idle, Counters: counters, Log: log,
 	}, plan)
 	if err != nil {
 		return err
@@ -106,10 +106,10 @@
 	defer cancel()
 	list := &list{
 		files: f, fleet: fleet, changes: changes, log: log, counters: counters,
-		feed: source.NewFeed(ctx, plan.Members, ops.Consul.Membership.Linger, log),
+		feed: source.NewFeed(ctx, plan.EndpointsChanged, ops.Consul.Membership.Linger, log),
 	}
 	for _, l := range known {
-		list.feed.Take(l)
+		list.feed.Publish(l)
 	}
 	stop := make(chan struct{})
 	defer close(stop)
@@ -120,7 +120,7 @@
 	defer list.stop()
 	if ops.AdminSocket != "" {
 		socket, err := admin.Listen(ops.AdminSocket, map[string]admin.Command{
-			"list":     func() (any, error) { return list.feed.Beliefs(), nil },
+			"list":     func() (any, error) { return list.feed.Statuses(), nil },
 			"counters": func() (any, error) { return counters.Map(), nil },
 		})
 		if err != nil {
@@ -158,7 +158,7 @@
 	}
 	member.Leaves()
 	within := stopWithin(cfg.Admission.Classes)
-	plan.Stop(within)
+	plan.Shutdown(within)
 	// Guards against sessions that hold the end up: half a packet, a client that reads nothing. Nothing is owed to them by then.
 	leave, done := context.WithTimeout(ctx, within+leaveSpare)
 	defer done()
@@ -204,8 +204,8 @@
 // list keeps the engine list up to date, from one source at a time.
 type list struct {
 	files    *files
-	fleet    *engine.Fleet
-	changes  *endpoints.Log
+	fleet    *engine.Client
+	changes  *endpoints.ChangeLog
 	feed     *source.Feed
 	log      *slog.Logger
 	counters *invariant.Counters
@@ -240,7 +240,7 @@
 	case src == nil:
 		// The events of the change log are numbered on; after another source its first event is asked for again.
 		if was == operatorconfig.Consul {
-			l.changes = endpoints.NewLog(cfg.Names)
+			l.changes = endpoints.NewChangeLog(cfg.Names)
 		}
 		l.feed.Follow(changelog.New(l.fleet, cfg.ChangeLog, l.changes, l.log), was != operatorconfig.Consul)
 	case l.consul != nil:
--- a/cmd/gatewayctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -25,7 +25,7 @@
 		Example: "  gatewayctl list show --socket /run/beechcart/admin.sock\n" +
 			"  gatewayctl list show --file /var/lib/beechcart/engines.list --json",
 		RunE: func(c *cobra.Command, _ []string) error {
-			var list []source.Belief
+			var list []source.EngineStatus
 			switch {
 			case (socket == "") == (file == ""):
 				return errors.New("one of --socket and --file is needed")
@@ -49,7 +49,7 @@
 			}
 			if asJSON {
 				if list == nil {
-					list = []source.Belief{}
+					list = []source.EngineStatus{}
 				}
 				return printJSON(c.OutOrStdout(), list)
 			}
@@ -65,9 +65,9 @@
 }
 
 // stored shows the entries of a file as a front end would that starts with them.
-func stored(entries []discovery.Entry) (list []source.Belief) {
+func stored(entries []discovery.Entry) (list []source.EngineStatus) {
 	for _, e := range entries {
-		b := source.Belief{Name: e.Key, ID: discovery.Number(e.Key), Address: e.Addr, State: discovery.Ready.String(),
+		b := source.EngineStatus{Name: e.Key, ID: discovery.Number(e.Key), Address: e.Addr, State: discovery.Ready.String(),
 			Reason: string(discovery.Restored), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.Started.Milliseconds()}
 		switch {
 		case e.Drain:
@@ -80,7 +80,7 @@
 	return list
 }
 
-func writeList(w io.Writer, list []source.Belief) error {
+func writeList(w io.Writer, list []source.EngineStatus) error {
 	t := newTable(w)
 	fmt.Fprintln(t, "ENGINE\tID\tADDRESS\tSTATE\tREASON\tZONE\tKIND\tWEIGHT\tSINCE")
 	for _, b := range list {
--- a/cmd/gatewayctl/main_test.go
+++ b/cmd/gatewayctl/main_test.go
@@ -73,7 +73,7 @@
 	path := filepath.Join(dir, "s")
 	d, err := admin.Listen(path, map[string]admin.Command{
 		"list": func() (any, error) {
-			return []source.Belief{{Name: "n/e1", State: "draining", Reason: "drain commanded"}}, nil
+			return []source.EngineStatus{{Name: "n/e1", State: "draining", Reason: "drain commanded"}}, nil
 		},
 		"counters": func() (any, error) { return map[string]int64{"served": 7}, nil },
 	})
--- a/cmd/gatewayctl/recorded_test.go
+++ b/cmd/gatewayctl/recorded_test.go
@@ -135,7 +135,7 @@
 	dir, err := os.MkdirTemp("", "bc") // the path of a socket is short
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	beliefs := filled[[]source.Belief]()
+	beliefs := filled[[]source.EngineStatus]()
 	path := filepath.Join(dir, "s")
 	socket, err := admin.Listen(path, map[string]admin.Command{
 		"list":     func() (any, error) { return beliefs, nil },
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -20,7 +20,7 @@
 	// Start sends an attempt on its way. Its query goes out by that time or not at all, where one is given.
 	Start(x *exchange.Exchange, n int, engine uint32, terms admission.Terms, limit time.Duration, by time.Time)
 	Cancel(id string, n int)
-	Probe(engine uint32)
+	CheckHealth(engine uint32)
 	CloseIdle(engine uint32)
 }
 
@@ -63,8 +63,8 @@
 	timer *time.Timer
 }
 
-// Planner feeds one controller.
-type Planner struct {
+// Dispatcher feeds one controller.
+type Dispatcher struct {
 	ctl      Controller
 	classes  []admission.Class
 	engines  Engines
@@ -85,9 +85,9 @@
 }
 
 // New returns a planner for a controller with those classes.
-func New(ctl Controller, classes []admission.Class, counters *invariant.Counters, log *slog.Logger) *Planner {
+func New(ctl Controller, classes []admission.Class, counters *invariant.Counters, log *slog.Logger) *Dispatcher {
 	now := time.Now()
-	return &Planner{
+	return &Dispatcher{
 		ctl: ctl, classes: classes, counters: counters, log: log, start: now,
 		base: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1), open: map[string]*entry{},
 		seen: newMemory(),
@@ -95,9 +95,9 @@
 }
 
 // clock is the controller's time: comparable with the change log's Unix times, and monotonic.
-func (p *Planner) clock() time.Duration { return p.base + time.Since(p.start) }
+func (p *Dispatcher) clock() time.Duration { return p.base + time.Since(p.start) }
 
-func (p *Planner) post(in input) {
+func (p *Dispatcher) post(in input) {
 	p.mu.Lock()
 	p.queue = append(p.queue, in)
 	p.mu.Unlock()
@@ -107,44 +107,44 @@
 	}
 }
 
-// Take accepts a request; its exchange brings the final answer.
-func (p *Planner) Take(x *exchange.Exchange) { p.post(input{kind: taken, x: x}) }
+// Accept accepts a request; its exchange brings the final answer.
+func (p *Dispatcher) Accept(x *exchange.Exchange) { p.post(input{kind: taken, x: x}) }
 
 // expire answers a request whose client is about to stop waiting. It is the timer's own: guards against an answer that waits for
 // a step that takes long.
-func (p *Planner) expire(x *exchange.Exchange) {
+func (p *Dispatcher) expire(x *exchange.Exchange) {
 	if x.Settle(exchange.Answer{Kind: exchange.Failed, Reason: "the time given has run out"}) {
 		p.counters.Add("deadline", 1)
 		p.post(input{kind: left, x: x})
 	}
 }
 
-// Leave tells that the client of a request has gone.
-func (p *Planner) Leave(x *exchange.Exchange) {
-	if x.Settle(exchange.Answer{Kind: exchange.Left}) {
+// ClientGone tells that the client of a request has gone.
+func (p *Dispatcher) ClientGone(x *exchange.Exchange) {
+	if x.Settle(exchange.Answer{Kind: exchange.ClientGone}) {
 		p.counters.Add("left", 1)
 		p.post(input{kind: left, x: x})
 	}
 }
 
-// Ended tells how an attempt ended.
-func (p *Planner) Ended(x *exchange.Exchange, o admission.Outcome, rows []byte) {
+// AttemptDone tells how an attempt ended.
+func (p *Dispatcher) AttemptDone(x *exchange.Exchange, o admission.Outcome, rows []byte) {
 	p.post(input{kind: ended, x: x, ev: o, rows: rows})
 }
 
-// Told brings notes and the results of probes.
-func (p *Planner) Told(ev admission.Event) { p.post(input{kind: told, ev: ev}) }
+// Notify brings notes and the results of probes.
+func (p *Dispatcher) Notify(ev admission.Event) { p.post(input{kind: told, ev: ev}) }
 
-// Members brings an event of the engine list.
-func (p *Planner) Members(l endpoints.List) { p.post(input{kind: listed, list: l}) }
+// EndpointsChanged brings an event of the engine list.
+func (p *Dispatcher) EndpointsChanged(l endpoints.List) { p.post(input{kind: listed, list: l}) }
 
-// Stop tells that the front end ends after that time: all that is open, or still comes, is answered by then.
-func (p *Planner) Stop(left time.Duration) {
+// Shutdown tells that the front end ends after that time: all that is open, or still comes, is answered by then.
+func (p *Dispatcher) Shutdown(left time.Duration) {
 	p.post(input{kind: stopping, ev: admission.ShutdownRequested{Timeout: left}})
 }
 
 // Run serves until stop is closed.
-func (p *Planner) Run(engines Engines, stop <-chan struct{}) {
+func (p *Dispatcher) Run(engines Engines, stop <-chan struct{}) {
 	p.engines = engines
 	p.step(nil)
 	var spare []input
@@ -165,7 +165,7 @@
 }
 
 // step hands one batch to the controller and carries its actions out, in order.
-func (p *Planner) step(in []input) {
+func (p *Dispatcher) step(in []input) {
 	p.batch = p.batch[:0]
 	for i := range in {
 		if ev := p.event(&in[i]); ev != nil {
@@ -183,12 +183,12 @@
 // decide steps the controller. Guards against a fault in it: a release build goes on without this step's
 // actions, and what the step was about is answered at its deadline. The timer that the controller counts on may be among
 // what is lost: without another it would look at what waits only when something comes in.
-func (p *Planner) decide() (acts []admission.Action) {
+func (p *Dispatcher) decide() (acts []admission.Action) {
 	done := false
 	defer func() {
 		if !done && !p.counters.Hold(false, "controller_panic") {
 			p.log.Error("controller panic", "cause", recover(), "stack", string(debug.Stack()))
-			time.AfterFunc(afterFault, func() { p.Told(admission.Timer{}) })
+			time.AfterFunc(afterFault, func() { p.Notify(admission.Timer{}) })
 		}
 	}()
 	acts = p.ctl.Step(p.clock(), p.batch)
@@ -197,7 +197,7 @@
 }
 
 // event turns an input into the controller's event; nil when there is nothing to tell.
-func (p *Planner) event(in *input) admission.Event {
+func (p *Dispatcher) event(in *input) admission.Event {
 	switch in.kind {
 	case taken:
 		return p.take(in.x)
@@ -209,12 +209,12 @@
 		p.stop(in.ev.(admission.ShutdownRequested).Timeout)
 	case listed:
 		p.engines.Update(in.list)
-		return in.list.Members()
+		return in.list.Event()
 	}
 	return in.ev
 }
 
-func (p *Planner) take(x *exchange.Exchange) admission.Event {
+func (p *Dispatcher) take(x *exchange.Exchange) admission.Event {
 	if x.Settled() {
 		return nil // its client left before it was looked at
 	}
@@ -233,7 +233,7 @@
 	wait := p.left(x)
 	if wait <= 0 {
 		p.counters.Add("no_time", 1)
-		x.Settle(exchange.Answer{Kind: exchange.Refused, Reason: "no time is left"})
+		x.Settle(exchange.Answer{Kind: exchange.Rejected, Reason: "no time is left"})
 		return nil
 	}
 	p.counters.Add("taken", 1)
@@ -241,13 +241,13 @@
 	e.timer = time.AfterFunc(wait, func() { p.expire(x) })
 	p.open[x.ID] = e
 	return admission.Request{
-		ID: x.ID, Class: x.Class, Tenant: x.Tenant, Timeout: wait, Work: x.Work, MemMB: x.MemMB, Group: x.Group,
+		ID: x.ID, Class: x.Class, Tenant: x.Tenant, Timeout: wait, Work: x.WorkEstimate, MemMB: x.MemoryMB, Group: x.TableGroup,
 		Retry: x.Retry,
 	}
 }
 
 // left is how long there is for the final answer.
-func (p *Planner) left(x *exchange.Exchange) time.Duration {
+func (p *Dispatcher) left(x *exchange.Exchange) time.Duration {
 	wait := time.Until(x.Deadline()) - answerMargin
 	if !p.stopBy.IsZero() {
 		wait = min(wait, time.Until(p.stopBy))
@@ -257,7 +257,7 @@
 
 // stop sees to it that what the controller leaves open is answered before the front end ends. Guards against
 // requests that are never answered, as the process is killed while they run.
-func (p *Planner) stop(left time.Duration) {
+func (p *Dispatcher) stop(left time.Duration) {
 	p.stopBy = time.Now().Add(left)
 	for _, e := range p.open {
 		if !e.x.Settled() {
@@ -266,7 +266,7 @@
 	}
 }
 
-func (p *Planner) gone(x *exchange.Exchange) admission.Event {
+func (p *Dispatcher) gone(x *exchange.Exchange) admission.Event {
 	e := p.open[x.ID]
 	if e == nil || e.x != x {
 		return nil
@@ -276,7 +276,7 @@
 }
 
 // end settles a request that was served, and tells the controller of the attempt's end.
-func (p *Planner) end(in *input) admission.Event {
+func (p *Dispatcher) end(in *input) admission.Event {
 	o := in.ev.(admission.Outcome)
 	e := p.open[in.x.ID]
 	if !p.counters.Hold(e != nil && e.x == in.x && e.out > 0, "outcome_unowed") {
@@ -303,21 +303,21 @@
 }
 
 // late tells an answer of which its class's aim, which grows with the work that the query took, was missed.
-func (p *Planner) late(x *exchange.Exchange, work time.Duration) bool {
+func (p *Dispatcher) late(x *exchange.Exchange, work time.Duration) bool {
 	cl := &p.classes[x.Class]
 	aim := cl.LatencyObjective + time.Duration(cl.ObjectivePerWork*float64(work)/float64(max(cl.Threads, 1)))
 	return aim > 0 && time.Since(x.Arrived) > aim
 }
 
 // forget drops a request that is answered and has nothing out.
-func (p *Planner) forget(e *entry) {
+func (p *Dispatcher) forget(e *entry) {
 	if e.x.Settled() && e.out == 0 {
 		e.timer.Stop()
 		delete(p.open, e.x.ID)
 	}
 }
 
-func (p *Planner) do(a admission.Action) {
+func (p *Dispatcher) do(a admission.Action) {
 	switch a := a.(type) {
 	case admission.Send:
 		p.send(a)
@@ -334,11 +334,11 @@
 		p.engines.Cancel(a.ID, a.Attempt)
 	case admission.HealthCheck:
 		p.counters.Add("probes", 1)
-		p.engines.Probe(a.Engine)
+		p.engines.CheckHealth(a.Engine)
 	case admission.CloseIdle:
 		p.engines.CloseIdle(a.Engine)
 	case admission.SetTimer:
-		time.AfterFunc(a.Delay, func() { p.Told(admission.Timer{Token: a.Token}) })
+		time.AfterFunc(a.Delay, func() { p.Notify(admission.Timer{Token: a.Token}) })
 	case admission.Log:
 		p.log.Info("controller", "says", a.Text)
 	case admission.WatchEndpoints, admission.PollEndpoints, admission.SendGossip:
@@ -348,7 +348,7 @@
 
 // send starts an attempt. Guards against a repeat that engines no longer know for one: the wait for its connection may outlast the
 // window in which they do.
-func (p *Planner) send(a admission.Send) {
+func (p *Dispatcher) send(a admission.Send) {
 	e := p.open[a.ID]
 	if !p.counters.Hold(e != nil && e.out == 0, "two_attempts") {
 		return
@@ -367,7 +367,7 @@
 
 // refuse passes a refusal on, with the pause that the controller advises. A refusal says that a repeat is
 // harmless; guards against saying so of an unsafe request that may have run.
-func (p *Planner) refuse(a admission.Reject) {
+func (p *Dispatcher) refuse(a admission.Reject) {
 	e := p.open[a.ID]
 	if e == nil {
 		return
@@ -377,16 +377,16 @@
 		p.finish(a.ID, exchange.Answer{Kind: exchange.Failed, Reason: "the query failed and may have run"})
 		return
 	}
-	p.finish(a.ID, exchange.Answer{Kind: exchange.Refused, Pause: a.RetryAfter, Reason: "too busy"})
+	p.finish(a.ID, exchange.Answer{Kind: exchange.Rejected, RetryAfter: a.RetryAfter, Reason: "too busy"})
 }
 
-func (p *Planner) finish(id string, answer exchange.Answer) {
+func (p *Dispatcher) finish(id string, answer exchange.Answer) {
 	e := p.open[id]
 	if e == nil {
 		return
 	}
 	if e.x.Settle(answer) {
-		if answer.Kind == exchange.Refused {
+		if answer.Kind == exchange.Rejected {
 			p.counters.Add("refused", 1)
 		} else {
 			p.counters.Add("failed", 1)
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -36,10 +36,10 @@
 	e.terms = terms
 }
 func (e *engines) Cancel(string, int) { e.cancelled++ }
-func (e *engines) Probe(uint32)       {}
+func (e *engines) CheckHealth(uint32) {}
 func (e *engines) CloseIdle(uint32)   {}
 
-func newPlanner(decide func([]admission.Event) []admission.Action) (*Planner, *engines, *invariant.Counters) {
+func newPlanner(decide func([]admission.Event) []admission.Action) (*Dispatcher, *engines, *invariant.Counters) {
 	c, e := &invariant.Counters{}, &engines{}
 	p := New(script{decide}, []admission.Class{{Idempotency: admission.NonIdempotent}}, c, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	p.engines = e
@@ -47,7 +47,7 @@
 }
 
 func request(left time.Duration) *exchange.Exchange {
-	return exchange.New(exchange.Request{ID: "a", Left: left}, time.Now())
+	return exchange.New(exchange.Request{ID: "a", Timeout: left}, time.Now())
 }
 
 // breach runs what breaks an invariant: a debug build stops there, a release build counts it.
@@ -89,7 +89,7 @@
 				return nil
 			})
 			p.classes = []admission.Class{{LatencyObjective: time.Second, ObjectivePerWork: 2, Threads: 2}}
-			x := exchange.New(exchange.Request{ID: "a", Left: time.Hour}, time.Now().Add(-k.waited))
+			x := exchange.New(exchange.Request{ID: "a", Timeout: time.Hour}, time.Now().Add(-k.waited))
 			p.step([]input{{kind: taken, x: x}})
 			p.step([]input{{kind: ended, x: x, ev: admission.Outcome{ID: "a", Status: admission.OK, Work: k.work}}})
 			assert.EqualValues(t, 1, c.Get("served"))
@@ -114,7 +114,7 @@
 	x := request(time.Hour)
 	p, _, c := newPlanner(func(ev []admission.Event) []admission.Action {
 		if r, ok := ev[0].(admission.Request); ok {
-			assert.Less(t, r.Timeout, x.Left-answerMargin/2, "the answer needs some of the time itself")
+			assert.Less(t, r.Timeout, x.Timeout-answerMargin/2, "the answer needs some of the time itself")
 		}
 		if _, ok := ev[0].(admission.Outcome); ok {
 			return []admission.Action{admission.Reject{ID: "a"}}
@@ -125,7 +125,7 @@
 	breach(t, c, "refused_in_doubt", func() {
 		p.step([]input{{kind: ended, x: x, ev: admission.Outcome{ID: "a", Status: admission.Reset}}})
 	})
-	assert.False(t, x.Settled() && x.Answer().Kind == exchange.Refused)
+	assert.False(t, x.Settled() && x.Answer().Kind == exchange.Rejected)
 }
 
 func TestAFaultOfTheControllerEndsNoReleaseBuild(t *testing.T) {
@@ -190,9 +190,9 @@
 	defer close(stop)
 	go p.Run(&engines{}, stop)
 	x := request(3 * time.Second)
-	p.Take(x)
+	p.Accept(x)
 	<-x.Done()
-	assert.Equal(t, exchange.Refused, x.Answer().Kind, x.Answer().Reason)
+	assert.Equal(t, exchange.Rejected, x.Answer().Kind, x.Answer().Reason)
 	assert.Positive(t, faults.Load())
 }
 
@@ -213,15 +213,15 @@
 	})
 	x := request(time.Hour)
 	p.step([]input{{kind: taken, x: x}})
-	p.Leave(x)
-	p.Leave(x)
+	p.ClientGone(x)
+	p.ClientGone(x)
 	require.Len(t, p.queue, 1, "a client leaves once")
 	p.step(p.queue)
 	assert.Equal(t, 1, e.cancelled)
 	assert.Len(t, p.open, 1, "the id is held while its attempt is out")
 	p.step([]input{{kind: ended, x: x, ev: admission.Outcome{ID: "a", Status: admission.OK}}})
 	assert.Equal(t, []bool{true}, closed)
-	assert.Equal(t, exchange.Left, x.Answer().Kind)
+	assert.Equal(t, exchange.ClientGone, x.Answer().Kind)
 	assert.EqualValues(t, 1, c.Get("served_too_late"))
 	assert.Empty(t, p.open)
 }
@@ -233,11 +233,11 @@
 		return nil
 	})
 	ask := func(id, statement string) *exchange.Exchange {
-		x := exchange.New(exchange.Request{ID: id, Left: time.Hour, Statement: []byte(statement)}, time.Now())
+		x := exchange.New(exchange.Request{ID: id, Timeout: time.Hour, Statement: []byte(statement)}, time.Now())
 		p.step([]input{{kind: taken, x: x}})
 		return x
 	}
-	ask("a", "SELECT 1").Settle(exchange.Answer{Kind: exchange.Left})
+	ask("a", "SELECT 1").Settle(exchange.Answer{Kind: exchange.ClientGone})
 	delete(p.open, "a")
 	assert.False(t, ask("a", "SELECT 1").Settled(), "what crossed a close is sent again")
 	delete(p.open, "a")
@@ -272,7 +272,7 @@
 	early, late := request(time.Hour), request(time.Hour)
 	late.ID = "b"
 	p.step([]input{{kind: taken, x: early}})
-	p.Stop(50 * time.Millisecond)
+	p.Shutdown(50 * time.Millisecond)
 	p.step([]input{p.queue[0], {kind: taken, x: late}})
 	p.queue = nil
 	require.Len(t, left, 3)
--- a/internal/endpoints/recorded_test.go
+++ b/internal/endpoints/recorded_test.go
@@ -37,16 +37,16 @@
 func TestRecordedLog(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
 	names := platformconfig.Names{Zones: map[string]int{"east": 0, "west": 1}, Kinds: map[string]int{"std": 0, "big": 1}}
-	log := endpoints.NewLog(names)
+	log := endpoints.NewChangeLog(names)
 	var out strings.Builder
 	read := func(text string) {
 		lists, err := log.Read([]byte(text))
 		fmt.Fprintln(&out, "read", log.Seq(), log.Behind(), err == nil)
 		for _, l := range lists {
-			members := l.Members()
+			members := l.Event()
 			fmt.Fprintln(&out, "list", l.Complete, int(members.Kind), len(members.Engines))
-			for _, e := range l.Engines {
-				fmt.Fprintf(&out, "%q %q %q %d %d %d %d %d %x %d\n", e.Name, e.Addr, e.Reason, e.ID, e.Kind, e.Zone, e.Cell, int(e.State),
+			for _, e := range l.Endpoints {
+				fmt.Fprintf(&out, "%q %q %q %d %d %d %d %d %x %d\n", e.Name, e.Address, e.Reason, e.ID, e.Kind, e.Zone, e.Cell, int(e.State),
 					math.Float64bits(e.Units), e.Started.Nanoseconds())
 			}
 		}
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -14,47 +14,47 @@
 	"beechcart/internal/platformconfig"
 )
 
-// Engine is one entry of the list: what the controller sees of it, and where it is.
-type Engine struct {
+// Endpoint is one entry of the list: what the controller sees of it, and where it is.
+type Endpoint struct {
 	admission.Engine
-	Name, Addr string
-	Reason     string // why it is in its state, where its source tells
+	Name, Address string
+	Reason        string // why it is in its state, where its source tells
 }
 
 // List is one event of the change log.
 type List struct {
-	Complete bool
-	Engines  []Engine
+	Complete  bool
+	Endpoints []Endpoint
 }
 
-// Members is the list as the controller takes it.
-func (l List) Members() admission.EndpointsChanged {
+// Event is the list as the controller takes it.
+func (l List) Event() admission.EndpointsChanged {
 	m := admission.EndpointsChanged{Kind: admission.Partial}
 	if l.Complete {
 		m.Kind = admission.Complete
 	}
-	for _, e := range l.Engines {
+	for _, e := range l.Endpoints {
 		m.Engines = append(m.Engines, e.Engine)
 	}
 	return m
 }
 
-// Log reads the change log's answers and remembers the last event it holds.
-type Log struct {
+// ChangeLog reads the change log's answers and remembers the last event it holds.
+type ChangeLog struct {
 	names platformconfig.Names
 	seq   int64
 	told  int64 // the last event that the last answer told of
 }
 
-// NewLog starts before the first event.
-func NewLog(n platformconfig.Names) *Log { return &Log{names: n} }
+// NewChangeLog starts before the first event.
+func NewChangeLog(n platformconfig.Names) *ChangeLog { return &ChangeLog{names: n} }
 
 // Seq is the number of the last event held.
-func (l *Log) Seq() int64 { return l.seq }
+func (l *ChangeLog) Seq() int64 { return l.seq }
 
 // Read takes an answer and returns the lists of its events that are new, in order. An answer that does not
 // read changes nothing.
-func (l *Log) Read(text []byte) ([]List, error) {
+func (l *ChangeLog) Read(text []byte) ([]List, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return nil, fmt.Errorf("change log: %w", err)
@@ -83,7 +83,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("change log: event %d: %w", seq, err)
 			}
-			list.Engines = append(list.Engines, en)
+			list.Endpoints = append(list.Endpoints, en)
 		}
 		lists = append(lists, list)
 	}
@@ -92,11 +92,11 @@
 }
 
 // Behind tells that the answer that was read last told of events that did not come with it.
-func (l *Log) Behind() bool { return l.told > l.seq }
+func (l *ChangeLog) Behind() bool { return l.told > l.seq }
 
-func (l *Log) engine(v *fastjson.Value) (Engine, error) {
+func (l *ChangeLog) engine(v *fastjson.Value) (Endpoint, error) {
 	str := func(name string) string { return string(v.GetStringBytes(name)) }
-	e := Engine{Name: str("name"), Addr: str("address")}
+	e := Endpoint{Name: str("name"), Address: str("address")}
 	if e.Name == "" {
 		return e, fmt.Errorf("an endpoint has no name")
 	}
--- a/internal/endpoints/roster_test.go
+++ b/internal/endpoints/roster_test.go
@@ -15,13 +15,13 @@
 "zone":"east","type":"std","group":2,"status":"ready","weight":4,"since_ms":1500}]}}`
 
 func TestRead(t *testing.T) {
-	l := NewLog(platformconfig.Names{Zones: map[string]int{"east": 1}, Kinds: map[string]int{"std": 0}})
+	l := NewChangeLog(platformconfig.Names{Zones: map[string]int{"east": 1}, Kinds: map[string]int{"std": 0}})
 	lists, err := l.Read([]byte(`{"seq":1,"results":[` + first + `]}`))
 	require.NoError(t, err)
-	want := Engine{Engine: admission.Engine{ID: 0xc41f7a, Zone: 1, Cell: 2, Units: 4, Started: 1500 * time.Millisecond},
-		Name: "s-00c41f7a", Addr: "10.1.0.9:7001"}
-	assert.Equal(t, []List{{Complete: true, Engines: []Engine{want}}}, lists)
-	assert.Equal(t, admission.Complete, lists[0].Members().Kind)
+	want := Endpoint{Engine: admission.Engine{ID: 0xc41f7a, Zone: 1, Cell: 2, Units: 4, Started: 1500 * time.Millisecond},
+		Name: "s-00c41f7a", Address: "10.1.0.9:7001"}
+	assert.Equal(t, []List{{Complete: true, Endpoints: []Endpoint{want}}}, lists)
+	assert.Equal(t, admission.Complete, lists[0].Event().Kind)
 
 	lists, err = l.Read([]byte(`{"seq":4,"results":[` + first + `,{"seq":2,"object":{}},{"seq":3,"fleet":{"endpoints":[
 		{"name":"s-1","status":"draining"},{"name":"s-2","status":"gone"},{"name":"s-3","status":"resting"}]}},
@@ -29,11 +29,11 @@
 	require.NoError(t, err)
 	require.Len(t, lists, 2, "what is held already, or of another kind, is passed over")
 	var states []admission.State
-	for _, e := range lists[0].Engines {
+	for _, e := range lists[0].Endpoints {
 		states = append(states, e.State)
 	}
 	assert.Equal(t, []admission.State{admission.Draining, admission.Removed, admission.Draining}, states)
-	assert.Equal(t, admission.Partial, lists[0].Members().Kind)
+	assert.Equal(t, admission.Partial, lists[0].Event().Kind)
 	assert.True(t, lists[1].Complete)
 	assert.EqualValues(t, 4, l.Seq())
 
@@ -52,7 +52,7 @@
 func TestReadMalformed(t *testing.T) {
 	for _, in := range []string{"", "{", "[]", `{"results":[]}`, `{"seq":"1"}`, `{"seq":2,"results":[{"seq":2,"fleet":{"endpoints":[{}]}}]}`,
 		`{"seq":1,"results":[{"seq":1,"fleet":{"index":1}}]}`, `{"seq":2,"results":[{"seq":2,"fleet":{"snapshot":true,"endpoints":"x"}}]}`} {
-		l := NewLog(platformconfig.Names{})
+		l := NewChangeLog(platformconfig.Names{})
 		_, err := l.Read([]byte(in))
 		assert.Error(t, err, in)
 		assert.Zero(t, l.Seq(), "an answer that does not read changes nothing")
@@ -62,7 +62,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"seq":1,"results":[` + first + `]}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		l := NewLog(platformconfig.Names{})
+		l := NewChangeLog(platformconfig.Names{})
 		if lists, err := l.Read(in); err != nil {
 			require.Empty(t, lists)
 			require.Zero(t, l.Seq())
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -39,7 +39,7 @@
 // belongs to, so what another query's answer left behind, however late it comes, must not be read as this one's: a
 // connection that served another query carries this one only where decision/reuse allows it.
 type attempt struct {
-	fleet    *Fleet
+	fleet    *Client
 	x        *exchange.Exchange
 	n        int
 	peer     *peer
@@ -306,7 +306,7 @@
 }
 
 // left tells that nobody waits for the query any more, and that it is not to be deleted.
-func (a *attempt) left() bool { return !a.fleet.opt.Deletes && a.x.Settled() }
+func (a *attempt) left() bool { return !a.fleet.opt.MayDelete && a.x.Settled() }
 
 // forgotten lets a query go that may not be deleted: it is asked for no more, and over once its engine has given it up for
 // that. Guards against asking on for as long as its engine says that it runs: one that never ends would be out for good, and
@@ -405,7 +405,7 @@
 	}
 	var ok bool
 	if ev.Value, ok = number(r.num); ok {
-		a.fleet.sink.Told(ev)
+		a.fleet.sink.Notify(ev)
 	}
 }
 
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -28,10 +28,10 @@
 
 type sink chan ending
 
-func (s sink) Ended(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
+func (s sink) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
 	s <- ending{o, string(rows)}
 }
-func (s sink) Told(admission.Event) {}
+func (s sink) Notify(admission.Event) {}
 
 // ok is an answer as an engine words it.
 func ok(head, body string) string {
@@ -104,7 +104,7 @@
 }
 
 // newFleet returns a fleet of one engine, which serves all unless a script is given.
-func newFleet(t *testing.T, most int, answer func(call string, nth int) string) (*Fleet, sink, string, *script) {
+func newFleet(t *testing.T, most int, answer func(call string, nth int) string) (*Client, sink, string, *script) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -128,7 +128,7 @@
 }
 
 func list(addr string, state admission.State) endpoints.List {
-	return endpoints.List{Engines: []endpoints.Engine{{Engine: admission.Engine{ID: 7, State: state}, Name: "s-7", Addr: addr}}}
+	return endpoints.List{Endpoints: []endpoints.Endpoint{{Engine: admission.Engine{ID: 7, State: state}, Name: "s-7", Address: addr}}}
 }
 
 func newExchange() *exchange.Exchange {
@@ -263,7 +263,7 @@
 				}
 				return "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 			})
-			f.opt.Deletes = deletes
+			f.opt.MayDelete = deletes
 			f.Start(x, 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
 			if <-x.Done(); deletes {
 				f.Cancel(x.ID, 0)
@@ -386,9 +386,9 @@
 // goneClient is a client that has gone.
 type goneClient struct{ looks int }
 
-func (c *goneClient) LeaveIfGone(x *exchange.Exchange) bool {
+func (c *goneClient) SettleIfGone(x *exchange.Exchange) bool {
 	c.looks++
-	return x.Settle(exchange.Answer{Kind: exchange.Left})
+	return x.Settle(exchange.Answer{Kind: exchange.ClientGone})
 }
 
 // The client has gone, and its session has not heard of it yet: the last look before the POST finds out.
--- a/internal/engine/changelog.go
+++ b/internal/engine/changelog.go
@@ -9,11 +9,11 @@
 	"beechcart/decision/watchtimeout"
 )
 
-// Changes polls the change log at addr until ctx ends, and hands each answer to take, which returns the number
+// FollowChangeLog polls the change log at addr until ctx ends, and hands each answer to take, which returns the number
 // of the last event held. A lost connection is opened anew, for as long as it takes; state is told how each poll
 // went. How long each step may last is decision/watchtimeout's word. The end of ctx drops the dial or the poll in hand at once: guards
 // against hanging on an address that a new configuration has replaced, and that tells nothing more.
-func (f *Fleet) Changes(ctx context.Context, addr string, since int64, take func([]byte) (int64, error), state func(error)) {
+func (f *Client) FollowChangeLog(ctx context.Context, addr string, since int64, take func([]byte) (int64, error), state func(error)) {
 	for w := watchtimeout.New(f.opt.DrainGrace, f.opt.ConnectTimeout); ctx.Err() == nil; {
 		err := f.follow(ctx, w, addr, &since, take, state)
 		if ctx.Err() != nil {
@@ -30,7 +30,7 @@
 }
 
 // follow polls on one connection until that fails.
-func (f *Fleet) follow(ctx context.Context, w *watchtimeout.Watch, addr string, since *int64, take func([]byte) (int64, error), state func(error)) error {
+func (f *Client) follow(ctx context.Context, w *watchtimeout.Watch, addr string, since *int64, take func([]byte) (int64, error), state func(error)) error {
 	began := time.Now()
 	c, err := f.socks.dial(ctx, addr, w.Dial(), true)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-func (f *Fleet) changes(c *conn, w *watchtimeout.Watch, addr string, since *int64, take func([]byte) (int64, error)) error {
+func (f *Client) changes(c *conn, w *watchtimeout.Watch, addr string, since *int64, take func([]byte) (int64, error)) error {
 	c.begin("GET", "/changes?since="+strconv.FormatInt(*since, 10)+
 		"&timeout="+strconv.FormatInt(w.Wait().Milliseconds(), 10), addr)
 	if err := c.send(nil); err != nil {
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -17,10 +17,10 @@
 
 // Sink takes what the engines tell.
 type Sink interface {
-	// Ended tells how an attempt ended; rows are its whole result when it was served.
-	Ended(x *exchange.Exchange, o admission.Outcome, rows []byte)
-	// Told brings notes and the results of probes.
-	Told(ev admission.Event)
+	// AttemptDone tells how an attempt ended; rows are its whole result when it was served.
+	AttemptDone(x *exchange.Exchange, o admission.Outcome, rows []byte)
+	// Notify brings notes and the results of probes.
+	Notify(ev admission.Event)
 }
 
 // Options are what the server side is built with.
@@ -29,13 +29,13 @@
 	DrainGrace     time.Duration // within which a drain has to be heard
 	Sockets        int           // connections in all, the reserve included
 	Classes        []admission.Class
-	Deletes        bool         // a query that nobody waits for may be deleted; else it is asked for no more
+	MayDelete      bool         // a query that nobody waits for may be deleted; else it is asked for no more
 	Reuse          *reuse.Trust // nil keeps no connection
 	Counters       *invariant.Counters
 }
 
-// Fleet is the engines that the list has named, and what is out on them.
-type Fleet struct {
+// Client is the engines that the list has named, and what is out on them.
+type Client struct {
 	opt   Options
 	socks *sockets
 	pool  *pool
@@ -52,8 +52,8 @@
 }
 
 // New returns an empty fleet that tells sink.
-func New(opt Options, sink Sink) *Fleet {
-	return &Fleet{
+func New(opt Options, sink Sink) *Client {
+	return &Client{
 		opt: opt, sink: sink, peers: map[uint32]*peer{}, outs: map[outKey]*attempt{},
 		socks: &sockets{most: opt.Sockets, reserve: opt.Sockets / 8},
 		pool:  newPool(opt.Reuse, func(name string) { opt.Counters.Add(name, 1) }),
@@ -62,20 +62,20 @@
 
 // Update takes an event of the engine list. It must come before the controller hears of it, so that nothing
 // is sent on old word.
-func (f *Fleet) Update(l endpoints.List) {
+func (f *Client) Update(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen := map[uint32]bool{}
-	for _, e := range l.Engines {
+	for _, e := range l.Endpoints {
 		seen[e.ID] = true
 		old := f.peers[e.ID]
 		// An address may pass from an engine that is gone to a new one, and a process may have started again:
 		// attempts belong to one engine and one start of it.
-		if old == nil || (e.Addr != "" && old.addr != e.Addr) || (e.Started > 0 && old.started != e.Started) {
+		if old == nil || (e.Address != "" && old.addr != e.Address) || (e.Started > 0 && old.started != e.Started) {
 			if old != nil {
 				old.end()
 			}
-			old = &peer{fleet: f, id: e.ID, addr: e.Addr, started: e.Started}
+			old = &peer{fleet: f, id: e.ID, addr: e.Address, started: e.Started}
 			f.peers[e.ID] = old
 		}
 		old.setReady(e.State == admission.Ready)
@@ -94,15 +94,15 @@
 	}
 }
 
-func (f *Fleet) peer(id uint32) *peer {
+func (f *Client) peer(id uint32) *peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.peers[id]
 }
 
-// Start sends an attempt on its way under those terms; Ended will tell of it once. Its query goes out by that time or not at all,
+// Start sends an attempt on its way under those terms; AttemptDone will tell of it once. Its query goes out by that time or not at all,
 // where one is given.
-func (f *Fleet) Start(x *exchange.Exchange, n int, engine uint32, terms admission.Terms, limit time.Duration, by time.Time) {
+func (f *Client) Start(x *exchange.Exchange, n int, engine uint32, terms admission.Terms, limit time.Duration, by time.Time) {
 	a := &attempt{
 		fleet: f, x: x, n: n, peer: f.peer(engine), engine: engine, terms: terms, by: by,
 		began: time.Now(), stop: make(chan struct{}),
@@ -119,13 +119,13 @@
 		f.mu.Unlock()
 		a.outcome.ID, a.outcome.Attempt, a.outcome.Engine = x.ID, n, engine
 		a.outcome.Status, a.outcome.Latency = status, time.Since(a.began)
-		f.sink.Ended(x, a.outcome, rows)
+		f.sink.AttemptDone(x, a.outcome, rows)
 	}()
 }
 
-// Idle tells that nothing is out on an engine, nor will be while it is not ready: an attempt is on the books before it looks
+// Drained tells that nothing is out on an engine, nor will be while it is not ready: an attempt is on the books before it looks
 // whether its engine is. Guards against a veto that is on its way here while nothing happens to be out.
-func (f *Fleet) Idle(engine uint32) bool {
+func (f *Client) Drained(engine uint32) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p := f.peers[engine]; p != nil && p.isReady() {
@@ -140,7 +140,7 @@
 }
 
 // Cancel gives an attempt up; its end is told once it is proved.
-func (f *Fleet) Cancel(id string, n int) {
+func (f *Client) Cancel(id string, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a := f.outs[outKey{id, n}]; a != nil && !a.stopping {
@@ -150,14 +150,14 @@
 }
 
 // CloseIdle closes the connections to an engine that carry nothing.
-func (f *Fleet) CloseIdle(engine uint32) {
+func (f *Client) CloseIdle(engine uint32) {
 	if p := f.peer(engine); p != nil {
 		f.pool.drop(p, false)
 	}
 }
 
 // unsafe tells a request that must not run twice; one of a class that is not known is taken for such.
-func (f *Fleet) unsafe(x *exchange.Exchange) bool {
+func (f *Client) unsafe(x *exchange.Exchange) bool {
 	return x.Class < 0 || x.Class >= len(f.opt.Classes) || f.opt.Classes[x.Class].Idempotency != admission.Idempotent
 }
 
@@ -172,7 +172,7 @@
 }
 
 // dial opens a new connection to an engine. Where no socket is free, a connection that carries nothing makes room.
-func (f *Fleet) dial(addr string, urgent bool) (*conn, error) {
+func (f *Client) dial(addr string, urgent bool) (*conn, error) {
 	for {
 		c, err := f.socks.dial(context.Background(), addr, f.opt.ConnectTimeout, urgent)
 		if err != errNoSocket || !f.pool.evict() {
@@ -181,8 +181,8 @@
 	}
 }
 
-// Probe asks an engine how it is; Told brings the answer. One that could not be asked for want of a socket of our own brings none.
-func (f *Fleet) Probe(engine uint32) {
+// CheckHealth asks an engine how it is; Told brings the answer. One that could not be asked for want of a socket of our own brings none.
+func (f *Client) CheckHealth(engine uint32) {
 	p := f.peer(engine)
 	go func() {
 		began := time.Now()
@@ -195,13 +195,13 @@
 			}
 		}
 		ev.Latency = time.Since(began)
-		f.sink.Told(ev)
+		f.sink.Notify(ev)
 	}()
 }
 
 // peer is one start of one engine.
 type peer struct {
-	fleet   *Fleet
+	fleet   *Client
 	id      uint32
 	addr    string
 	started time.Duration
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -72,28 +72,28 @@
 		return r, 0, errLarge
 	}
 	line, head, _ := bytes.Cut(buf[:end], []byte("\r\n"))
-	if r.code, r.close, err = http1.Status(line); err != nil {
+	if r.code, r.close, err = http1.ParseStatusLine(line); err != nil {
 		return r, 0, err
 	}
 	length, chunked, seen := -1, false, fields(0)
 	for len(head) > 0 {
 		line, head, _ = bytes.Cut(head, []byte("\r\n"))
-		name, value, err := http1.Field(line)
+		name, value, err := http1.ParseField(line)
 		if err != nil {
 			return r, 0, err
 		}
 		var this fields
 		switch {
-		case http1.Is(name, "Content-Length"):
+		case http1.EqualName(name, "Content-Length"):
 			this = fieldLength
-			length, err = http1.Whole(value)
-		case http1.Is(name, "Transfer-Encoding"):
+			length, err = http1.ParseDigits(value)
+		case http1.EqualName(name, "Transfer-Encoding"):
 			this = fieldEncoding
-			if chunked = http1.Is(value, "chunked"); !chunked {
+			if chunked = http1.EqualName(value, "chunked"); !chunked {
 				err = errBad
 			}
-		case http1.Is(name, "Connection"):
-			r.close = r.close || http1.Is(value, "close")
+		case http1.EqualName(name, "Connection"):
+			r.close = r.close || http1.EqualName(value, "close")
 		default:
 			this, err = r.field(name, value)
 		}
@@ -149,31 +149,31 @@
 func (r *response) field(name, value []byte) (fields, error) {
 	var err error
 	switch {
-	case http1.Is(name, "X-Unrun"):
+	case http1.EqualName(name, "X-Unrun"):
 		r.unrun = string(value) == "1"
 		return fieldUnrun, nil
-	case http1.Is(name, "X-How"):
+	case http1.EqualName(name, "X-How"):
 		r.how = value
 		return fieldHow, nil
-	case http1.Is(name, "X-Num"):
+	case http1.EqualName(name, "X-Num"):
 		r.num = value
 		return fieldNum, nil
-	case http1.Is(name, "X-Gauges"):
+	case http1.EqualName(name, "X-Gauges"):
 		r.gauges = value
 		return fieldGauges, nil
-	case http1.Is(name, "X-Batches"):
-		r.pages, err = http1.Whole(value)
+	case http1.EqualName(name, "X-Batches"):
+		r.pages, err = http1.ParseDigits(value)
 		return fieldBatches, err
-	case http1.Is(name, "X-Batch"):
-		r.page, err = http1.Whole(value)
+	case http1.EqualName(name, "X-Batch"):
+		r.page, err = http1.ParseDigits(value)
 		return fieldBatch, err
-	case http1.Is(name, "X-Spent"):
+	case http1.EqualName(name, "X-Spent"):
 		var ok bool
 		if r.spent, ok = number(value); !ok {
 			err = errBad
 		}
 		return fieldSpent, err
-	case http1.Is(name, "X-Wanted"):
+	case http1.EqualName(name, "X-Wanted"):
 		var ok bool
 		if r.wanted, ok = number(value); !ok {
 			err = errBad
@@ -231,7 +231,7 @@
 		}
 		return 0, 0, errShort
 	}
-	if size, err = http1.ChunkSize(buf[:eol], most); err != nil {
+	if size, err = http1.ParseChunkSize(buf[:eol], most); err != nil {
 		return 0, 0, err
 	}
 	from = eol + 2
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -17,7 +17,7 @@
 )
 
 // keeping is newFleet with connections that serve again; class 0 may be repeated, class 1 may not.
-func keeping(t *testing.T, most int, answer func(call string, nth int) string) (*Fleet, sink, string, *script) {
+func keeping(t *testing.T, most int, answer func(call string, nth int) string) (*Client, sink, string, *script) {
 	f, s, addr, e := newFleet(t, most, answer)
 	f.opt.Classes = []admission.Class{{Idempotency: admission.Idempotent}, {Idempotency: admission.NonIdempotent}}
 	keep(t, f, reuse.Defaults().MaxIdle)
@@ -25,7 +25,7 @@
 }
 
 // proving gives a fleet a pool that never trusts, and confirms.
-func proving(t *testing.T, f *Fleet) {
+func proving(t *testing.T, f *Client) {
 	set := reuse.Defaults()
 	set.Quiet, set.Prove = time.Millisecond, 1_000_000
 	trust, err := reuse.New(set)
@@ -34,7 +34,7 @@
 }
 
 // keep gives a fleet a pool that trusts soon.
-func keep(t *testing.T, f *Fleet, maxIdle time.Duration) {
+func keep(t *testing.T, f *Client, maxIdle time.Duration) {
 	set := reuse.Defaults()
 	set.Quiet, set.Prove, set.MaxIdle, set.Confirm = time.Millisecond, 2, maxIdle, false
 	trust, err := reuse.New(set)
@@ -43,7 +43,7 @@
 }
 
 // query runs one request of a class to its end.
-func query(t *testing.T, f *Fleet, s sink, class int) ending {
+func query(t *testing.T, f *Client, s sink, class int) ending {
 	x := exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", Class: class, Statement: []byte("SELECT 1")}, time.Now())
 	f.Start(x, 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
 	end := <-s
@@ -52,14 +52,14 @@
 }
 
 // trusted runs requests until a connection has served again.
-func trusted(t *testing.T, f *Fleet, s sink) {
+func trusted(t *testing.T, f *Client, s sink) {
 	require.Eventually(t, func() bool {
 		query(t, f, s, 0)
 		return f.opt.Counters.Get("conn_reused") > 0
 	}, 10*time.Second, 2*time.Millisecond)
 }
 
-func idle(f *Fleet) (n int) {
+func idle(f *Client) (n int) {
 	f.pool.mu.Lock()
 	defer f.pool.mu.Unlock()
 	for _, list := range f.pool.idle {
@@ -219,15 +219,15 @@
 		<-halt
 		return good
 	})
-	assert.False(t, f.Idle(7), "nothing is out, and anything may start")
+	assert.False(t, f.Drained(7), "nothing is out, and anything may start")
 	x := exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", Statement: []byte("SELECT 1")}, time.Now())
 	f.Start(x, 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
 	f.Update(list(addr, admission.Draining))
-	assert.False(t, f.Idle(7), "one is out")
+	assert.False(t, f.Drained(7), "one is out")
 	close(halt)
 	<-s
-	assert.True(t, f.Idle(7))
-	assert.True(t, f.Idle(8), "not known")
+	assert.True(t, f.Drained(7))
+	assert.True(t, f.Drained(8), "not known")
 	f.Start(exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d42", Statement: []byte("SELECT 1")}, time.Now()), 0, 7, admission.Terms{Priority: 1}, time.Second, time.Time{})
 	assert.Equal(t, admission.NotSent, (<-s).Status, "and nothing starts")
 }
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -21,7 +21,7 @@
 	"beechcart/internal/engine"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // told takes what the engine client passes on, and keeps it as lines of numbers.
@@ -30,12 +30,12 @@
 	hold  chan struct{} // where it is not nil: nothing is taken before it is closed
 }
 
-func (s *told) Ended(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
+func (s *told) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
 	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n", o.ID, o.Attempt,
 		o.Engine, int(o.Status), o.Alive, int64(o.Work), math.Float64bits(o.NeedMB), reportText(o.Report), rows)
 }
 
-func (s *told) Told(ev admission.Event) {
+func (s *told) Notify(ev admission.Event) {
 	if s.hold != nil {
 		<-s.hold
 	}
@@ -158,14 +158,14 @@
 	chunked    = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
 )
 
-func newClient(p *scriptedPeer) (*engine.Fleet, *told) {
+func newClient(p *scriptedPeer) (*engine.Client, *told) {
 	s := &told{lines: make(chan string, 100)}
 	f := engine.New(engine.Options{
-		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, Deletes: true, Counters: &invariant.Counters{},
+		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, MayDelete: true, Counters: &invariant.Counters{},
 		Classes: []admission.Class{{Idempotency: admission.Idempotent}, {Idempotency: admission.NonIdempotent}},
 	}, s)
-	f.Update(endpoints.List{Engines: []endpoints.Engine{
-		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Addr: p.address},
+	f.Update(endpoints.List{Endpoints: []endpoints.Endpoint{
+		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Address: p.address},
 	}})
 	return f, s
 }
@@ -204,7 +204,7 @@
 			p := servePeer(t, k.answers...)
 			f, s := newClient(p)
 			f.Start(newRequest(), 2, 7, admission.Terms{Priority: 3, GrantMB: 144.5}, 10*time.Second, time.Time{})
-			recording.Compare(t, k.name, collect(p, s))
+			recorded.Compare(t, k.name, collect(p, s))
 		})
 	}
 }
@@ -234,7 +234,7 @@
 	call := <-p.calls
 	f.Cancel(x.ID, 0)
 	close(hold) // the note of the first answer passes only now, so the poll after it comes behind the cancellation
-	recording.Compare(t, "cancelled", append([]byte(call), collect(p, s)...))
+	recorded.Compare(t, "cancelled", append([]byte(call), collect(p, s)...))
 }
 
 // A health check, and one that is reset and made again.
@@ -244,15 +244,15 @@
 	f, s := newClient(p)
 	var out bytes.Buffer
 	for range 3 {
-		f.Probe(7)
+		f.CheckHealth(7)
 		out.WriteString(<-s.lines)
 	}
-	f.Probe(8) // nobody knows it
+	f.CheckHealth(8) // nobody knows it
 	out.WriteString(<-s.lines)
 	for len(p.calls) > 0 {
 		out.WriteString(<-p.calls)
 	}
-	recording.Compare(t, "health-check", out.Bytes())
+	recorded.Compare(t, "health-check", out.Bytes())
 }
 
 // The polls of the change log say which event came last, and how long to wait.
@@ -265,7 +265,7 @@
 	var since int64 = 41
 	go func() {
 		defer close(ended)
-		f.Changes(ctx, p.address, 41, func(text []byte) (int64, error) {
+		f.FollowChangeLog(ctx, p.address, 41, func(text []byte) (int64, error) {
 			since++
 			taken <- string(text)
 			return since, nil
@@ -280,5 +280,5 @@
 	}
 	cancel()
 	<-ended
-	recording.Compare(t, "change-log", out.Bytes())
+	recorded.Compare(t, "change-log", out.Bytes())
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -11,45 +11,45 @@
 
 // Request is what a client asked for, in the terms of the settings.
 type Request struct {
-	ID        string
-	ClassName string
-	Class     int // place in the settings
-	Tenant    int // -1: not known
-	Left      time.Duration
-	Work      time.Duration // estimate; 0: none
-	MemMB     float64       // estimate; 0: none
-	Group     int           // group of tables; -1: none
-	Retry     bool          // its client has tried before
-	Statement []byte        // owned by the exchange
+	ID           string
+	ClassName    string
+	Class        int // place in the settings
+	Tenant       int // -1: not known
+	Timeout      time.Duration
+	WorkEstimate time.Duration // estimate; 0: none
+	MemoryMB     float64       // estimate; 0: none
+	TableGroup   int           // group of tables; -1: none
+	Retry        bool          // its client has tried before
+	Statement    []byte        // owned by the exchange
 }
 
-// Kind is how a request ended.
-type Kind int
+// AnswerKind is how a request ended.
+type AnswerKind int
 
 // The kinds of final answer.
 const (
-	Served  Kind = iota
-	Refused      // a repeat is harmless
-	Failed       // nothing is promised
-	Left         // the client went first: nothing is owed
+	Served     AnswerKind = iota
+	Rejected              // a repeat is harmless
+	Failed                // nothing is promised
+	ClientGone            // the client went first: nothing is owed
 )
 
 // Answer is the final answer of a request.
 type Answer struct {
-	Kind   Kind
-	Rows   []byte        // Served: rows as text, columns parted by tabs, each row ended by a line feed
-	Pause  time.Duration // Refused: when to come back; 0: no advice
-	Reason string        // Refused, Failed: for people
+	Kind       AnswerKind
+	Rows       []byte        // Served: rows as text, columns parted by tabs, each row ended by a line feed
+	RetryAfter time.Duration // Rejected: when to come back; 0: no advice
+	Reason     string        // Rejected, Failed: for people
 }
 
-// Columns is how many text columns every result has.
-const Columns = 3
+// ColumnCount is how many text columns every result has.
+const ColumnCount = 3
 
 // CheckRows tells whether rows are whole rows of a result.
 func CheckRows(rows []byte) error {
 	for n := 1; len(rows) > 0; n++ {
 		row, rest, ok := bytes.Cut(rows, []byte{'\n'})
-		if !ok || bytes.Count(row, []byte{'\t'}) != Columns-1 {
+		if !ok || bytes.Count(row, []byte{'\t'}) != ColumnCount-1 {
 			return fmt.Errorf("row %d of the result is malformed", n)
 		}
 		rows = rest
@@ -59,8 +59,8 @@
 
 // Client is where a request came from.
 type Client interface {
-	// LeaveIfGone looks whether the client has gone, and settles its exchange where it has. It may be called from any goroutine.
-	LeaveIfGone(x *Exchange) (gone bool)
+	// SettleIfGone looks whether the client has gone, and settles its exchange where it has. It may be called from any goroutine.
+	SettleIfGone(x *Exchange) (gone bool)
 }
 
 // Exchange carries one request to its one final answer, whoever settles it first.
@@ -95,7 +95,7 @@
 // Abandoned tells whether nobody waits for an answer any more. Unlike Settled it looks at the client itself, which costs a system call:
 // the client may have gone while this process had no core, and its session not yet have heard of it.
 func (x *Exchange) Abandoned() bool {
-	return x.Settled() || (x.Client != nil && x.Client.LeaveIfGone(x))
+	return x.Settled() || (x.Client != nil && x.Client.SettleIfGone(x))
 }
 
 // Done is closed once the final answer is there.
@@ -105,4 +105,4 @@
 func (x *Exchange) Answer() Answer { return x.answer }
 
 // Deadline is when the client stops waiting.
-func (x *Exchange) Deadline() time.Time { return x.Arrived.Add(x.Left) }
+func (x *Exchange) Deadline() time.Time { return x.Arrived.Add(x.Timeout) }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -10,19 +10,19 @@
 )
 
 func TestOneFinalAnswer(t *testing.T) {
-	x := New(Request{Left: time.Second}, time.Now())
+	x := New(Request{Timeout: time.Second}, time.Now())
 	var won atomic.Int32
 	var wg sync.WaitGroup
 	for i := range 16 {
 		wg.Go(func() {
-			if x.Settle(Answer{Kind: Refused, Pause: time.Duration(i)}) {
+			if x.Settle(Answer{Kind: Rejected, RetryAfter: time.Duration(i)}) {
 				won.Add(int32(i) + 1)
 			}
 		})
 	}
 	wg.Wait()
 	<-x.Done()
-	assert.EqualValues(t, won.Load()-1, x.Answer().Pause, "the answer is the winner's, and there is one")
+	assert.EqualValues(t, won.Load()-1, x.Answer().RetryAfter, "the answer is the winner's, and there is one")
 }
 
 func TestCheckRows(t *testing.T) {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -56,24 +56,24 @@
 // Close ends the connection and any call on it.
 func (c *Conn) Close() { _ = c.c.Close() }
 
-// Call is one request without a body.
-type Call struct {
+// Request is one request without a body.
+type Request struct {
 	Method, Path string
 	Fields       [][2]string // name and value, in order
 }
 
-// Head is the beginning of an answer.
-type Head struct {
-	Code   int
-	length int // -1: chunked or absent
-	chunks bool
+// Response is the beginning of an answer.
+type Response struct {
+	StatusCode int
+	length     int // -1: chunked or absent
+	chunks     bool
 }
 
-// Begin sends a call and reads the head of its answer before the deadline; field is called for each field, with
+// Do sends a call and reads the head of its answer before the deadline; field is called for each field, with
 // slices that hold during the call only. Interim answers (1xx) are passed over.
-func (c *Conn) Begin(call Call, deadline time.Time, lim Limits, field func(name, value []byte) error) (Head, error) {
+func (c *Conn) Do(call Request, deadline time.Time, lim Limits, field func(name, value []byte) error) (Response, error) {
 	if err := c.c.SetDeadline(deadline); err != nil {
-		return Head{}, err
+		return Response{}, err
 	}
 	b := append(append(append(append(c.out[:0], call.Method...), ' '), call.Path...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, c.host...), "\r\n"...)
@@ -82,28 +82,28 @@
 	}
 	c.out = append(b, "\r\n"...)
 	if _, err := c.c.Write(c.out); err != nil {
-		return Head{}, err
+		return Response{}, err
 	}
 	left := lim.Head
 	for {
 		h, err := c.head(&left, field)
-		if err != nil || h.Code >= 200 {
+		if err != nil || h.StatusCode >= 200 {
 			return h, err
 		}
-		if h.Code == 101 { // nobody asked for another protocol
+		if h.StatusCode == 101 { // nobody asked for another protocol
 			return h, ErrMalformed
 		}
 	}
 }
 
 // head reads one head, interim or final. A field that comes twice and tells where the answer ends contradicts itself.
-func (c *Conn) head(left *int, field func(name, value []byte) error) (Head, error) {
-	h := Head{length: -1}
+func (c *Conn) head(left *int, field func(name, value []byte) error) (Response, error) {
+	h := Response{length: -1}
 	line, err := c.line(left)
 	if err != nil {
 		return h, err
 	}
-	if h.Code, c.last, err = Status(line); err != nil {
+	if h.StatusCode, c.last, err = ParseStatusLine(line); err != nil {
 		return h, err
 	}
 	for {
@@ -113,26 +113,26 @@
 		if len(line) == 0 {
 			break
 		}
-		name, value, err := Field(line)
+		name, value, err := ParseField(line)
 		if err != nil {
 			return h, err
 		}
 		switch {
-		case Is(name, "Content-Length"):
+		case EqualName(name, "Content-Length"):
 			if h.length >= 0 {
 				return h, ErrMalformed
 			}
-			if h.length, err = Whole(value); err != nil {
+			if h.length, err = ParseDigits(value); err != nil {
 				return h, err
 			}
-		case Is(name, "Transfer-Encoding"):
-			if h.chunks || !Is(value, "chunked") {
+		case EqualName(name, "Transfer-Encoding"):
+			if h.chunks || !EqualName(value, "chunked") {
 				return h, ErrMalformed
 			}
 			h.chunks = true
-		case Is(name, "Connection"):
-			c.last = c.last || Is(value, "close")
-		case h.Code >= 200:
+		case EqualName(name, "Connection"):
+			c.last = c.last || EqualName(value, "close")
+		case h.StatusCode >= 200:
 			if err := field(name, value); err != nil {
 				return h, err
 			}
@@ -162,14 +162,14 @@
 
 // Body writes the body of the answer in hand to w as it comes. It may take until the deadline, if some of it comes
 // within each stall: guards against large answers that are cut off, and against silence in the middle of one.
-func (c *Conn) Body(h Head, lim Limits, deadline time.Time, stall time.Duration, w io.Writer) error {
+func (c *Conn) Body(h Response, lim Limits, deadline time.Time, stall time.Duration, w io.Writer) error {
 	c.deadline, c.stall = deadline, stall
 	switch {
-	case h.Code == 204 || h.Code == 304:
+	case h.StatusCode == 204 || h.StatusCode == 304:
 		return nil
 	case h.chunks:
 		return c.chunks(lim.Body, w)
-	case h.length < 0 && h.Code < 300:
+	case h.length < 0 && h.StatusCode < 300:
 		return ErrMalformed // a body up to the end of the connection might be cut short
 	case h.length < 0:
 		c.last = true
@@ -190,7 +190,7 @@
 		if err != nil {
 			return err
 		}
-		n, err := ChunkSize(line, most)
+		n, err := ParseChunkSize(line, most)
 		if err != nil {
 			return err
 		}
@@ -247,9 +247,9 @@
 	return short(err)
 }
 
-// Fresh tells whether the connection may carry a further call, once the body has been read. Guards against answers
+// Reusable tells whether the connection may carry a further call, once the body has been read. Guards against answers
 // that bring more than belongs to them: what is left over would be read as the next answer.
-func (c *Conn) Fresh() bool { return !c.last && c.r.Buffered() == 0 }
+func (c *Conn) Reusable() bool { return !c.last && c.r.Buffered() == 0 }
 
 // short tells an end in the middle of an answer from the end of a connection that was idle.
 func short(err error) error {
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -43,15 +43,15 @@
 	return l.Addr().String()
 }
 
-func ask(t *testing.T, addr string) (Head, string, *Conn, error) {
+func ask(t *testing.T, addr string) (Response, string, *Conn, error) {
 	lim := Limits{Head: 512, Body: 64}
 	c, err := Dial(context.Background(), addr, time.Second, nil)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	var b bytes.Buffer
-	h, err := c.Begin(Call{Method: "GET", Path: "/x", Fields: [][2]string{{"A", "b"}}}, time.Now().Add(300*time.Millisecond), lim,
+	h, err := c.Do(Request{Method: "GET", Path: "/x", Fields: [][2]string{{"A", "b"}}}, time.Now().Add(300*time.Millisecond), lim,
 		func(name, value []byte) error {
-			if Is(name, "x-field") {
+			if EqualName(name, "x-field") {
 				b.Write(value)
 			}
 			return nil
@@ -96,7 +96,7 @@
 			assert.Equal(t, k.err, err != nil, "%v", err)
 			assert.Equal(t, k.body, body)
 			if err == nil {
-				assert.Equal(t, k.fresh, c.Fresh())
+				assert.Equal(t, k.fresh, c.Reusable())
 			}
 			// The same, byte by byte.
 			_, split, _, err := ask(t, peer(t, true, strings.Split(k.text, "")...))
@@ -114,7 +114,7 @@
 	require.NoError(t, err)
 	began := time.Now()
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err = c.Begin(Call{Method: "GET", Path: "/"}, began.Add(10*time.Second), Limits{Head: 100}, nil)
+	_, err = c.Do(Request{Method: "GET", Path: "/"}, began.Add(10*time.Second), Limits{Head: 100}, nil)
 	require.Error(t, err)
 	assert.Less(t, time.Since(began), 5*time.Second)
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -16,19 +16,19 @@
 	ErrTooLarge = errors.New("http: response too large")
 )
 
-// Status reads a status line, HTTP-version SP code SP reason, and tells whether the version is 1.0.
-func Status(line []byte) (code int, old bool, err error) {
+// ParseStatusLine reads a status line, HTTP-version SP code SP reason, and tells whether the version is 1.0.
+func ParseStatusLine(line []byte) (code int, old bool, err error) {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || (len(line) > 12 && line[12] != ' ') {
 		return 0, false, ErrMalformed
 	}
-	if code, err = Whole(line[9:12]); err != nil || code < 100 {
+	if code, err = ParseDigits(line[9:12]); err != nil || code < 100 {
 		return 0, false, ErrMalformed
 	}
 	return code, line[7] == '0', nil
 }
 
-// Field parts a line of the head into its name and its value. Both are slices of the line.
-func Field(line []byte) (name, value []byte, err error) {
+// ParseField parts a line of the head into its name and its value. Both are slices of the line.
+func ParseField(line []byte) (name, value []byte, err error) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !IsToken(name) {
 		return nil, nil, ErrMalformed
@@ -46,8 +46,8 @@
 	return len(name) > 0
 }
 
-// Whole reads a whole number of digits only, of 39 bits at most.
-func Whole(text []byte) (int, error) {
+// ParseDigits reads a whole number of digits only, of 39 bits at most.
+func ParseDigits(text []byte) (int, error) {
 	for _, c := range text {
 		if c < '0' || c > '9' {
 			return 0, ErrMalformed
@@ -60,11 +60,13 @@
 	return int(n), nil
 }
 
-// Is compares names without regard to case.
-func Is(b []byte, name string) bool { return len(b) == len(name) && bytes.EqualFold(b, []byte(name)) }
+// EqualName compares names without regard to case.
+func EqualName(b []byte, name string) bool {
+	return len(b) == len(name) && bytes.EqualFold(b, []byte(name))
+}
 
-// ChunkSize reads the line that begins a chunk, without its line end. Extensions are passed over.
-func ChunkSize(line []byte, most int) (int, error) {
+// ParseChunkSize reads the line that begins a chunk, without its line end. Extensions are passed over.
+func ParseChunkSize(line []byte, most int) (int, error) {
 	word, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(word)), 16, 32)
 	if err != nil {
--- a/internal/mysql/departure.go
+++ b/internal/mysql/departure.go
@@ -7,15 +7,15 @@
 	"beechcart/internal/exchange"
 )
 
-// LeaveIfGone implements exchange.Client: it lets the session's request go where the client has closed or half-closed its connection.
+// SettleIfGone implements exchange.Client: it lets the session's request go where the client has closed or half-closed its connection.
 // Guards against an attempt that begins before the network library has told of the close: after the process had no core for a while,
 // the news that an engine is ready may be handled first. By the time of the call the descriptor may be another session's, but then
 // the request was answered, and one that was answered can't be let go.
-func (s *session) LeaveIfGone(x *exchange.Exchange) bool {
+func (s *session) SettleIfGone(x *exchange.Exchange) bool {
 	if !hungUp(s.fd) {
 		return false
 	}
-	s.srv.taker.Leave(x)
+	s.srv.taker.ClientGone(x)
 	return true
 }
 
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -148,7 +148,7 @@
 }
 
 // columns is how many text columns every result has.
-const columns = exchange.Columns
+const columns = exchange.ColumnCount
 
 // prologue is what comes ahead of the rows of every result: the number of columns, their definitions and EOF. Its
 // packets are numbered from 1, as those of every answer to a command are.
--- a/internal/mysql/parse_test.go
+++ b/internal/mysql/parse_test.go
@@ -20,8 +20,8 @@
 	r, err := parseQuery([]byte("/* c=report,i=9b1f03aa5c7e2d41,d=1500,t=acme,h=820.5,need_mb=96,r=1,new=1 */ SELECT x FROM sales_17.orders"), names())
 	require.NoError(t, err)
 	assert.Equal(t, exchange.Request{
-		ID: "9b1f03aa5c7e2d41", ClassName: "report", Class: 1, Tenant: 0, Left: 1500 * time.Millisecond,
-		Work: 820500 * time.Microsecond, MemMB: 96, Group: 17, Retry: true, Statement: []byte("SELECT x FROM sales_17.orders"),
+		ID: "9b1f03aa5c7e2d41", ClassName: "report", Class: 1, Tenant: 0, Timeout: 1500 * time.Millisecond,
+		WorkEstimate: 820500 * time.Microsecond, MemoryMB: 96, TableGroup: 17, Retry: true, Statement: []byte("SELECT x FROM sales_17.orders"),
 	}, r)
 	for in, want := range map[string]string{
 		"SELECT 1":         "missing",
@@ -101,9 +101,9 @@
 			return
 		}
 		require.Len(t, r.ID, 16)
-		require.Positive(t, r.Left)
+		require.Positive(t, r.Timeout)
 		require.NotEmpty(t, r.Statement)
-		require.GreaterOrEqual(t, r.Group, -1)
+		require.GreaterOrEqual(t, r.TableGroup, -1)
 		require.Contains(t, in, string(r.Statement))
 	})
 }
--- a/internal/mysql/recorded_test.go
+++ b/internal/mysql/recorded_test.go
@@ -20,7 +20,7 @@
 	"beechcart/internal/invariant"
 	"beechcart/internal/mysql"
 	"beechcart/internal/platformconfig"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // answers gives each statement its final answer; one that has none stays open until its client leaves.
@@ -32,10 +32,10 @@
 	"SELECT widths": {Kind: exchange.Served, Rows: []byte(strings.Repeat("x", 250) + "\t" + strings.Repeat("y", 251) + "\t\n" +
 		"p\t" + strings.Repeat("z", 65535) + "\t" + strings.Repeat("w", 65536) + "\n")},
 	"SELECT many":        {Kind: exchange.Served, Rows: []byte(strings.Repeat("1\t22\t333\n", 300))},
-	"SELECT rejected":    {Kind: exchange.Refused, Reason: "too busy"},
-	"SELECT retry after": {Kind: exchange.Refused, Reason: "too busy", Pause: 1250 * time.Millisecond},
+	"SELECT rejected":    {Kind: exchange.Rejected, Reason: "too busy"},
+	"SELECT retry after": {Kind: exchange.Rejected, Reason: "too busy", RetryAfter: 1250 * time.Millisecond},
 	"SELECT failed":      {Kind: exchange.Failed, Reason: "the query failed and may have run"},
-	"SELECT left":        {Kind: exchange.Left},
+	"SELECT left":        {Kind: exchange.ClientGone},
 }
 
 // scripted is what takes the requests in place of the rest of the program. It keeps what each request was read as.
@@ -43,15 +43,17 @@
 	read chan string
 }
 
-func (s *scripted) Take(x *exchange.Exchange) {
+func (s *scripted) Accept(x *exchange.Exchange) {
 	s.read <- fmt.Sprintf("id=%s class=%d %s tenant=%d left=%d work=%d memory=%g group=%d retry=%t %q", x.ID, x.Class, x.ClassName,
-		x.Tenant, x.Left, x.Work, x.MemMB, x.Group, x.Retry, x.Statement)
+		x.Tenant, x.Timeout, x.WorkEstimate, x.MemoryMB, x.TableGroup, x.Retry, x.Statement)
 	if a, ok := answers[string(x.Statement)]; ok {
 		x.Settle(a)
 	}
 }
 
-func (s *scripted) Leave(x *exchange.Exchange) { x.Settle(exchange.Answer{Kind: exchange.Left}) }
+func (s *scripted) ClientGone(x *exchange.Exchange) {
+	x.Settle(exchange.Answer{Kind: exchange.ClientGone})
+}
 
 // lines passes on what a server logs.
 type lines chan string
@@ -68,7 +70,7 @@
 	require.NoError(t, err)
 	logged := make(lines, 1000)
 	s, err := mysql.New(mysql.Options{
-		Names: names, Sessions: 100, Counters: &invariant.Counters{}, Log: slog.New(slog.NewTextHandler(logged, nil)),
+		Names: names, MaxSessions: 100, Counters: &invariant.Counters{}, Log: slog.New(slog.NewTextHandler(logged, nil)),
 	}, requests)
 	require.NoError(t, err)
 	served := make(chan error, 1)
@@ -171,14 +173,14 @@
 			require.NoError(t, err)
 			out, err := io.ReadAll(c)
 			require.NoError(t, err)
-			recording.Compare(t, k.name, dump(maskGreeting(t, out)))
+			recorded.Compare(t, k.name, dump(maskGreeting(t, out)))
 		})
 	}
 	var read []string
 	for len(requests.read) > 0 {
 		read = append(read, <-requests.read)
 	}
-	recording.Compare(t, "requests", []byte(strings.Join(read, "\n")+"\n"))
+	recorded.Compare(t, "requests", []byte(strings.Join(read, "\n")+"\n"))
 }
 
 // KILL QUERY ends the query of another session, and answers are as recorded on both.
@@ -201,13 +203,13 @@
 	require.NoError(t, err)
 	out, err := io.ReadAll(killer)
 	require.NoError(t, err)
-	recording.Compare(t, "kill-query-sender", dump(maskGreeting(t, out)))
+	recorded.Compare(t, "kill-query-sender", dump(maskGreeting(t, out)))
 
 	_, err = io.WriteString(c, packet(0, ping)+packet(0, quit))
 	require.NoError(t, err)
 	out, err = io.ReadAll(c)
 	require.NoError(t, err)
-	recording.Compare(t, "kill-query-receiver", dump(maskGreeting(t, append(greeting, out...))))
+	recorded.Compare(t, "kill-query-receiver", dump(maskGreeting(t, append(greeting, out...))))
 }
 
 // idAt is where the greeting has the session's id: behind the header, the version of the protocol and that of the server.
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -21,19 +21,19 @@
 	"beechcart/internal/platformconfig"
 )
 
-// Taker takes requests; their exchanges bring the final answers.
-type Taker interface {
-	Take(x *exchange.Exchange)
-	Leave(x *exchange.Exchange)
+// RequestHandler takes requests; their exchanges bring the final answers.
+type RequestHandler interface {
+	Accept(x *exchange.Exchange)
+	ClientGone(x *exchange.Exchange)
 }
 
 // Options are what the client side is built with.
 type Options struct {
-	Names    platformconfig.Names
-	Sessions int           // most sessions at once
-	Idle     time.Duration // a session that asks nothing is closed after this; 0: idleWait
-	Counters *invariant.Counters
-	Log      *slog.Logger
+	Names       platformconfig.Names
+	MaxSessions int           // most sessions at once
+	IdleTimeout time.Duration // a session that asks nothing is closed after this; 0: idleWait
+	Counters    *invariant.Counters
+	Log         *slog.Logger
 }
 
 // The bounds of a session. A client that sends nothing of use is answered or closed within 3 s.
@@ -69,7 +69,7 @@
 // Server serves sessions on one listener.
 type Server struct {
 	opt   Options
-	taker Taker
+	taker RequestHandler
 	loop  netpoll.EventLoop
 
 	mu       sync.Mutex
@@ -101,9 +101,9 @@
 type sessionKey struct{}
 
 // New returns a server that hands requests to taker.
-func New(opt Options, taker Taker) (*Server, error) {
-	if opt.Idle == 0 {
-		opt.Idle = idleWait
+func New(opt Options, taker RequestHandler) (*Server, error) {
+	if opt.IdleTimeout == 0 {
+		opt.IdleTimeout = idleWait
 	}
 	s := &Server{opt: opt, taker: taker, sessions: sessions{byID: map[uint32]*session{}}}
 	loop, err := netpoll.NewEventLoop(s.request, netpoll.WithOnPrepare(s.accepted), netpoll.WithOnConnect(s.connect),
@@ -232,7 +232,7 @@
 func (s *Server) admit(ses *session) (out []*session, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for ses.listed && len(s.sessions.byID) > s.opt.Sessions {
+	for ses.listed && len(s.sessions.byID) > s.opt.MaxSessions {
 		o := s.sessions.leastUsed(ses)
 		if o == ses {
 			return out, false
@@ -282,7 +282,7 @@
 		}
 		old = old[:0]
 		s.mu.Lock()
-		s.sessions.overdue(time.Now(), s.opt.Idle, func(ses *session, why string) {
+		s.sessions.overdue(time.Now(), s.opt.IdleTimeout, func(ses *session, why string) {
 			s.opt.Counters.Add(why, 1)
 			old = append(old, ses)
 		})
@@ -338,7 +338,7 @@
 	x := s.open
 	s.srv.mu.Unlock()
 	if x != nil {
-		s.srv.taker.Leave(x)
+		s.srv.taker.ClientGone(x)
 	}
 }
 
@@ -522,9 +522,9 @@
 		s.srv.opt.Counters.Add("left_unread", 1)
 		return false
 	case killed:
-		return s.answer(exchange.Answer{Kind: exchange.Left})
+		return s.answer(exchange.Answer{Kind: exchange.ClientGone})
 	}
-	s.srv.taker.Take(x)
+	s.srv.taker.Accept(x)
 	<-x.Done()
 	s.release()
 	return s.answer(x.Answer())
@@ -551,10 +551,10 @@
 			return s.fail(codeFailed, "HY000", "the result was malformed")
 		}
 		return s.result(a.Rows, size)
-	case exchange.Refused:
-		if a.Pause > 0 {
+	case exchange.Rejected:
+		if a.RetryAfter > 0 {
 			// w= is for the client's program, the rest for people.
-			a.Reason += fmt.Sprintf("; retry after %d ms; w=%[1]d", a.Pause.Milliseconds())
+			a.Reason += fmt.Sprintf("; retry after %d ms; w=%[1]d", a.RetryAfter.Milliseconds())
 		}
 		return s.fail(codeRefused, "08004", a.Reason)
 	case exchange.Failed:
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -25,7 +25,7 @@
 		return r, errors.New("the comment with the fields of the request does not end")
 	}
 	fields, text := q[2:end], bytes.TrimLeft(q[end+2:], " \t\r\n")
-	r.Class, r.Tenant, r.Group = -1, -1, -1
+	r.Class, r.Tenant, r.TableGroup = -1, -1, -1
 	var seen seenFields
 	for len(fields) > 0 {
 		var field []byte
@@ -47,14 +47,14 @@
 		return r, errors.New("field i is missing")
 	case r.Class < 0:
 		return r, errors.New("field c is missing")
-	case r.Left <= 0:
+	case r.Timeout <= 0:
 		return r, errors.New("field d is missing")
 	case len(text) == 0:
 		return r, errors.New("there is no statement")
 	}
 	r.Statement = bytes.Clone(text)
 	copycount.Add(copycount.Statement, len(text))
-	r.Group = tableGroup(text)
+	r.TableGroup = tableGroup(text)
 	return r, nil
 }
 
@@ -137,7 +137,7 @@
 		if !ok || f == 0 {
 			return bad()
 		}
-		r.Left = time.Duration(f * float64(time.Millisecond))
+		r.Timeout = time.Duration(f * float64(time.Millisecond))
 	case "t":
 		// A tenant that does not exist has no share: its request is refused as malformed, not served as another's.
 		var ok bool
@@ -151,13 +151,13 @@
 		if !ok {
 			return bad()
 		}
-		r.Work = time.Duration(f * float64(time.Millisecond))
+		r.WorkEstimate = time.Duration(f * float64(time.Millisecond))
 	case "need_mb":
 		f, ok := number(mostEstimate)
 		if !ok {
 			return bad()
 		}
-		r.MemMB = f
+		r.MemoryMB = f
 	case "r":
 		if string(value) != "1" {
 			return bad()
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -15,7 +15,7 @@
 
 	"beechcart/admission"
 	"beechcart/internal/platformconfig"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // every is a configuration that has each field, and no two alike where they could be mixed up.
@@ -172,7 +172,7 @@
 	one.settings(&set)
 	one.names(&names)
 	fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
-	recording.Compare(t, "configuration", out.Bytes())
+	recorded.Compare(t, "configuration", out.Bytes())
 }
 
 // What is said of a bad configuration is as it was recorded.
@@ -202,7 +202,7 @@
 	_, err := platformconfig.Load("", os.Getenv)
 	require.Error(t, err)
 	fmt.Fprintf(&out, "%v\n", err)
-	recording.Compare(t, "load-errors", out.Bytes())
+	recorded.Compare(t, "load-errors", out.Bytes())
 }
 
 // What a check says of a configuration that reads, and that a front end can't serve with, is as it was recorded.
@@ -218,5 +218,5 @@
 		require.NoError(t, err, text)
 		fmt.Fprintf(&out, "%v\n", c.Check())
 	}
-	recording.Compare(t, "check-errors", out.Bytes())
+	recorded.Compare(t, "check-errors", out.Bytes())
 }
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -169,22 +169,22 @@
 		return err
 	}
 	now := time.Duration(startedMillis) * time.Millisecond
-	take := func(changes *endpoints.Log, text []byte) error {
+	take := func(changes *endpoints.ChangeLog, text []byte) error {
 		lists, err := changes.Read(text)
 		if err != nil {
 			return err
 		}
 		for _, list := range lists {
 			now += time.Millisecond
-			controller.Step(now, []admission.Event{list.Members()})
+			controller.Step(now, []admission.Event{list.Event()})
 		}
 		return nil
 	}
-	whole, err := cpuEach(func() error { return take(endpoints.NewLog(names), text) })
+	whole, err := cpuEach(func() error { return take(endpoints.NewChangeLog(names), text) })
 	if err != nil {
 		return err
 	}
-	changes := endpoints.NewLog(names)
+	changes := endpoints.NewChangeLog(names)
 	event, err := cpuEach(func() error {
 		seq := changes.Seq() + 2 // the first event is a whole list
 		status := []string{"draining", "ready"}[seq%2]
--- a/internal/source/changelog/changelog.go
+++ b/internal/source/changelog/changelog.go
@@ -12,21 +12,21 @@
 
 // Source follows the change log at one address.
 type Source struct {
-	fleet   *engine.Fleet
+	fleet   *engine.Client
 	addr    string
-	changes *endpoints.Log
+	changes *endpoints.ChangeLog
 	log     *slog.Logger
 	lost    bool // polls fail
 }
 
 // New returns a Source that goes on after the last event that changes holds.
-func New(fleet *engine.Fleet, addr string, changes *endpoints.Log, log *slog.Logger) *Source {
+func New(fleet *engine.Client, addr string, changes *endpoints.ChangeLog, log *slog.Logger) *Source {
 	return &Source{fleet: fleet, addr: addr, changes: changes, log: log}
 }
 
 // Run polls until ctx ends.
 func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
-	s.fleet.Changes(ctx, s.addr, s.changes.Seq(), func(text []byte) (int64, error) {
+	s.fleet.FollowChangeLog(ctx, s.addr, s.changes.Seq(), func(text []byte) (int64, error) {
 		lists, err := s.changes.Read(text)
 		for _, l := range lists {
 			take(l)
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -125,7 +125,7 @@
 func (c *client) ask(ctx context.Context, at address, call poll.Call, token string) (reply, error) {
 	asked := time.Now()
 	deadline := asked.Add(call.Within)
-	if c.conn != nil && (c.at != at || !c.conn.Fresh()) {
+	if c.conn != nil && (c.at != at || !c.conn.Reusable()) {
 		c.close()
 	}
 	reused := c.conn != nil
@@ -157,13 +157,13 @@
 	}
 	lim := http1.Limits{Head: 16 << 10, Body: c.opt.MaxBody}
 	r.Leader = true // servers that don't tell have one, or they would not answer
-	head, err := c.conn.Begin(http1.Call{Method: "GET", Path: c.opt.path(call), Fields: fields}, deadline, lim, r.field)
+	head, err := c.conn.Do(http1.Request{Method: "GET", Path: c.opt.path(call), Fields: fields}, deadline, lim, r.field)
 	if err != nil {
 		return r, err
 	}
 	r.began = time.Now()
-	if head.Code != 200 {
-		return r, statusError{head.Code}
+	if head.StatusCode != 200 {
+		return r, statusError{head.StatusCode}
 	}
 	d := newDecoder(c.opt.Mapping)
 	if err := c.conn.Body(head, lim, r.began.Add(bodyWait), call.Slack, d); err != nil {
@@ -176,16 +176,16 @@
 // field reads a field of the answer's head.
 func (r *reply) field(name, value []byte) error {
 	switch {
-	case http1.Is(name, "X-Consul-Index"):
+	case http1.EqualName(name, "X-Consul-Index"):
 		n, err := strconv.ParseUint(string(value), 10, 64)
 		if err != nil {
 			return http1.ErrMalformed
 		}
 		r.Index = n
-	case http1.Is(name, "X-Consul-KnownLeader"):
-		r.Leader = http1.Is(value, "true")
-	case http1.Is(name, "X-Consul-LastContact"):
-		n, err := http1.Whole(value)
+	case http1.EqualName(name, "X-Consul-KnownLeader"):
+		r.Leader = http1.EqualName(value, "true")
+	case http1.EqualName(name, "X-Consul-LastContact"):
+		n, err := http1.ParseDigits(value)
 		if err != nil {
 			return err
 		}
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -116,13 +116,13 @@
 	return func() time.Duration { return base + time.Since(start) }
 }
 
-// Beliefs tells what is believed of each engine, by name.
-func (s *Source) Beliefs() []source.Belief {
+// Statuses tells what is believed of each engine, by name.
+func (s *Source) Statuses() []source.EngineStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []source.Belief
+	var out []source.EngineStatus
 	for _, c := range s.set.Beliefs() {
-		out = append(out, source.Belief{Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason),
+		out = append(out, source.EngineStatus{Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason),
 			Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.Started.Milliseconds()})
 	}
 	return out
@@ -299,10 +299,10 @@
 	list := endpoints.List{Complete: !s.started}
 	s.started = true
 	for _, c := range a.Changes {
-		list.Engines = append(list.Engines, endpoints.Engine{
+		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{
 			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.Find(s.names.Kinds, c.Kind), Zone: platformconfig.Find(s.names.Zones, c.Zone),
 				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.Started},
-			Name: c.Key, Addr: c.Addr, Reason: string(c.Reason),
+			Name: c.Key, Address: c.Addr, Reason: string(c.Reason),
 		})
 	}
 	take(list)
--- a/internal/source/feed.go
+++ b/internal/source/feed.go
@@ -29,13 +29,13 @@
 	mu    sync.Mutex
 	known map[uint32]listed // the engines that are not gone
 	gen   int               // of the source in hand
-	tells Believer          // the source in hand, where it tells more than its lists
+	tells StatusReporter    // the source in hand, where it tells more than its lists
 	moved bool              // its first list is still to come, and another source's engines are known
 	veto  map[string]bool   // names of engines that get nothing more, whatever the list says
 }
 
 type listed struct {
-	endpoints.Engine
+	endpoints.Endpoint
 	gen int
 }
 
@@ -45,19 +45,19 @@
 	return &Feed{ctx: ctx, take: take, log: log, linger: linger, known: map[uint32]listed{}}
 }
 
-// Take hands on a list from before the first source.
-func (f *Feed) Take(l endpoints.List) {
+// Publish hands on a list from before the first source.
+func (f *Feed) Publish(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hand(l)
 }
 
-// Vetoed is the reason of engines that the fleet drains.
-const Vetoed = "drained by word of the fleet"
+// Excluded is the reason of engines that the fleet drains.
+const Excluded = "drained by word of the fleet"
 
-// Veto lets the engines of these names drain, whatever the list says, until a later call leaves them out. It may be called from
+// Exclude lets the engines of these names drain, whatever the list says, until a later call leaves them out. It may be called from
 // any goroutine.
-func (f *Feed) Veto(names map[string]bool) {
+func (f *Feed) Exclude(names map[string]bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if maps.Equal(names, f.veto) {
@@ -68,11 +68,11 @@
 	var l endpoints.List
 	for _, e := range f.known {
 		if was[e.Name] != names[e.Name] {
-			l.Engines = append(l.Engines, e.Engine)
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
-	if len(l.Engines) > 0 {
-		slices.SortFunc(l.Engines, func(a, b endpoints.Engine) int { return cmp.Compare(a.Name, b.Name) })
+	if len(l.Endpoints) > 0 {
+		slices.SortFunc(l.Endpoints, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 		f.hand(l)
 	}
 }
@@ -82,24 +82,24 @@
 	if len(f.veto) == 0 {
 		return l
 	}
-	l.Engines = slices.Clone(l.Engines)
-	for i, e := range l.Engines {
+	l.Endpoints = slices.Clone(l.Endpoints)
+	for i, e := range l.Endpoints {
 		if f.veto[e.Name] && e.State == admission.Ready {
-			l.Engines[i].State, l.Engines[i].Reason = admission.Draining, Vetoed
+			l.Endpoints[i].State, l.Endpoints[i].Reason = admission.Draining, Excluded
 		}
 	}
 	return l
 }
 
-// Known lists the engines that are not gone, as their source tells. It may be called from any goroutine.
-func (f *Feed) Known() []endpoints.Engine {
+// Endpoints lists the engines that are not gone, as their source tells. It may be called from any goroutine.
+func (f *Feed) Endpoints() []endpoints.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([]endpoints.Engine, 0, len(f.known))
+	out := make([]endpoints.Endpoint, 0, len(f.known))
 	for _, e := range f.known {
-		out = append(out, e.Engine)
+		out = append(out, e.Endpoint)
 	}
-	slices.SortFunc(out, func(a, b endpoints.Engine) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -116,7 +116,7 @@
 		f.moved = len(f.known) > 0
 	}
 	gen := f.gen
-	f.tells, _ = s.(Believer)
+	f.tells, _ = s.(StatusReporter)
 	f.mu.Unlock()
 	ctx, leave := context.WithCancel(f.ctx)
 	left := make(chan struct{})
@@ -149,16 +149,16 @@
 // engine only because another authority names it otherwise.
 func (f *Feed) handover(gen int, l endpoints.List) endpoints.List {
 	l.Complete = false
-	l.Engines = slices.Clone(l.Engines)
+	l.Endpoints = slices.Clone(l.Endpoints)
 	named := map[uint32]bool{}
-	for _, e := range l.Engines {
+	for _, e := range l.Endpoints {
 		named[e.ID] = true
 	}
 	var old []uint32
 	for id, e := range f.known {
 		if !named[id] {
 			e.State, e.Reason = admission.Draining, Handover
-			l.Engines = append(l.Engines, e.Engine)
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 			old = append(old, id)
 		}
 	}
@@ -177,10 +177,10 @@
 	for _, id := range old {
 		if e, ok := f.known[id]; ok && e.gen < gen && f.ctx.Err() == nil {
 			e.State, e.Reason = admission.Removed, Handover
-			l.Engines = append(l.Engines, e.Engine)
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
 		}
 	}
-	if len(l.Engines) > 0 {
+	if len(l.Endpoints) > 0 {
 		f.hand(l)
 	}
 }
@@ -191,9 +191,9 @@
 		clear(f.known)
 	}
 	told := f.vetoed(l)
-	for i, e := range l.Engines {
-		args := []any{"engine", e.Name, "id", e.ID, "state", told.Engines[i].State.String(), "address", e.Addr}
-		if reason := told.Engines[i].Reason; reason != "" {
+	for i, e := range l.Endpoints {
+		args := []any{"engine", e.Name, "id", e.ID, "state", told.Endpoints[i].State.String(), "address", e.Address}
+		if reason := told.Endpoints[i].Reason; reason != "" {
 			args = append(args, "reason", reason)
 		}
 		f.log.Info("engine listed", args...)
@@ -209,15 +209,15 @@
 	f.take(told)
 }
 
-// Beliefs tells what is believed of each engine: by the source in hand, and for engines that it does not tell of, by
+// Statuses tells what is believed of each engine: by the source in hand, and for engines that it does not tell of, by
 // the lists so far. It may be called from any goroutine.
-func (f *Feed) Beliefs() []Belief {
+func (f *Feed) Statuses() []EngineStatus {
 	f.mu.Lock()
 	tells := f.tells
 	f.mu.Unlock()
-	var out []Belief
+	var out []EngineStatus
 	if tells != nil {
-		out = tells.Beliefs()
+		out = tells.Statuses()
 	}
 	told := map[uint32]bool{}
 	for _, b := range out {
@@ -229,9 +229,9 @@
 		if told[e.ID] {
 			continue
 		}
-		out = append(out, Belief{Name: e.Name, ID: e.ID, Address: e.Addr, State: e.State.String(), Reason: e.Reason,
+		out = append(out, EngineStatus{Name: e.Name, ID: e.ID, Address: e.Address, State: e.State.String(), Reason: e.Reason,
 			Cell: e.Cell, Weight: e.Units, SinceMS: e.Started.Milliseconds()})
 	}
-	slices.SortFunc(out, func(a, b Belief) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b EngineStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/source/feed_test.go
+++ b/internal/source/feed_test.go
@@ -55,14 +55,14 @@
 func named(complete bool, ids ...uint32) endpoints.List {
 	l := endpoints.List{Complete: complete}
 	for _, id := range ids {
-		l.Engines = append(l.Engines, endpoints.Engine{Engine: admission.Engine{ID: id}, Name: string(rune('a' + id)), Addr: "127.0.0.1:1"})
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Engine: admission.Engine{ID: id}, Name: string(rune('a' + id)), Address: "127.0.0.1:1"})
 	}
 	return l
 }
 
 func states(l endpoints.List) map[uint32]admission.State {
 	m := map[uint32]admission.State{}
-	for _, e := range l.Engines {
+	for _, e := range l.Endpoints {
 		m[e.ID] = e.State
 	}
 	return m
@@ -74,7 +74,7 @@
 	defer cancel()
 	var got taken
 	f := NewFeed(ctx, got.take, 20*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f.Take(named(true, 1, 2, 3))
+	f.Publish(named(true, 1, 2, 3))
 	one, two := make(scripted), make(scripted)
 	f.Follow(one, true)
 	one <- named(false, 4)
@@ -85,9 +85,9 @@
 	assert.False(t, l.Complete)
 	assert.Equal(t, map[uint32]admission.State{2: admission.Ready, 7: admission.Ready, 1: admission.Draining, 3: admission.Draining,
 		4: admission.Draining}, states(l))
-	assert.Len(t, f.Beliefs(), 5)
+	assert.Len(t, f.Statuses(), 5)
 	assert.Equal(t, map[uint32]admission.State{1: admission.Removed, 3: admission.Removed, 4: admission.Removed}, states(got.wait(t, 3)))
-	assert.Len(t, f.Beliefs(), 2)
+	assert.Len(t, f.Statuses(), 2)
 	f.Stop()
 }
 
@@ -96,7 +96,7 @@
 	defer cancel()
 	var got taken
 	f := NewFeed(ctx, got.take, 50*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f.Take(named(true, 1, 2))
+	f.Publish(named(true, 1, 2))
 	s := make(scripted)
 	f.Follow(s, false)
 	s <- named(true, 7)
@@ -111,7 +111,7 @@
 	f := NewFeed(context.Background(), func(l endpoints.List) { got = append(got, l) }, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	state := func(name string) admission.State {
 		for i := len(got) - 1; i >= 0; i-- {
-			for _, e := range got[i].Engines {
+			for _, e := range got[i].Endpoints {
 				if e.Name == name {
 					return e.State
 				}
@@ -119,20 +119,20 @@
 		}
 		return -1
 	}
-	entry := func(name string, id uint32, s admission.State) endpoints.Engine {
-		return endpoints.Engine{Engine: admission.Engine{ID: id, State: s}, Name: name, Addr: "127.0.0.1:1"}
+	entry := func(name string, id uint32, s admission.State) endpoints.Endpoint {
+		return endpoints.Endpoint{Engine: admission.Engine{ID: id, State: s}, Name: name, Address: "127.0.0.1:1"}
 	}
-	f.Take(endpoints.List{Complete: true, Engines: []endpoints.Engine{entry("a", 1, admission.Ready), entry("b", 2, admission.Ready)}})
-	f.Veto(map[string]bool{"a": true})
+	f.Publish(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{entry("a", 1, admission.Ready), entry("b", 2, admission.Ready)}})
+	f.Exclude(map[string]bool{"a": true})
 	assert.Equal(t, admission.Draining, state("a"))
 	assert.Equal(t, admission.Ready, state("b"))
 	n := len(got)
-	f.Veto(map[string]bool{"a": true})
+	f.Exclude(map[string]bool{"a": true})
 	assert.Len(t, got, n, "nothing new, nothing told")
-	f.Take(endpoints.List{Engines: []endpoints.Engine{entry("a", 1, admission.Ready), entry("b", 2, admission.Removed)}})
+	f.Publish(endpoints.List{Endpoints: []endpoints.Endpoint{entry("a", 1, admission.Ready), entry("b", 2, admission.Removed)}})
 	assert.Equal(t, admission.Draining, state("a"), "a list that calls it ready")
 	assert.Equal(t, admission.Removed, state("b"))
-	assert.Equal(t, admission.Ready, f.Known()[0].State, "what its source says is remembered")
-	f.Veto(nil)
+	assert.Equal(t, admission.Ready, f.Endpoints()[0].State, "what its source says is remembered")
+	f.Exclude(nil)
 	assert.Equal(t, admission.Ready, state("a"))
 }
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -15,14 +15,14 @@
 	Run(ctx context.Context, take func(endpoints.List))
 }
 
-// Believer is a Source that can tell what it believes of each engine, and why.
-type Believer interface {
-	// Beliefs may be called from any goroutine.
-	Beliefs() []Belief
+// StatusReporter is a Source that can tell what it believes of each engine, and why.
+type StatusReporter interface {
+	// Statuses may be called from any goroutine.
+	Statuses() []EngineStatus
 }
 
-// Belief is what a Source believes of one engine, in words for people and programs.
-type Belief struct {
+// EngineStatus is what a Source believes of one engine, in words for people and programs.
+type EngineStatus struct {
 	Name    string  `json:"name"`
 	ID      uint32  `json:"id"`
 	Address string  `json:"address"`
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 	"beechcart/internal/wire"
 )
 
@@ -77,7 +77,7 @@
 		batch(4e9, "kill who=0\ndeadline_hit who=0 nonce=2\n") +
 		batch(5e9, begin(0, "ask", "pull")+begin(1, "ask", "pull")+"endpoints who=1 scope=Persisted gen=1 roster_id=0\n") +
 		batch(6e9, "work_item who=1 ticket=q6 band=small org=t patience_left=2000000000\ndeadline_hit who=0 nonce=1\n")
-	recording.Compare(t, "messages", []byte(serve(t, in)))
+	recorded.Compare(t, "messages", []byte(serve(t, in)))
 }
 
 // What is said of bad input is as it was recorded.
@@ -103,7 +103,7 @@
 	for _, bad := range []string{"tick clock=1\n", "tock\n", "tick clock=x\neof_batch\n", "tick\neof_batch\n", "tick clock=1\ncatalog roster_id=3 records=2\n"} {
 		fmt.Fprintf(&out, "%v\n", wire.Serve(strings.NewReader(bad), &strings.Builder{}))
 	}
-	recording.Compare(t, "errors", []byte(out.String()))
+	recorded.Compare(t, "errors", []byte(out.String()))
 }
 
 var logText = regexp.MustCompile("message=.*")
@@ -154,5 +154,5 @@
 	for _, op := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(&got, "%s %d\n", op, counts[op])
 	}
-	recording.Compare(t, "run", []byte(got.String()))
+	recorded.Compare(t, "run", []byte(got.String()))
 }
