--- a/decision/execution/search_test.go
+++ b/decision/execution/search_test.go
@@ -18,30 +18,30 @@
 	now    = 10 * time.Hour
 )
 
-type post struct{ owner, attempt int } // an attempt on its way to the engine
+type sentAttempt struct{ owner, attempt int } // an attempt on its way to the engine
 
-type node struct {
-	o    *Owner
-	over int // 1: its process is over; 2: and the protocol's time has passed
-	conf uint64
-	done bool // it has told its client
-	ran  bool // its client was told that it ran
-	nev  bool // ... that it never ran
-	went int  // the last attempt that was sent
+type process struct {
+	proposer     *Proposer
+	ended        int // 1: its process is over; 2: and the protocol's time has passed
+	configNumber uint64
+	answered     bool // it has told its client
+	toldRan      bool // its client was told that it ran
+	toldNeverRan bool // ... that it never ran
+	lastSent     int  // the last attempt that was sent
 }
 
 type world struct {
-	set     Settings
-	skip    check
-	shelves map[string]*Shelf
-	nodes   []*node
-	posts   map[post]bool
-	runs    int
-	stage   uint64 // the latest configuration
+	set          Settings
+	skip         check
+	replicas     map[string]*Replica
+	processes    []*process
+	attempts     map[sentAttempt]bool
+	runs         int
+	latestConfig uint64 // the latest configuration
 	// what may yet happen
-	deaths, disks, moves, sweeps int
-	wrong                        string
-	told                         bool // somebody was told that it never ran
+	deaths, diskLosses, moves, expiries int
+	violation                           string
+	toldNeverRan                        bool // somebody was told that it never ran
 }
 
 var (
@@ -54,29 +54,29 @@
 	case 1:
 		return Config{Number: 1, Members: abc}
 	case 2:
-		return Config{Number: 2, Members: bcd, Before: abc}
+		return Config{Number: 2, Members: bcd, Previous: abc}
 	}
 	return Config{Number: 3, Members: bcd}
 }
 
 func newWorld(skip check, owners int) *world {
-	w := &world{set: Defaults(), skip: skip, shelves: map[string]*Shelf{}, posts: map[post]bool{}, stage: 1}
+	w := &world{set: Defaults(), skip: skip, replicas: map[string]*Replica{}, attempts: map[sentAttempt]bool{}, latestConfig: 1}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		s, _ := NewShelf(w.set, 1, name != "d")
+		s, _ := NewReplica(w.set, 1, name != "d")
 		s.skipped = skip
-		w.shelves[name] = s
+		w.replicas[name] = s
 	}
 	for i := range owners {
-		n := &node{conf: 1}
+		n := &process{configNumber: 1}
 		// Owners are in no holder's room, so that any majority will do.
-		n.o = NewOwner(w.set, "id", "load x", fmt.Sprint("n", i+1, "/1"), "r9", uint64(i+1), configAt(1))
-		n.o.skipped = skip
-		w.nodes = append(w.nodes, n)
+		n.proposer = NewProposer(w.set, "id", "load x", fmt.Sprint("n", i+1, "/1"), "r9", uint64(i+1), configAt(1))
+		n.proposer.skipped = skip
+		w.processes = append(w.processes, n)
 	}
 	return w
 }
 
-func (s *Shelf) clone() *Shelf {
+func (s *Replica) clone() *Replica {
 	c := *s
 	c.records = map[string]*Record{}
 	for k, r := range s.records {
@@ -86,22 +86,22 @@
 	return &c
 }
 
-func (o *Owner) clone() *Owner {
+func (o *Proposer) clone() *Proposer {
 	c := *o
-	c.said = maps.Clone(o.said)
+	c.acknowledged = maps.Clone(o.acknowledged)
 	return &c
 }
 
 func (w *world) clone() *world {
 	c := *w
-	c.shelves, c.nodes, c.posts = map[string]*Shelf{}, nil, maps.Clone(w.posts)
-	for k, s := range w.shelves {
-		c.shelves[k] = s.clone()
+	c.replicas, c.processes, c.attempts = map[string]*Replica{}, nil, maps.Clone(w.attempts)
+	for k, s := range w.replicas {
+		c.replicas[k] = s.clone()
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.processes {
 		x := *n
-		x.o = n.o.clone()
-		c.nodes = append(c.nodes, &x)
+		x.proposer = n.proposer.clone()
+		c.processes = append(c.processes, &x)
 	}
 	return &c
 }
@@ -117,52 +117,52 @@
 		}
 	}
 	ballot := func(x Ballot) { num(x.Round) } // a round is one owner's here
-	fate := func(f Fate) {
+	fate := func(f Outcome) {
 		num(uint64(f.Phase))
 		num(uint64(f.Attempt))
-		b = append(b, f.By...)
+		b = append(b, f.IntendedBy...)
 	}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		s := w.shelves[name]
-		num(s.config)
-		yes(s.filled)
+		s := w.replicas[name]
+		num(s.configNumber)
+		yes(s.bootstrapped)
 		if r := s.records["id"]; r != nil {
 			ballot(r.Promised)
 			ballot(r.Accepted)
 			num(r.Version)
-			fate(r.Fate)
+			fate(r.Outcome)
 		}
 		b = append(b, '|')
 	}
-	for _, n := range w.nodes {
-		o := n.o
-		num(uint64(o.stand))
+	for _, n := range w.processes {
+		o := n.proposer
+		num(uint64(o.state))
 		num(o.version)
-		fate(o.fate)
-		fate(o.next)
+		fate(o.outcome)
+		fate(o.proposed)
 		fate(o.found)
-		ballot(o.foundAt)
-		num(o.foundV)
+		ballot(o.foundBallot)
+		num(o.foundVersion)
 		for _, h := range []string{"a", "b", "c", "d"} {
-			yes(o.said[h])
+			yes(o.acknowledged[h])
 		}
-		num(uint64(n.over))
-		num(n.conf)
-		yes(n.done)
-		yes(n.ran)
-		yes(n.nev)
-		num(uint64(n.went))
+		num(uint64(n.ended))
+		num(n.configNumber)
+		yes(n.answered)
+		yes(n.toldRan)
+		yes(n.toldNeverRan)
+		num(uint64(n.lastSent))
 		b = append(b, '|')
 	}
-	for i := range w.nodes {
+	for i := range w.processes {
 		for attempt := range 4 {
-			yes(w.posts[post{i, attempt}])
+			yes(w.attempts[sentAttempt{i, attempt}])
 		}
 	}
 	num(uint64(w.runs))
-	num(w.stage)
-	num(uint64(w.deaths*1000 + w.disks*100 + w.moves*10 + w.sweeps))
-	yes(w.told)
+	num(w.latestConfig)
+	num(uint64(w.deaths*1000 + w.diskLosses*100 + w.moves*10 + w.expiries))
+	yes(w.toldNeverRan)
 	return string(b)
 }
 
@@ -172,171 +172,173 @@
 	var rest []func(*world)
 	add := func(f func(*world)) { rest = append(rest, f) }
 	good := func(f func(*world)) { all = append(all, f) }
-	for i, n := range w.nodes {
-		if n.over == 0 {
-			claim, write, to := n.o.Words()
+	for i, n := range w.processes {
+		if n.ended == 0 {
+			claim, write, to := n.proposer.Messages()
 			for _, h := range to {
 				good(func(x *world) { // it arrives, and so does its answer
-					x.nodes[i].o.Heard(h, x.word(h, claim, write))
+					x.processes[i].proposer.HandleReply(h, x.deliver(h, claim, write))
 				})
-				add(func(x *world) { x.word(h, claim, write) }) // it arrives, and its answer is lost
+				add(func(x *world) { x.deliver(h, claim, write) }) // it arrives, and its answer is lost
 			}
-			switch n.o.May() {
+			switch n.proposer.Permission() {
 			case Send:
-				good(func(x *world) { x.nodes[i].o.Intend("e", 1) })
+				good(func(x *world) { x.processes[i].proposer.Intend("e", 1) })
 			case Resolve:
 				good(func(x *world) { x.resolve(i) })
 			case Answer:
-				if !n.done {
+				if !n.answered {
 					good(func(x *world) { x.answer(i) })
 				}
 			case Wait:
-				if n.o.Cleared() && n.went < n.o.fate.Attempt {
+				if n.proposer.MaySend() && n.lastSent < n.proposer.outcome.Attempt {
 					good(func(x *world) { // it has looked, and what it sends arrives whenever it likes
-						x.nodes[i].went = x.nodes[i].o.fate.Attempt
-						x.posts[post{i, x.nodes[i].went}] = true
+						x.processes[i].lastSent = x.processes[i].proposer.outcome.Attempt
+						x.attempts[sentAttempt{i, x.processes[i].lastSent}] = true
 					})
 				}
-				if n.o.Cleared() && n.went == n.o.fate.Attempt && w.runs > 0 && !w.posts[post{i, n.went}] {
-					add(func(x *world) { x.nodes[i].o.Learned(Evidence{Ran: true, Ended: true, Result: []byte("r")}) })
+				if n.proposer.MaySend() && n.lastSent == n.proposer.outcome.Attempt && w.runs > 0 && !w.attempts[sentAttempt{i, n.lastSent}] {
+					add(func(x *world) {
+						x.processes[i].proposer.ResolveOutcome(Evidence{Ran: true, Completed: true, Result: []byte("r")})
+					})
 				}
 			}
-			if n.conf < w.stage {
+			if n.configNumber < w.latestConfig {
 				add(func(x *world) {
-					x.nodes[i].conf = x.stage
-					x.nodes[i].o.Reconfigure(configAt(x.stage))
+					x.processes[i].configNumber = x.latestConfig
+					x.processes[i].proposer.Reconfigure(configAt(x.latestConfig))
 				})
 			}
 			if w.deaths > 0 {
-				add(func(x *world) { x.deaths--; x.nodes[i].over = 1 })
+				add(func(x *world) { x.deaths--; x.processes[i].ended = 1 })
 			}
-		} else if n.over == 1 {
+		} else if n.ended == 1 {
 			add(func(x *world) {
-				x.nodes[i].over = 2
-				maps.DeleteFunc(x.posts, func(p post, _ bool) bool { return p.owner == i })
+				x.processes[i].ended = 2
+				maps.DeleteFunc(x.attempts, func(p sentAttempt, _ bool) bool { return p.owner == i })
 			})
 		}
 	}
 	for _, p := range w.sent() {
 		add(func(x *world) {
-			delete(x.posts, p)
+			delete(x.attempts, p)
 			if x.runs++; x.runs > 1 {
-				x.wrong = "it ran twice"
+				x.violation = "it ran twice"
 			}
-			if x.told {
-				x.wrong = "it ran after somebody was told that it never would"
+			if x.toldNeverRan {
+				x.violation = "it ran after somebody was told that it never would"
 			}
 		})
 	}
-	if w.disks > 0 {
+	if w.diskLosses > 0 {
 		for _, h := range []string{"a", "b", "c"} {
 			add(func(x *world) {
-				x.disks--
-				s, _ := NewShelf(x.set, x.shelves[h].config, false)
+				x.diskLosses--
+				s, _ := NewReplica(x.set, x.replicas[h].configNumber, false)
 				s.skipped = x.skip
-				x.shelves[h] = s
+				x.replicas[h] = s
 			})
 		}
 	}
 	for _, h := range []string{"a", "b", "c", "d"} {
-		s := w.shelves[h]
-		if !s.filled && h != "d" {
-			add(func(x *world) { x.fill(h, "a", "b", "c") })
+		s := w.replicas[h]
+		if !s.bootstrapped && h != "d" {
+			add(func(x *world) { x.bootstrap(h, "a", "b", "c") })
 		}
-		if s.config < w.stage {
-			add(func(x *world) { x.shelves[h].Configure(x.stage) })
+		if s.configNumber < w.latestConfig {
+			add(func(x *world) { x.replicas[h].Configure(x.latestConfig) })
 		}
-		if w.sweeps > 0 && s.records["id"] != nil {
-			add(func(x *world) { x.sweeps--; x.shelves[h].Sweep(now + minute) })
+		if w.expiries > 0 && s.records["id"] != nil {
+			add(func(x *world) { x.expiries--; x.replicas[h].Expire(now + minute) })
 		}
 	}
-	if w.moves > 0 && w.stage == 1 {
-		add(func(x *world) { x.stage = 2 })
+	if w.moves > 0 && w.latestConfig == 1 {
+		add(func(x *world) { x.latestConfig = 2 })
 	}
-	if w.stage == 2 {
+	if w.latestConfig == 2 {
 		ready := 0
 		for _, h := range []string{"a", "b", "c"} {
-			if w.shelves[h].config >= 2 && w.shelves[h].filled {
+			if w.replicas[h].configNumber >= 2 && w.replicas[h].bootstrapped {
 				ready++
 			}
 		}
-		if ready == 3 && !w.shelves["d"].filled {
-			add(func(x *world) { x.shelves["d"].Configure(2); x.fill("d", "a", "b", "c") })
+		if ready == 3 && !w.replicas["d"].bootstrapped {
+			add(func(x *world) { x.replicas["d"].Configure(2); x.bootstrap("d", "a", "b", "c") })
 		}
-		if w.shelves["d"].filled {
-			add(func(x *world) { x.stage = 3 })
+		if w.replicas["d"].bootstrapped {
+			add(func(x *world) { x.latestConfig = 3 })
 		}
 	}
 	return append(all, rest...), len(all)
 }
 
 // sent lists the attempts on their way, in order.
-func (w *world) sent() (out []post) {
-	for i := range w.nodes {
+func (w *world) sent() (out []sentAttempt) {
+	for i := range w.processes {
 		for attempt := range 4 {
-			if w.posts[post{i, attempt}] {
-				out = append(out, post{i, attempt})
+			if w.attempts[sentAttempt{i, attempt}] {
+				out = append(out, sentAttempt{i, attempt})
 			}
 		}
 	}
 	return out
 }
 
-func (w *world) word(h string, claim *Claim, write *Write) Reply {
+func (w *world) deliver(h string, claim *Prepare, write *Accept) Reply {
 	if claim != nil {
-		return w.shelves[h].Claim(now, *claim)
+		return w.replicas[h].Prepare(now, *claim)
 	}
-	return w.shelves[h].Write(now, *write)
+	return w.replicas[h].Accept(now, *write)
 }
 
-// fill copies what the others hold to a shelf that has nothing.
-func (w *world) fill(h string, from ...string) {
+// bootstrap copies what the others hold to a shelf that has nothing.
+func (w *world) bootstrap(h string, from ...string) {
 	for _, o := range from {
 		if o == h {
 			continue
 		}
-		if !w.shelves[o].filled {
+		if !w.replicas[o].bootstrapped {
 			return // there is no majority of copies to fill from
 		}
-		for _, r := range w.shelves[o].Records() {
-			w.shelves[h].Copy(r)
+		for _, r := range w.replicas[o].Records() {
+			w.replicas[h].Merge(r)
 		}
 	}
-	w.shelves[h].Filled()
+	w.replicas[h].MarkBootstrapped()
 }
 
 // resolve asks the engine for what another owner has intended.
 func (w *world) resolve(i int) {
-	o := w.nodes[i].o
-	e := Evidence{Ran: w.runs > 0, Ended: w.runs > 0, Unknown: w.runs == 0, Result: []byte("r")}
-	for k, n := range w.nodes {
-		if o.fate.By == fmt.Sprint("n", k+1, "/1") {
-			switch n.over {
+	o := w.processes[i].proposer
+	e := Evidence{Ran: w.runs > 0, Completed: w.runs > 0, UnknownToEngine: w.runs == 0, Result: []byte("r")}
+	for k, n := range w.processes {
+		if o.outcome.IntendedBy == fmt.Sprint("n", k+1, "/1") {
+			switch n.ended {
 			case 1:
-				e.OverFor = time.Millisecond
+				e.ProcessEndedFor = time.Millisecond
 			case 2:
-				e.OverFor = w.set.Protocol + 1
+				e.ProcessEndedFor = w.set.EngineAbandonTime + 1
 			}
 		}
 	}
-	o.Learned(e)
+	o.ResolveOutcome(e)
 }
 
 func (w *world) answer(i int) {
-	n := w.nodes[i]
-	n.done = true
-	if n.o.Fate().Phase == NeverRan {
-		n.nev, w.told = true, true
+	n := w.processes[i]
+	n.answered = true
+	if n.proposer.Outcome().Phase == NeverRan {
+		n.toldNeverRan, w.toldNeverRan = true, true
 	} else {
-		n.ran = true
+		n.toldRan = true
 	}
-	for _, o := range w.nodes {
-		if (n.nev && o.ran) || (n.ran && o.nev) {
-			w.wrong = "one was told that it ran, and another that it never did"
+	for _, o := range w.processes {
+		if (n.toldNeverRan && o.toldRan) || (n.toldRan && o.toldNeverRan) {
+			w.violation = "one was told that it ran, and another that it never did"
 		}
 	}
-	if n.nev && w.runs > 0 {
-		w.wrong = "it ran, and somebody was told that it never did"
+	if n.toldNeverRan && w.runs > 0 {
+		w.violation = "it ran, and somebody was told that it never did"
 	}
 }
 
@@ -350,8 +352,8 @@
 		for _, step := range all {
 			n := at.clone()
 			step(n)
-			if n.wrong != "" {
-				return len(seen), n.wrong, false
+			if n.violation != "" {
+				return len(seen), n.violation, false
 			}
 			if k := n.key(); !seen[k] {
 				if len(seen) >= most {
@@ -380,7 +382,7 @@
 			c.most = n
 		}
 		w := newWorld(checkNone, c.owners)
-		w.deaths, w.disks, w.moves, w.sweeps = c.deaths, c.disks, c.moves, c.sweeps
+		w.deaths, w.diskLosses, w.moves, w.expiries = c.deaths, c.disks, c.moves, c.sweeps
 		n, wrong, whole := explore(w, c.most)
 		t.Logf("%+v: %d states, all of them: %v", c, n, whole)
 		if wrong != "" || n < min(c.most, 30_000) {
@@ -399,8 +401,8 @@
 		if rng.IntN(4) > 0 && on > 0 {
 			all = all[:on]
 		}
-		if all[rng.IntN(len(all))](w); w.wrong != "" {
-			return w.wrong
+		if all[rng.IntN(len(all))](w); w.violation != "" {
+			return w.violation
 		}
 	}
 	return ""
@@ -415,12 +417,12 @@
 	ended := 0
 	for seed := range uint64(walks) {
 		w := newWorld(checkNone, 2+int(seed%2))
-		w.deaths, w.disks, w.moves, w.sweeps = 1, 1, 1, 2
+		w.deaths, w.diskLosses, w.moves, w.expiries = 1, 1, 1, 2
 		if wrong := walk(w, rand.New(rand.NewPCG(seed, 1)), 150); wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
-		for _, n := range w.nodes {
-			if n.done {
+		for _, n := range w.processes {
+			if n.answered {
 				ended++
 				break
 			}
@@ -453,7 +455,7 @@
 		found, at := "", uint64(0)
 		for ; at < 30_000 && found == ""; at++ {
 			w := newWorld(c.check, c.owners)
-			w.deaths, w.disks, w.moves, w.sweeps = c.deaths, c.disks, c.moves, c.sweeps
+			w.deaths, w.diskLosses, w.moves, w.expiries = c.deaths, c.disks, c.moves, c.sweeps
 			found = walk(w, rand.New(rand.NewPCG(at, 2)), 150)
 		}
 		t.Logf("check %d: %q in walk %d", c.check, found, at)
