--- a/decision/execution/execution.go
+++ b/decision/execution/execution.go
@@ -1,226 +1,229 @@
 package execution
 
-import (
-	"fmt"
-	"time"
-)
-
-// Limits bounds the way of one request through its register. [DefaultWay] gives each bound with its reason.
-type Limits struct {
-	MaxWait        time.Duration // before the first byte of an attempt, or before it is told that there is none
-	ResendInterval time.Duration // words that were not answered are said again
-	MaxPrepares    int           // claims of a client that came back, each above the one that it lost to
-}
-
-// DefaultLimits is in force where nothing else is said.
-func DefaultLimits() Limits {
-	return Limits{
-		MaxWait:        300 * time.Millisecond, // a tenth of a load's aim; two round trips between rooms take 3 ms
-		ResendInterval: 40 * time.Millisecond,  // ten round trips, and seven times within MostWait
-		MaxPrepares:    4,                      // one owner after another died in the middle, which is more than once an hour of one id
-	}
-}
-
-// Check names the first bound that can't be used.
-func (w Limits) Check() error {
-	switch {
-	case w.ResendInterval <= 0:
-		return fmt.Errorf("ledger: again: found %v, allowed is more than 0", w.ResendInterval)
-	case w.MaxWait < w.ResendInterval:
-		return fmt.Errorf("ledger: most_wait: found %v, allowed is again (%v) or more", w.MaxWait, w.ResendInterval)
-	case w.MaxPrepares < 1:
-		return fmt.Errorf("ledger: most_tries: found %d, allowed is 1 or more", w.MaxPrepares)
-	}
-	return nil
-}
+import "time"
 
-// Decision is what a front end does with a request that goes through the ledger.
+// Decision is what a front end does with a request.
 type Decision int
 
-// The verdicts. All but Pending, Go and Ask are final.
+// The decisions. All but Pending, SendNow and QueryEngine are final.
 const (
 	Pending     Decision = iota // nothing yet
-	SendNow                     // the attempt may be sent now; told once, at the last moment
-	QueryEngine                 // an attempt of another owner may have run: ask its engine under the id, and tell Learned
-	NotSent                     // this front end has sent nothing, and will not: a repeat is harmless
-	Resolved                    // the fate is over, as Fate tells
-	MayHaveRun                  // somebody may have sent it, or may yet: a repeat is not harmless
+	SendNow                     // the attempt may be sent; told once, right before the first byte
+	QueryEngine                 // an attempt of another proposer may have run: ask its engine, then call ResolveOutcome
+	NotSent                     // this front end has sent nothing and will not: a retry is harmless
+	Resolved                    // the outcome is final, see Outcome
+	MayHaveRun                  // another front end may have sent it, or may yet: a retry is not harmless
 )
 
-// Execution takes one request that must not run twice from its arrival to its recorded end, for one process. It holds what no owner
-// alone can: the one bounded wait, what a late majority may still do, and what the client may be told.
+// Parameters are what an Execution begins with.
+type Parameters struct {
+	Limits   Limits
+	Settings Settings
+	Config   Config
+	Request  Request
+	Round    uint64 // that the process has not used for the id
+	Engine   string // that the attempt is to be sent to
+	Process  uint64 // of that engine
+	Retried  bool   // the client has asked another front end under this id before
+}
+
+// Execution takes one non-idempotent request from its arrival to its recorded outcome, for one process. It holds what
+// no proposer alone can: the one bounded wait, what a late majority may still do, and what the client may be told.
 //
-//   - Go is told at most once, and only within MostWait of Begin, while the intent is held and no later owner is known of. A process that
-//     was stopped in between looks at its clock here, and not only at its lease.
-//   - A verdict is told within MostWait of Begin, whoever answers; none is taken back.
-//   - Refused is told only to a client that asks for the first time, where no word of another owner was heard. A client that came
-//     back is told InDoubt in its place: what it began elsewhere may run.
-//   - What was asked for and not sent is withdrawn: an intent that a majority takes late is followed by NeverRan, or a successor
+//   - SendNow is told at most once, and only within MaxWait of Begin, while the intent is accepted and no later
+//     proposer is known. A process that was suspended in between checks the time here, not only its lease.
+//   - A final decision is told within MaxWait of Begin, whichever replicas answer, and is never changed.
+//   - NotSent is told only to a client that asks for the first time, if nothing of another proposer was heard. A client
+//     that retries is told MayHaveRun instead: what it began elsewhere may run.
+//   - An attempt that was intended and not sent is withdrawn: a late intent is followed by NeverRan, or a successor
 //     would find a doubt where there is none.
-//   - Only a client that came back takes a register over from an owner that is ahead of it; two that ask at once do not fight: one is sealed out,
-//     and its client told so.
+//   - Only for a client that retries is a later ballot prepared above one that fences. Of two clients that send one id
+//     at once, one is fenced and its client told so.
 type Execution struct {
-	limits          Limits
-	settings        Settings
-	id              string
-	statementDigest string
-	proposerName    string
-	zone            string
-	retried         bool // the client came back: it has asked another front end before
-	config          Config
-	proposer        *Proposer
-	prepares        int
-
-	startedAt        time.Duration
-	sentAt           time.Duration // words were last said then; negative: not since they changed
-	engine           string
-	process          uint64
+	limits    Limits
+	settings  Settings
+	config    Config
+	request   Request
+	engine    string
+	process   uint64
+	retried   bool
+	startedAt time.Duration
+
+	proposer *Proposer
+	prepares int           // proposers so far
+	sentAt   time.Duration // of the messages that are out; negative: not sent yet
+
 	decision         Decision
-	sendAllowed      bool     // Go was
-	intentProposed   bool     // an intent was
-	ended            bool     // the attempt has ended, as end says
-	evidence         Evidence // to be written
+	sendAllowed      bool     // SendNow was told
+	intentProposed   bool     // an attempt was intended
+	ended            bool     // the attempt has ended or will not be sent, as evidence tells
+	evidence         Evidence // to be proposed
 	evidenceProposed bool
 }
 
-// Begin starts the way of a request that is to be sent to that engine. back tells a client that has asked another front end under this
-// id before. by is "member/process", and round one that this process has not used for the id.
-func Begin(now time.Duration, way Limits, set Settings, id, digest, by, room string, round uint64, c Config, engine string, process uint64, back bool) (*Execution, error) {
-	if err := way.Check(); err != nil {
+// Begin starts the execution of a request.
+func Begin(now time.Duration, parameters Parameters) (*Execution, error) {
+	if err := parameters.Limits.Check(); err != nil {
 		return nil, err
 	}
-	if err := set.Check(); err != nil {
+	if err := parameters.Settings.Check(); err != nil {
 		return nil, err
 	}
-	p := &Execution{limits: way, settings: set, id: id, statementDigest: digest, proposerName: by, zone: room, retried: back, config: c, startedAt: now, engine: engine, process: process}
-	p.prepare(round)
-	return p, nil
+	e := &Execution{
+		limits:    parameters.Limits,
+		settings:  parameters.Settings,
+		config:    parameters.Config,
+		request:   parameters.Request,
+		engine:    parameters.Engine,
+		process:   parameters.Process,
+		retried:   parameters.Retried,
+		startedAt: now,
+	}
+	e.prepare(parameters.Round)
+	return e, nil
 }
 
-func (p *Execution) prepare(round uint64) {
-	p.proposer = NewProposer(p.settings, p.id, p.statementDigest, p.proposerName, p.zone, round, p.config)
-	p.prepares++
-	p.sentAt = -1
+// prepare begins with a proposer of that round.
+func (e *Execution) prepare(round uint64) {
+	e.proposer = NewProposer(e.settings, e.request, round, e.config)
+	e.prepares++
+	e.markUnsent()
 }
 
-// Messages is what to say now, and to whom; nil where nothing is due. A claim or a write that is not answered is due again after Again, also
-// behind a final verdict, until Done.
-func (p *Execution) Messages(now time.Duration) (claim *Prepare, write *Accept, to []string) {
-	if (p.sentAt >= 0 && now-p.sentAt < p.limits.ResendInterval) || p.Done() {
+// markUnsent makes the messages that are out due at once.
+func (e *Execution) markUnsent() { e.sentAt = -1 }
+
+// Messages returns the message to send now, one of the two, and to whom; nil, nil, nil if none is due. A message that
+// is not answered is due again after ResendInterval, also after a final decision, until Done.
+func (e *Execution) Messages(now time.Duration) (prepare *Prepare, accept *Accept, to []string) {
+	if (e.sentAt >= 0 && now-e.sentAt < e.limits.ResendInterval) || e.Done() {
 		return nil, nil, nil
 	}
-	if claim, write, to = p.proposer.Messages(); len(to) > 0 {
-		p.sentAt = now
+	if prepare, accept, to = e.proposer.Messages(); len(to) > 0 {
+		e.sentAt = now
 	}
-	return claim, write, to
+	return prepare, accept, to
 }
 
-// HandleReply takes a holder's reply.
-func (p *Execution) HandleReply(from string, r Reply) {
-	was := p.proposer.state
-	version := p.proposer.version
-	if p.proposer.HandleReply(from, r); p.proposer.state != was || p.proposer.version != version {
-		p.sentAt = -1
+// HandleReply takes the reply of the replica of a member.
+func (e *Execution) HandleReply(from string, reply Reply) {
+	state, version := e.proposer.state, e.proposer.version
+	e.proposer.HandleReply(from, reply)
+	if e.proposer.state != state || e.proposer.version != version {
+		e.markUnsent()
 	}
 }
 
-// Reconfigure tells of other holders.
-func (p *Execution) Reconfigure(c Config) {
-	if c.Number > p.config.Number {
-		p.config = c
-		p.proposer.Reconfigure(c)
-		p.sentAt = -1
+// Reconfigure tells of a later configuration.
+func (e *Execution) Reconfigure(config Config) {
+	if config.Number > e.config.Number {
+		e.config = config
+		e.proposer.Reconfigure(config)
+		e.markUnsent()
 	}
 }
 
-// Step tells what is to be done now. It is to be called after each reply, and every Again.
-func (p *Execution) Step(now time.Duration) Decision {
-	if p.decision != Pending || p.sendAllowed {
-		p.recordOutcome()
-		return p.decision
+// Step returns what is to be done now. It is to be called after each reply and every ResendInterval.
+func (e *Execution) Step(now time.Duration) Decision {
+	if e.decision != Pending || e.sendAllowed {
+		e.recordOutcome()
+		return e.decision
 	}
-	late := now-p.startedAt >= p.limits.MaxWait
-	stand, why := p.proposer.State()
+	late := now-e.startedAt >= e.limits.MaxWait
+	state, reason := e.proposer.State()
 	switch {
-	case stand == Rejected && why == Fenced && p.retried && p.prepares < p.limits.MaxPrepares && !late:
-		p.prepare(p.proposer.FencedBy().Round + 1)
+	case state == Rejected && reason == Fenced && e.retried && e.prepares < e.limits.MaxPrepares && !late:
+		e.prepare(e.proposer.FencedBy().Round + 1)
 		return Pending
-	case stand == Rejected:
-		return p.giveUp(why == NoCapacity && !p.retried)
-	case p.proposer.Permission() == Answer:
-		p.decision = Resolved
+	case state == Rejected && reason == NoCapacity && !e.retried:
+		return e.giveUp(NotSent)
+	case state == Rejected:
+		return e.giveUp(MayHaveRun)
+	case e.proposer.Permission() == Answer:
+		e.decision = Resolved
 		return Resolved
+	case late && !e.retried && e.noOtherProposer():
+		return e.giveUp(NotSent)
 	case late:
-		return p.giveUp(!p.retried && p.noOtherProposer())
-	case p.proposer.MaySend():
-		p.sendAllowed, p.sentAt = true, -1
+		return e.giveUp(MayHaveRun)
+	case e.proposer.MaySend():
+		e.sendAllowed = true
+		e.markUnsent()
 		return SendNow
 	}
-	switch p.proposer.Permission() {
+	return e.proceed()
+}
+
+// proceed does what the proposer permits.
+func (e *Execution) proceed() Decision {
+	switch e.proposer.Permission() {
 	case Send:
-		if p.proposer.Intend(p.engine, p.process) {
-			p.intentProposed, p.sentAt = true, -1
+		if e.proposer.Intend(e.engine, e.process) {
+			e.intentProposed = true
+			e.markUnsent()
 		}
 	case Resolve:
 		return QueryEngine
+	case Wait, Answer:
 	}
 	return Pending
 }
 
-// noOtherProposer tells that nothing of another owner was found, or heard of, so far.
-func (p *Execution) noOtherProposer() bool {
-	f := p.proposer.found
-	return f.Phase == Registered && f.IntendedBy == "" && p.proposer.fencedBy == (Ballot{})
+// noOtherProposer reports whether nothing of another proposer was found or heard of so far.
+func (e *Execution) noOtherProposer() bool {
+	found := e.proposer.found
+	return found.Phase == Registered && found.IntendedBy == "" && e.proposer.fencedBy == (Ballot{})
 }
 
-// giveUp gives the attempt up before it was sent.
-func (p *Execution) giveUp(harmless bool) Decision {
-	p.decision = MayHaveRun
-	if harmless {
-		p.decision = NotSent
-	}
-	p.ended, p.evidence = true, Evidence{OwnAttempt: true}
-	p.recordOutcome()
-	return p.decision
+// giveUp ends the execution with that decision before its attempt was sent.
+func (e *Execution) giveUp(decision Decision) Decision {
+	e.decision = decision
+	e.ended, e.evidence = true, Evidence{OwnAttempt: true}
+	e.recordOutcome()
+	return e.decision
 }
 
-// ResolveOutcome tells what the engine of another owner's attempt says under the id; after Ask. What can't be closed by it is InDoubt.
-func (p *Execution) ResolveOutcome(e Evidence) {
-	if p.decision != Pending || p.sendAllowed || p.proposer.Permission() != Resolve {
+// ResolveOutcome tells, after QueryEngine, what the engine of another proposer's attempt knows of the id. If the
+// evidence does not make the outcome final, the decision is MayHaveRun.
+func (e *Execution) ResolveOutcome(evidence Evidence) {
+	if e.decision != Pending || e.sendAllowed || e.proposer.Permission() != Resolve {
 		return
 	}
-	if p.proposer.ResolveOutcome(e); p.proposer.proposed.Phase == InDoubt {
-		p.decision = MayHaveRun
+	e.proposer.ResolveOutcome(evidence)
+	if e.proposer.proposed.Phase == InDoubt {
+		e.decision = MayHaveRun
 	}
-	p.sentAt = -1
+	e.markUnsent()
 }
 
-// AttemptEnded tells how the attempt that Go let out has ended; the record of it follows.
-func (p *Execution) AttemptEnded(e Evidence) {
-	if p.sendAllowed && !p.ended {
-		p.ended, p.evidence = true, e
-		p.recordOutcome()
+// AttemptEnded tells how the attempt that SendNow permitted has ended. Its outcome is recorded next.
+func (e *Execution) AttemptEnded(evidence Evidence) {
+	if e.sendAllowed && !e.ended {
+		e.ended, e.evidence = true, evidence
+		e.recordOutcome()
 	}
 }
 
-// recordOutcome writes the end once the register can take it.
-func (p *Execution) recordOutcome() {
-	if p.ended && !p.evidenceProposed && p.proposer.state == Established && p.proposer.ResolveOutcome(p.evidence) {
-		p.evidenceProposed, p.sentAt = true, -1
+// recordOutcome proposes the outcome of an attempt that has ended, once the register can take it.
+func (e *Execution) recordOutcome() {
+	if e.ended && !e.evidenceProposed && e.proposer.state == Established && e.proposer.ResolveOutcome(e.evidence) {
+		e.evidenceProposed = true
+		e.markUnsent()
 	}
 }
 
-// Outcome is what is held; Known tells that it is over.
-func (p *Execution) Outcome() Outcome { return p.proposer.Outcome() }
+// Outcome returns what a majority has accepted; Resolved tells that it is final.
+func (e *Execution) Outcome() Outcome { return e.proposer.Outcome() }
 
-// Done tells that nothing more is to be said: the end is held, or a later owner has the register, or nothing was asked for.
-func (p *Execution) Done() bool {
-	stand, _ := p.proposer.State()
+// Done reports whether there is nothing more to send: the outcome is recorded, a later proposer has the register, or no
+// attempt was intended.
+func (e *Execution) Done() bool {
+	state, _ := e.proposer.State()
 	switch {
-	case p.decision == Pending && !p.ended:
+	case e.decision == Pending && !e.ended:
 		return false
-	case stand == Rejected, p.decision == Resolved, !p.intentProposed:
-		return true // a claim that goes on would only seal others out
+	case state == Rejected, e.decision == Resolved, !e.intentProposed:
+		return true // to go on preparing would only fence others
 	}
-	return p.evidenceProposed && stand == Established
+	return e.evidenceProposed && state == Established
 }
--- a/decision/execution/execution_test.go
+++ b/decision/execution/execution_test.go
@@ -10,249 +10,273 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is shelves and passages of one id, and words between them that are lost, late or repeated.
+// simulation is the replicas and executions of one id, and messages between them that are lost, late or duplicated.
 type simulation struct {
 	now        time.Duration
 	config     Config
 	replicas   map[string]*Replica
 	executions []*Execution
-	sendCount  []int // Go, by passage
-	decisions  []Decision
-	inFlight   []func()
+	sendCount  []int      // how often SendNow was told, by execution
+	decisions  []Decision // the final ones, by execution; Pending: none yet
+	inFlight   []func()   // messages and replies
 }
 
-func newSimulation(t require.TestingT, backs ...bool) *simulation {
-	c := &simulation{config: Config{Number: 1, Members: fleetOf(3)}, replicas: map[string]*Replica{}}
-	for _, m := range c.config.Members {
-		s, err := NewReplica(Defaults(), 1, true)
+// newSimulation begins an execution for each value of retried.
+func newSimulation(t require.TestingT, retried ...bool) *simulation {
+	s := &simulation{
+		config:    Config{Number: 1, Members: fleetOf(3)},
+		replicas:  map[string]*Replica{},
+		sendCount: make([]int, len(retried)),
+		decisions: make([]Decision, len(retried)),
+	}
+	for _, member := range s.config.Members {
+		r, err := NewReplica(Defaults(), 1)
 		require.NoError(t, err)
-		c.replicas[m.Name] = s
+		s.replicas[member.Name] = r
 	}
-	for i, back := range backs {
-		p, err := Begin(0, DefaultLimits(), Defaults(), "id", "sum", fmt.Sprintf("m%d/1", i), "room-0", 1, c.config, "e1", 7, back)
+	for i := range retried {
+		e, err := Begin(0, Parameters{
+			Limits:   DefaultLimits(),
+			Settings: Defaults(),
+			Config:   s.config,
+			Request:  Request{ID: "id", StatementDigest: "sum", Proposer: fmt.Sprintf("m%d/1", i), Zone: "zone-0"},
+			Round:    1,
+			Engine:   "e1",
+			Process:  7,
+			Retried:  retried[i],
+		})
 		require.NoError(t, err)
-		c.executions = append(c.executions, p)
+		s.executions = append(s.executions, e)
 	}
-	c.sendCount, c.decisions = make([]int, len(backs)), make([]Decision, len(backs))
-	return c
+	return s
 }
 
-// send puts what a passage has to say on its way.
-func (c *simulation) send(p *Execution) {
-	claim, write, to := p.Messages(c.now)
-	for _, h := range to {
-		c.inFlight = append(c.inFlight, func() {
-			var r Reply
-			if claim != nil {
-				r = c.replicas[h].Prepare(c.now, *claim)
+// send puts the messages of an execution on their way.
+func (s *simulation) send(e *Execution) {
+	prepare, accept, to := e.Messages(s.now)
+	for _, name := range to {
+		s.inFlight = append(s.inFlight, func() {
+			var reply Reply
+			if prepare != nil {
+				reply = s.replicas[name].Prepare(s.now, *prepare)
 			} else {
-				r = c.replicas[h].Accept(c.now, *write)
+				reply = s.replicas[name].Accept(s.now, *accept)
 			}
-			c.inFlight = append(c.inFlight, func() { p.HandleReply(h, r) })
+			s.inFlight = append(s.inFlight, func() { e.HandleReply(name, reply) })
 		})
 	}
 }
 
-// step lets a passage go on, and holds its verdicts to what was told before.
-func (c *simulation) step(t require.TestingT, i int) Decision {
-	v := c.executions[i].Step(c.now)
+// step lets an execution go on, and checks its decision against what it has told before.
+func (s *simulation) step(t require.TestingT, i int) Decision {
+	decision := s.executions[i].Step(s.now)
 	switch {
-	case v == SendNow:
-		c.sendCount[i]++
-		require.Zero(t, c.decisions[i], "sent after a verdict")
-		require.Less(t, c.now, DefaultLimits().MaxWait, "sent after the wait")
-	case v != Pending && v != QueryEngine:
-		if c.decisions[i] == 0 {
-			require.LessOrEqual(t, c.now, DefaultLimits().MaxWait+50*time.Millisecond, "told late")
-			c.decisions[i] = v
+	case decision == SendNow:
+		s.sendCount[i]++
+		require.Zero(t, s.decisions[i], "sent after a final decision")
+		require.Less(t, s.now, DefaultLimits().MaxWait, "sent after the wait")
+	case decision != Pending && decision != QueryEngine:
+		if s.decisions[i] == Pending {
+			require.LessOrEqual(t, s.now, DefaultLimits().MaxWait+50*time.Millisecond, "told late")
+			s.decisions[i] = decision
 		}
-		require.Equal(t, c.decisions[i], v, "a verdict was taken back")
-		require.Zero(t, c.sendCount[i], "a verdict for what was sent")
+		require.Equal(t, s.decisions[i], decision, "a decision was changed")
+		require.Zero(t, s.sendCount[i], "a final decision on what was sent")
 	}
-	return v
+	return decision
 }
 
-// Words lost, late and repeated, two clients that came back beside one that asks for the first time: one attempt at most, and no verdict
-// that another one contradicts.
-func TestPassagesSendOnce(t *testing.T) {
+// Messages lost, late and duplicated, one or two clients that retry beside one that asks for the first time: one
+// attempt at most, and no decision that contradicts another.
+func TestExecutionsSendOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newSimulation(t, false, true, rapid.Bool().Draw(t, "back"))
+		s := newSimulation(t, false, true, rapid.Bool().Draw(t, "retried"))
 		for range rapid.IntRange(10, 150).Draw(t, "events") {
-			switch i := rapid.IntRange(0, len(c.executions)-1).Draw(t, "who"); rapid.IntRange(0, 6).Draw(t, "event") {
-			case 0:
-				c.send(c.executions[i])
-			case 1, 2, 3:
-				if n := len(c.inFlight); n > 0 {
-					at := rapid.IntRange(0, n-1).Draw(t, "word")
-					w := c.inFlight[at]
-					if rapid.IntRange(0, 4).Draw(t, "again") > 0 {
-						c.inFlight = append(c.inFlight[:at:at], c.inFlight[at+1:]...)
-					}
-					w()
-				}
-			case 4:
-				if n := len(c.inFlight); n > 0 && rapid.Bool().Draw(t, "lost") {
-					c.inFlight = c.inFlight[:n-1]
-				}
-				c.now += time.Duration(rapid.Int64Range(0, int64(30*time.Millisecond)).Draw(t, "pass"))
-				for j := range c.executions { // all look at their clocks
-					c.step(t, j)
-				}
-			case 5:
-				if c.step(t, i) == QueryEngine { // the engine does not know it, and its owner may live: a doubt
-					c.executions[i].ResolveOutcome(Evidence{UnknownToEngine: true})
-				}
-			case 6:
-				if c.sendCount[i] > 0 {
-					c.executions[i].AttemptEnded(Evidence{Ran: true, Completed: true, Result: []byte("done")})
-				}
-			}
+			s.draw(t)
 		}
-		all := 0
-		for _, n := range c.sendCount {
-			all += n
+		sent := 0
+		for _, n := range s.sendCount {
+			sent += n
 		}
-		require.LessOrEqual(t, all, 1, "sent more than once")
-		for i, p := range c.executions {
-			if c.decisions[i] == NotSent {
-				require.Zero(t, i, "a client that came back was told that a repeat is harmless")
+		require.LessOrEqual(t, sent, 1, "sent more than once")
+		for i, e := range s.executions {
+			if s.decisions[i] == NotSent {
+				require.Zero(t, i, "a client that retries was told that a retry is harmless")
 			}
-			if c.decisions[i] == Resolved && all > 0 {
-				require.Equal(t, Completed, p.Outcome().Phase, "it was sent, and another fate is told")
+			if s.decisions[i] == Resolved && sent > 0 {
+				require.Equal(t, Completed, e.Outcome().Phase, "it was sent, and another outcome is told")
 			}
 		}
 	})
 }
 
-// deliver lets all words on their way arrive, in order, and those that they lead to.
-func (c *simulation) deliver() {
-	for len(c.inFlight) > 0 {
-		w := c.inFlight[0]
-		c.inFlight = c.inFlight[1:]
-		w()
+// draw lets something happen to an execution.
+func (s *simulation) draw(t *rapid.T) {
+	i := rapid.IntRange(0, len(s.executions)-1).Draw(t, "execution")
+	switch rapid.IntRange(0, 6).Draw(t, "event") {
+	case 0:
+		s.send(s.executions[i])
+	case 1, 2, 3:
+		if n := len(s.inFlight); n > 0 {
+			at := rapid.IntRange(0, n-1).Draw(t, "message")
+			deliver := s.inFlight[at]
+			if rapid.IntRange(0, 4).Draw(t, "duplicated") > 0 {
+				s.inFlight = append(s.inFlight[:at:at], s.inFlight[at+1:]...)
+			}
+			deliver()
+		}
+	case 4:
+		if n := len(s.inFlight); n > 0 && rapid.Bool().Draw(t, "lost") {
+			s.inFlight = s.inFlight[:n-1]
+		}
+		s.now += time.Duration(rapid.Int64Range(0, int64(30*time.Millisecond)).Draw(t, "pass"))
+		for j := range s.executions { // all check the time
+			s.step(t, j)
+		}
+	case 5:
+		if s.step(t, i) == QueryEngine { // the engine does not know it, and its proposer may still run: in doubt
+			s.executions[i].ResolveOutcome(Evidence{UnknownToEngine: true})
+		}
+	case 6:
+		if s.sendCount[i] > 0 {
+			s.executions[i].AttemptEnded(Evidence{Ran: true, Completed: true, Result: []byte("done")})
+		}
+	}
+}
+
+// deliver lets all messages on their way arrive, in order, and those that they lead to.
+func (s *simulation) deliver() {
+	for len(s.inFlight) > 0 {
+		next := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
+		next()
 	}
 }
 
-// run delivers all words, and lets each passage step, until nothing more is said.
-func (c *simulation) run(t require.TestingT, only ...int) {
+// run delivers all messages and lets the executions step, until nothing more is sent.
+func (s *simulation) run(t require.TestingT, only ...int) {
 	for range 50 {
 		for _, i := range only {
-			c.send(c.executions[i])
+			s.send(s.executions[i])
 		}
-		c.deliver()
+		s.deliver()
 		for _, i := range only {
-			c.step(t, i)
+			s.step(t, i)
 		}
 	}
 }
 
-// The intent is held in time, and the process stands still before it looks: it must not send then, however long its lease.
-func TestAProcessThatStoodStillDoesNotSend(t *testing.T) {
-	c := newSimulation(t, false)
-	p := c.executions[0]
-	for !p.proposer.MaySend() {
-		c.send(p)
-		c.deliver()
-		if p.proposer.state == Established && !p.proposer.MaySend() {
-			p.Step(c.now)
+// The intent is accepted in time, and the process is suspended before it checks: it must not send then, however long
+// its lease.
+func TestSuspendedProcessDoesNotSend(t *testing.T) {
+	s := newSimulation(t, false)
+	e := s.executions[0]
+	for !e.proposer.MaySend() {
+		s.send(e)
+		s.deliver()
+		if e.proposer.state == Established && !e.proposer.MaySend() {
+			e.Step(s.now)
 		}
 	}
-	c.now = 10 * time.Second
-	assert.Equal(t, NotSent, p.Step(c.now))
-	c.runDecided(t)
-	assert.True(t, p.Done())
-	assert.Equal(t, NeverRan, p.Outcome().Phase)
+	s.now = 10 * time.Second
+	assert.Equal(t, NotSent, e.Step(s.now))
+	s.runDecided()
+	assert.True(t, e.Done())
+	assert.Equal(t, NeverRan, e.Outcome().Phase)
 }
 
-// runDecided delivers words of what has its verdict already.
-func (c *simulation) runDecided(t require.TestingT) {
+// runDecided delivers messages of executions that have their decision already.
+func (s *simulation) runDecided() {
 	for range 5 {
-		c.now += DefaultLimits().ResendInterval
-		for _, p := range c.executions {
-			c.send(p)
-			p.Step(c.now)
+		s.now += DefaultLimits().ResendInterval
+		for _, e := range s.executions {
+			s.send(e)
+			e.Step(s.now)
 		}
-		c.deliver()
+		s.deliver()
 	}
 }
 
-// The intent reaches a majority after the wait: the client was told that a repeat is harmless, and whoever asks later must find that nothing ran.
-func TestALateIntentIsWithdrawn(t *testing.T) {
-	c := newSimulation(t, false, true)
-	p := c.executions[0]
-	for p.proposer.state != Accepting {
-		c.send(p)
-		c.deliver()
-		p.Step(c.now)
+// The intent reaches a majority after the wait: the client was told that a retry is harmless, and whoever asks later
+// must find that nothing ran.
+func TestLateIntentIsWithdrawn(t *testing.T) {
+	s := newSimulation(t, false, true)
+	e := s.executions[0]
+	for e.proposer.state != Accepting {
+		s.send(e)
+		s.deliver()
+		e.Step(s.now)
 	}
-	c.send(p) // on its way for longer than the wait
-	c.now = DefaultLimits().MaxWait
-	require.Equal(t, NotSent, c.step(t, 0))
-	assert.False(t, p.Done(), "there is something to withdraw")
-	c.run(t, 0)
-	assert.True(t, p.Done())
-	c.executions[1].startedAt = c.now
-	c.run(t, 1)
-	assert.Equal(t, Resolved, c.executions[1].decision)
-	assert.Equal(t, NeverRan, c.executions[1].Outcome().Phase)
-	assert.Equal(t, []int{0, 0}, c.sendCount)
+	s.send(e) // on its way for longer than the wait
+	s.now = DefaultLimits().MaxWait
+	require.Equal(t, NotSent, s.step(t, 0))
+	assert.False(t, e.Done(), "there is something to withdraw")
+	s.run(t, 0)
+	assert.True(t, e.Done())
+	s.executions[1].startedAt = s.now
+	s.run(t, 1)
+	assert.Equal(t, Resolved, s.executions[1].decision)
+	assert.Equal(t, NeverRan, s.executions[1].Outcome().Phase)
+	assert.Equal(t, []int{0, 0}, s.sendCount)
 }
 
-func TestPassagesOneAfterTheOther(t *testing.T) {
-	t.Run("its end is found by a client that comes back", func(t *testing.T) {
-		c := newSimulation(t, false, true)
-		c.run(t, 0)
-		require.Equal(t, []int{1, 0}, c.sendCount)
-		c.executions[0].AttemptEnded(Evidence{Ran: true, Completed: true, Result: []byte("rows")})
-		c.run(t, 0)
-		require.True(t, c.executions[0].Done())
-		c.run(t, 1)
-		assert.Equal(t, Resolved, c.executions[1].decision)
-		assert.Equal(t, "rows", string(c.executions[1].Outcome().Result))
+func TestExecutionsOneAfterTheOther(t *testing.T) {
+	t.Run("its outcome is found by a client that retries", func(t *testing.T) {
+		s := newSimulation(t, false, true)
+		s.run(t, 0)
+		require.Equal(t, []int{1, 0}, s.sendCount)
+		s.executions[0].AttemptEnded(Evidence{Ran: true, Completed: true, Result: []byte("rows")})
+		s.run(t, 0)
+		require.True(t, s.executions[0].Done())
+		s.run(t, 1)
+		assert.Equal(t, Resolved, s.executions[1].decision)
+		assert.Equal(t, "rows", string(s.executions[1].Outcome().Result))
 	})
-	t.Run("no holder answers", func(t *testing.T) {
-		c := newSimulation(t, false, true)
-		c.now = DefaultLimits().MaxWait
-		assert.Equal(t, []Decision{NotSent, MayHaveRun}, []Decision{c.step(t, 0), c.step(t, 1)})
-		assert.True(t, c.executions[0].Done(), "it has asked for nothing, and seals nobody out")
+	t.Run("no replica answers", func(t *testing.T) {
+		s := newSimulation(t, false, true)
+		s.now = DefaultLimits().MaxWait
+		assert.Equal(t, []Decision{NotSent, MayHaveRun}, []Decision{s.step(t, 0), s.step(t, 1)})
+		assert.True(t, s.executions[0].Done(), "it has intended nothing, and fences nobody")
 	})
-	t.Run("two that ask at once do not fight", func(t *testing.T) {
-		c := newSimulation(t, false, false)
+	t.Run("two that ask at once do not fence each other in turn", func(t *testing.T) {
+		s := newSimulation(t, false, false)
 		for range 20 {
-			c.run(t, 0, 1)
+			s.run(t, 0, 1)
 		}
-		assert.Equal(t, []int{0, 1}, c.sendCount, "the greater ballot")
-		assert.Equal(t, MayHaveRun, c.decisions[0])
-		assert.Equal(t, 1, c.executions[0].prepares)
+		assert.Equal(t, []int{0, 1}, s.sendCount, "the greater ballot")
+		assert.Equal(t, MayHaveRun, s.decisions[0])
+		assert.Equal(t, 1, s.executions[0].prepares)
 	})
 	t.Run("another's attempt is found, and its engine says nothing in time", func(t *testing.T) {
-		c := newSimulation(t, true, false)
-		c.run(t, 0)
-		require.Equal(t, []int{1, 0}, c.sendCount)
-		c.executions[1].prepare(2)
-		c.run(t, 1)
-		assert.Equal(t, QueryEngine, c.step(t, 1))
-		c.now = DefaultLimits().MaxWait
-		assert.Equal(t, MayHaveRun, c.step(t, 1), "a repeat is not harmless: it may run")
+		s := newSimulation(t, true, false)
+		s.run(t, 0)
+		require.Equal(t, []int{1, 0}, s.sendCount)
+		s.executions[1].prepare(2)
+		s.run(t, 1)
+		assert.Equal(t, QueryEngine, s.step(t, 1))
+		s.now = DefaultLimits().MaxWait
+		assert.Equal(t, MayHaveRun, s.step(t, 1), "a retry is not harmless: it may run")
 	})
-	t.Run("no room", func(t *testing.T) {
-		c := newSimulation(t, false)
-		set := Defaults()
-		set.MaxBytes = 1
-		for name := range c.replicas {
-			c.replicas[name], _ = NewReplica(set, 1, true)
+	t.Run("no capacity", func(t *testing.T) {
+		s := newSimulation(t, false)
+		settings := Defaults()
+		settings.MaxBytes = 1
+		for name := range s.replicas {
+			s.replicas[name], _ = NewReplica(settings, 1)
 		}
-		c.run(t, 0)
-		assert.Equal(t, NotSent, c.decisions[0])
+		s.run(t, 0)
+		assert.Equal(t, NotSent, s.decisions[0])
 	})
 }
 
-func TestWayIsChecked(t *testing.T) {
+func TestLimitsAreChecked(t *testing.T) {
 	for field, spoil := range map[string]func(*Limits){
-		"again": func(w *Limits) { w.ResendInterval = 0 }, "most_wait": func(w *Limits) { w.MaxWait = 0 }, "most_tries": func(w *Limits) { w.MaxPrepares = 0 },
+		"resend_interval": func(l *Limits) { l.ResendInterval = 0 },
+		"max_wait":        func(l *Limits) { l.MaxWait = 0 },
+		"max_prepares":    func(l *Limits) { l.MaxPrepares = 0 },
 	} {
-		w := DefaultLimits()
-		spoil(&w)
-		assert.ErrorContains(t, w.Check(), field+": found")
+		limits := DefaultLimits()
+		spoil(&limits)
+		assert.ErrorContains(t, limits.Check(), field+": found")
 	}
 }
--- a/decision/execution/mutation_test.go
+++ b/decision/execution/mutation_test.go
@@ -9,35 +9,115 @@
 // walkTest is the test of one small world, by its name.
 func walkTest(world string) string { return "TestWalksOfSmallWorlds/" + world }
 
+const (
+	ranTwice           = "it ran twice"
+	ranAfterNeverRan   = "it ran after somebody was told that it never would"
+	ranAndToldNeverRan = "it ran, and somebody was told that it never did"
+)
+
+// allWalks are the walks of a world on a mutated copy.
+var allWalks = []string{walksVariable + "=30000"}
+
 // Each guard is needed: without it some walk, or the test that is named, breaks a promise.
 func TestMutationsAreFound(t *testing.T) {
-	allWalks := []string{walksVariable + "=30000"}
-	ranTwice := "it ran twice"
-	mutation.Run(t, []mutation.Mutation{
-		{Guard: "an accept of a lower ballot is rejected", File: "replica.go", Env: allWalks, Test: walkTest("fence"), Want: ranTwice,
-			Old: "w.Ballot.Compare(r.Promised) < 0", New: "false"},
-		{Guard: "a prepare of a lower ballot is rejected", File: "replica.go", Env: allWalks, Test: walkTest("prepare"), Want: ranTwice,
-			Old: "c.Ballot.Compare(r.Promised) < 0", New: "false"},
-		{Guard: "an id belongs to one statement", File: "replica.go", Test: "TestAnIdBelongsToOneStatement",
-			Old: "r.StatementDigest != c.StatementDigest", New: "false"},
-		{Guard: "an older configuration is rejected", File: "replica.go", Test: "TestReplicaSetsThatChangeOverlap/once_they_have_moved",
-			Old: "config < s.configNumber", New: "false"},
-		{Guard: "a replica that is not bootstrapped does not count", File: "replica.go", Env: allWalks, Test: walkTest("bootstrap"),
-			Want: ranTwice, Old: "!s.bootstrapped", New: "false"},
-		{Guard: "what has ended is kept", File: "replica.go", Env: allWalks, Test: walkTest("retention"), Want: ranTwice,
-			Old: "now-r.WrittenAt > s.settings.Retention", New: "now-r.WrittenAt > 0"},
-		{Guard: "a majority agrees, one of it in another zone", File: "proposer.go", Env: allWalks, Test: walkTest("majority"), Want: ranTwice,
-			Old: "need := len(group)/2 + 1\n\t\tif len(group) == 0 || yes < need || (rooms && !away) {",
-			New: "if len(group) == 0 || yes < 1 {"},
-		{Guard: "the replica set before agrees as well", File: "proposer.go", Test: "TestReplicaSetsThatChangeOverlap/while_copies_move",
-			Old: "len(o.config.Previous) > 0", New: "false"},
-		{Guard: "a prepare finds what was accepted", File: "proposer.go", Env: allWalks, Test: walkTest("recover"), Want: ranTwice,
-			Old: "c < 0 || (c == 0 && o.foundVersion < r.AcceptedVersion)", New: "c > 9"},
-		{Guard: "what was found is accepted before it is told", File: "proposer.go", Test: "TestWhatIsFoundIsHeldBeforeItIsTold",
-			Old: "o.propose(o.found, Recovering)", New: "o.propose(o.found, Recovering)\n\t\to.state, o.outcome = Established, o.found"},
-		{Guard: "a process that may live may have sent", File: "proposer.go", Env: allWalks, Test: walkTest("doubt"),
-			Want: "it ran, and somebody was told that it never did", Old: "proved := e.ProcessEndedFor > o.settings.EngineAbandonTime", New: "proved := true"},
-		{Guard: "what a process has sent may arrive after its end", File: "proposer.go", Env: allWalks, Test: walkTest("abandon"),
-			Want: "it ran after somebody was told that it never would", Old: "e.ProcessEndedFor > o.settings.EngineAbandonTime", New: "e.ProcessEndedFor > 0"},
-	})
+	mutation.Run(t, append(replicaMutations, proposerMutations...))
+}
+
+var replicaMutations = []mutation.Mutation{
+	{
+		Guard: "an accept of a lower ballot is rejected",
+		File:  "replica.go",
+		Old: `	case message.Ballot.Compare(record.Promised) < 0:
+		reply.Reason, reply.Promised = Fenced, record.Promised
+		return reply`,
+		New:  "\tcase false:",
+		Test: walkTest("fence"), Env: allWalks, Want: ranTwice,
+	},
+	{
+		Guard: "a prepare of a lower ballot is rejected",
+		File:  "replica.go",
+		Old: `	case message.Ballot.Compare(record.Promised) < 0:
+		reply.Reason, reply.Promised = Fenced, record.Promised
+	default:`,
+		New:  "\tdefault:",
+		Test: walkTest("prepare"), Env: allWalks, Want: ranTwice,
+	},
+	{
+		Guard: "a prepare for another statement is rejected",
+		File:  "replica.go",
+		Old: `	case record.StatementDigest != message.StatementDigest:
+		reply.Reason = OtherStatement
+	case`,
+		New:  "\tcase",
+		Test: "TestIDBelongsToOneStatement",
+	},
+	{
+		Guard: "a message under an earlier configuration is rejected",
+		File:  "replica.go",
+		Old:   "number < r.configNumber",
+		New:   "false",
+		Test:  "TestReplicaSetsThatChangeOverlap/once_it_has_moved",
+	},
+	{
+		Guard: "a replica that is not bootstrapped does not count",
+		File:  "replica.go",
+		Old:   "!r.bootstrapped",
+		New:   "false",
+		Test:  walkTest("bootstrap"), Env: allWalks, Want: ranTwice,
+	},
+	{
+		Guard: "a final outcome is retained",
+		File:  "replica.go",
+		Old:   "now-record.WrittenAt > r.settings.Retention",
+		New:   "now-record.WrittenAt > 0",
+		Test:  walkTest("retention"), Env: allWalks, Want: ranTwice,
+	},
+}
+
+var proposerMutations = []mutation.Mutation{
+	{
+		Guard: "a majority agrees, one of it in another zone",
+		File:  "proposer.go",
+		Old: `	if len(replicas) == 0 || acknowledged < majority(len(replicas)) {
+		return false
+	}
+	return elsewhere || !anyElsewhere`,
+		New:  "\treturn acknowledged > 0",
+		Test: walkTest("majority"), Env: allWalks, Want: ranTwice,
+	},
+	{
+		Guard: "the previous replica set agrees as well",
+		File:  "proposer.go",
+		Old:   "len(p.config.Previous) > 0",
+		New:   "false",
+		Test:  "TestReplicaSetsThatChangeOverlap/while_a_replica_moves",
+	},
+	{
+		Guard: "a prepare finds what was accepted",
+		File:  "proposer.go",
+		Old:   "p.found, p.foundBallot, p.foundVersion = reply.Outcome, reply.Accepted, reply.AcceptedVersion",
+		New:   "",
+		Test:  walkTest("recover"), Env: allWalks, Want: ranTwice,
+	},
+	{
+		Guard: "what was found is accepted before it is told",
+		File:  "proposer.go",
+		Old:   "p.propose(p.found, Recovering)",
+		New:   "p.propose(p.found, Recovering)\n\t\tp.state, p.outcome = Established, p.found",
+		Test:  "TestWhatIsFoundIsAcceptedBeforeItIsTold",
+	},
+	{
+		Guard: "a process that may still run may have sent",
+		File:  "proposer.go",
+		Old:   "abandoned := evidence.ProcessEndedFor > p.settings.EngineAbandonTime",
+		New:   "abandoned := true",
+		Test:  walkTest("doubt"), Env: allWalks, Want: ranAndToldNeverRan,
+	},
+	{
+		Guard: "what a process has sent may arrive after its end",
+		File:  "proposer.go",
+		Old:   "evidence.ProcessEndedFor > p.settings.EngineAbandonTime",
+		New:   "evidence.ProcessEndedFor > 0",
+		Test:  walkTest("abandon"), Env: allWalks, Want: ranAfterNeverRan,
+	},
 }
--- a/decision/execution/proposer.go
+++ b/decision/execution/proposer.go
@@ -5,255 +5,318 @@
 	"time"
 )
 
-// ProposerState is where an owner stands.
+// Request is a non-idempotent request and the process that acts for it.
+type Request struct {
+	ID              string
+	StatementDigest string // what the id belongs to
+	Proposer        string // "member/process": this process's alone
+	Zone            string // of that process
+}
+
+// ProposerState is how far a proposer has come.
 type ProposerState int
 
-// The stands of an owner.
+// The states of a proposer.
 const (
-	Preparing   ProposerState = iota // it asks for the register
-	Recovering                       // it writes back what it found
-	Established                      // the register is its own, and what it wrote last is held
-	Accepting                        // it has asked to write more
-	Rejected                         // a later owner has it, or it was refused: it may do nothing more
+	Preparing   ProposerState = iota // it asks for promises of its ballot
+	Recovering                       // it has what it found accepted under its ballot
+	Established                      // what it proposed last is accepted by a majority
+	Accepting                        // it has proposed more
+	Rejected                         // a later ballot fences it, or replicas reject the request: final
 )
 
-// Proposer is one attempt of one process to act for a promise.
+// Proposer is one attempt of one process to act for a request id. Its caller sends Messages to the replicas and hands
+// it their replies.
 type Proposer struct {
-	settings        Settings
-	id              string
-	statementDigest string
-	ballot          Ballot
-	zone            string
-	config          Config
-	state           ProposerState
-	reason          RejectReason
-	fencedBy        Ballot // Lost to it
-	acknowledged    map[string]bool
-	found           Outcome
-	foundBallot     Ballot
-	foundVersion    uint64
-	version         uint64
-	outcome         Outcome // that is held
-	proposed        Outcome // that is being written
+	settings Settings
+	request  Request
+	ballot   Ballot
+	config   Config
+
+	state        ProposerState
+	reason       RejectReason    // if Rejected
+	fencedBy     Ballot          // if Rejected as Fenced
+	acknowledged map[string]bool // replicas that said yes to the message that is out, by member name
+
+	// The latest that the replies to Prepare have told of.
+	found        Outcome
+	foundBallot  Ballot
+	foundVersion uint64
+
+	version  uint64  // of proposed; grows with each proposal
+	proposed Outcome // that the replicas are asked to accept
+	outcome  Outcome // that a majority has accepted
 }
 
-// NewProposer begins a claim. by is "member/process" and must be this process's alone; round must be greater than any that
-// this process has used for the id.
-func NewProposer(set Settings, id, digest, by, room string, round uint64, c Config) *Proposer {
-	return &Proposer{settings: set, id: id, statementDigest: digest, ballot: Ballot{round, by}, zone: room, config: c, acknowledged: map[string]bool{}}
+// NewProposer returns a proposer that prepares its register. round must be greater than any that the process has used
+// for the id.
+func NewProposer(settings Settings, request Request, round uint64, config Config) *Proposer {
+	return &Proposer{
+		settings:     settings,
+		request:      request,
+		ballot:       Ballot{Round: round, Proposer: request.Proposer},
+		config:       config,
+		acknowledged: map[string]bool{},
+	}
 }
 
-// State tells where it stands, and for Lost why.
-func (o *Proposer) State() (ProposerState, RejectReason) { return o.state, o.reason }
+// State returns how far the proposer has come and, if it is Rejected, why.
+func (p *Proposer) State() (ProposerState, RejectReason) { return p.state, p.reason }
 
-// FencedBy is the ballot that it lost to, or would have to pass.
-func (o *Proposer) FencedBy() Ballot { return o.fencedBy }
+// FencedBy returns the ballot that fences the proposer, the zero Ballot if there is none.
+func (p *Proposer) FencedBy() Ballot { return p.fencedBy }
 
-// Outcome is what is held, once it holds the register.
-func (o *Proposer) Outcome() Outcome { return o.outcome }
+// Outcome returns what a majority has accepted, as far as the proposer knows; valid if it is Established.
+func (p *Proposer) Outcome() Outcome { return p.outcome }
 
-// Replicas are those whose word counts now.
-func (o *Proposer) Replicas() []string {
-	var out []string
-	for _, group := range o.replicaSets() {
-		for _, m := range group {
-			if !slices.Contains(out, m.Name) {
-				out = append(out, m.Name)
+// Replicas returns the names of the members whose replies count, each once.
+func (p *Proposer) Replicas() []string {
+	var names []string
+	for _, replicas := range p.replicaSets() {
+		for _, member := range replicas {
+			if !slices.Contains(names, member.Name) {
+				names = append(names, member.Name)
 			}
 		}
 	}
-	return out
+	return names
 }
 
-// replicaSets are the sets of holders each of which must agree.
-func (o *Proposer) replicaSets() [][]Member {
-	g := [][]Member{ReplicaSet(o.id, o.config.Members, o.settings.Replicas)}
-	if len(o.config.Previous) > 0 {
-		g = append(g, ReplicaSet(o.id, o.config.Previous, o.settings.Replicas))
+// replicaSets returns the sets each of which must agree: one, or two while copies move.
+func (p *Proposer) replicaSets() [][]Member {
+	sets := [][]Member{ReplicaSet(p.request.ID, p.config.Members, p.settings.Replicas)}
+	if len(p.config.Previous) > 0 {
+		sets = append(sets, ReplicaSet(p.request.ID, p.config.Previous, p.settings.Replicas))
 	}
-	return g
+	return sets
 }
 
-// hasQuorum tells whether those that have said yes are enough: a majority of each group, and one of another room than the
-// owner's where the group has one.
-func (o *Proposer) hasQuorum() bool {
-	for _, group := range o.replicaSets() {
-		yes, away, rooms := 0, false, false
-		for _, m := range group {
-			rooms = rooms || m.Zone != o.zone
-			if o.acknowledged[m.Name] {
-				yes++
-				away = away || m.Zone != o.zone
-			}
-		}
-		need := len(group)/2 + 1
-		if len(group) == 0 || yes < need || (rooms && !away) {
+// hasQuorum reports whether enough replicas of every set have acknowledged (invariant 1).
+func (p *Proposer) hasQuorum() bool {
+	for _, replicas := range p.replicaSets() {
+		if !p.hasQuorumOf(replicas) {
 			return false
 		}
 	}
 	return true
 }
 
-// Messages is what to say to each holder that has not answered yet; nil where nothing is asked. It may be said any number of times.
-func (o *Proposer) Messages() (claim *Prepare, write *Accept, to []string) {
-	switch o.state {
+// hasQuorumOf reports whether a majority of one set has acknowledged, and with it a replica outside the proposer's zone
+// if the set has one.
+func (p *Proposer) hasQuorumOf(replicas []Member) bool {
+	acknowledged, elsewhere, anyElsewhere := 0, false, false
+	for _, member := range replicas {
+		otherZone := member.Zone != p.request.Zone
+		anyElsewhere = anyElsewhere || otherZone
+		if p.acknowledged[member.Name] {
+			acknowledged++
+			elsewhere = elsewhere || otherZone
+		}
+	}
+	if len(replicas) == 0 || acknowledged < majority(len(replicas)) {
+		return false
+	}
+	return elsewhere || !anyElsewhere
+}
+
+// majority is the smallest majority of n replicas.
+func majority(n int) int { return n/2 + 1 }
+
+// Messages returns the message that is out, one of the two, and the replicas that have not acknowledged it. It may be
+// sent any number of times. Without a message it returns nil, nil, nil.
+func (p *Proposer) Messages() (prepare *Prepare, accept *Accept, to []string) {
+	switch p.state {
 	case Preparing:
-		claim = &Prepare{o.id, o.statementDigest, o.ballot, o.config.Number}
+		prepare = &Prepare{
+			ID:              p.request.ID,
+			StatementDigest: p.request.StatementDigest,
+			Ballot:          p.ballot,
+			ConfigNumber:    p.config.Number,
+		}
 	case Recovering, Accepting:
-		write = &Accept{o.id, o.statementDigest, o.ballot, o.version, o.proposed, o.config.Number}
+		accept = &Accept{
+			ID:              p.request.ID,
+			StatementDigest: p.request.StatementDigest,
+			Ballot:          p.ballot,
+			Version:         p.version,
+			Outcome:         p.proposed,
+			ConfigNumber:    p.config.Number,
+		}
 	default:
 		return nil, nil, nil
 	}
-	for _, h := range o.Replicas() {
-		if !o.acknowledged[h] {
-			to = append(to, h)
+	for _, name := range p.Replicas() {
+		if !p.acknowledged[name] {
+			to = append(to, name)
 		}
 	}
-	return claim, write, to
+	return prepare, accept, to
 }
 
-// HandleReply takes a holder's reply.
-func (o *Proposer) HandleReply(from string, r Reply) {
-	if r.ID != o.id || r.Ballot != o.ballot || !slices.Contains(o.Replicas(), from) {
+// HandleReply takes the reply of the replica of a member. A reply to an earlier message changes nothing (invariant 8).
+func (p *Proposer) HandleReply(from string, reply Reply) {
+	if !p.awaits(from, reply) {
 		return
 	}
-	switch {
-	case o.state == Preparing && r.Version == 0:
-	case (o.state == Recovering || o.state == Accepting) && r.Version == o.version:
-	default:
-		return // of an earlier word
+	if !reply.OK {
+		p.handleRejection(reply)
+		return
 	}
-	if !r.OK {
-		switch r.Reason {
-		case Fenced:
-			o.reject(r.Reason)
-			o.fencedBy = r.Promised
-		case OtherStatement, NoCapacity:
-			o.reject(r.Reason)
-		}
-		return // one that is stale or not filled yet is asked again
+	p.acknowledged[from] = true
+	if p.state == Preparing {
+		p.adoptLater(reply)
 	}
-	o.acknowledged[from] = true
-	if o.state == Preparing {
-		if c := o.foundBallot.Compare(r.Accepted); c < 0 || (c == 0 && o.foundVersion < r.AcceptedVersion) {
-			o.found, o.foundBallot, o.foundVersion = r.Outcome, r.Accepted, r.AcceptedVersion
-		}
+	switch {
+	case !p.hasQuorum():
+	case p.state == Preparing:
+		// What is found may be accepted by a minority only: it must not be acted upon before a majority has it.
+		p.propose(p.found, Recovering)
+	default:
+		p.state, p.outcome = Established, p.proposed
 	}
-	if !o.hasQuorum() {
-		return
+}
+
+// awaits reports whether a reply answers the message that is out.
+func (p *Proposer) awaits(from string, reply Reply) bool {
+	if reply.ID != p.request.ID || reply.Ballot != p.ballot || !slices.Contains(p.Replicas(), from) {
+		return false
 	}
-	switch o.state {
+	switch p.state {
 	case Preparing:
-		o.propose(o.found, Recovering) // what was promised is made this ballot's own before anything rests on it
+		return reply.Version == 0
+	case Recovering, Accepting:
+		return reply.Version == p.version
 	default:
-		o.state, o.outcome = Established, o.proposed
+		return false
 	}
 }
 
-func (o *Proposer) reject(why RejectReason) { o.state, o.reason = Rejected, why }
+// handleRejection takes a rejection. A replica that is not bootstrapped, or whose configuration differs, is asked
+// again.
+func (p *Proposer) handleRejection(reply Reply) {
+	switch reply.Reason {
+	case Fenced:
+		p.state, p.reason, p.fencedBy = Rejected, reply.Reason, reply.Promised
+	case OtherStatement, NoCapacity:
+		p.state, p.reason = Rejected, reply.Reason
+	case StaleConfig, NotBootstrapped, NotPrepared:
+	}
+}
+
+// adoptLater keeps the accepted outcome of a reply to Prepare if it is later than what was found so far (invariant 3).
+func (p *Proposer) adoptLater(reply Reply) {
+	order := p.foundBallot.Compare(reply.Accepted)
+	if order < 0 || (order == 0 && p.foundVersion < reply.AcceptedVersion) {
+		p.found, p.foundBallot, p.foundVersion = reply.Outcome, reply.Accepted, reply.AcceptedVersion
+	}
+}
 
-func (o *Proposer) propose(f Outcome, s ProposerState) {
-	o.version++
-	o.proposed, o.state = f, s
-	clear(o.acknowledged)
+// propose asks the replicas to accept an outcome.
+func (p *Proposer) propose(outcome Outcome, state ProposerState) {
+	p.version++
+	p.proposed, p.state = outcome, state
+	clear(p.acknowledged)
 }
 
-// Reconfigure tells of a later configuration: what is asked is asked anew of those that hold now.
-func (o *Proposer) Reconfigure(c Config) {
-	if c.Number <= o.config.Number || o.state == Rejected {
+// Reconfigure tells of a later configuration. What is out is asked anew of the replicas in force now.
+func (p *Proposer) Reconfigure(config Config) {
+	if config.Number <= p.config.Number || p.state == Rejected {
 		return
 	}
-	o.config = c
-	switch o.state {
-	case Preparing:
-		clear(o.acknowledged)
-	case Established:
-		// What is held under the old holders is held under the new ones before more is done: as a claim first, since those
-		// have not promised this ballot anything.
-		o.found, o.foundBallot, o.foundVersion, o.state = o.outcome, o.ballot, o.version, Preparing
-		clear(o.acknowledged)
-	default:
-		o.found, o.foundBallot, o.foundVersion, o.state = o.proposed, o.ballot, o.version, Preparing
-		clear(o.acknowledged)
+	p.config = config
+	clear(p.acknowledged)
+	if p.state == Preparing {
+		return
+	}
+	// The new replicas have promised this ballot nothing, so it is prepared again; what it found or proposed stands for
+	// it.
+	p.found = p.proposed
+	if p.state == Established {
+		p.found = p.outcome
 	}
+	p.foundBallot, p.foundVersion = p.ballot, p.version
+	p.state = Preparing
 }
 
-// Permission is what an owner may do next with its promise.
+// Permission is what a proposer may do next.
 type Permission int
 
-// What an owner may do.
+// The permissions.
 const (
 	Wait    Permission = iota // nothing yet
-	Answer                    // the fate is over: tell it
-	Send                      // nothing of it has run, nor will: an attempt may be intended
-	Resolve                   // an attempt of another owner may have run: ask its engine, and tell Learned
+	Answer                    // the outcome is final: tell the client
+	Send                      // nothing was sent: an attempt may be intended
+	Resolve                   // an attempt of another proposer may have run: ask its engine, then call ResolveOutcome
 )
 
-// Permission tells what may be done now.
-func (o *Proposer) Permission() Permission {
+// Permission returns what may be done now.
+func (p *Proposer) Permission() Permission {
 	switch {
-	case o.state != Established:
+	case p.state != Established:
 		return Wait
-	case o.outcome.Final():
+	case p.outcome.Final():
 		return Answer
-	case o.outcome.Phase == Registered:
+	case p.outcome.Phase == Registered:
 		return Send
-	case o.outcome.IntendedBy == o.ballot.Proposer:
-		return Wait // its own attempt is out
+	case p.outcome.IntendedBy == p.ballot.Proposer:
+		return Wait // its own attempt runs
 	}
 	return Resolve
 }
 
-// Intend asks for an attempt; it may be sent once Cleared tells so. False where it must not be asked for.
-func (o *Proposer) Intend(engine string, process uint64) bool {
-	if o.Permission() != Send {
+// Intend proposes an attempt at a process of an engine and reports whether that is permitted. The attempt may be sent
+// once MaySend reports true.
+func (p *Proposer) Intend(engine string, process uint64) bool {
+	if p.Permission() != Send {
 		return false
 	}
-	f := o.outcome
-	f.Phase, f.Engine, f.Process, f.IntendedBy = Intended, engine, process, o.ballot.Proposer
-	f.Attempt++
-	o.propose(f, Accepting)
+	intent := p.outcome
+	intent.Phase = Intended
+	intent.Attempt++
+	intent.Engine, intent.Process, intent.IntendedBy = engine, process, p.ballot.Proposer
+	p.propose(intent, Accepting)
 	return true
 }
 
-// MaySend tells, at the last moment, that the attempt that was intended may be sent.
-func (o *Proposer) MaySend() bool {
-	return o.state == Established && o.outcome.Phase == Intended && o.outcome.IntendedBy == o.ballot.Proposer
+// MaySend reports whether the attempt that was intended may be sent now. It is to be asked right before the first byte.
+func (p *Proposer) MaySend() bool {
+	return p.state == Established && p.outcome.Phase == Intended && p.outcome.IntendedBy == p.ballot.Proposer
 }
 
-// Evidence is what is known of an attempt that another owner intended.
+// Evidence is what is known about an attempt that was intended.
 type Evidence struct {
-	Ran             bool // its engine has run it, or runs it
-	Completed       bool // ... to its end, with this result
-	Result          []byte
+	Ran             bool          // its engine has executed it, or does
+	Completed       bool          // its engine has executed it to the end, with Result
+	Result          []byte        // if Completed
 	UnknownToEngine bool          // its engine does not know the id
-	ProcessEndedFor time.Duration // since when its owner's process is proved to be over; 0: it may live
-	OwnAttempt      bool          // it was this owner's own attempt, and is proved not to have been sent or to have ended
+	ProcessEndedFor time.Duration // since the proposer's process has provably ended; 0: it may still run
+	OwnAttempt      bool          // it is this proposer's own and was provably not sent, or has ended
 }
 
-// ResolveOutcome closes a doubt as far as the evidence goes: Ended, NeverRan (then nothing of it will ever run), or Doubt.
-func (o *Proposer) ResolveOutcome(e Evidence) bool {
-	if o.state != Established || o.outcome.Final() || o.outcome.Phase == Registered {
+// ResolveOutcome proposes what the evidence proves: Completed, NeverRan or else InDoubt. It reports whether that is
+// anything new (invariant 4).
+func (p *Proposer) ResolveOutcome(evidence Evidence) bool {
+	if p.state != Established || p.outcome.Final() || p.outcome.Phase == Registered {
 		return false
 	}
-	f := o.outcome
-	proved := e.ProcessEndedFor > o.settings.EngineAbandonTime
+	outcome := p.outcome
+	abandoned := evidence.ProcessEndedFor > p.settings.EngineAbandonTime
 	switch {
-	case e.Completed:
-		f.Phase, f.Result = Completed, e.Result
-		if len(f.Result) > o.settings.MaxResultBytes {
-			f.Result, f.ResultOmitted = nil, true
+	case evidence.Completed:
+		outcome.Phase, outcome.Result = Completed, evidence.Result
+		if len(outcome.Result) > p.settings.MaxResultBytes {
+			outcome.Result, outcome.ResultOmitted = nil, true
 		}
-	case e.OwnAttempt && f.IntendedBy == o.ballot.Proposer && !e.Ran:
-		f.Phase = NeverRan
-	case e.UnknownToEngine && !e.Ran && proved:
-		f.Phase = NeverRan
+	case evidence.OwnAttempt && outcome.IntendedBy == p.ballot.Proposer && !evidence.Ran:
+		outcome.Phase = NeverRan
+	case evidence.UnknownToEngine && !evidence.Ran && abandoned:
+		outcome.Phase = NeverRan
 	default:
-		if f.Phase == InDoubt {
+		if outcome.Phase == InDoubt {
 			return false
 		}
-		f.Phase = InDoubt
+		outcome.Phase = InDoubt
 	}
-	o.propose(f, Accepting)
+	p.propose(outcome, Accepting)
 	return true
 }
--- a/decision/execution/replicaset.go
+++ b/decision/execution/replicaset.go
@@ -7,54 +7,55 @@
 	"slices"
 )
 
-// Member is one that may hold copies for others.
+// Member is a front end that may hold replicas.
 type Member struct {
-	Name, Zone string
-	Weight     float64 // against others; 0 holds nothing
+	Name   string
+	Zone   string
+	Weight float64 // relative to the others'; a member of weight 0 holds nothing
 }
 
-// Config is who holds, under a number that only grows. While copies move, the stage before is in force too.
+// Config is the members among which replicas are placed, under a number that only grows.
 type Config struct {
 	Number   uint64
 	Members  []Member
-	Previous []Member // not empty: the holders of the configuration before must agree as well
+	Previous []Member // while copies move: the members before, whose replica sets must agree as well
 }
 
-// rendezvousScore is a member's place in the order of holders of an id: the greatest hold. A weight of two is drawn twice as often.
-func rendezvousScore(id string, m Member) float64 {
-	if !(m.Weight > 0) {
+// rendezvousScore ranks the members for an id: those with the greatest scores hold it. A member of twice the weight is
+// chosen for twice as many ids.
+func rendezvousScore(id string, member Member) float64 {
+	if !(member.Weight > 0) {
 		return math.Inf(-1)
 	}
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	h.Write([]byte{0})
-	h.Write([]byte(m.Name))
-	z := h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	hash.Write([]byte{0})
+	hash.Write([]byte(member.Name))
+	// The finalizer of SplitMix64 spreads the hash over all its bits.
+	z := hash.Sum64()
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
-	u := (float64((z^(z>>31))>>11) + 0.5) / (1 << 53)
-	return -m.Weight / math.Log(u)
+	z ^= z >> 31
+	uniform := (float64(z>>11) + 0.5) / (1 << 53) // over 0, under 1
+	return -member.Weight / math.Log(uniform)
 }
 
-// ReplicaSet are the n members that hold the promises of an id: the first of each room in turn, so that a room that is lost
-// takes one copy where there are as many rooms as copies.
+// ReplicaSet returns the n members that hold the register of an id, fewer if there are not as many: the best of each
+// zone in turn, so that the loss of a zone costs one copy if there are as many zones as copies.
 func ReplicaSet(id string, members []Member, n int) []Member {
-	order := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !(m.Weight > 0) })
-	slices.SortFunc(order, func(a, b Member) int {
-		if c := cmp.Compare(rendezvousScore(id, b), rendezvousScore(id, a)); c != 0 {
-			return c
-		}
-		return cmp.Compare(a.Name, b.Name)
+	ranked := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !(m.Weight > 0) })
+	slices.SortFunc(ranked, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(rendezvousScore(id, b), rendezvousScore(id, a)), cmp.Compare(a.Name, b.Name))
 	})
-	var out []Member
-	taken := map[string]int{} // by room
-	for round := 1; len(out) < n && round <= len(order); round++ {
-		for _, m := range order {
-			if len(out) < n && taken[m.Zone] < round && !slices.Contains(out, m) {
-				taken[m.Zone]++
-				out = append(out, m)
+	var chosen []Member
+	chosenInZone := map[string]int{}
+	for round := 1; len(chosen) < n && round <= len(ranked); round++ {
+		for _, member := range ranked {
+			if len(chosen) < n && chosenInZone[member.Zone] < round && !slices.Contains(chosen, member) {
+				chosenInZone[member.Zone]++
+				chosen = append(chosen, member)
 			}
 		}
 	}
-	return out
+	return chosen
 }
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,5 +1,5 @@
-// Package mutation shows that tests need each guard of a package: it takes a guard out of a copy of the package's source and
-// runs a test on the copy, which must fail. Only tests import it.
+// Package mutation shows that tests need each guard of a package: it takes a guard out of a copy of the package's
+// source and runs a test on the copy, which must fail. Only tests import it.
 //
 // A mutation is a replacement of source text, applied by "go test -overlay". The files of the package stay as they are.
 package mutation
@@ -31,8 +31,8 @@
 // concurrentBuilds is how many mutated copies are built and run at the same time.
 const concurrentBuilds = 4
 
-// Run applies each mutation to a copy of its own and fails where the mutation can't be applied or its test passes. It is
-// called from a test of the package that is mutated, whose directory is the working directory.
+// Run applies each mutation to a copy of its own and fails where the mutation can't be applied or its test passes. It
+// is called from a test of the package that is mutated, whose directory is the working directory.
 func Run(t *testing.T, mutations []Mutation) {
 	t.Helper()
 	slots := make(chan struct{}, min(concurrentBuilds, runtime.GOMAXPROCS(0)))
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -42,9 +42,15 @@
 	assert.Equal(t, "^TestWalk$/^small$", anchored("TestWalk/small"))
 }
 
-// The test of this package that fails without a guard of this package is found, and the guard that it does not need is not.
+// The test of this package that fails without a guard of this package is found, and the guard that it does not need is
+// not.
 func TestMutationOfThisPackage(t *testing.T) {
-	m := Mutation{File: "mutation.go", Test: "TestPatternNamesOneTest", Old: `return "^" + strings`, New: `return "" + strings`}
+	m := Mutation{
+		File: "mutation.go",
+		Old:  `return "^" + strings`,
+		New:  `return "" + strings`,
+		Test: "TestPatternNamesOneTest",
+	}
 	output, err := m.run(t.TempDir())
 	require.NoError(t, err)
 	assert.NoError(t, m.verify(output))
