--- a/internal/fleet/recorded_test.go
+++ b/internal/fleet/recorded_test.go
@@ -115,8 +115,8 @@
 	return command
 }
 
-// openLeading opens the replica of a directory and waits until it leads. One that is new begins a fleet.
-func openLeading(t *testing.T, o *Options, begin bool) *Keeper {
+// openReplica opens the replica of a directory.
+func openReplica(t *testing.T, o *Options) *Keeper {
 	t.Helper()
 	replica, err := OpenKeeper(o)
 	require.NoError(t, err)
@@ -125,14 +125,16 @@
 			replica.Close()
 		}
 	})
-	if begin {
-		require.NoError(t, replica.Init())
-	}
+	return replica
+}
+
+// awaitLeading waits until the replica leads.
+func awaitLeading(t *testing.T, replica *Keeper) {
+	t.Helper()
 	require.Eventually(t, func() bool {
 		status, err := replica.Status()
 		return err == nil && status.Leads && replica.raft.Barrier(time.Second).Error() == nil
 	}, 20*time.Second, 5*time.Millisecond)
-	return replica
 }
 
 // newReplica opens a replica with the recorded identity and an empty log, and enters the commands.
@@ -141,7 +143,9 @@
 	o := options(t)
 	require.NoError(t, os.MkdirAll(o.Dir, 0o700))
 	require.NoError(t, os.WriteFile(filepath.Join(o.Dir, "identity"), []byte(recordedIdentity+"\n"), 0o600))
-	replica := openLeading(t, o, true)
+	replica := openReplica(t, o)
+	require.NoError(t, replica.Init())
+	awaitLeading(t, replica)
 	for _, text := range commandTexts() {
 		_, err := replica.Apply(parseCommand(t, text))
 		require.NoError(t, err, text)
@@ -231,7 +235,7 @@
 	}
 	checkRecorded(t, "entries.jsonl", []byte(entries))
 
-	openLeading(t, o, false)
+	awaitLeading(t, openReplica(t, o))
 	status, err := NewClient(o).Status()
 	require.NoError(t, err)
 	assert.Equal(t, []string{recordedIdentity}, status.Servers)
--- a/internal/mysql/recorded_test.go
+++ b/internal/mysql/recorded_test.go
@@ -128,11 +128,12 @@
 // Each answer on the wire is as it was recorded, byte for byte, but for the id of the session in the greeting, which is random.
 func TestRecordedAnswers(t *testing.T) {
 	commands := func(payloads ...string) string {
-		out := usual()
+		var out strings.Builder
+		out.WriteString(usual())
 		for _, p := range append(payloads, quit) {
-			out += packet(0, p)
+			out.WriteString(packet(0, p))
 		}
-		return out
+		return out.String()
 	}
 	requests := &scripted{read: make(chan string, 100)}
 	address := serveRecorded(t, requests)
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -45,33 +45,35 @@
 // encoder writes values in a fixed order, without their names.
 type encoder struct{ bytes.Buffer }
 
+func (e *encoder) printf(format string, values ...any) { e.Write(fmt.Appendf(nil, format, values...)) }
+
 func (e *encoder) ints(values ...int) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", v)
+		e.printf("%d ", v)
 	}
 }
 
 func (e *encoder) durations(values ...time.Duration) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", int64(v))
+		e.printf("%d ", int64(v))
 	}
 }
 
 func (e *encoder) floats(values ...float64) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%016x ", math.Float64bits(v))
+		e.printf("%016x ", math.Float64bits(v))
 	}
 }
 
 func (e *encoder) bools(values ...bool) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%t ", v)
+		e.printf("%t ", v)
 	}
 }
 
 func (e *encoder) texts(values ...string) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%q ", v)
+		e.printf("%q ", v)
 	}
 }
 
@@ -120,7 +122,7 @@
 
 func (e *encoder) config(c *platformconfig.Config) {
 	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
-	fmt.Fprintf(e, "%d ", c.Seed)
+	e.printf("%d ", c.Seed)
 	e.floats(c.Cores, c.HandshakePrice)
 	e.ints(c.MemoryMB, c.Sockets)
 	e.durations(c.ConnectTimeout)
@@ -161,7 +163,7 @@
 		require.NoError(t, err)
 		var one encoder
 		one.config(c)
-		fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+		out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
 		if out.Len() < 100 {
 			out.Write(one.Bytes()) // the first in full
 		}
@@ -171,7 +173,7 @@
 	var one encoder
 	one.settings(&set)
 	one.names(&names)
-	fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+	out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
 	recorded.Compare(t, "configuration", out.Bytes())
 }
 
