--- a/cmd/gatewayctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -65,13 +65,13 @@
 }
 
 // stored shows the entries of a file as a front end would that starts with them.
-func stored(entries []discovery.Entry) (list []source.Belief) {
+func stored(entries []discovery.Endpoint) (list []source.Belief) {
 	for _, e := range entries {
-		b := source.Belief{Name: e.Key, ID: discovery.Number(e.Key), Address: e.Addr, State: discovery.Ready.String(),
-			Reason: string(discovery.Restored), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.Started.Milliseconds()}
+		b := source.Belief{Name: e.Key, ID: discovery.EndpointID(e.Key), Address: e.Addr, State: discovery.Ready.String(),
+			Reason: string(discovery.ReasonCached), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.StartedAt.Milliseconds()}
 		switch {
 		case e.Drain:
-			b.State, b.Reason = discovery.Draining.String(), string(discovery.Commanded)
+			b.State, b.Reason = discovery.Draining.String(), string(discovery.ReasonDrainRequested)
 		case !e.Passing:
 			b.Reason = "check failed when it was kept"
 		}
--- a/cmd/gatewayctl/main_test.go
+++ b/cmd/gatewayctl/main_test.go
@@ -90,7 +90,7 @@
 	assert.Regexp(t, `served +7`, out)
 
 	file := filepath.Join(dir, "list")
-	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Entry{{Key: "n/e2", Addr: "10.0.0.1:1", Drain: true}}, time.Now()), 0o600))
+	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Endpoint{{Key: "n/e2", Addr: "10.0.0.1:1", Drain: true}}, time.Now()), 0o600))
 	code, out, _ = ctl("list", "show", "--file", file)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "n/e2")
--- a/cmd/gatewayctl/recorded_test.go
+++ b/cmd/gatewayctl/recorded_test.go
@@ -145,8 +145,8 @@
 	t.Cleanup(socket.Close)
 	started := 1700000000500 * time.Millisecond
 	file := filepath.Join(dir, "engines.list")
-	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Entry{
-		{Key: "n/e1", Addr: "10.0.0.1:1", Passing: true, Zone: "a", Kind: "std-12", Cell: 3, Weight: 1.5, Started: started},
+	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Endpoint{
+		{Key: "n/e1", Addr: "10.0.0.1:1", Passing: true, Zone: "a", Kind: "std-12", Cell: 3, Weight: 1.5, StartedAt: started},
 		{Key: "n/e2", Addr: "10.0.0.2:1", Passing: true, Drain: true},
 		{Key: "n/e3", Addr: "[2001:db8::1]:1"},
 	}, time.Unix(1700000000, 0)), 0o600))
--- a/decision/discovery/property_test.go
+++ b/decision/discovery/property_test.go
@@ -11,26 +11,26 @@
 
 // world draws observations that may be wrong in any way, and remembers what the invariants speak of.
 type world struct {
-	set    *Set
+	set    *EndpointSet
 	bounds Settings
 	now    time.Duration
 	drains map[string]uint64 // the latest index that told the drain
 }
 
-func entries(max int) *rapid.Generator[[]Entry] {
-	return rapid.Custom(func(t *rapid.T) []Entry {
+func entries(max int) *rapid.Generator[[]Endpoint] {
+	return rapid.Custom(func(t *rapid.T) []Endpoint {
 		n := rapid.IntRange(0, max).Draw(t, "entries")
-		var list []Entry
+		var list []Endpoint
 		for range n {
 			i := rapid.IntRange(0, 9).Draw(t, "engine")
 			host := i
 			if rapid.IntRange(0, 19).Draw(t, "moved") == 0 {
 				host = rapid.IntRange(0, 9).Draw(t, "host")
 			}
-			list = append(list, Entry{
+			list = append(list, Endpoint{
 				Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", host+1), Weight: 1,
-				Created: rapid.Uint64Range(1, 3).Draw(t, "created"),
-				Drain:   rapid.IntRange(0, 9).Draw(t, "drain") == 0, Passing: rapid.IntRange(0, 2).Draw(t, "passing") > 0,
+				CreateIndex: rapid.Uint64Range(1, 3).Draw(t, "created"),
+				Drain:       rapid.IntRange(0, 9).Draw(t, "drain") == 0, Passing: rapid.IntRange(0, 2).Draw(t, "passing") > 0,
 			})
 		}
 		return list
@@ -46,16 +46,16 @@
 			t.Fatal(err)
 		}
 		ready := map[string]bool{}
-		take := func(a Answer) {
+		take := func(a Update) {
 			for _, c := range a.Changes {
 				ready[c.Key] = c.State == Ready
 			}
 		}
-		full := make([]Entry, 0, 8)
+		full := make([]Endpoint, 0, 8)
 		for i := range 8 {
-			full = append(full, Entry{Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), Created: 1, Passing: true})
+			full = append(full, Endpoint{Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), CreateIndex: 1, Passing: true})
 		}
-		take(w.set.Observe(w.now, Observation{Index: 100, Leader: true, Entries: full}))
+		take(w.set.Observe(w.now, Observation{Index: 100, HasLeader: true, Endpoints: full}))
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			w.now += time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "passes"))
@@ -65,26 +65,26 @@
 				continue
 			}
 			o := Observation{
-				Index: rapid.Uint64Range(95, 110).Draw(t, "index"), Leader: rapid.IntRange(0, 4).Draw(t, "leader") > 0,
-				Lag: time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "lag")), Entries: entries(14).Draw(t, "list"),
+				Index: rapid.Uint64Range(95, 110).Draw(t, "index"), HasLeader: rapid.IntRange(0, 4).Draw(t, "leader") > 0,
+				LastContact: time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "lag")), Endpoints: entries(14).Draw(t, "list"),
 			}
 			if rapid.Bool().Draw(t, "whole") {
-				o.Entries = append(o.Entries, full...)
+				o.Endpoints = append(o.Endpoints, full...)
 			}
 			before, held, index := map[string]bool{}, map[string]bool{}, w.set.Index()
 			for k, v := range ready {
 				before[k] = v
 			}
-			for k, m := range w.set.members {
+			for k, m := range w.set.endpoints {
 				held[k] = m.drain
 			}
 			take(w.set.Observe(w.now, o))
 			if w.set.Index() < index {
 				clear(w.drains) // a new epoch
 			}
-			trusted := o.Leader && o.Lag <= w.bounds.MaxLag && w.set.Index() == o.Index
+			trusted := o.HasLeader && o.LastContact <= w.bounds.MaxStaleness && w.set.Index() == o.Index
 			told := map[string]bool{}
-			for _, e := range o.Entries {
+			for _, e := range o.Endpoints {
 				if _, known := held[e.Key]; known && e.Drain {
 					told[e.Key] = true
 					w.drains[e.Key] = max(w.drains[e.Key], o.Index)
@@ -93,7 +93,7 @@
 					}
 				}
 			}
-			for k, m := range w.set.members {
+			for k, m := range w.set.endpoints {
 				was, known := held[k]
 				if !trusted && !known {
 					t.Fatalf("6: %s was added by a word that is not trusted", k)
@@ -105,7 +105,7 @@
 					delete(w.drains, k)
 				}
 			}
-			if len(o.Entries) == 0 {
+			if len(o.Endpoints) == 0 {
 				for k, was := range before {
 					if was && !ready[k] {
 						t.Fatalf("4: an empty list took %s out", k)
@@ -120,19 +120,19 @@
 func (w *world) check(t *rapid.T, ready map[string]bool) {
 	counting, out := 0, 0
 	addrs, numbers := map[string]string{}, map[uint32]string{}
-	for _, b := range w.set.Beliefs() {
+	for _, b := range w.set.Current() {
 		if ready[b.Key] != (b.State == Ready) {
 			t.Fatalf("%s is %v, and the answers say ready %v", b.Key, b.State, ready[b.Key])
 		}
-		if other, ok := numbers[b.ID]; ok || b.ID != Number(b.Key) {
+		if other, ok := numbers[b.ID]; ok || b.ID != EndpointID(b.Key) {
 			t.Fatalf("10: %s and %s share number %d", b.Key, other, b.ID)
 		}
 		numbers[b.ID] = b.Key
 		switch b.Reason {
-		case Failing, Flapping:
+		case ReasonCheckFailing, ReasonFlapping:
 			out++
 			counting++
-		case Commanded, Deregistered, AddrTaken, AddrDrains:
+		case ReasonDrainRequested, ReasonDeregistered, ReasonAddressReused, ReasonAddressDraining:
 		default:
 			counting++
 			if other, ok := addrs[b.Addr]; ok {
@@ -141,11 +141,11 @@
 			addrs[b.Addr] = b.Key
 		}
 	}
-	if out > int(w.bounds.MaxOut*float64(counting)) || (counting > 0 && out >= counting) {
+	if out > int(w.bounds.MaxEjected*float64(counting)) || (counting > 0 && out >= counting) {
 		t.Fatalf("3: %d of %d are out by health", out, counting)
 	}
-	for _, m := range w.set.members {
-		if p := m.flaps.now(w.now, &w.bounds); p > w.bounds.ceiling() {
+	for _, m := range w.set.endpoints {
+		if p := m.penalty.decayed(w.now, &w.bounds); p > w.bounds.ceiling() {
 			t.Fatalf("7: the penalty of %s is %v", m.Key, p)
 		}
 	}
@@ -162,7 +162,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := func(passing bool) []Entry {
+		list := func(passing bool) []Endpoint {
 			all := fleet(8)
 			all[0].Passing = passing
 			return all
@@ -177,7 +177,7 @@
 			}
 		}
 		last := now
-		for s.Beliefs()[0].State != Ready {
+		for s.Current()[0].State != Ready {
 			next, ok := s.Next()
 			if !ok {
 				t.Fatal("nothing is due, and the engine is out")
@@ -185,7 +185,7 @@
 			now = next
 			s.Advance(now)
 		}
-		if now-last > s.set.MaxSuppress+time.Millisecond {
+		if now-last > s.settings.MaxSuppress+time.Millisecond {
 			t.Fatalf("back %v after the last failure", now-last)
 		}
 	})
@@ -212,7 +212,7 @@
 			index++
 			left := rapid.IntRange(0, len(all)).Draw(t, "left")
 			for _, c := range s.Observe(now, at(index, all[:left])).Changes {
-				if c.Reason == Deregistered {
+				if c.Reason == ReasonDeregistered {
 					gone++
 				}
 			}
--- a/decision/discovery/recorded_test.go
+++ b/decision/discovery/recorded_test.go
@@ -12,12 +12,12 @@
 	"beechcart/internal/recorded"
 )
 
-func traceEntry(trace *recorded.Trace, e discovery.Entry) {
-	trace.Text(e.Key, e.Addr, e.Zone, e.Kind, e.Mark)
+func traceEntry(trace *recorded.Trace, e discovery.Endpoint) {
+	trace.Text(e.Key, e.Addr, e.Zone, e.Kind, e.Incarnation)
 	trace.Int(e.Cell)
 	trace.Float(e.Weight)
-	trace.Uint(e.Created, e.Changed)
-	trace.Time(e.Started)
+	trace.Uint(e.CreateIndex, e.ModifyIndex)
+	trace.Time(e.StartedAt)
 	trace.Bool(e.Drain, e.Passing)
 }
 
@@ -25,15 +25,15 @@
 	trace.Int(len(changes))
 	for _, c := range changes {
 		trace.Uint(uint64(c.ID))
-		traceEntry(trace, c.Entry)
+		traceEntry(trace, c.Endpoint)
 		trace.Int(int(c.State))
 		trace.Text(c.State.String(), string(c.Reason))
-		trace.Time(c.Started)
+		trace.Time(c.StartedAt)
 		trace.Count(kind + " " + strconv.Itoa(int(c.State)) + " " + string(c.Reason))
 	}
 }
 
-func traceAnswer(trace *recorded.Trace, a discovery.Answer) {
+func traceAnswer(trace *recorded.Trace, a discovery.Update) {
 	traceChanges(trace, "change", a.Changes)
 	trace.Int(len(a.Notices))
 	for _, n := range a.Notices {
@@ -47,17 +47,17 @@
 type catalogue struct {
 	rng     *rand.Rand
 	index   uint64
-	engines []discovery.Entry
+	engines []discovery.Endpoint
 }
 
-func (c *catalogue) entry(i int) discovery.Entry {
-	e := discovery.Entry{Key: fmt.Sprintf("node-%d/e%d", i/2, i), Addr: fmt.Sprintf("10.0.%d.%d:80", i/8, i+1), Zone: fmt.Sprint("z", i%3),
-		Kind: "std", Cell: i % 4, Weight: 1 + float64(i%3)/2, Created: c.index, Changed: c.index, Passing: true}
+func (c *catalogue) entry(i int) discovery.Endpoint {
+	e := discovery.Endpoint{Key: fmt.Sprintf("node-%d/e%d", i/2, i), Addr: fmt.Sprintf("10.0.%d.%d:80", i/8, i+1), Zone: fmt.Sprint("z", i%3),
+		Kind: "std", Cell: i % 4, Weight: 1 + float64(i%3)/2, CreateIndex: c.index, ModifyIndex: c.index, Passing: true}
 	switch c.rng.IntN(12) {
 	case 0:
-		e.Mark = fmt.Sprint("start-", c.rng.IntN(4))
+		e.Incarnation = fmt.Sprint("start-", c.rng.IntN(4))
 	case 1:
-		e.Started = time.Duration(c.rng.IntN(1000)) * time.Second
+		e.StartedAt = time.Duration(c.rng.IntN(1000)) * time.Second
 	case 2:
 		e.Addr = fmt.Sprintf("10.0.0.%d:80", 1+c.rng.IntN(12)) // perhaps another's
 	case 3:
@@ -74,10 +74,10 @@
 	switch n := c.rng.IntN(12); {
 	case n < 4 && len(c.engines) > 0:
 		e := &c.engines[c.rng.IntN(len(c.engines))]
-		e.Passing, e.Changed = !e.Passing, c.index
+		e.Passing, e.ModifyIndex = !e.Passing, c.index
 	case n < 6 && len(c.engines) > 0:
 		e := &c.engines[c.rng.IntN(len(c.engines))]
-		e.Drain, e.Changed = c.rng.IntN(3) == 0, c.index
+		e.Drain, e.ModifyIndex = c.rng.IntN(3) == 0, c.index
 	case n < 8 && len(c.engines) > 4:
 		i := c.rng.IntN(len(c.engines))
 		c.engines = append(c.engines[:i:i], c.engines[i+1:]...)
@@ -95,18 +95,18 @@
 
 // answer is an observation, which may be wrong.
 func (c *catalogue) answer(bad int) discovery.Observation {
-	o := discovery.Observation{Index: c.index, Leader: true, Entries: append([]discovery.Entry(nil), c.engines...)}
+	o := discovery.Observation{Index: c.index, HasLeader: true, Endpoints: append([]discovery.Endpoint(nil), c.engines...)}
 	switch bad {
 	case 1:
-		o.Leader = false
+		o.HasLeader = false
 	case 2:
-		o.Lag = time.Duration(c.rng.IntN(4000)) * time.Millisecond
+		o.LastContact = time.Duration(c.rng.IntN(4000)) * time.Millisecond
 	case 3:
 		o.Index -= min(o.Index, c.rng.Uint64N(30))
 	case 4:
-		o.Entries = nil
+		o.Endpoints = nil
 	case 5:
-		o.Entries = o.Entries[:c.rng.IntN(len(o.Entries)+1)]
+		o.Endpoints = o.Endpoints[:c.rng.IntN(len(o.Endpoints)+1)]
 	case 6:
 		o.Index = 0
 	}
@@ -129,7 +129,7 @@
 		}
 		now := time.Duration(1000+rng.IntN(1000)) * time.Second
 		if seed%3 == 0 {
-			list := append([]discovery.Entry(nil), c.engines...)
+			list := append([]discovery.Endpoint(nil), c.engines...)
 			for i := range list {
 				list[i].Drain, list[i].Passing = rng.IntN(5) == 0, rng.IntN(5) > 0
 			}
@@ -160,7 +160,7 @@
 			case 0:
 				set.Switch(now)
 			case 1:
-				bounds.MaxOut, bounds.MaxLoss = rng.Float64(), rng.Float64()
+				bounds.MaxEjected, bounds.MaxLoss = rng.Float64(), rng.Float64()
 				if err := set.Configure(bounds); err != nil {
 					t.Fatal(err)
 				}
@@ -170,7 +170,7 @@
 				traceAnswer(trace, set.Observe(now, c.answer(mood)))
 			}
 			at, due := set.Next()
-			trace.Bool(due, set.Doubted())
+			trace.Bool(due, set.Suspicious())
 			if due {
 				trace.Time(at)
 				if rng.IntN(4) == 0 && at < now+time.Minute {
@@ -179,15 +179,15 @@
 				}
 			}
 			trace.Uint(set.Index())
-			traceChanges(trace, "belief", set.Beliefs())
-			for _, e := range set.Entries() {
+			traceChanges(trace, "belief", set.Current())
+			for _, e := range set.Snapshot() {
 				traceEntry(trace, e)
 			}
 		}
 		trace.Mark()
 	}
 	for i := range 100 {
-		trace.Uint(uint64(discovery.Number(fmt.Sprint("node/", i))))
+		trace.Uint(uint64(discovery.EndpointID(fmt.Sprint("node/", i))))
 	}
 	trace.Compare(t, "run")
 }
--- a/decision/discovery/set.go
+++ b/decision/discovery/set.go
@@ -9,158 +9,158 @@
 	"time"
 )
 
-// member is what is believed of one engine.
-type member struct {
-	Entry
-	id      uint32
-	started time.Duration
-	told    Change // what was last answered; State is Gone before the first answer
-	listed  bool   // told has been set
+// endpoint is what is believed of one engine.
+type endpoint struct {
+	Endpoint
+	id          uint32
+	startedAt   time.Duration
+	announced   Change // what was last answered; State is Gone before the first answer
+	isAnnounced bool   // told has been set
 
-	restored bool // known from the last good list only
-	absent   bool // deregistered
-	leftAt   time.Duration
-	missing  bool // not in the latest trusted list, which is in doubt
+	cached         bool // known from the last good list only
+	deregistered   bool // deregistered
+	deregisteredAt time.Duration
+	missing        bool // not in the latest trusted list, which is in doubt
 
-	drain   bool
-	drainAt uint64 // the latest index that told the drain, in this epoch
+	drain      bool
+	drainIndex uint64 // the latest index that told the drain, in this epoch
 
-	failing bool
-	failed  time.Duration // since when
-	out     bool          // taken out by health
-	outAt   time.Duration
-	flaps   penalty
-	held    bool // suppressed
+	failing      bool
+	failingSince time.Duration // since when
+	ejected      bool          // taken out by health
+	ejectedAt    time.Duration
+	penalty      penalty
+	suppressed   bool // suppressed
 
-	shadow Reason // why an engine that could be ready is not, where that is another's doing
+	addressConflict Reason // why an engine that could be ready is not, where that is another's doing
 }
 
-// wantsOut tells whether evidence speaks against the engine.
-func (m *member) wantsOut() bool { return m.failing || m.held }
+// unhealthy tells whether evidence speaks against the engine.
+func (m *endpoint) unhealthy() bool { return m.failing || m.suppressed }
 
-// counts tells whether the engine is one of those that only evidence can hold back.
-func (m *member) counts() bool { return !m.absent && !m.drain && m.shadow == "" }
+// ejectable tells whether the engine is one of those that only evidence can hold back.
+func (m *endpoint) ejectable() bool { return !m.deregistered && !m.drain && m.addressConflict == "" }
 
-// doubt is a list that lost more than can be a command.
-type doubt struct {
-	on    bool
-	since time.Duration
-	reads int
-	empty bool
+// suspicion is a list that lost more than can be a command.
+type suspicion struct {
+	active bool
+	since  time.Duration
+	reads  int
+	empty  bool
 }
 
-// Set is the belief of one front end about all engines.
-type Set struct {
-	set     Settings
-	members map[string]*member
-	numbers map[uint32]string // whose each number is
+// EndpointSet is the belief of one front end about all engines.
+type EndpointSet struct {
+	settings  Settings
+	endpoints map[string]*endpoint
+	keys      map[uint32]string // whose each number is
 
-	known   bool // anything was told, by a catalogue or a last good list
-	fromCat bool // a trusted answer came in this epoch
-	index   uint64
-	now     time.Duration
+	initialized bool // anything was told, by a catalogue or a last good list
+	trusted     bool // a trusted answer came in this epoch
+	index       uint64
+	now         time.Duration
 
-	doubt  doubt
-	older  time.Duration // when older answers began to be all that comes
-	olders int
-	losses []time.Duration     // deregistrations obeyed within LossWindow
-	warned map[NoticeKind]bool // kinds of trouble that were told, and go on
+	suspicion    suspicion
+	staleSince   time.Duration // when older answers began to be all that comes
+	staleReads   int
+	recentLosses []time.Duration     // deregistrations obeyed within LossWindow
+	notified     map[NoticeKind]bool // kinds of trouble that were told, and go on
 }
 
 // New returns an empty Set, or an error that names the bound that can't be used.
-func New(s Settings) (*Set, error) {
+func New(s Settings) (*EndpointSet, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	return &Set{set: s, members: map[string]*member{}, numbers: map[uint32]string{}, warned: map[NoticeKind]bool{}}, nil
+	return &EndpointSet{settings: s, endpoints: map[string]*endpoint{}, keys: map[uint32]string{}, notified: map[NoticeKind]bool{}}, nil
 }
 
 // Configure replaces the bounds; what is believed stays.
-func (s *Set) Configure(bounds Settings) error {
+func (s *EndpointSet) Configure(bounds Settings) error {
 	if err := bounds.Check(); err != nil {
 		return fmt.Errorf("membership: %w", err)
 	}
-	s.set = bounds
+	s.settings = bounds
 	return nil
 }
 
 // Index is the latest index that was trusted in this epoch; 0: none.
-func (s *Set) Index() uint64 { return s.index }
+func (s *EndpointSet) Index() uint64 { return s.index }
 
 // Restore takes a last good list, as the first thing that a Set is told. Its drains hold until a catalogue's
 // word lifts them; its engines count as running for long.
-func (s *Set) Restore(now time.Duration, list []Entry) Answer {
+func (s *EndpointSet) Restore(now time.Duration, list []Endpoint) Update {
 	s.now = now
-	var a Answer
-	list, bad := clean(list)
-	s.passedOver(&a, bad)
+	var a Update
+	list, bad := normalize(list)
+	s.noteMalformed(&a, bad)
 	for _, e := range list {
-		m := s.enter(e)
+		m := s.add(e)
 		if m == nil {
 			continue
 		}
-		m.restored, m.drain, m.started = true, e.Drain, e.Started
+		m.cached, m.drain, m.startedAt = true, e.Drain, e.StartedAt
 		if !e.Passing {
-			m.failing, m.failed = true, now
+			m.failing, m.failingSince = true, now
 		}
 	}
-	s.known = s.known || len(list) > 0
-	return s.answer(a)
+	s.initialized = s.initialized || len(list) > 0
+	return s.finish(a)
 }
 
 // Switch tells that the observations to come are another catalogue's: its indexes can't be compared with what was.
-func (s *Set) Switch(now time.Duration) {
+func (s *EndpointSet) Switch(now time.Duration) {
 	s.now = now
-	s.epoch()
-	s.index, s.fromCat = 0, false
+	s.beginEpoch()
+	s.index, s.trusted = 0, false
 }
 
-// epoch forgets all indexes. Drains stay until a trusted observation lifts them.
-func (s *Set) epoch() {
-	for _, m := range s.members {
-		m.drainAt, m.Created, m.Changed = 0, 0, 0
+// beginEpoch forgets all indexes. Drains stay until a trusted observation lifts them.
+func (s *EndpointSet) beginEpoch() {
+	for _, m := range s.endpoints {
+		m.drainIndex, m.CreateIndex, m.ModifyIndex = 0, 0, 0
 	}
-	s.olders = 0
+	s.staleReads = 0
 }
 
 // Observe takes an answer of the catalogue.
-func (s *Set) Observe(now time.Duration, o Observation) Answer {
+func (s *EndpointSet) Observe(now time.Duration, o Observation) Update {
 	s.now = now
-	var a Answer
-	list, bad := clean(o.Entries)
-	s.obeyDrains(list, o.Index)
-	if !s.trust(&a, o, list) {
-		s.passedOver(&a, bad)
-		return s.answer(a)
-	}
-	newer := !s.fromCat || o.Index > s.index
-	s.lift(list, o.Index)
-	s.index, s.known, s.fromCat = o.Index, true, true
-	in, first := make(map[string]bool, len(list)), !s.anyListed()
+	var a Update
+	list, bad := normalize(o.Endpoints)
+	s.applyDrains(list, o.Index)
+	if !s.trusts(&a, o, list) {
+		s.noteMalformed(&a, bad)
+		return s.finish(a)
+	}
+	newer := !s.trusted || o.Index > s.index
+	s.liftDrains(list, o.Index)
+	s.index, s.initialized, s.trusted = o.Index, true, true
+	in, first := make(map[string]bool, len(list)), !s.anyAnnounced()
 	for _, e := range list {
 		in[e.Key] = true
-		if !s.learn(e, first) {
+		if !s.merge(e, first) {
 			bad++
 		}
 	}
-	s.passedOver(&a, bad)
-	s.lose(&a, in, newer)
-	return s.answer(a)
+	s.noteMalformed(&a, bad)
+	s.handleMissing(&a, in, newer)
+	return s.finish(a)
 }
 
-// Doubted tells whether a list waits for confirmation: the catalogue should be read again soon.
-func (s *Set) Doubted() bool { return s.doubt.on }
+// Suspicious tells whether a list waits for confirmation: the catalogue should be read again soon.
+func (s *EndpointSet) Suspicious() bool { return s.suspicion.active }
 
 // Advance lets time pass: it answers what that alone changes. Next tells when it is due.
-func (s *Set) Advance(now time.Duration) Answer {
+func (s *EndpointSet) Advance(now time.Duration) Update {
 	s.now = now
-	return s.answer(Answer{})
+	return s.finish(Update{})
 }
 
-// clean sorts a list by key and passes over what can't be used. Of two entries with one key the later registration
+// normalize sorts a list by key and passes over what can't be used. Of two entries with one key the later registration
 // counts, and a drain of either holds: guards against a catalogue that tells an engine twice.
-func clean(list []Entry) (out []Entry, bad int) {
-	out = make([]Entry, 0, len(list))
+func normalize(list []Endpoint) (out []Endpoint, bad int) {
+	out = make([]Endpoint, 0, len(list))
 	for _, e := range list {
 		if a, err := netip.ParseAddrPort(e.Addr); e.Key == "" || err != nil || a.Port() == 0 {
 			bad++
@@ -171,8 +171,8 @@
 		}
 		out = append(out, e)
 	}
-	slices.SortStableFunc(out, func(x, y Entry) int {
-		return cmp.Or(cmp.Compare(x.Key, y.Key), cmp.Compare(y.Created, x.Created), cmp.Compare(y.Changed, x.Changed))
+	slices.SortStableFunc(out, func(x, y Endpoint) int {
+		return cmp.Or(cmp.Compare(x.Key, y.Key), cmp.Compare(y.CreateIndex, x.CreateIndex), cmp.Compare(y.ModifyIndex, x.ModifyIndex))
 	})
 	keep := out[:0]
 	for _, e := range out {
@@ -186,155 +186,155 @@
 	return keep, bad
 }
 
-func (s *Set) passedOver(a *Answer, bad int) {
+func (s *EndpointSet) noteMalformed(a *Update, bad int) {
 	if bad > 0 {
-		s.warn(a, Malformed, bad, "")
+		s.noteOnce(a, NoticeMalformed, bad, "")
 	} else {
-		delete(s.warned, Malformed)
+		delete(s.notified, NoticeMalformed)
 	}
 }
 
-// warn tells of a kind of trouble once for each run of it.
-func (s *Set) warn(a *Answer, kind NoticeKind, count int, detail string) {
-	if !s.warned[kind] {
-		s.warned[kind] = true
+// noteOnce tells of a kind of trouble once for each run of it.
+func (s *EndpointSet) noteOnce(a *Update, kind NoticeKind, count int, detail string) {
+	if !s.notified[kind] {
+		s.notified[kind] = true
 		a.Notices = append(a.Notices, Notice{kind, count, detail})
 	}
 }
 
-// obeyDrains takes the commands of an observation, trusted or not (invariant 1).
-func (s *Set) obeyDrains(list []Entry, index uint64) {
+// applyDrains takes the commands of an observation, trusted or not (invariant 1).
+func (s *EndpointSet) applyDrains(list []Endpoint, index uint64) {
 	for _, e := range list {
-		if m := s.members[e.Key]; m != nil && e.Drain {
+		if m := s.endpoints[e.Key]; m != nil && e.Drain {
 			m.drain = true
-			m.drainAt = max(m.drainAt, index)
+			m.drainIndex = max(m.drainIndex, index)
 		}
 	}
 }
 
-// trust decides whether an observation may do more than drain, and finds index resets (invariant 6).
-func (s *Set) trust(a *Answer, o Observation, list []Entry) bool {
+// trusts decides whether an observation may do more than drain, and finds index resets (invariant 6).
+func (s *EndpointSet) trusts(a *Update, o Observation, list []Endpoint) bool {
 	entries := len(list)
-	sound := o.Index > 0 && o.Leader && o.Lag <= s.set.MaxLag
-	if !s.known {
+	sound := o.Index > 0 && o.HasLeader && o.LastContact <= s.settings.MaxStaleness
+	if !s.initialized {
 		// Nothing is known yet: any engine is better than none.
 		return sound || entries > 0
 	}
-	if sound && (!s.fromCat || o.Index >= s.index) {
-		s.olders = 0
-		delete(s.warned, OldWord)
+	if sound && (!s.trusted || o.Index >= s.index) {
+		s.staleReads = 0
+		delete(s.notified, NoticeUntrusted)
 		return true
 	}
-	s.warn(a, OldWord, entries, fmt.Sprintf("index %d after %d, leader %v, lag %v", o.Index, s.index, o.Leader, o.Lag))
+	s.noteOnce(a, NoticeUntrusted, entries, fmt.Sprintf("index %d after %d, leader %v, lag %v", o.Index, s.index, o.HasLeader, o.LastContact))
 	if !sound {
 		return false
 	}
-	if s.olders++; s.olders == 1 {
-		s.older = s.now
+	if s.staleReads++; s.staleReads == 1 {
+		s.staleSince = s.now
 	}
-	if s.olders < s.set.ConfirmReads || s.now-s.older < s.set.ResetAfter {
+	if s.staleReads < s.settings.ConfirmReads || s.now-s.staleSince < s.settings.ResetAfter {
 		return false
 	}
-	a.Notices = append(a.Notices, Notice{EpochBegun, entries, fmt.Sprintf("from %d to %d", s.index, o.Index)})
-	s.epoch()
+	a.Notices = append(a.Notices, Notice{NoticeIndexReset, entries, fmt.Sprintf("from %d to %d", s.index, o.Index)})
+	s.beginEpoch()
 	// Guards against a drain that this very observation tells: it belongs to the new epoch.
-	s.obeyDrains(list, o.Index)
+	s.applyDrains(list, o.Index)
 	s.index = 0
-	delete(s.warned, OldWord)
+	delete(s.notified, NoticeUntrusted)
 	return true
 }
 
-// lift ends the drains that later word no longer tells (invariant 2).
-func (s *Set) lift(list []Entry, index uint64) {
+// liftDrains ends the drains that later word no longer tells (invariant 2).
+func (s *EndpointSet) liftDrains(list []Endpoint, index uint64) {
 	for _, e := range list {
-		if m := s.members[e.Key]; m != nil && !e.Drain && index > m.drainAt {
+		if m := s.endpoints[e.Key]; m != nil && !e.Drain && index > m.drainIndex {
 			m.drain = false
 		}
 	}
 }
 
-// enter adds an engine; nil where its number is another's (invariant 10).
-func (s *Set) enter(e Entry) *member {
-	id := Number(e.Key)
-	if _, taken := s.numbers[id]; taken {
+// add adds an engine; nil where its number is another's (invariant 10).
+func (s *EndpointSet) add(e Endpoint) *endpoint {
+	id := EndpointID(e.Key)
+	if _, taken := s.keys[id]; taken {
 		return nil
 	}
-	m := &member{Entry: e, id: id, drain: e.Drain}
-	s.members[e.Key], s.numbers[id] = m, e.Key
+	m := &endpoint{Endpoint: e, id: id, drain: e.Drain}
+	s.endpoints[e.Key], s.keys[id] = m, e.Key
 	return m
 }
 
-// learn takes one entry of a trusted list; false where it has to be left out.
-func (s *Set) learn(e Entry, first bool) bool {
-	m := s.members[e.Key]
+// merge takes one entry of a trusted list; false where it has to be left out.
+func (s *EndpointSet) merge(e Endpoint, first bool) bool {
+	m := s.endpoints[e.Key]
 	if m == nil {
-		if m = s.enter(e); m == nil {
+		if m = s.add(e); m == nil {
 			return false
 		}
-		m.drainAt = s.index
-		m.started = s.startOf(e, first)
-	} else if s.another(m, e) {
-		m.started = s.startOf(e, false)
-		m.flaps, m.held, m.out, m.failing = penalty{}, false, false, false
-	} else if m.Started != e.Started && e.Started > 0 && m.restored {
-		m.started = e.Started
-	}
-	m.Entry, m.restored, m.absent, m.missing = e, false, false, false
-	s.judge(m, e.Passing)
+		m.drainIndex = s.index
+		m.startedAt = s.startTime(e, first)
+	} else if s.replaced(m, e) {
+		m.startedAt = s.startTime(e, false)
+		m.penalty, m.suppressed, m.ejected, m.failing = penalty{}, false, false, false
+	} else if m.StartedAt != e.StartedAt && e.StartedAt > 0 && m.cached {
+		m.startedAt = e.StartedAt
+	}
+	m.Endpoint, m.cached, m.deregistered, m.missing = e, false, false, false
+	s.applyHealth(m, e.Passing)
 	return true
 }
 
-// startOf is when a process that is seen for the first time has started. One that is on the very first list may
+// startTime is when a process that is seen for the first time has started. One that is on the very first list may
 // have run for long; any other has just come.
-func (s *Set) startOf(e Entry, first bool) time.Duration {
+func (s *EndpointSet) startTime(e Endpoint, first bool) time.Duration {
 	switch {
-	case e.Started > 0:
-		return e.Started
+	case e.StartedAt > 0:
+		return e.StartedAt
 	case first:
 		return 0
 	}
 	return s.now
 }
 
-// another tells whether an entry is another process than the one that is known under its key.
-func (s *Set) another(m *member, e Entry) bool {
+// replaced tells whether an entry is another process than the one that is known under its key.
+func (s *EndpointSet) replaced(m *endpoint, e Endpoint) bool {
 	switch {
 	case m.Addr != e.Addr:
 		return true
-	case m.Mark != "" || e.Mark != "":
-		return m.Mark != e.Mark
-	case m.Started > 0 && e.Started > 0:
-		return m.Started != e.Started
+	case m.Incarnation != "" || e.Incarnation != "":
+		return m.Incarnation != e.Incarnation
+	case m.StartedAt > 0 && e.StartedAt > 0:
+		return m.StartedAt != e.StartedAt
 	}
-	return m.Created != e.Created && m.Created > 0 && e.Created > 0
+	return m.CreateIndex != e.CreateIndex && m.CreateIndex > 0 && e.CreateIndex > 0
 }
 
-func (s *Set) anyListed() bool {
-	for _, m := range s.members {
-		if m.listed {
+func (s *EndpointSet) anyAnnounced() bool {
+	for _, m := range s.endpoints {
+		if m.isAnnounced {
 			return true
 		}
 	}
 	return false
 }
 
-// judge takes the evidence of an engine's checks.
-func (s *Set) judge(m *member, passing bool) {
+// applyHealth takes the evidence of an engine's checks.
+func (s *EndpointSet) applyHealth(m *endpoint, passing bool) {
 	if !passing && !m.failing {
-		m.failed = s.now
-		m.flaps.fail(s.now, &s.set)
-		m.held = m.held || m.flaps.now(s.now, &s.set) >= s.set.Suppress
+		m.failingSince = s.now
+		m.penalty.addFailure(s.now, &s.settings)
+		m.suppressed = m.suppressed || m.penalty.decayed(s.now, &s.settings) >= s.settings.Suppress
 	}
 	m.failing = !passing
 }
 
-// lose deals with the engines that a trusted list no longer names (invariants 4, 5 and 8).
-func (s *Set) lose(a *Answer, in map[string]bool, newer bool) {
-	var lost []*member
+// handleMissing deals with the engines that a trusted list no longer names (invariants 4, 5 and 8).
+func (s *EndpointSet) handleMissing(a *Update, in map[string]bool, newer bool) {
+	var lost []*endpoint
 	total, left := 0, 0 // engines listed, and those that left within the window and are not back
-	for _, m := range s.members {
-		if m.absent {
-			if s.now-m.leftAt <= s.set.LossWindow {
+	for _, m := range s.endpoints {
+		if m.deregistered {
+			if s.now-m.deregisteredAt <= s.settings.LossWindow {
 				left++
 			}
 			continue
@@ -344,86 +344,86 @@
 			lost = append(lost, m)
 		}
 	}
-	s.losses = slices.DeleteFunc(s.losses, func(at time.Duration) bool { return s.now-at > s.set.LossWindow })
+	s.recentLosses = slices.DeleteFunc(s.recentLosses, func(at time.Duration) bool { return s.now-at > s.settings.LossWindow })
 	if len(lost) == 0 {
-		if s.doubt.on {
-			a.Notices = append(a.Notices, Notice{DoubtCleared, total, ""})
-			s.doubt = doubt{}
+		if s.suspicion.active {
+			a.Notices = append(a.Notices, Notice{NoticeSuspicionCleared, total, ""})
+			s.suspicion = suspicion{}
 		}
 		return
 	}
-	most := max(1, int(s.set.MaxLoss*float64(total+left)))
+	most := max(1, int(s.settings.MaxLoss*float64(total+left)))
 	empty := len(in) == 0
-	if newer && !empty && len(lost)+len(s.losses) <= most {
-		s.remove(lost)
-		if s.doubt.on {
-			a.Notices = append(a.Notices, Notice{DoubtCleared, total - len(lost), ""})
-			s.doubt = doubt{}
+	if newer && !empty && len(lost)+len(s.recentLosses) <= most {
+		s.deregister(lost)
+		if s.suspicion.active {
+			a.Notices = append(a.Notices, Notice{NoticeSuspicionCleared, total - len(lost), ""})
+			s.suspicion = suspicion{}
 		}
 		return
 	}
-	if !s.doubt.on {
-		s.doubt = doubt{on: true, since: s.now}
-		a.Notices = append(a.Notices, Notice{DoubtBegun, len(lost), fmt.Sprintf("of %d", total)})
+	if !s.suspicion.active {
+		s.suspicion = suspicion{active: true, since: s.now}
+		a.Notices = append(a.Notices, Notice{NoticeListSuspect, len(lost), fmt.Sprintf("of %d", total)})
 	}
-	s.doubt.reads++
-	if empty && !s.doubt.empty {
-		a.Notices = append(a.Notices, Notice{EmptyKept, len(lost), ""})
+	s.suspicion.reads++
+	if empty && !s.suspicion.empty {
+		a.Notices = append(a.Notices, Notice{NoticeEmptyList, len(lost), ""})
 	}
-	if s.doubt.empty && !empty {
-		s.doubt.reads, s.doubt.since = 1, s.now // what an empty list told confirms nothing
+	if s.suspicion.empty && !empty {
+		s.suspicion.reads, s.suspicion.since = 1, s.now // what an empty list told confirms nothing
 	}
-	s.doubt.empty = empty
+	s.suspicion.empty = empty
 	for _, m := range lost {
 		m.missing = true
 	}
-	if !empty && s.doubt.reads >= s.set.ConfirmReads && s.now-s.doubt.since >= s.set.ConfirmAfter {
-		s.settle(a, DoubtSettled)
+	if !empty && s.suspicion.reads >= s.settings.ConfirmReads && s.now-s.suspicion.since >= s.settings.ConfirmAfter {
+		s.acceptShortList(a, NoticeListConfirmed)
 	}
 }
 
-// settle obeys the list in doubt.
-func (s *Set) settle(a *Answer, kind NoticeKind) {
-	var lost []*member
-	for _, m := range s.members {
-		if m.missing && !m.absent {
+// acceptShortList obeys the list in doubt.
+func (s *EndpointSet) acceptShortList(a *Update, kind NoticeKind) {
+	var lost []*endpoint
+	for _, m := range s.endpoints {
+		if m.missing && !m.deregistered {
 			lost = append(lost, m)
 		}
 	}
 	a.Notices = append(a.Notices, Notice{kind, len(lost), ""})
-	s.doubt = doubt{}
-	s.remove(lost)
+	s.suspicion = suspicion{}
+	s.deregister(lost)
 }
 
-func (s *Set) remove(lost []*member) {
+func (s *EndpointSet) deregister(lost []*endpoint) {
 	for _, m := range lost {
-		m.absent, m.missing, m.leftAt = true, false, s.now
-		m.out, m.held, m.failing = false, false, false
-		s.losses = append(s.losses, s.now)
+		m.deregistered, m.missing, m.deregisteredAt = true, false, s.now
+		m.ejected, m.suppressed, m.failing = false, false, false
+		s.recentLosses = append(s.recentLosses, s.now)
 	}
 }
 
-// answer lets time pass, and tells what differs from what was told before.
-func (s *Set) answer(a Answer) Answer {
-	if s.doubt.on && !s.doubt.empty && s.now-s.doubt.since >= s.set.DoubtFor {
-		s.settle(&a, DoubtExpired)
+// finish lets time pass, and tells what differs from what was told before.
+func (s *EndpointSet) finish(a Update) Update {
+	if s.suspicion.active && !s.suspicion.empty && s.now-s.suspicion.since >= s.settings.MaxSuspicion {
+		s.acceptShortList(&a, NoticeSuspicionExpired)
 	}
 	all := s.sorted()
-	s.share(all)
-	s.byHealth(all)
+	s.resolveAddressConflicts(all)
+	s.ejectUnhealthy(all)
 	for _, m := range all {
-		c := s.belief(m)
-		if m.listed && c == m.told {
+		c := s.currentState(m)
+		if m.isAnnounced && c == m.announced {
 			continue
 		}
-		fresh, plain := !m.listed, m.listed && c.plain() == m.told.plain()
-		m.told, m.listed = c, true
+		fresh, plain := !m.isAnnounced, m.isAnnounced && c.sentPart() == m.announced.sentPart()
+		m.announced, m.isAnnounced = c, true
 		if plain {
 			continue // another reason for the same state is nobody's news but Beliefs'
 		}
-		if c.State == Gone {
-			delete(s.members, m.Key)
-			delete(s.numbers, m.id)
+		if c.State == Removed {
+			delete(s.endpoints, m.Key)
+			delete(s.keys, m.id)
 			if fresh {
 				continue
 			}
@@ -434,135 +434,135 @@
 }
 
 // sorted lists the members by key, so that equal histories give equal answers.
-func (s *Set) sorted() []*member {
-	all := make([]*member, 0, len(s.members))
-	for _, m := range s.members {
+func (s *EndpointSet) sorted() []*endpoint {
+	all := make([]*endpoint, 0, len(s.endpoints))
+	for _, m := range s.endpoints {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(x, y *member) int { return cmp.Compare(x.Key, y.Key) })
+	slices.SortFunc(all, func(x, y *endpoint) int { return cmp.Compare(x.Key, y.Key) })
 	return all
 }
 
-// share settles who may be ready where engines share an address (invariant 9).
-func (s *Set) share(all []*member) {
-	holder := make(map[string]*member, len(all))
+// resolveAddressConflicts settles who may be ready where engines share an address (invariant 9).
+func (s *EndpointSet) resolveAddressConflicts(all []*endpoint) {
+	holder := make(map[string]*endpoint, len(all))
 	drained := map[string]bool{}
 	for _, m := range all {
-		m.shadow = ""
-		if m.absent {
+		m.addressConflict = ""
+		if m.deregistered {
 			continue
 		}
 		if m.drain {
 			drained[m.Addr] = true
 		}
-		if h := holder[m.Addr]; h == nil || cmp.Or(cmp.Compare(m.Created, h.Created), cmp.Compare(m.Changed, h.Changed)) > 0 {
+		if h := holder[m.Addr]; h == nil || cmp.Or(cmp.Compare(m.CreateIndex, h.CreateIndex), cmp.Compare(m.ModifyIndex, h.ModifyIndex)) > 0 {
 			holder[m.Addr] = m
 		}
 	}
 	for _, m := range all {
 		switch {
-		case m.absent || m.drain:
+		case m.deregistered || m.drain:
 		case holder[m.Addr] != m:
-			m.shadow = AddrTaken
+			m.addressConflict = ReasonAddressReused
 		case drained[m.Addr]:
-			m.shadow = AddrDrains
+			m.addressConflict = ReasonAddressDraining
 		}
 	}
 }
 
-// byHealth decides whom evidence takes out: those that are out already first, then those that fail for longest,
+// ejectUnhealthy decides whom evidence takes out: those that are out already first, then those that fail for longest,
 // as far as the bound allows (invariant 3).
-func (s *Set) byHealth(all []*member) {
+func (s *EndpointSet) ejectUnhealthy(all []*endpoint) {
 	counting := 0
-	var want []*member
+	var want []*endpoint
 	for _, m := range all {
-		if m.held && !m.failing && m.flaps.now(s.now, &s.set) <= s.set.Reuse {
-			m.held = false
+		if m.suppressed && !m.failing && m.penalty.decayed(s.now, &s.settings) <= s.settings.Reuse {
+			m.suppressed = false
 		}
-		if !m.counts() {
-			m.out = false
+		if !m.ejectable() {
+			m.ejected = false
 			continue
 		}
 		counting++
-		if m.wantsOut() {
+		if m.unhealthy() {
 			want = append(want, m)
 		} else {
-			m.out = false
+			m.ejected = false
 		}
 	}
-	room := min(int(s.set.MaxOut*float64(counting)), counting-1)
-	slices.SortStableFunc(want, func(x, y *member) int {
-		if x.out != y.out {
-			if x.out {
+	room := min(int(s.settings.MaxEjected*float64(counting)), counting-1)
+	slices.SortStableFunc(want, func(x, y *endpoint) int {
+		if x.ejected != y.ejected {
+			if x.ejected {
 				return -1
 			}
 			return 1
 		}
-		if x.out {
-			return cmp.Compare(x.outAt, y.outAt)
+		if x.ejected {
+			return cmp.Compare(x.ejectedAt, y.ejectedAt)
 		}
-		return cmp.Compare(x.failed, y.failed)
+		return cmp.Compare(x.failingSince, y.failingSince)
 	})
 	for i, m := range want {
 		if i >= room {
-			m.out = false
-		} else if !m.out {
-			m.out, m.outAt = true, s.now
+			m.ejected = false
+		} else if !m.ejected {
+			m.ejected, m.ejectedAt = true, s.now
 		}
 	}
 }
 
-// belief is what is to be told of a member.
-func (s *Set) belief(m *member) Change {
-	c := Change{ID: m.id, Entry: m.Entry, Started: m.started}
+// currentState is what is to be told of a member.
+func (s *EndpointSet) currentState(m *endpoint) Change {
+	c := Change{ID: m.id, Endpoint: m.Endpoint, StartedAt: m.startedAt}
 	// What a catalogue counts up without another meaning is no change of the engine.
-	c.Entry.Changed, c.Entry.Passing, c.Entry.Drain = 0, !m.failing, m.drain
+	c.Endpoint.ModifyIndex, c.Endpoint.Passing, c.Endpoint.Drain = 0, !m.failing, m.drain
 	switch {
-	case m.absent && s.now-m.leftAt >= s.set.Linger:
-		c.State, c.Reason = Gone, Deregistered
-	case m.absent:
-		c.State, c.Reason = Draining, Deregistered
+	case m.deregistered && s.now-m.deregisteredAt >= s.settings.Linger:
+		c.State, c.Reason = Removed, ReasonDeregistered
+	case m.deregistered:
+		c.State, c.Reason = Draining, ReasonDeregistered
 	case m.drain:
-		c.State, c.Reason = Draining, Commanded
-	case m.shadow != "":
-		c.State, c.Reason = Draining, m.shadow
-	case m.out && m.failing:
-		c.State, c.Reason = Draining, Failing
-	case m.out:
-		c.State, c.Reason = Draining, Flapping
-	case m.missing && s.doubt.empty:
-		c.Reason = KeptEmpty
+		c.State, c.Reason = Draining, ReasonDrainRequested
+	case m.addressConflict != "":
+		c.State, c.Reason = Draining, m.addressConflict
+	case m.ejected && m.failing:
+		c.State, c.Reason = Draining, ReasonCheckFailing
+	case m.ejected:
+		c.State, c.Reason = Draining, ReasonFlapping
+	case m.missing && s.suspicion.empty:
+		c.Reason = ReasonMissingEmptyList
 	case m.missing:
-		c.Reason = Doubted
+		c.Reason = ReasonMissingSuspect
 	case m.failing:
-		c.Reason = Kept
-	case m.held:
-		c.Reason = KeptFlapping
-	case m.restored:
-		c.Reason = Restored
+		c.Reason = ReasonFailingKept
+	case m.suppressed:
+		c.Reason = ReasonFlappingKept
+	case m.cached:
+		c.Reason = ReasonCached
 	default:
-		c.Reason = Passing
+		c.Reason = ReasonPassing
 	}
 	return c
 }
 
 // Next is the earliest time at which Advance may have something to answer; false when nothing is due.
-func (s *Set) Next() (time.Duration, bool) {
+func (s *EndpointSet) Next() (time.Duration, bool) {
 	at, any := time.Duration(math.MaxInt64), false
 	due := func(t time.Duration) {
 		if any = true; t < at {
 			at = t
 		}
 	}
-	if s.doubt.on && !s.doubt.empty {
-		due(s.doubt.since + s.set.DoubtFor)
+	if s.suspicion.active && !s.suspicion.empty {
+		due(s.suspicion.since + s.settings.MaxSuspicion)
 	}
-	for _, m := range s.members {
+	for _, m := range s.endpoints {
 		switch {
-		case m.absent:
-			due(m.leftAt + s.set.Linger)
-		case m.held && !m.failing:
-			due(m.flaps.calm(&s.set))
+		case m.deregistered:
+			due(m.deregisteredAt + s.settings.Linger)
+		case m.suppressed && !m.failing:
+			due(m.penalty.reuseAt(&s.settings))
 		}
 	}
 	if any && at <= s.now {
@@ -571,22 +571,22 @@
 	return at, any
 }
 
-// Beliefs lists what is believed of every engine, by key. The slice is the caller's.
-func (s *Set) Beliefs() []Change {
+// Current lists what is believed of every engine, by key. The slice is the caller's.
+func (s *EndpointSet) Current() []Change {
 	all := s.sorted()
 	out := make([]Change, 0, len(all))
 	for _, m := range all {
-		out = append(out, m.told)
+		out = append(out, m.announced)
 	}
 	return out
 }
 
-// Entries lists the engines that are not gone, as Restore takes them.
-func (s *Set) Entries() []Entry {
-	var out []Entry
+// Snapshot lists the engines that are not gone, as Restore takes them.
+func (s *EndpointSet) Snapshot() []Endpoint {
+	var out []Endpoint
 	for _, m := range s.sorted() {
-		if !m.absent {
-			e := m.Entry
+		if !m.deregistered {
+			e := m.Endpoint
 			e.Drain, e.Passing = m.drain, !m.failing
 			out = append(out, e)
 		}
--- a/decision/discovery/settings.go
+++ b/decision/discovery/settings.go
@@ -8,13 +8,13 @@
 
 // Settings are the bounds of the decisions. [Defaults] gives each with its reason.
 type Settings struct {
-	MaxLag       time.Duration // a follower that last heard of its leader longer ago is not trusted
-	MaxOut       float64       // share of the engines that health alone may take out, 0 to 1
+	MaxStaleness time.Duration // a follower that last heard of its leader longer ago is not trusted
+	MaxEjected   float64       // share of the engines that health alone may take out, 0 to 1
 	MaxLoss      float64       // share of the engines whose deregistration is a command, 0 to 1
 	LossWindow   time.Duration // losses within this time count together
 	ConfirmReads int           // trusted reads that confirm a doubted list, the first included
 	ConfirmAfter time.Duration // ... over at least this time
-	DoubtFor     time.Duration // a doubted list is obeyed after this time without confirmation
+	MaxSuspicion time.Duration // a doubted list is obeyed after this time without confirmation
 	ResetAfter   time.Duration // an older index told for so long, and nothing newer, is a new epoch
 	Penalty      float64       // for each turn from passing to failing
 	HalfLife     time.Duration // of the penalty
@@ -28,15 +28,15 @@
 func Defaults() Settings {
 	return Settings{
 		// Followers hear of their leader every 50 to 200 ms; one that has not for 2 s is cut off.
-		MaxLag: 2 * time.Second,
+		MaxStaleness: 2 * time.Second,
 		// A quarter: with eight engines two may fail by health alone, and the rest can carry an ordinary day.
-		MaxOut: 0.25,
+		MaxEjected: 0.25,
 		// A quarter within 10 s: a rolling restart touches one or two of eight at a time.
 		MaxLoss: 0.25, LossWindow: 10 * time.Second,
 		// Three reads over 10 s: a leader election or a restart of the catalogue is over by then.
 		ConfirmReads: 3, ConfirmAfter: 10 * time.Second,
 		// Where nobody confirms, waiting on costs little: sends to engines that are gone are refused at once.
-		DoubtFor: 60 * time.Second,
+		MaxSuspicion: 60 * time.Second,
 		// Longer than a lagging follower is served by, shorter than an operator's patience after a restore.
 		ResetAfter: 10 * time.Second,
 		// Two failures within a half-life are forgiven, a third is flapping; it is over after some 30 s of calm.
@@ -61,9 +61,9 @@
 		return nil
 	}
 	for _, err := range []error{
-		share("max_out", s.MaxOut), share("max_loss", s.MaxLoss), positive("max_lag", s.MaxLag),
+		share("max_out", s.MaxEjected), share("max_loss", s.MaxLoss), positive("max_lag", s.MaxStaleness),
 		positive("loss_window", s.LossWindow), positive("confirm_after", s.ConfirmAfter),
-		positive("doubt_for", s.DoubtFor), positive("reset_after", s.ResetAfter),
+		positive("doubt_for", s.MaxSuspicion), positive("reset_after", s.ResetAfter),
 		positive("half_life", s.HalfLife), positive("max_suppress", s.MaxSuppress), positive("linger", s.Linger),
 	} {
 		if err != nil {
@@ -73,8 +73,8 @@
 	switch {
 	case s.ConfirmReads < 1:
 		return fmt.Errorf("confirm_reads: %d is not at least 1", s.ConfirmReads)
-	case s.DoubtFor < s.ConfirmAfter:
-		return fmt.Errorf("doubt_for: %v is less than confirm_after (%v)", s.DoubtFor, s.ConfirmAfter)
+	case s.MaxSuspicion < s.ConfirmAfter:
+		return fmt.Errorf("doubt_for: %v is less than confirm_after (%v)", s.MaxSuspicion, s.ConfirmAfter)
 	case !(s.Penalty > 0):
 		return fmt.Errorf("penalty: %v is not more than 0", s.Penalty)
 	case !(s.Reuse > 0):
--- a/internal/operatorconfig/operators.go
+++ b/internal/operatorconfig/operators.go
@@ -170,9 +170,9 @@
 			}.read,
 		}.read,
 		"membership": object{
-			"max_lag_ms": millis(&m.MaxLag), "max_out": share(&m.MaxOut), "max_loss": share(&m.MaxLoss),
+			"max_lag_ms": millis(&m.MaxStaleness), "max_out": share(&m.MaxEjected), "max_loss": share(&m.MaxLoss),
 			"loss_window_ms": millis(&m.LossWindow), "confirm_reads": integer(&m.ConfirmReads, 1, 1000),
-			"confirm_after_ms": millis(&m.ConfirmAfter), "doubt_for_ms": millis(&m.DoubtFor), "reset_after_ms": millis(&m.ResetAfter),
+			"confirm_after_ms": millis(&m.ConfirmAfter), "doubt_for_ms": millis(&m.MaxSuspicion), "reset_after_ms": millis(&m.ResetAfter),
 			"penalty": number(&m.Penalty), "half_life_ms": millis(&m.HalfLife), "suppress": number(&m.Suppress),
 			"reuse": number(&m.Reuse), "max_suppress_ms": millis(&m.MaxSuppress), "linger_ms": millis(&m.Linger),
 		}.read,
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -156,7 +156,7 @@
 		fields = append(fields, [2]string{"X-Consul-Token", token})
 	}
 	lim := http1.Limits{Head: 16 << 10, Body: c.opt.MaxBody}
-	r.Leader = true // servers that don't tell have one, or they would not answer
+	r.HasLeader = true // servers that don't tell have one, or they would not answer
 	head, err := c.conn.Begin(http1.Call{Method: "GET", Path: c.opt.path(call), Fields: fields}, deadline, lim, r.field)
 	if err != nil {
 		return r, err
@@ -169,7 +169,7 @@
 	if err := c.conn.Body(head, lim, r.began.Add(bodyWait), call.Slack, d); err != nil {
 		return r, err
 	}
-	r.Entries, err = d.finish()
+	r.Endpoints, err = d.finish()
 	return r, err
 }
 
@@ -183,13 +183,13 @@
 		}
 		r.Index = n
 	case http1.Is(name, "X-Consul-KnownLeader"):
-		r.Leader = http1.Is(value, "true")
+		r.HasLeader = http1.Is(value, "true")
 	case http1.Is(name, "X-Consul-LastContact"):
 		n, err := http1.Whole(value)
 		if err != nil {
 			return err
 		}
-		r.Lag = time.Duration(n) * time.Millisecond
+		r.LastContact = time.Duration(n) * time.Millisecond
 	}
 	return nil
 }
--- a/internal/source/consul/decode.go
+++ b/internal/source/consul/decode.go
@@ -62,7 +62,7 @@
 	depth   int
 	quoted  bool
 	escaped bool
-	list    []discovery.Entry
+	list    []discovery.Endpoint
 }
 
 func newDecoder(m Mapping) *decoder { return &decoder{mapping: m} }
@@ -147,7 +147,7 @@
 }
 
 // finish returns the list once the whole answer has been written.
-func (d *decoder) finish() ([]discovery.Entry, error) {
+func (d *decoder) finish() ([]discovery.Endpoint, error) {
 	if d.state != 4 {
 		return nil, errShape
 	}
@@ -155,26 +155,26 @@
 }
 
 // entry reads one instance. Its strings are copies: they outlive the buffer.
-func (m *Mapping) entry(v *fastjson.Value) (discovery.Entry, error) {
+func (m *Mapping) entry(v *fastjson.Value) (discovery.Endpoint, error) {
 	node, service := v.Get("Node"), v.Get("Service")
 	if node.GetStringBytes("Node") == nil || service.GetStringBytes("ID") == nil {
-		return discovery.Entry{}, errShape
+		return discovery.Endpoint{}, errShape
 	}
 	id := string(service.GetStringBytes("ID"))
 	host := string(service.GetStringBytes("Address"))
 	if host == "" {
 		host = string(node.GetStringBytes("Address"))
 	}
-	e := discovery.Entry{
+	e := discovery.Endpoint{
 		Key:  string(node.GetStringBytes("Node")) + "/" + id,
 		Addr: net.JoinHostPort(host, strconv.Itoa(service.GetInt("Port"))),
-		Zone: m.find(m.Zone, v), Kind: m.find(m.Kind, v), Mark: m.find(m.Mark, v),
-		Created: service.GetUint64("CreateIndex"), Changed: service.GetUint64("ModifyIndex"),
+		Zone: m.find(m.Zone, v), Kind: m.find(m.Kind, v), Incarnation: m.find(m.Mark, v),
+		CreateIndex: service.GetUint64("CreateIndex"), ModifyIndex: service.GetUint64("ModifyIndex"),
 		Weight: 1, Passing: true,
 	}
 	e.Cell, _ = strconv.Atoi(m.find(m.Cell, v))
 	if ms, err := strconv.ParseInt(m.find(m.Started, v), 10, 64); err == nil && ms > 0 && ms < 1<<52 {
-		e.Started = time.Duration(ms) * time.Millisecond
+		e.StartedAt = time.Duration(ms) * time.Millisecond
 	}
 	warning := false
 	for _, c := range v.GetArray("Checks") {
--- a/internal/source/consul/decode_test.go
+++ b/internal/source/consul/decode_test.go
@@ -20,7 +20,7 @@
 "Checks":[{"Node":"foobar","CheckID":"serfHealth","Status":"passing","ServiceID":""},
 {"Node":"foobar","CheckID":"service:e1","Status":"%s","Output":"]},{","ServiceID":"e1"}]}`
 
-func decode(t *testing.T, m Mapping, text string) []discovery.Entry {
+func decode(t *testing.T, m Mapping, text string) []discovery.Endpoint {
 	d := newDecoder(m)
 	_, err := d.Write([]byte(text))
 	require.NoError(t, err)
@@ -30,10 +30,10 @@
 }
 
 func TestDecode(t *testing.T) {
-	want := discovery.Entry{Key: "foobar/e1", Addr: "10.1.10.12:8000", Zone: "a", Kind: "std", Cell: 3, Weight: 10, Created: 12,
-		Changed: 14, Mark: "p1", Started: 1500 * time.Millisecond, Passing: true}
+	want := discovery.Endpoint{Key: "foobar/e1", Addr: "10.1.10.12:8000", Zone: "a", Kind: "std", Cell: 3, Weight: 10, CreateIndex: 12,
+		ModifyIndex: 14, Incarnation: "p1", StartedAt: 1500 * time.Millisecond, Passing: true}
 	text := "[\n" + fmt.Sprintf(instance, "passing") + ", " + fmt.Sprintf(instance, "passing") + " ]\n"
-	assert.Equal(t, []discovery.Entry{want, want}, decode(t, DefaultMapping(), text))
+	assert.Equal(t, []discovery.Endpoint{want, want}, decode(t, DefaultMapping(), text))
 	assert.Empty(t, decode(t, DefaultMapping(), " [ ] "))
 
 	// Split at every byte, the answer reads the same.
@@ -45,7 +45,7 @@
 		}
 		list, err := d.finish()
 		require.NoError(t, err)
-		require.Equal(t, []discovery.Entry{want, want}, list, i)
+		require.Equal(t, []discovery.Endpoint{want, want}, list, i)
 	}
 }
 
@@ -53,27 +53,30 @@
 	for name, k := range map[string]struct {
 		status, from, to string // a replacement in the instance
 		mapping          func(*Mapping)
-		check            func(t *testing.T, e discovery.Entry)
+		check            func(t *testing.T, e discovery.Endpoint)
 	}{
-		"own address":  {"passing", `"Address":"","Port"`, `"Address":"10.9.9.9","Port"`, nil, func(t *testing.T, e discovery.Entry) { assert.Equal(t, "10.9.9.9:8000", e.Addr) }},
-		"ipv6":         {"passing", `"Address":"","Port"`, `"Address":"::1","Port"`, nil, func(t *testing.T, e discovery.Entry) { assert.Equal(t, "[::1]:8000", e.Addr) }},
-		"warning":      {"warning", "", "", nil, func(t *testing.T, e discovery.Entry) { assert.True(t, e.Passing); assert.EqualValues(t, 1, e.Weight) }},
-		"critical":     {"critical", "", "", nil, func(t *testing.T, e discovery.Entry) { assert.False(t, e.Passing) }},
-		"later status": {"resting", "", "", nil, func(t *testing.T, e discovery.Entry) { assert.False(t, e.Passing) }},
+		"own address": {"passing", `"Address":"","Port"`, `"Address":"10.9.9.9","Port"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.Equal(t, "10.9.9.9:8000", e.Addr) }},
+		"ipv6":        {"passing", `"Address":"","Port"`, `"Address":"::1","Port"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.Equal(t, "[::1]:8000", e.Addr) }},
+		"warning": {"warning", "", "", nil, func(t *testing.T, e discovery.Endpoint) {
+			assert.True(t, e.Passing)
+			assert.EqualValues(t, 1, e.Weight)
+		}},
+		"critical":     {"critical", "", "", nil, func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Passing) }},
+		"later status": {"resting", "", "", nil, func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Passing) }},
 		"service maintenance": {"passing", `"serfHealth","Status":"passing"`, `"_service_maintenance:e1","Status":"critical"`, nil,
-			func(t *testing.T, e discovery.Entry) { assert.True(t, e.Drain); assert.True(t, e.Passing) }},
+			func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain); assert.True(t, e.Passing) }},
 		"another's maintenance": {"passing", `"serfHealth","Status":"passing"`, `"_service_maintenance:e2","Status":"critical"`, nil,
-			func(t *testing.T, e discovery.Entry) { assert.False(t, e.Drain) }},
+			func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Drain) }},
 		"node maintenance": {"passing", `"serfHealth","Status":"passing"`, `"_node_maintenance","Status":"critical"`, nil,
-			func(t *testing.T, e discovery.Entry) { assert.True(t, e.Drain) }},
-		"drain tag":       {"passing", `"primary"`, `"draining"`, nil, func(t *testing.T, e discovery.Entry) { assert.True(t, e.Drain) }},
-		"drain meta":      {"passing", `"zone":"a"`, `"draining":"yes"`, nil, func(t *testing.T, e discovery.Entry) { assert.True(t, e.Drain) }},
-		"drain meta, off": {"passing", `"zone":"a"`, `"draining":"False"`, nil, func(t *testing.T, e discovery.Entry) { assert.False(t, e.Drain) }},
+			func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain) }},
+		"drain tag":       {"passing", `"primary"`, `"draining"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain) }},
+		"drain meta":      {"passing", `"zone":"a"`, `"draining":"yes"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain) }},
+		"drain meta, off": {"passing", `"zone":"a"`, `"draining":"False"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Drain) }},
 		"places": {"passing", "", "", func(m *Mapping) {
 			m.Zone, m.Kind, m.Mark, m.Weight = "tag:room=", "node_meta:rack", "datacenter", "meta:cell"
 		},
-			func(t *testing.T, e discovery.Entry) {
-				assert.Equal(t, []any{"b", `r"}7`, "dc1", 3.0}, []any{e.Zone, e.Kind, e.Mark, e.Weight})
+			func(t *testing.T, e discovery.Endpoint) {
+				assert.Equal(t, []any{"b", `r"}7`, "dc1", 3.0}, []any{e.Zone, e.Kind, e.Incarnation, e.Weight})
 			}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +112,7 @@
 	f.Add([]byte("["+fmt.Sprintf(instance, "passing")+"]"), 7)
 	f.Add([]byte(`[{"Node":{"Node":"a"},"Service":{"ID":"b","Port":1}}]`), 0)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
-		read := func(parts ...[]byte) ([]discovery.Entry, error) {
+		read := func(parts ...[]byte) ([]discovery.Endpoint, error) {
 			d := newDecoder(DefaultMapping())
 			for _, p := range parts {
 				if _, err := d.Write(bytes.Clone(p)); err != nil {
@@ -126,7 +129,7 @@
 		if err == nil {
 			s, err := discovery.New(discovery.Defaults())
 			require.NoError(t, err)
-			s.Observe(time.Hour, discovery.Observation{Index: 5, Leader: true, Entries: whole})
+			s.Observe(time.Hour, discovery.Observation{Index: 5, HasLeader: true, Endpoints: whole})
 		}
 	})
 }
--- a/internal/source/consul/recorded_test.go
+++ b/internal/source/consul/recorded_test.go
@@ -62,9 +62,9 @@
 	recorded.Compare(t, "endpoints", out.Bytes())
 }
 
-func writeEntry(out *bytes.Buffer, mapping int, e discovery.Entry) {
+func writeEntry(out *bytes.Buffer, mapping int, e discovery.Endpoint) {
 	fmt.Fprintf(out, "%d %q %q %q %q %d %x %d %d %q %d %t %t\n", mapping, e.Key, e.Addr, e.Zone, e.Kind, e.Cell,
-		math.Float64bits(e.Weight), e.Created, e.Changed, e.Mark, e.Started.Nanoseconds(), e.Drain, e.Passing)
+		math.Float64bits(e.Weight), e.CreateIndex, e.ModifyIndex, e.Incarnation, e.StartedAt.Nanoseconds(), e.Drain, e.Passing)
 }
 
 // instanceWith is an answer of one instance, with a further field of that value.
@@ -82,7 +82,7 @@
 		instanceWith(deep(32)), instanceWith(long(1<<20 - 100)), instanceWith(long(1 << 20))} {
 		d := newDecoder(DefaultMapping())
 		_, err := d.Write([]byte(text))
-		list := []discovery.Entry(nil)
+		list := []discovery.Endpoint(nil)
 		if err == nil {
 			list, err = d.finish()
 		}
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -29,9 +29,9 @@
 // Store keeps the last good list.
 type Store interface {
 	// Load returns the list kept last, and when it was kept.
-	Load() (list []discovery.Entry, kept time.Time, err error)
+	Load() (list []discovery.Endpoint, kept time.Time, err error)
 	// Save keeps a list; it may put it off, and must not block for long.
-	Save(list []discovery.Entry)
+	Save(list []discovery.Endpoint)
 }
 
 // Source follows one catalogue.
@@ -45,7 +45,7 @@
 	now      func() time.Duration // Unix time, monotonic
 
 	mu       sync.Mutex
-	set      *discovery.Set
+	set      *discovery.EndpointSet
 	restored bool
 	before   *Source // the one that this one takes over from
 
@@ -121,9 +121,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []source.Belief
-	for _, c := range s.set.Beliefs() {
+	for _, c := range s.set.Current() {
 		out = append(out, source.Belief{Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason),
-			Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.Started.Milliseconds()})
+			Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.StartedAt.Milliseconds()})
 	}
 	return out
 }
@@ -207,7 +207,7 @@
 
 func (s *Source) advance(now time.Duration, take func(endpoints.List)) {
 	s.mu.Lock()
-	var a discovery.Answer
+	var a discovery.Update
 	if next, ok := s.set.Next(); ok && next <= now {
 		a = s.set.Advance(now)
 	}
@@ -277,17 +277,17 @@
 	}
 	s.mu.Lock()
 	a := s.set.Observe(s.now(), r.Observation)
-	doubt := s.set.Doubted()
+	doubt := s.set.Suspicious()
 	s.mu.Unlock()
 	s.carry(a, take)
 	if len(a.Changes) > 0 && s.store != nil && !doubt {
-		s.store.Save(s.set.Entries())
+		s.store.Save(s.set.Snapshot())
 	}
 	s.poller.Done(s.now(), poll.Result{Index: r.Index, Cost: time.Since(r.began), Took: r.took, Doubt: doubt})
 }
 
 // carry hands an answer on: the first as a whole list, the later ones as changes.
-func (s *Source) carry(a discovery.Answer, take func(endpoints.List)) {
+func (s *Source) carry(a discovery.Update, take func(endpoints.List)) {
 	for _, n := range a.Notices {
 		s.counters.Add("notice_"+counterName(n.Kind), 1)
 		s.log.Warn("catalogue", "says", string(n.Kind), "engines", n.Count, "detail", n.Detail)
@@ -301,7 +301,7 @@
 	for _, c := range a.Changes {
 		list.Engines = append(list.Engines, endpoints.Engine{
 			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.Find(s.names.Kinds, c.Kind), Zone: platformconfig.Find(s.names.Zones, c.Zone),
-				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.Started},
+				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.StartedAt},
 			Name: c.Key, Addr: c.Addr, Reason: string(c.Reason),
 		})
 	}
@@ -309,25 +309,25 @@
 }
 
 var states = map[discovery.State]admission.State{
-	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Gone: admission.Removed,
+	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Removed: admission.Removed,
 }
 
 // counterName makes one word of a notice.
 func counterName(k discovery.NoticeKind) string {
 	switch k {
-	case discovery.DoubtBegun:
+	case discovery.NoticeListSuspect:
 		return "doubt_begun"
-	case discovery.DoubtCleared:
+	case discovery.NoticeSuspicionCleared:
 		return "doubt_cleared"
-	case discovery.DoubtSettled:
+	case discovery.NoticeListConfirmed:
 		return "doubt_confirmed"
-	case discovery.DoubtExpired:
+	case discovery.NoticeSuspicionExpired:
 		return "doubt_expired"
-	case discovery.EmptyKept:
+	case discovery.NoticeEmptyList:
 		return "empty_kept"
-	case discovery.OldWord:
+	case discovery.NoticeUntrusted:
 		return "old_word"
-	case discovery.EpochBegun:
+	case discovery.NoticeIndexReset:
 		return "index_reset"
 	}
 	return "malformed"
--- a/internal/source/endpointcache/lastgood.go
+++ b/internal/source/endpointcache/lastgood.go
@@ -63,7 +63,7 @@
 }
 
 // Save keeps a list, at once or when the time since the last write has passed.
-func (s *Store) Save(list []discovery.Entry) {
+func (s *Store) Save(list []discovery.Endpoint) {
 	text := Encode(list, time.Now())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 }
 
 // Load reads the file; an absent one is an empty list. One that can't be used is moved aside.
-func (s *Store) Load() ([]discovery.Entry, time.Time, error) {
+func (s *Store) Load() ([]discovery.Endpoint, time.Time, error) {
 	list, kept, err := ReadFile(s.path)
 	if err == nil && s.maxAge > 0 && time.Since(kept) > s.maxAge {
 		err = fmt.Errorf("%w: kept %v ago", ErrAge, time.Since(kept).Round(time.Second))
@@ -119,7 +119,7 @@
 }
 
 // ReadFile reads a file without moving it.
-func ReadFile(path string) ([]discovery.Entry, time.Time, error) {
+func ReadFile(path string) ([]discovery.Endpoint, time.Time, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, time.Time{}, err
@@ -133,7 +133,7 @@
 }
 
 // Encode writes a list that was good at that time.
-func Encode(list []discovery.Entry, at time.Time) []byte {
+func Encode(list []discovery.Endpoint, at time.Time) []byte {
 	var a fastjson.Arena
 	entries := a.NewArray()
 	for i, e := range list {
@@ -144,9 +144,9 @@
 		o.Set("kind", a.NewString(e.Kind))
 		o.Set("cell", a.NewNumberInt(e.Cell))
 		o.Set("weight", a.NewNumberFloat64(e.Weight))
-		o.Set("created", a.NewNumberString(strconv.FormatUint(e.Created, 10)))
-		o.Set("mark", a.NewString(e.Mark))
-		o.Set("started_ms", a.NewNumberString(strconv.FormatInt(e.Started.Milliseconds(), 10)))
+		o.Set("created", a.NewNumberString(strconv.FormatUint(e.CreateIndex, 10)))
+		o.Set("mark", a.NewString(e.Incarnation))
+		o.Set("started_ms", a.NewNumberString(strconv.FormatInt(e.StartedAt.Milliseconds(), 10)))
 		if e.Drain {
 			o.Set("drain", a.NewTrue())
 		}
@@ -164,7 +164,7 @@
 }
 
 // Decode reads what Encode has written, or tells by one of the errors of this package why it can't.
-func Decode(text []byte) (list []discovery.Entry, kept time.Time, err error) {
+func Decode(text []byte) (list []discovery.Endpoint, kept time.Time, err error) {
 	if len(text) > mostSize {
 		return nil, kept, fmt.Errorf("%w: more than %d bytes", ErrLarge, mostSize)
 	}
@@ -200,7 +200,7 @@
 	return decodeBody(body)
 }
 
-func decodeBody(body []byte) (list []discovery.Entry, kept time.Time, err error) {
+func decodeBody(body []byte) (list []discovery.Endpoint, kept time.Time, err error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil, kept, fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -211,10 +211,10 @@
 	}
 	for i, o := range entries {
 		str := func(name string) string { return string(o.GetStringBytes(name)) }
-		e := discovery.Entry{Key: str("key"), Addr: str("addr"), Zone: str("zone"), Kind: str("kind"), Cell: o.GetInt("cell"),
-			Weight: o.GetFloat64("weight"), Created: o.GetUint64("created"), Mark: str("mark"),
-			Started: time.Duration(o.GetInt64("started_ms")) * time.Millisecond,
-			Drain:   o.GetBool("drain"), Passing: !o.GetBool("failing")}
+		e := discovery.Endpoint{Key: str("key"), Addr: str("addr"), Zone: str("zone"), Kind: str("kind"), Cell: o.GetInt("cell"),
+			Weight: o.GetFloat64("weight"), CreateIndex: o.GetUint64("created"), Incarnation: str("mark"),
+			StartedAt: time.Duration(o.GetInt64("started_ms")) * time.Millisecond,
+			Drain:     o.GetBool("drain"), Passing: !o.GetBool("failing")}
 		if e.Key == "" || e.Addr == "" {
 			return nil, kept, fmt.Errorf("%w: engine %d has no key or no address", ErrMalformed, i)
 		}
--- a/internal/source/endpointcache/lastgood_test.go
+++ b/internal/source/endpointcache/lastgood_test.go
@@ -16,8 +16,8 @@
 	"beechcart/decision/discovery"
 )
 
-var list = []discovery.Entry{
-	{Key: "n1/e1", Addr: "10.0.0.1:80", Zone: "a", Kind: "std", Cell: 2, Weight: 1.5, Created: 1 << 60, Mark: "p", Started: 5 * time.Second, Passing: true},
+var list = []discovery.Endpoint{
+	{Key: "n1/e1", Addr: "10.0.0.1:80", Zone: "a", Kind: "std", Cell: 2, Weight: 1.5, CreateIndex: 1 << 60, Incarnation: "p", StartedAt: 5 * time.Second, Passing: true},
 	{Key: "n2/e2", Addr: "10.0.0.2:80", Weight: 1, Drain: true},
 }
 
@@ -61,7 +61,7 @@
 		"a later version":    {append([]byte("beechcart-list 2 whatever comes\n"), good...), ErrFuture},
 		"whole and no list":  {bytes.Replace(Encode(nil, time.Now()), []byte(`"engines"`), []byte(`"engineX"`), 1), ErrTorn},
 		"of a week ago":      {Encode(list, time.Now().Add(-168*time.Hour)), ErrAge},
-		"an entry of no key": {Encode([]discovery.Entry{{Addr: "10.0.0.1:1"}}, time.Now()), ErrMalformed},
+		"an entry of no key": {Encode([]discovery.Endpoint{{Addr: "10.0.0.1:1"}}, time.Now()), ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "list")
