--- a/cmd/gatewayctl/recorded_test.go
+++ b/cmd/gatewayctl/recorded_test.go
@@ -9,7 +9,8 @@
 	"testing"
 	"time"
 
-	"github.com/stretchr/testify/assert"
+	"beechcart/internal/recorded"
+
 	"github.com/stretchr/testify/require"
 
 	"beechcart/decision/discovery"
@@ -21,20 +22,6 @@
 	"beechcart/internal/source/endpointcache"
 )
 
-// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
-func holdToRecording(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got, path)
-}
-
 // fill sets all that v holds to values of its own, counted from n on, in the order of the fields.
 func fill(v reflect.Value, n *int) {
 	*n++
@@ -87,19 +74,19 @@
 	var out bytes.Buffer
 	r := filled[faulttest.Report]()
 	require.NoError(t, r.WriteJSON(&out))
-	holdToRecording(t, "drill.json", out.String())
+	recorded.Compare(t, "drill.json", out.Bytes())
 	out.Reset()
 	require.NoError(t, printJSON(&out, filled[scale.Result]()))
-	holdToRecording(t, "scale.json", out.String())
+	recorded.Compare(t, "scale.json", out.Bytes())
 	out.Reset()
 	require.NoError(t, printJSON(&out, scale.Result{}))
-	holdToRecording(t, "scale_empty.json", out.String())
+	recorded.Compare(t, "scale_empty.json", out.Bytes())
 	out.Reset()
 	require.NoError(t, printJSON(&out, filled[map[string]bench.Counts]()))
-	holdToRecording(t, "bench_path.json", out.String())
+	recorded.Compare(t, "bench_path.json", out.Bytes())
 	out.Reset()
 	require.NoError(t, printJSON(&out, filled[bench.Baseline]()))
-	holdToRecording(t, "bench_baseline.json", out.String())
+	recorded.Compare(t, "bench_baseline.json", out.Bytes())
 }
 
 func TestRecordedConfigCommands(t *testing.T) {
@@ -127,7 +114,7 @@
 	}
 	t.Chdir(home)
 	for i, c := range calls {
-		holdToRecording(t, c.file, results[i])
+		recorded.Compare(t, c.file, []byte(results[i]))
 	}
 }
 
@@ -164,11 +151,11 @@
 		{"counters.txt", []string{"counters", "--socket", path}},
 	} {
 		code, out, errs := ctl(c.args...)
-		holdToRecording(t, c.file, fmt.Sprintf("exit code %d\n%s%s", code, out, errs))
+		recorded.Compare(t, c.file, fmt.Appendf(nil, "exit code %d\n%s%s", code, out, errs))
 	}
 }
 
 func TestRecordedScalePage(t *testing.T) {
 	code, out, errs := ctl("scale", "page", "--check", "--page", "../../docs/CAPACITY.md", "--recordings", "../../bench/scale")
-	holdToRecording(t, "scale_page_check.txt", fmt.Sprintf("exit code %d\n%s%s", code, out, errs))
+	recorded.Compare(t, "scale_page_check.txt", fmt.Appendf(nil, "exit code %d\n%s%s", code, out, errs))
 }
--- a/decision/diskrecovery/recorded_test.go
+++ b/decision/diskrecovery/recorded_test.go
@@ -52,6 +52,7 @@
 
 // play tells a new decider of events, each an event and the pause before it, and hands what it answers to note.
 func play(t *testing.T, marked bool, sequence []int, note func(answer int, reason string)) {
+	t.Helper()
 	k, err := diskrecovery.New(diskrecovery.Defaults(), 0, marked)
 	require.NoError(t, err)
 	now := time.Duration(0)
--- a/internal/admin/recorded_test.go
+++ b/internal/admin/recorded_test.go
@@ -10,26 +10,13 @@
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
+	"beechcart/internal/recorded"
+
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/admin"
 )
 
-// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
-func holdToRecording(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got, path)
-}
-
 // TestRecordedCalls holds the bytes that the socket answers with.
 func TestRecordedCalls(t *testing.T) {
 	dir, err := os.MkdirTemp("", "bc") // the path of a socket is short
@@ -55,5 +42,5 @@
 		require.NoError(t, c.Close())
 		fmt.Fprintf(&b, "%q -> %q, read whole %t\n", call, answer, err == nil)
 	}
-	holdToRecording(t, "calls.txt", b.String())
+	recorded.Compare(t, "calls.txt", []byte(b.String()))
 }
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -21,7 +21,7 @@
 	"beechcart/internal/engine"
 	"beechcart/internal/exchange"
 	"beechcart/internal/invariant"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // told takes what the engine client passes on, and keeps it as lines of numbers.
@@ -31,7 +31,8 @@
 }
 
 func (s *told) Ended(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
-	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n", o.ID, o.Attempt,
+	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n",
+		o.ID, o.Attempt,
 		o.Engine, int(o.Status), o.Alive, int64(o.Work), math.Float64bits(o.NeedMB), reportText(o.Report), rows)
 }
 
@@ -41,7 +42,8 @@
 	}
 	switch ev := ev.(type) {
 	case admission.Progress:
-		s.lines <- fmt.Sprintf("note id=%s attempt=%d engine=%d kind=%d value=%016x\n", ev.ID, ev.Attempt, ev.Engine, int(ev.Kind),
+		s.lines <- fmt.Sprintf("note id=%s attempt=%d engine=%d kind=%d value=%016x\n", ev.ID, ev.Attempt, ev.Engine,
+			int(ev.Kind),
 			math.Float64bits(ev.Value))
 	case admission.HealthCheckResult:
 		s.lines <- fmt.Sprintf("health engine=%d status=%d report=%s\n", ev.Engine, int(ev.Status), reportText(ev.Report))
@@ -59,7 +61,8 @@
 	return b.String()
 }
 
-// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that brought it.
+// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that
+// brought it.
 type scriptedPeer struct {
 	address string
 	calls   chan string
@@ -148,14 +151,16 @@
 }
 
 var (
-	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\nX-Gauges: inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
-	running    = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
-	spilling   = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
-	waiting    = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
-	odd        = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
-	unknown    = answer("500 Error", "", "")
-	noContent  = "HTTP/1.1 204 No Content\r\n\r\n"
-	chunked    = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
+	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\nX-Gauges: "+
+		"inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
+	running   = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
+	spilling  = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
+	waiting   = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
+	odd       = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
+	unknown   = answer("500 Error", "", "")
+	noContent = "HTTP/1.1 204 No Content\r\n\r\n"
+	chunked   = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n" +
+		"a\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
 )
 
 func newClient(p *scriptedPeer) (*engine.Fleet, *told) {
@@ -171,7 +176,8 @@
 }
 
 func newRequest() *exchange.Exchange {
-	return exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", ClassName: "load", Class: 1, Statement: []byte("SELECT a FROM sales_17.orders")},
+	return exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", ClassName: "load", Class: 1,
+		Statement: []byte("SELECT a FROM sales_17.orders")},
 		time.Now())
 }
 
@@ -196,7 +202,8 @@
 		{"reset-never-arrived", []string{resetConn, unknown, noContent}},
 		{"reset-while-running", []string{running, resetConn, running, unknown}},
 		{"silent-then-served", []string{staySilent, servedOnce}},
-		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""), answer("200 OK", "X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
+		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""), answer("200 OK",
+			"X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
 		{"closed-then-polled", []string{answer("202 Accepted", "Connection: close\r\n", ""), servedOnce}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
@@ -204,7 +211,7 @@
 			p := servePeer(t, k.answers...)
 			f, s := newClient(p)
 			f.Start(newRequest(), 2, 7, admission.Terms{Priority: 3, GrantMB: 144.5}, 10*time.Second, time.Time{})
-			recording.Compare(t, k.name, collect(p, s))
+			recorded.Compare(t, k.name, collect(p, s))
 		})
 	}
 }
@@ -234,12 +241,13 @@
 	call := <-p.calls
 	f.Cancel(x.ID, 0)
 	close(hold) // the note of the first answer passes only now, so the poll after it comes behind the cancellation
-	recording.Compare(t, "cancelled", append([]byte(call), collect(p, s)...))
+	recorded.Compare(t, "cancelled", append([]byte(call), collect(p, s)...))
 }
 
 // A health check, and one that is reset and made again.
 func TestRecordedHealthCheck(t *testing.T) {
-	p := servePeer(t, resetConn, answer("200 OK", "X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n", ""),
+	p := servePeer(t, resetConn, answer("200 OK",
+		"X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n", ""),
 		answer("200 OK", "", ""), unknown)
 	f, s := newClient(p)
 	var out bytes.Buffer
@@ -252,12 +260,13 @@
 	for len(p.calls) > 0 {
 		out.WriteString(<-p.calls)
 	}
-	recording.Compare(t, "health-check", out.Bytes())
+	recorded.Compare(t, "health-check", out.Bytes())
 }
 
 // The polls of the change log say which event came last, and how long to wait.
 func TestRecordedChangeLog(t *testing.T) {
-	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown, answer("200 OK", "", "third"), staySilent)
+	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown, answer("200 OK", "",
+		"third"), staySilent)
 	f, _ := newClient(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	taken := make(chan string, 10)
@@ -280,5 +289,5 @@
 	}
 	cancel()
 	<-ended
-	recording.Compare(t, "change-log", out.Bytes())
+	recorded.Compare(t, "change-log", out.Bytes())
 }
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -15,7 +15,7 @@
 
 	"beechcart/admission"
 	"beechcart/internal/platformconfig"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // every is a configuration that has each field, and no two alike where they could be mixed up.
@@ -47,31 +47,31 @@
 
 func (e *encoder) ints(values ...int) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", v)
+		fmt.Fprintf(&e.Buffer, "%d ", v)
 	}
 }
 
 func (e *encoder) durations(values ...time.Duration) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", int64(v))
+		fmt.Fprintf(&e.Buffer, "%d ", int64(v))
 	}
 }
 
 func (e *encoder) floats(values ...float64) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%016x ", math.Float64bits(v))
+		fmt.Fprintf(&e.Buffer, "%016x ", math.Float64bits(v))
 	}
 }
 
 func (e *encoder) bools(values ...bool) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%t ", v)
+		fmt.Fprintf(&e.Buffer, "%t ", v)
 	}
 }
 
 func (e *encoder) texts(values ...string) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%q ", v)
+		fmt.Fprintf(&e.Buffer, "%q ", v)
 	}
 }
 
@@ -80,8 +80,10 @@
 func (e *encoder) settings(s *admission.Settings) {
 	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.LoadReporting), int(s.Shortage))
 	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.ColdFrom, s.FallMultiple, s.SpareTries, s.TryRatio)
-	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.Cold, s.FallWindow, s.KeyCooldown, s.TrySpan)
-	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.Budgeted)
+	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.Cold,
+		s.FallWindow, s.KeyCooldown, s.TrySpan)
+	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed,
+		s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.Budgeted)
 	e.line()
 	for _, k := range s.Kinds {
 		e.ints(k.Cores)
@@ -120,7 +122,7 @@
 
 func (e *encoder) config(c *platformconfig.Config) {
 	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
-	fmt.Fprintf(e, "%d ", c.Seed)
+	fmt.Fprintf(&e.Buffer, "%d ", c.Seed)
 	e.floats(c.Cores, c.HandshakePrice)
 	e.ints(c.MemoryMB, c.Sockets)
 	e.durations(c.ConnectTimeout)
@@ -161,7 +163,7 @@
 		require.NoError(t, err)
 		var one encoder
 		one.config(c)
-		fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+		fmt.Fprintf(&out.Buffer, "%x\n", sha256.Sum256(one.Bytes()))
 		if out.Len() < 100 {
 			out.Write(one.Bytes()) // the first in full
 		}
@@ -171,15 +173,16 @@
 	var one encoder
 	one.settings(&set)
 	one.names(&names)
-	fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
-	recording.Compare(t, "configuration", out.Bytes())
+	fmt.Fprintf(&out.Buffer, "%x\n", sha256.Sum256(one.Bytes()))
+	recorded.Compare(t, "configuration", out.Bytes())
 }
 
 // What is said of a bad configuration is as it was recorded.
 func TestRecordedErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{
-		``, `[]`, `{"settings":`, `{"settings":{}}`, `{"listen":"b:1"}`, `{"listen":7,"settings":{}}`, `{"listen":"b:1","seed":"x","settings":{}}`,
+		``, `[]`, `{"settings":`, `{"settings":{}}`, `{"listen":"b:1"}`, `{"listen":7,"settings":{}}`,
+		`{"listen":"b:1","seed":"x","settings":{}}`,
 		`{"listen":"b:1","limits":{"cores":-1},"settings":{}}`, `{"listen":"b:1","limits":{"memory_mb":1.5},"settings":{}}`,
 		`{"listen":"b:1","limits":{"sockets":1e12},"settings":{}}`, `{"listen":"b:1","settings":{"me":"x"}}`,
 		`{"listen":"b:1","settings":{"rules":{"cold":"x"}}}`, `{"listen":"b:1","settings":{"rules":{"cold":1e300}}}`,
@@ -191,9 +194,12 @@
 		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","group":"room"}]}}`,
 		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","stays_in":[1]}]}}`,
 		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","in_order":"yes"}]}}`,
-		`{"listen":"b:1","settings":{"reporting":{"via":"x"}}}`, `{"listen":"b:1","settings":{"family_info":{"overbooked":"x"}}}`,
-		`{"listen":"b:1","settings":{"tenants":[{"fraction":-1}]}}`, `{"listen":"b:1","settings":{"permissions":{"cancel":1}}}`,
-		`{"listen":"b:1","settings":{"prices":{"handshake":"x"}}}`, `{"listen":"b:1","settings":{"permissions":{"connect_timeout":-1}}}`,
+		`{"listen":"b:1","settings":{"reporting":{"via":"x"}}}`,
+		`{"listen":"b:1","settings":{"family_info":{"overbooked":"x"}}}`,
+		`{"listen":"b:1","settings":{"tenants":[{"fraction":-1}]}}`,
+		`{"listen":"b:1","settings":{"permissions":{"cancel":1}}}`,
+		`{"listen":"b:1","settings":{"prices":{"handshake":"x"}}}`,
+		`{"listen":"b:1","settings":{"permissions":{"connect_timeout":-1}}}`,
 	} {
 		_, err := loadText(t, text, nil)
 		require.Error(t, err, text)
@@ -202,14 +208,15 @@
 	_, err := platformconfig.Load("", os.Getenv)
 	require.Error(t, err)
 	fmt.Fprintf(&out, "%v\n", err)
-	recording.Compare(t, "load-errors", out.Bytes())
+	recorded.Compare(t, "load-errors", out.Bytes())
 }
 
 // What a check says of a configuration that reads, and that a front end can't serve with, is as it was recorded.
 func TestRecordedChecks(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{
-		every, least, strings.Replace(every, `"sockets":512`, `"sockets":15`, 1), strings.Replace(every, `"replicas_of_me":7`, `"replicas_of_me":0`, 1),
+		every, least, strings.Replace(every, `"sockets":512`, `"sockets":15`, 1), strings.Replace(every,
+			`"replicas_of_me":7`, `"replicas_of_me":0`, 1),
 		strings.Replace(every, `"me":3`, `"me":7`, 1), strings.Replace(every, `"cold_from":0.25`, `"cold_from":1.5`, 1),
 		strings.Replace(every, `"name":"put"`, `"name":""`, 1), strings.Replace(every, `"name":"put"`, `"name":"load"`, 1),
 		strings.Replace(every, `"deadline":1000000016`, `"deadline":0`, 1),
@@ -218,5 +225,5 @@
 		require.NoError(t, err, text)
 		fmt.Fprintf(&out, "%v\n", c.Check())
 	}
-	recording.Compare(t, "check-errors", out.Bytes())
+	recorded.Compare(t, "check-errors", out.Bytes())
 }
--- a/internal/platformconfig/recorded_values_test.go
+++ b/internal/platformconfig/recorded_values_test.go
@@ -10,7 +10,8 @@
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
+	"beechcart/internal/recorded"
+
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 
@@ -19,20 +20,6 @@
 
 const everyField = "testdata/every_field.json"
 
-// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
-func holdToRecording(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got, path)
-}
-
 // leaves lists every number and string that v holds, without names: zero values are left out, so that a
 // field may move into a struct of its own. Lists are sorted at the end, so that fields may change their order.
 func leaves(v reflect.Value) (list []string) {
@@ -88,15 +75,15 @@
 	c, err := platformconfig.Load(everyField, env(nil))
 	require.NoError(t, err)
 	require.NoError(t, c.Check())
-	holdToRecording(t, "every_field.txt", listing(c))
+	recorded.Compare(t, "every_field.txt", []byte(listing(c)))
 	c, err = platformconfig.Load(everyField, env(map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}))
 	require.NoError(t, err)
-	holdToRecording(t, "environment.txt", listing(c))
+	recorded.Compare(t, "environment.txt", []byte(listing(c)))
 	path := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"listen":"a:1","settings":{}}`), 0o600))
 	c, err = platformconfig.Load(path, env(nil))
 	require.NoError(t, err)
-	holdToRecording(t, "defaults.txt", listing(c))
+	recorded.Compare(t, "defaults.txt", []byte(listing(c)))
 }
 
 // paths are those of all values, objects and the first of each list among them, in the order of the keys.
@@ -152,5 +139,5 @@
 		fmt.Fprintf(&b, "file %q\t%v\n", path, err)
 	}
 	t.Chdir(home)
-	holdToRecording(t, "bad_values.txt", b.String())
+	recorded.Compare(t, "bad_values.txt", []byte(b.String()))
 }
--- a/internal/recorded/recorded.go
+++ b/internal/recorded/recorded.go
@@ -1,14 +1,15 @@
-// Package recorded compares what a package answers now with what an earlier build answered to the same events. Only tests
-// import it.
+// Package recorded compares what a package answers now with what an earlier build answered to the same events. Only
+// tests import it.
 //
-// A recording is a file under testdata/recorded beside the test. It is written once, when RECORD=1 is set and the file does
-// not exist; nothing overwrites it.
+// A recording is a file under testdata/recorded beside the test. It is written once, when RECORD=1 is set and the
+// file does not exist; nothing overwrites it.
 package recorded
 
 import (
 	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
+	"encoding/hex"
 	"errors"
 	"fmt"
 	"hash"
@@ -23,28 +24,29 @@
 )
 
 // Compare fails the test unless the recorded file of that name holds exactly got.
-func Compare(t testing.TB, name string, got []byte) {
-	t.Helper()
+func Compare(tb testing.TB, name string, got []byte) {
+	tb.Helper()
 	path := filepath.Join("testdata", "recorded", name)
 	want, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && os.Getenv("RECORD") == "1" {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		return
 	}
 	if err != nil {
-		t.Fatalf("recording: %v", err)
+		tb.Fatalf("recording: %v", err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs from its recording\ngot:\n%s\nrecorded:\n%s", name, got, want)
+		tb.Errorf("%s differs from its recording\ngot:\n%s\nrecorded:\n%s", name, got, want)
 	}
 }
 
-// Trace is a hash over values in the order in which they were added. It knows no names of Go types, fields or constants.
+// Trace is a hash over values in the order in which they were added. It knows no names of Go types, fields or
+// constants.
 type Trace struct {
 	hash   hash.Hash
 	marks  []string
@@ -104,12 +106,13 @@
 // Count counts an answer under a label, which stands in the recording.
 func (r *Trace) Count(label string) { r.counts[label]++ }
 
-// Mark adds the hash so far to the recording, so that a difference can be narrowed down to the events since the mark before.
-func (r *Trace) Mark() { r.marks = append(r.marks, fmt.Sprintf("%x", r.hash.Sum(nil)[:4])) }
+// Mark adds the hash so far to the recording, so that a difference can be narrowed down to the events since the mark
+// before.
+func (r *Trace) Mark() { r.marks = append(r.marks, hex.EncodeToString(r.hash.Sum(nil)[:4])) }
 
 // Compare fails the test unless the trace is the recorded one.
-func (r *Trace) Compare(t testing.TB, name string) {
-	t.Helper()
+func (r *Trace) Compare(tb testing.TB, name string) {
+	tb.Helper()
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "sha256 %x\n", r.hash.Sum(nil))
 	for _, label := range slices.Sorted(maps.Keys(r.counts)) {
@@ -118,5 +121,5 @@
 	for i, mark := range r.marks {
 		fmt.Fprintf(&out, "mark %d %s\n", i, mark)
 	}
-	Compare(t, name, out.Bytes())
+	Compare(tb, name, out.Bytes())
 }
--- a/internal/wire/recorded_replies_test.go
+++ b/internal/wire/recorded_replies_test.go
@@ -8,32 +8,17 @@
 	"io"
 	"maps"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
+	"beechcart/internal/recorded"
+
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/wire"
 )
 
-// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
-func holdToRecording(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got, path)
-}
-
 const recordedFacts = `{"discovery":"%s","family_info":{"size_cores":[8,8],"kind_memory_mb":[16384,16384],` +
 	`"threads_by_class":[1,2],"holds_tables":[false,true],"waits_for_loads":[true,false],"lanes_count":true,` +
 	`"overbooked":"cut","takes_grants":true,"says_cost":true,"tells_every":500000000,"most_grant":0.5},` +
@@ -200,7 +185,7 @@
 
 // TestRecordedReplies holds the replies on the simulator's wire to their hash.
 func TestRecordedReplies(t *testing.T) {
-	var recorded strings.Builder
+	var lines strings.Builder
 	for seed := range uint64(4) {
 		toServer, in := io.Pipe()
 		out, fromServer := io.Pipe()
@@ -215,11 +200,11 @@
 		}
 		require.NoError(t, in.Close())
 		require.NoError(t, <-ended)
-		fmt.Fprintf(&recorded, "seed %d: %x", seed, c.hash.Sum(nil))
+		fmt.Fprintf(&lines, "seed %d: %x", seed, c.hash.Sum(nil))
 		for _, op := range slices.Sorted(maps.Keys(c.counts)) {
-			fmt.Fprintf(&recorded, " %s=%d", op, c.counts[op])
+			fmt.Fprintf(&lines, " %s=%d", op, c.counts[op])
 		}
-		recorded.WriteByte('\n')
+		lines.WriteByte('\n')
 	}
-	holdToRecording(t, "replies.txt", recorded.String())
+	recorded.Compare(t, "replies.txt", []byte(lines.String()))
 }
