--- a/cmd/gateway/command.go
+++ b/cmd/gateway/command.go
@@ -13,18 +13,10 @@
 	"beechcart/internal/invariant"
 )
 
-func execute() error { return command().Execute() }
+func execute() error { return rootCommand().Execute() }
 
-func (f *files) flags(c *cobra.Command) {
-	c.Flags().StringVar(&f.config, "config", os.Getenv("PROXY_CONFIG"), "the platform's configuration, JSON (PROXY_CONFIG)")
-	c.Flags().StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"),
-		"operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS); none: the defaults")
-	_ = c.MarkFlagFilename("config", "json")
-	_ = c.MarkFlagFilename("settings", "json")
-}
-
-func command() *cobra.Command {
-	var f files
+func rootCommand() *cobra.Command {
+	var paths configPaths
 	root := &cobra.Command{
 		Use:   "gateway",
 		Short: "Query front end: MySQL protocol to clients, HTTP to engines",
@@ -37,46 +29,70 @@
 			}
 			return nil
 		},
-		RunE: func(*cobra.Command, []string) error { return run(&f) },
+		RunE: func(*cobra.Command, []string) error { return run(&paths) },
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	noArgs := func(c *cobra.Command, args []string) error {
-		if err := cobra.NoArgs(c, args); err != nil {
-			return usageError{err}
-		}
-		return nil
+	paths.addFlags(root)
+	root.AddCommand(runCommand(&paths), checkCommand(&paths), versionCommand())
+	return root
+}
+
+// addFlags lets a command take the paths of the two files.
+func (p *configPaths) addFlags(c *cobra.Command) {
+	c.Flags().StringVar(&p.platform, "config", os.Getenv("PROXY_CONFIG"),
+		"the platform's configuration, JSON (PROXY_CONFIG)")
+	c.Flags().StringVar(&p.operators, "settings", os.Getenv("BEECHCART_SETTINGS"),
+		"operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS); none: the defaults")
+	_ = c.MarkFlagFilename("config", "json")
+	_ = c.MarkFlagFilename("settings", "json")
+}
+
+// noArguments makes an argument a usageError.
+func noArguments(c *cobra.Command, args []string) error {
+	if err := cobra.NoArgs(c, args); err != nil {
+		return usageError{err}
 	}
-	f.flags(root)
-	serve := &cobra.Command{
-		Use: "run", Short: "Serve until SIGTERM; SIGHUP reads both files again", Args: noArgs,
+	return nil
+}
+
+func runCommand(paths *configPaths) *cobra.Command {
+	c := &cobra.Command{
+		Use: "run", Short: "Serve until SIGTERM; SIGHUP reads both files again", Args: noArguments,
 		Example: "  gateway run --config config.json\n  gateway run --config config.json --settings beechcart.json",
-		RunE:    func(*cobra.Command, []string) error { return run(&f) },
+		RunE:    func(*cobra.Command, []string) error { return run(paths) },
 	}
-	f.flags(serve)
-	check := &cobra.Command{
-		Use: "check", Short: "Read both files, tell what is wrong with them, and end", Args: noArgs,
+	paths.addFlags(c)
+	return c
+}
+
+func checkCommand(paths *configPaths) *cobra.Command {
+	c := &cobra.Command{
+		Use: "check", Short: "Read both files, tell what is wrong with them, and end", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
-			cfg, ops, err := f.load()
+			config, err := paths.load()
 			if err != nil {
 				return err
 			}
-			if _, err := newSource(cfg, ops, nil, &invariant.Counters{}, slog.Default()); err != nil {
+			if _, err := newConsulSource(config, nil, &invariant.Counters{}, slog.Default()); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "good: %s, listening on %s, engine list from %s\n", cfg.Name, cfg.Listen, ops.Source)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "good: %s, listening on %s, engine list from %s\n",
+				config.platform.Name, config.platform.Listen, config.operators.Source)
 			return err
 		},
 	}
-	f.flags(check)
-	version := &cobra.Command{
-		Use: "version", Short: "Print the version", Args: noArgs,
+	paths.addFlags(c)
+	return c
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(c.OutOrStdout(), "gateway", buildVersion())
 			return err
 		},
 	}
-	root.AddCommand(serve, check, version)
-	return root
 }
 
 func buildVersion() string {
--- a/cmd/gateway/command_lean.go
+++ b/cmd/gateway/command_lean.go
@@ -14,5 +14,5 @@
 		return usageError{errors.New("this build (tag lean) takes no arguments: PROXY_CONFIG names the configuration, " +
 			"BEECHCART_SETTINGS the operators' settings")}
 	}
-	return run(&files{config: os.Getenv("PROXY_CONFIG"), settings: os.Getenv("BEECHCART_SETTINGS")})
+	return run(&configPaths{platform: os.Getenv("PROXY_CONFIG"), operators: os.Getenv("BEECHCART_SETTINGS")})
 }
--- a/cmd/gateway/consul_test.go
+++ b/cmd/gateway/consul_test.go
@@ -31,6 +31,7 @@
 
 // catalogue starts a stand-in Consul that names those engines.
 func catalogue(t *testing.T, conf *tls.Config, engines ...*engine) *consul.Server {
+	t.Helper()
 	s, err := consul.Start("127.0.0.1:0", conf)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
@@ -44,7 +45,8 @@
 func list(s *consul.Server, e *engine) {
 	a := e.Listener.Addr().(*net.TCPAddr)
 	s.Register(consul.Node{Node: "n-" + e.name, Address: a.IP.String()},
-		consul.Service{ID: e.name, Service: "engine", Port: a.Port, Meta: map[string]string{"zone": "room-a", "kind": "std-12"}},
+		consul.Service{ID: e.name, Service: "engine", Port: a.Port, Meta: map[string]string{"zone": "room-a",
+			"kind": "std-12"}},
 		consul.Check{CheckID: "service:" + e.name, Status: "passing"})
 }
 
@@ -59,7 +61,8 @@
 	if !strings.Contains(more, `"addresses"`) {
 		more = `"addresses":` + string(list) + more
 	}
-	r.writeSettings(`{"schema":1,"source":"consul","consul":{` + more + `},"last_good":{"path":"` + r.settings + `.list","write_every_ms":1},
+	r.writeSettings(`{"schema":1,"source":"consul","consul":{` + more + `},
+		"last_good":{"path":"` + r.settings + `.list","write_every_ms":1},
 		"admin_socket":"` + r.settings + `.sock"}`)
 }
 
@@ -68,16 +71,18 @@
 }
 
 func newRig(t *testing.T) *rig {
+	t.Helper()
 	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1)}
 	dir, err := os.MkdirTemp("", "bc") // short: the path of a socket has a bound
 	require.NoError(t, err)
-	t.Cleanup(func() { os.RemoveAll(dir) })
+	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	r.settings = filepath.Join(dir, "s.json")
 	return r
 }
 
 // startConsul runs the program on the list of a catalogue; its change log names nobody.
 func startConsul(t *testing.T, more string, catalogues ...*consul.Server) *rig {
+	t.Helper()
 	r := newRig(t)
 	r.consulSettings(more, catalogues...)
 	return r.start(1024)
@@ -155,7 +160,8 @@
 	s := catalogue(t, nil, e)
 	r := startConsul(t, "", s)
 	r.served()
-	require.Eventually(t, func() bool { _, err := os.Stat(r.settings + ".list"); return err == nil }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { _, err := os.Stat(r.settings + ".list"); return err == nil }, 10*time.Second,
+		time.Millisecond)
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, <-r.exit)
 	s.Close()
@@ -163,12 +169,13 @@
 	r.log = &lockedBuffer{}
 	r.start(1024)
 	r.served()
-	assert.Less(t, time.Since(began), 4*time.Second, "the catalogue is down for good; a race build on a busy machine takes its time")
+	assert.Less(t, time.Since(began), 4*time.Second, "the catalogue is down for good; a race build on a busy machine "+
+		"takes its time")
 	assert.Contains(t, r.log.String(), "last good list used")
 	assert.Regexp(t, `age=[0-9.]+m?s`, r.log.String())
 
 	require.NoError(t, r.cmd.Process.Kill())
-	<-r.exit
+	r.t.Log("ended:", <-r.exit)
 	require.NoError(t, os.WriteFile(r.settings+".list", []byte("beechcart-list 9 1 1\n"), 0o600))
 	r.log = &lockedBuffer{}
 	r.start(1024)
@@ -201,7 +208,8 @@
 	r.says("engine=n-" + spare.name)
 	r.served()
 	hup(func() { r.writeSettings(`{"schema":1,"source":"changelog"}`) }, "reloaded node=n0 changelog=")
-	require.Eventually(t, func() bool { return strings.Count(r.log.String(), "another source of the list") == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Count(r.log.String(), "another source of the list") == 2 },
+		10*time.Second, time.Millisecond)
 	close(release)
 	a := <-done
 	assert.Zero(t, a.code, a.text)
@@ -243,6 +251,7 @@
 
 // keys makes a CA and a pair that it has signed for a name; it returns the pair and the file of the CA.
 func keys(t *testing.T, name string) (tls.Certificate, string, string, string) {
+	t.Helper()
 	ca, caKey := newCert(t, "ca", nil, nil)
 	leaf, key := newCert(t, name, ca, caKey)
 	dir := t.TempDir()
@@ -253,18 +262,23 @@
 	}
 	der, err := x509.MarshalECPrivateKey(key)
 	require.NoError(t, err)
-	caFile, certFile, keyFile := write("ca", "CERTIFICATE", ca.Raw), write("cert", "CERTIFICATE", leaf.Raw), write("key", "EC PRIVATE KEY", der)
+	caFile, certFile, keyFile := write("ca", "CERTIFICATE", ca.Raw), write("cert", "CERTIFICATE", leaf.Raw),
+		write("key", "EC PRIVATE KEY", der)
 	pair, err := tls.LoadX509KeyPair(certFile, keyFile)
 	require.NoError(t, err)
 	return pair, caFile, certFile, keyFile
 }
 
-func newCert(t *testing.T, name string, ca *x509.Certificate, caKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
+func newCert(t *testing.T, name string, ca *x509.Certificate, caKey *ecdsa.PrivateKey) (*x509.Certificate,
+	*ecdsa.PrivateKey) {
+	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
-	c := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: ca == nil, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign}
+	c := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
+		DNSNames:  []string{name},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: ca == nil,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign}
 	if ca == nil {
 		ca, caKey = c, key
 	}
@@ -282,11 +296,14 @@
 	require.NoError(t, err)
 	require.True(t, pool.AppendCertsFromPEM(text))
 	e := newEngine(t, nil)
-	s := catalogue(t, &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert}, e)
-	r := startConsul(t, fmt.Sprintf(`"addresses":["https://%s"],"ca_file":%q,"server_name":"consul.test","cert_file":%q,"key_file":%q`, s.Addr, ca, cert, key))
+	s := catalogue(t, &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: pool,
+		ClientAuth: tls.RequireAndVerifyClientCert}, e)
+	r := startConsul(t, fmt.Sprintf(`"addresses":["https://%s"],"ca_file":%q,"server_name":"consul.test",`+
+		`"cert_file":%q,"key_file":%q`, s.Addr, ca, cert, key))
 	r.served()
 
-	r = startConsul(t, fmt.Sprintf(`"addresses":["https://%s"],"ca_file":%q,"server_name":"other.test","cert_file":%q,"key_file":%q`, s.Addr, ca, cert, key))
+	r = startConsul(t, fmt.Sprintf(`"addresses":["https://%s"],"ca_file":%q,"server_name":"other.test","cert_file":%q,`+
+		`"key_file":%q`, s.Addr, ca, cert, key))
 	r.says("catalogue lost")
 	assert.Contains(t, r.log.String(), "other.test")
 }
@@ -333,7 +350,8 @@
 
 func TestCommandLine(t *testing.T) {
 	config := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(config, []byte(`{"name":"n7","listen":"127.0.0.1:1","changelog":"127.0.0.1:1","settings":`+facts+`}`), 0o600))
+	require.NoError(t, os.WriteFile(config, []byte(`{"name":"n7","listen":"127.0.0.1:1","changelog":"127.0.0.1:1",`+
+		`"settings":`+facts+`}`), 0o600))
 	settings := filepath.Join(t.TempDir(), "settings.json")
 	for name, k := range map[string]struct {
 		settings string
@@ -341,20 +359,26 @@
 		code     int
 		says     string
 	}{
-		"help":                  {"", []string{"--help"}, 0, "completion"},
-		"version":               {"", []string{"version"}, 0, "gateway"},
-		"unknown flag":          {"", []string{"--nope"}, 2, "unknown flag: --nope"},
-		"unknown command":       {"", []string{"nope"}, 2, `unknown command "nope"`},
-		"surplus word":          {"", []string{"run", "nope"}, 2, "nope"},
-		"no configuration":      {"", []string{"run"}, 1, "PROXY_CONFIG names no file"},
-		"good":                  {`{"schema":1}`, []string{"check", "--config", config, "--settings", settings}, 0, "good: n7"},
-		"settings of no build":  {`{}`, []string{"check", "--config", config, "--settings", settings}, 1, "schema: missing"},
-		"settings from later":   {`{"schema":2}`, []string{"check", "--config", config, "--settings", settings}, 1, "schema: 2 is later than 1"},
-		"settings out of range": {`{"schema":1,"membership":{"max_out":2}}`, []string{"check", "--config", config, "--settings", settings}, 1, "membership.max_out: found 2, allowed is a number from 0 to 1"},
-		"settings unknown":      {`{"schema":1,"consul":{"adresses":[]}}`, []string{"check", "--config", config, "--settings", settings}, 1, "consul.adresses: not known; allowed are addresses,"},
-		"settings in CUE":       {``, []string{"check", "--config", config, "--settings", "x.cue"}, 1, "x.cue"},
-		"no such token":         {`{"schema":1,"source":"consul","consul":{"token_file":"/nonexistent"}}`, []string{"check", "--config", config, "--settings", settings}, 1, "consul.token_file: /nonexistent"},
-		"address without port":  {`{"schema":1,"source":"consul","consul":{"addresses":["consul"]}}`, []string{"check", "--config", config, "--settings", settings}, 1, `"consul" is not HOST:PORT`},
+		"help":             {"", []string{"--help"}, 0, "completion"},
+		"version":          {"", []string{"version"}, 0, "gateway"},
+		"unknown flag":     {"", []string{"--nope"}, 2, "unknown flag: --nope"},
+		"unknown command":  {"", []string{"nope"}, 2, `unknown command "nope"`},
+		"surplus word":     {"", []string{"run", "nope"}, 2, "nope"},
+		"no configuration": {"", []string{"run"}, 1, "PROXY_CONFIG names no file"},
+		"good": {`{"schema":1}`, []string{"check", "--config", config, "--settings", settings}, 0,
+			"good: n7"},
+		"settings of no build": {`{}`, []string{"check", "--config", config, "--settings", settings}, 1, "schema: missing"},
+		"settings from later": {`{"schema":2}`, []string{"check", "--config", config, "--settings", settings}, 1,
+			"schema: 2 is later than 1"},
+		"settings out of range": {`{"schema":1,"membership":{"max_out":2}}`, []string{"check", "--config", config,
+			"--settings", settings}, 1, "membership.max_out: found 2, allowed is a number from 0 to 1"},
+		"settings unknown": {`{"schema":1,"consul":{"adresses":[]}}`, []string{"check", "--config", config,
+			"--settings", settings}, 1, "consul.adresses: not known; allowed are addresses,"},
+		"settings in CUE": {``, []string{"check", "--config", config, "--settings", "x.cue"}, 1, "x.cue"},
+		"no such token": {`{"schema":1,"source":"consul","consul":{"token_file":"/nonexistent"}}`,
+			[]string{"check", "--config", config, "--settings", settings}, 1, "consul.token_file: /nonexistent"},
+		"address without port": {`{"schema":1,"source":"consul","consul":{"addresses":["consul"]}}`, []string{"check",
+			"--config", config, "--settings", settings}, 1, `"consul" is not HOST:PORT`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.NoError(t, os.WriteFile(settings, []byte(k.settings), 0o600))
--- a/cmd/gateway/departure_test.go
+++ b/cmd/gateway/departure_test.go
@@ -32,7 +32,8 @@
 func newPostLog() *postLog { return &postLog{arrivals: map[string][]time.Time{}} }
 
 // wrap records the POSTs that an engine gets, and passes all calls on.
-func (l *postLog) wrap(handle func(call string, w http.ResponseWriter, q *http.Request) bool) func(string, http.ResponseWriter, *http.Request) bool {
+func (l *postLog) wrap(handle func(call string, w http.ResponseWriter, q *http.Request) bool) func(string,
+	http.ResponseWriter, *http.Request) bool {
 	return func(call string, w http.ResponseWriter, q *http.Request) bool {
 		if call == "POST" {
 			l.mu.Lock()
@@ -75,26 +76,32 @@
 	return rest[:16]
 }
 
+// depart sends requests over a session that is to leave in that way.
+func depart(r *rig, way string, c *client, leave func(), payloads ...string) *departure {
+	d := &departure{way: way, leave: leave}
+	var packets []string
+	for _, p := range payloads {
+		if strings.Contains(p, "i=") {
+			d.ids = append(d.ids, requestID(p))
+		}
+		packets = append(packets, packet(0, p))
+	}
+	out := strings.Join(packets, "")
+	if way == "close during the login" || way == "half-close during the login" {
+		out = packet(1, login) + out
+	}
+	if way == "close, half a packet behind" {
+		out = out[:len(out)-30]
+	}
+	_, err := io.WriteString(c.c, out)
+	require.NoError(r.t, err)
+	return d
+}
+
 // departures open a session for each way to leave, and send one request or several. One request of each is taken.
 func departures(r *rig, class string) (all []*departure) {
 	add := func(way string, c *client, leave func(), payloads ...string) {
-		d := &departure{way: way, leave: leave}
-		out := ""
-		for _, p := range payloads {
-			if strings.Contains(p, "i=") {
-				d.ids = append(d.ids, requestID(p))
-			}
-			out += packet(0, p)
-		}
-		if way == "close during the login" || way == "half-close during the login" {
-			out = packet(1, login) + out
-		}
-		if way == "close, half a packet behind" {
-			out = out[:len(out)-30]
-		}
-		_, err := io.WriteString(c.c, out)
-		require.NoError(r.t, err)
-		all = append(all, d)
+		all = append(all, depart(r, way, c, leave, payloads...))
 	}
 	ask := func() string { return statement(class, 20000) }
 	closes := func(c *client) func() { return func() { assert.NoError(r.t, c.c.Close()) } }
@@ -146,6 +153,7 @@
 
 // drained keeps requests in the queue: no engine is ready.
 func drained(t *testing.T, posts *postLog) *obstacle {
+	t.Helper()
 	old, ready := newEngine(t, posts.wrap(nil)), newEngine(t, posts.wrap(nil))
 	return &obstacle{
 		class: "load", engines: []*engine{old},
@@ -160,6 +168,7 @@
 
 // unconnected keeps requests in a dial that their engine's machine does not answer.
 func unconnected(t *testing.T, posts *postLog) *obstacle {
+	t.Helper()
 	e, _, open := lateEngine(t)
 	e.handle = posts.wrap(nil)
 	remote := fmt.Appendf(nil, " 0100007F:%04X 02 ", e.Listener.Addr().(*net.TCPAddr).Port)
@@ -180,10 +189,16 @@
 	}
 }
 
+// openHandler answers a call of an engine whose obstacle is removed once open is closed.
+type openHandler func(open <-chan struct{}, call string, w http.ResponseWriter, q *http.Request) bool
+
 // attempted is an engine on which all attempts are out, with another that is ready to take what it gives back.
-func attempted(t *testing.T, posts *postLog, call string, handle func(open <-chan struct{}, call string, w http.ResponseWriter, q *http.Request) bool) *obstacle {
+func attempted(t *testing.T, posts *postLog, call string, handle openHandler) *obstacle {
+	t.Helper()
 	open := make(chan struct{})
-	first := newEngine(t, posts.wrap(func(call string, w http.ResponseWriter, q *http.Request) bool { return handle(open, call, w, q) }))
+	first := newEngine(t, posts.wrap(func(call string, w http.ResponseWriter, q *http.Request) bool {
+		return handle(open, call, w, q)
+	}))
 	other := newEngine(t, posts.wrap(nil))
 	return &obstacle{
 		class: "lookup", engines: []*engine{first},
@@ -208,7 +223,9 @@
 
 // refusing is an engine that gives its queries back unrun.
 func refusing(t *testing.T, posts *postLog) *obstacle {
-	return attempted(t, posts, "POST", func(open <-chan struct{}, call string, w http.ResponseWriter, q *http.Request) bool {
+	t.Helper()
+	return attempted(t, posts, "POST", func(open <-chan struct{}, call string, w http.ResponseWriter,
+		q *http.Request) bool {
 		if call == "DELETE" {
 			select {
 			case <-open:
@@ -228,7 +245,9 @@
 
 // forgetful is an engine that resets each POST, and knows nothing of the query.
 func forgetful(t *testing.T, posts *postLog) *obstacle {
-	return attempted(t, posts, "GET 0", func(open <-chan struct{}, call string, w http.ResponseWriter, q *http.Request) bool {
+	t.Helper()
+	return attempted(t, posts, "GET 0", func(open <-chan struct{}, call string, w http.ResponseWriter,
+		q *http.Request) bool {
 		if call == "POST" {
 			reset(w)
 			return true
@@ -244,6 +263,7 @@
 
 // silent is an engine that answers nothing: an attempt is over 2.1 s after the last call.
 func silent(t *testing.T, posts *postLog) *obstacle {
+	t.Helper()
 	var mu sync.Mutex
 	var last time.Time
 	o := attempted(t, posts, "POST", func(_ <-chan struct{}, _ string, _ http.ResponseWriter, q *http.Request) bool {
@@ -276,8 +296,8 @@
 	"in a pause":                 silent,
 }
 
-// No attempt begins more than 0.1 s after its client has left, whether or not the program has been seen to notice: what kept the
-// request waiting goes away at that instant.
+// No attempt begins more than 0.1 s after its client has left, whether or not the program has been seen to notice:
+// what kept the request waiting goes away at that instant.
 func TestNoAttemptBeginsAfterItsClientLeft(t *testing.T) {
 	for name, obstacle := range obstacles {
 		for _, cancel := range []bool{true, false} {
@@ -291,7 +311,8 @@
 	}
 }
 
-// A program that stood still over the leave and over the event that lets attempts begin looks at the leave first, whichever came first.
+// A program that stood still over the leave and over the event that lets attempts begin looks at the leave first,
+// whichever came first.
 func TestNoAttemptBeginsAfterAStandstillOverTheLeave(t *testing.T) {
 	for _, name := range []string{"in the queue", "in a dial", "between two attempts", "while a POST is taken back"} {
 		for _, cancel := range []bool{true, false} {
@@ -305,7 +326,8 @@
 	}
 }
 
-// standstill says whether the program has no core while its clients leave, and in which order it then finds what has happened.
+// standstill says whether the program has no core while its clients leave, and in which order it then finds what has
+// happened.
 type standstill int
 
 const (
@@ -314,12 +336,14 @@
 	removalFirst // of the obstacle
 )
 
-// departuresAreHeard lets clients wait behind an obstacle and leave, and removes it once the bound is over. False: the program had no
-// core between the two, and the play tells nothing.
+// departuresAreHeard lets clients wait behind an obstacle and leave, and removes it once the bound is over. False:
+// the program had no core between the two, and the play tells nothing.
 func departuresAreHeard(t *testing.T, build func(*testing.T, *postLog) *obstacle, cancel bool, stop standstill) bool {
+	t.Helper()
 	posts := newPostLog()
 	o := build(t, posts)
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: noProbes(cancel), settings: t.TempDir() + "/s.json"}
+	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: noProbes(cancel),
+		settings: t.TempDir() + "/s.json"}
 	r.writeSettings(`{"schema":1,"clients":{"idle_ms":60000}}`)
 	r.start(1024, o.engines...)
 	if o.start != nil {
@@ -367,15 +391,20 @@
 	if starved {
 		return false
 	}
-	late := posts.after(left.Add(departureBound), requestID(last))
+	assertHeard(t, clients, posts.after(left.Add(departureBound), requestID(last)))
+	return true
+}
+
+// assertHeard asserts that no request of a client that has left was sent late, and names the way it left.
+func assertHeard(t *testing.T, clients []*departure, late []string) {
+	t.Helper()
 	for _, d := range clients {
 		if d.heard != nil {
 			d.heard()
 		}
 		for _, id := range d.ids {
-			assert.NotContains(t, late, id, d.way) // names the way
+			assert.NotContains(t, late, id, d.way)
 		}
 	}
 	assert.Empty(t, late)
-	return true
 }
--- a/cmd/gateway/deploy_test.go
+++ b/cmd/gateway/deploy_test.go
@@ -34,7 +34,7 @@
 	require.NoError(t, err, string(said))
 	program, err := elf.Open(filepath.Join(out, filepath.Base(strings.TrimPrefix(line("run"), "exec "))))
 	require.NoError(t, err)
-	defer program.Close()
+	defer func() { _ = program.Close() }()
 	libraries, err := program.ImportedLibraries()
 	require.NoError(t, err)
 	require.Contains(t, libraries, "libc.so.6")
@@ -42,13 +42,15 @@
 	require.NotNil(t, loader, "the program names a dynamic loader")
 }
 
-// TestDeployNamesEveryPackage guards against a package that the deployed program is linked from and that the deploy file
-// names under neither node nor policy: who judges a version by the files named there would judge another program.
+// TestDeployNamesEveryPackage guards against a package that the deployed program is linked from and that the deploy
+// file names under neither node nor policy: who judges a version by the files named there would judge another
+// program.
 func TestDeployNamesEveryPackage(t *testing.T) {
 	var deploy struct{ Policy, Node []string }
 	_, err := toml.DecodeFile("../../deploy/balancer.toml", &deploy)
 	require.NoError(t, err)
-	list := exec.Command("go", "list", "-deps", "-tags", "lean", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", "./cmd/gateway")
+	list := exec.Command("go", "list", "-deps", "-tags", "lean", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
+		"./cmd/gateway")
 	list.Dir = "../.."
 	list.Env = append(os.Environ(), "CGO_ENABLED=1", "GOFLAGS=-buildvcs=false")
 	out, err := list.Output()
@@ -60,9 +62,12 @@
 			continue
 		}
 		own++
-		named := slices.ContainsFunc(deploy.Node, func(n string) bool { return folder == n || strings.HasPrefix(folder, n+"/") }) ||
+		named := slices.ContainsFunc(deploy.Node, func(n string) bool {
+			return folder == n || strings.HasPrefix(folder, n+"/")
+		}) ||
 			slices.ContainsFunc(deploy.Policy, func(p string) bool { return filepath.Dir(p) == folder })
-		require.True(t, named, "%s is in the deployed program, and deploy/balancer.toml names it under neither node nor policy", folder)
+		require.True(t, named, "%s is in the deployed program, and deploy/balancer.toml names it under neither node nor "+
+			"policy", folder)
 	}
 	require.Greater(t, own, 10, "the packages of the program were listed")
 }
--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -56,7 +56,8 @@
 	return len(list)
 }
 
-// servedInTheEnd asks on new sessions until one request has its answer: while the sessions are full, one may be closed before it is read.
+// servedInTheEnd asks on new sessions until one request has its answer: while the sessions are full, one may be
+// closed before it is read.
 func (r *rig) servedInTheEnd() {
 	const patience = 15 * time.Second
 	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
@@ -83,12 +84,13 @@
 	}
 }
 
-// Idle clients, more than there is place for, can't keep the change log, probes and requests from their descriptors, whatever ails the change log
-// meanwhile.
+// Idle clients, more than there is place for, can't keep the change log, probes and requests from their descriptors,
+// whatever ails the change log meanwhile.
 func TestIdleClientsKeepNobodyFromTheDescriptors(t *testing.T) {
 	const sockets, crowd, held = 128, 250, 10
 	for name, o := range map[string]outage{
-		"unreachable": unreachable, "refusing": notListening, "mute": mute, "resetting": resetting, "unavailable": unavailable,
+		"unreachable": unreachable, "refusing": notListening, "mute": mute, "resetting": resetting,
+		"unavailable": unavailable,
 	} {
 		t.Run(name, func(t *testing.T) { // one at a time: each is a load for the machine
 			old, release := heldEngine(t)
@@ -122,7 +124,8 @@
 			log.recover()
 			back := time.Now()
 			r.says("engine=" + fresh.name)
-			t.Log("most descriptors", most, "back after", time.Since(back), "accepts that failed", strings.Count(r.log.String(), "accept conn failed"))
+			t.Log("most descriptors", most, "back after", time.Since(back), "accepts that failed",
+				strings.Count(r.log.String(), "accept conn failed"))
 			r.probed(fresh)
 			r.servedInTheEnd()
 			assert.Positive(t, fresh.count("POST"))
--- /dev/null
+++ b/cmd/gateway/fakeengine_test.go
@@ -0,0 +1,152 @@
+package main_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// engine is a server as the program sees one. handle may answer a call itself.
+type engine struct {
+	*httptest.Server
+	name   string
+	pages  []string
+	handle func(call string, w http.ResponseWriter, q *http.Request) bool
+
+	probes atomic.Int64 // that were answered
+
+	mu    sync.Mutex
+	calls []string // such as "POST 9b1f03aa5c7e2d41", "GET 0", "DELETE"
+	heads []http.Header
+	body  string
+	peers map[string]int // calls by connection
+}
+
+func newEngine(t *testing.T, handle func(call string, w http.ResponseWriter, q *http.Request) bool) *engine {
+	t.Helper()
+	e := &engine{pages: []string{"a\tb\tc\n"}, handle: handle, peers: map[string]int{}}
+	e.Server = httptest.NewServer(e)
+	e.name = fmt.Sprintf("s-%08x", e.Listener.Addr().(*net.TCPAddr).Port)
+	t.Cleanup(func() {
+		e.CloseClientConnections()
+		e.Close()
+	})
+	return e
+}
+
+func (e *engine) entry(state string, since int64) string {
+	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"room-a","type":"std-12","group":0,"status":%q,"weight":1,`+
+		`"since_ms":%d}`,
+		e.name, strings.TrimPrefix(e.URL, "http://"), state, since)
+}
+
+func (e *engine) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	if q.URL.Path == "/-/gauges" {
+		w.Header().Set("X-Gauges", "util:0.10")
+		e.probes.Add(1)
+		return
+	}
+	call := q.Method
+	if q.Method == "GET" {
+		call += " " + q.URL.Path[strings.LastIndex(q.URL.Path, "/")+1:]
+	}
+	body, _ := io.ReadAll(q.Body)
+	e.mu.Lock()
+	e.calls = append(e.calls, call)
+	e.peers[q.RemoteAddr]++
+	if call == "POST" {
+		e.heads, e.body = append(e.heads, q.Header), string(body)
+	}
+	e.mu.Unlock()
+	if e.handle != nil && e.handle(call, w, q) {
+		return
+	}
+	switch call {
+	case "DELETE":
+		w.WriteHeader(http.StatusNoContent)
+	case "POST", "GET 0":
+		e.page(w, 0)
+	default:
+		n, _ := strconv.Atoi(strings.TrimPrefix(call, "GET "))
+		e.page(w, n)
+	}
+}
+
+func (e *engine) page(w http.ResponseWriter, n int) {
+	if n == 0 {
+		w.Header().Set("X-Batches", strconv.Itoa(len(e.pages)))
+		w.Header().Set("X-Spent", "12.5")
+		w.Header().Set("X-Wanted", "96")
+	} else {
+		w.Header().Set("X-Batch", strconv.Itoa(n))
+	}
+	fmt.Fprint(w, e.pages[n])
+}
+
+// count tells how many calls of a kind came.
+func (e *engine) count(call string) (n int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range e.calls {
+		if c == call {
+			n++
+		}
+	}
+	return n
+}
+
+func (e *engine) waitFor(t *testing.T, call string, n int) {
+	t.Helper()
+	require.Eventually(t, func() bool { return e.count(call) >= n }, 10*time.Second, 2*time.Millisecond, call)
+}
+
+// reset ends a connection without an answer, as a process that dies does.
+func reset(w http.ResponseWriter) {
+	if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
+		_ = c.(*net.TCPConn).SetLinger(0)
+		c.Close()
+	}
+}
+
+// running answers that the query is not yet over.
+func running(w http.ResponseWriter, q *http.Request) {
+	select {
+	case <-time.After(20 * time.Millisecond):
+	case <-q.Context().Done():
+	}
+	w.Header().Set("X-How", "done")
+	w.Header().Set("X-Num", "0.5")
+	w.WriteHeader(http.StatusAccepted)
+}
+
+// slow answers every call but DELETE that the query is not yet over.
+func slow(call string, w http.ResponseWriter, q *http.Request) bool {
+	if call != "DELETE" {
+		running(w, q)
+	}
+	return call != "DELETE"
+}
+
+// heldEngine ends no query before release is closed.
+func heldEngine(t *testing.T) (e *engine, release chan struct{}) {
+	t.Helper()
+	release = make(chan struct{})
+	return newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
+		select {
+		case <-release:
+			return false
+		default:
+			return slow(call, w, q)
+		}
+	}), release
+}
--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -16,100 +16,150 @@
 	"beechcart/internal/source"
 )
 
-// goneWithin is how long the last word to the fleet may take: whoever waits for the process waits no longer than that more.
-const goneWithin = 500 * time.Millisecond
-
-// knownWithin is how long a start waits for the drains that the fleet has agreed on. One that reaches nobody serves without them.
-const knownWithin = 3 * time.Second
-
-// inFleet is the front end as its part in the fleet sees it, and the other way round.
-type inFleet struct {
-	member   *fleet.Member
-	feed     *source.Feed
-	engines  *engine.Fleet
-	counters *invariant.Counters
-	names    platformconfig.Names
-	cores    []admission.Kind
-	goes     chan int
+const (
+	// fleetCloseTimeout bounds the last report to the fleet: whoever waits for the process waits no longer than that more.
+	fleetCloseTimeout = 500 * time.Millisecond
+
+	// registrationTimeout is how long a start waits for the drains that the fleet has agreed on. A front end that
+	// reaches no control replica by then serves without them.
+	registrationTimeout = 3 * time.Second
+)
+
+// fleetMember connects the front end and its member of the fleet: it is the membership of the one and the fleet.Front
+// of the other.
+type fleetMember struct {
+	member         *fleet.Member
+	feed           *source.Feed
+	engines        *engine.Fleet
+	counters       *invariant.Counters
+	names          platformconfig.Names
+	kinds          []admission.Kind
+	shutdownGrants chan int
 }
 
-func joinFleet(cfg *platformconfig.Config, ops operatorconfig.Settings, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters, log *slog.Logger) (fleetMember, error) {
-	f := ops.Fleet
-	if f.Gossip == "" {
-		return outside{}, nil
+// joinFleet joins the fleet that the operators' settings name, if any.
+func joinFleet(config configuration, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters,
+	log *slog.Logger) (membership, error) {
+	platform, settings := config.platform, config.operators.Fleet
+	if settings.GossipAddress == "" {
+		return standalone{}, nil
 	}
-	in := &inFleet{feed: feed, engines: engines, counters: counters, names: cfg.Names, cores: cfg.Admission.Kinds, goes: make(chan int, 1)}
-	o := fleet.Options{Name: cfg.Name, Room: f.Room, Kind: f.Kind, Revision: f.Revision, Weight: f.Weight, Gossip: f.Gossip, Dir: f.Dir,
-		Key: f.Key, Routes: f.Routes, Settings: rollout.Defaults(), DiskFaults: f.DiskFaults, Skew: f.Ahead, Log: log}
-	for _, k := range f.Keepers {
-		o.Keepers = append(o.Keepers, fleet.Address(k))
+	m := &fleetMember{
+		feed:           feed,
+		engines:        engines,
+		counters:       counters,
+		names:          platform.Names,
+		kinds:          platform.Admission.Kinds,
+		shutdownGrants: make(chan int, 1),
 	}
 	var err error
-	if in.member, err = fleet.Join(o, in); err != nil {
+	if m.member, err = fleet.Join(fleetOptions(platform.Name, settings, log), m); err != nil {
 		return nil, err
 	}
-	go func() {
-		code := exitRestart
-		if g := <-in.member.Goes(); g.For == rollout.Drain {
-			code = exitDrained
-		}
-		in.goes <- code
-	}()
+	go m.awaitShutdownGrant() // ends with the process
 	select {
-	case <-in.member.Known():
-	case <-time.After(knownWithin):
-		log.Warn("the fleet is not reached: serving without its drains")
+	case <-m.member.Known():
+	case <-time.After(registrationTimeout):
+		log.Warn("fleet not reached, serving without its drains")
 	}
-	return in, nil
+	return m, nil
 }
 
-func (f *inFleet) Goes() <-chan int { return f.goes }
-func (f *inFleet) Serves()          { f.member.Say(rollout.Serving) }
-func (f *inFleet) Leaves()          { f.member.Say(rollout.Leaving) }
-func (f *inFleet) Gone()            { f.member.Close(goneWithin) }
+func fleetOptions(name string, settings operatorconfig.Fleet, log *slog.Logger) fleet.Options {
+	o := fleet.Options{
+		Name:       name,
+		Room:       settings.Zone,
+		Kind:       settings.Kind,
+		Revision:   settings.Revision,
+		Weight:     settings.CapacityPerSecond,
+		Gossip:     settings.GossipAddress,
+		Dir:        settings.LogDirectory,
+		Key:        settings.Key,
+		Routes:     settings.DialOverrides,
+		Settings:   rollout.Defaults(),
+		DiskFaults: settings.DiskFaultFile,
+		Skew:       settings.ClockSkew,
+		Log:        log,
+	}
+	for _, replica := range settings.ControlReplicas {
+		o.Keepers = append(o.Keepers, fleet.Address{
+			Name: replica.Name, Log: replica.LogAddress, Ask: replica.APIAddress, Gossip: replica.GossipAddress,
+		})
+	}
+	return o
+}
+
+func (m *fleetMember) awaitShutdownGrant() {
+	code := exitRestart
+	if grant := <-m.member.Goes(); grant.For == rollout.Drain {
+		code = exitDrained
+	}
+	m.shutdownGrants <- code
+}
+
+// ShutdownGrants implements membership.
+func (m *fleetMember) ShutdownGrants() <-chan int { return m.shutdownGrants }
+
+// ReportServing implements membership.
+func (m *fleetMember) ReportServing() { m.member.Say(rollout.Serving) }
+
+// ReportDraining implements membership.
+func (m *fleetMember) ReportDraining() { m.member.Say(rollout.Leaving) }
+
+// Close implements membership.
+func (m *fleetMember) Close() { m.member.Close(fleetCloseTimeout) }
 
 // Veto implements fleet.Front.
-func (f *inFleet) Veto(engines map[string]bool) { f.feed.Veto(engines) }
+func (m *fleetMember) Veto(engines map[string]bool) { m.feed.Veto(engines) }
 
 // Idle implements fleet.Front.
-func (f *inFleet) Idle(name string) bool {
-	for _, e := range f.feed.Known() {
+func (m *fleetMember) Idle(name string) bool {
+	for _, e := range m.feed.Known() {
 		if e.Name == name {
-			return f.engines.Idle(e.ID)
+			return m.engines.Idle(e.ID)
 		}
 	}
 	return true
 }
 
 // Engines implements fleet.Front.
-func (f *inFleet) Engines() (out []rollout.Engine) {
-	for _, e := range f.feed.Known() {
-		r := rollout.Engine{Name: e.Name, Process: uint64(e.Started), Listed: true, Ready: e.State == admission.Ready}
-		r.Room, r.Kind = nameOf(f.names.Zones, e.Zone), nameOf(f.names.Kinds, e.Kind)
-		if e.Kind >= 0 && e.Kind < len(f.cores) {
-			r.Cores = float64(f.cores[e.Kind].Cores)
+func (m *fleetMember) Engines() (engines []rollout.Engine) {
+	for _, e := range m.feed.Known() {
+		reported := rollout.Engine{
+			Name:    e.Name,
+			Process: uint64(e.Started),
+			Room:    nameAt(m.names.Zones, e.Zone),
+			Kind:    nameAt(m.names.Kinds, e.Kind),
+			Listed:  true,
+			Ready:   e.State == admission.Ready,
+		}
+		if e.Kind >= 0 && e.Kind < len(m.kinds) {
+			reported.Cores = float64(m.kinds[e.Kind].Cores)
 		}
-		out = append(out, r)
+		engines = append(engines, reported)
 	}
-	return out
+	return engines
 }
 
 // Counted implements fleet.Front.
-func (f *inFleet) Counted() rollout.Count {
-	return answers(f.counters.Map())
-}
+func (m *fleetMember) Counted() rollout.Count { return requestCounts(m.counters.Map()) }
 
-// answers counts requests by their answers, all of them as they end. Guards against a window in which more end than begin:
-// its counts would be impossible, and a keeper throws such a window away.
-func answers(n map[string]int64) rollout.Count {
-	failed := n["failed"] + n["deadline"]
-	return rollout.Count{Requests: n["served"] + failed + n["refused"], Failed: failed, Refused: n["refused"], Slow: n["served_late"]}
+// requestCounts counts requests by their answers, each once it has ended. Requests are not counted as they begin: a
+// window in which more end than begin would have impossible counts, and a control replica discards such a window.
+func requestCounts(counters map[string]int64) rollout.Count {
+	failed := counters["failed"] + counters["deadline"]
+	return rollout.Count{
+		Requests: counters["served"] + failed + counters["refused"],
+		Failed:   failed,
+		Refused:  counters["refused"],
+		Slow:     counters["served_late"],
+	}
 }
 
-// nameOf is the name of a place; empty where it has none.
-func nameOf(names map[string]int, place int) string {
+// nameAt returns the name that has an index; empty where none has.
+func nameAt(names map[string]int, index int) string {
 	for name, i := range names {
-		if i == place {
+		if i == index {
 			return name
 		}
 	}
--- a/cmd/gateway/fleet_lean.go
+++ b/cmd/gateway/fleet_lean.go
@@ -8,15 +8,14 @@
 
 	"beechcart/internal/engine"
 	"beechcart/internal/invariant"
-	"beechcart/internal/operatorconfig"
-	"beechcart/internal/platformconfig"
 	"beechcart/internal/source"
 )
 
-// joinFleet refuses what this build has left out.
-func joinFleet(_ *platformconfig.Config, ops operatorconfig.Settings, _ *source.Feed, _ *engine.Fleet, _ *invariant.Counters, _ *slog.Logger) (fleetMember, error) {
-	if ops.Fleet.Gossip != "" {
+// joinFleet rejects settings that name a fleet: this build leaves it out.
+func joinFleet(config configuration, _ *source.Feed, _ *engine.Fleet, _ *invariant.Counters,
+	_ *slog.Logger) (membership, error) {
+	if config.operators.Fleet.GossipAddress != "" {
 		return nil, errors.New("settings: fleet: this build has none (tag lean)")
 	}
-	return outside{}, nil
+	return standalone{}, nil
 }
--- a/cmd/gateway/leaving_test.go
+++ b/cmd/gateway/leaving_test.go
@@ -41,7 +41,7 @@
 		assert.NoError(r.t, c.c.Close())
 	},
 	"half-close": func(r *rig, c *client) {
-		assert.NoError(r.t, c.c.(*net.TCPConn).CloseWrite())
+		require.NoError(r.t, c.c.(*net.TCPConn).CloseWrite())
 		_, err := io.Copy(io.Discard, c.r)
 		assert.NoError(r.t, err, "the session is over: it ends without an answer")
 	},
@@ -49,6 +49,7 @@
 
 // everyLeaving plays a case for each way of leaving, with and without leave to cancel.
 func everyLeaving(t *testing.T, play func(t *testing.T, facts string, leave func(r *rig, c *client))) {
+	t.Helper()
 	for name, leave := range leavings {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %t", name, cancel), func(t *testing.T) {
@@ -64,6 +65,7 @@
 
 // control has a request served by a further engine: whatever waited for one ahead of it would have gone there first.
 func control(t *testing.T, r *rig) {
+	t.Helper()
 	e := newEngine(t, nil)
 	r.tell(e.entry("ready", 0))
 	a := r.dial().query("load", 20000)
@@ -73,6 +75,7 @@
 
 func TestAClientThatLeftAQueueIsNotSentOn(t *testing.T) {
 	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+		t.Helper()
 		e := newEngine(t, nil)
 		r := startAs(t, facts, e)
 		r.tell(e.entry("draining", 0))
@@ -88,6 +91,7 @@
 
 func TestAClientThatLeftBetweenTwoAttemptsIsNotSentOn(t *testing.T) {
 	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+		t.Helper()
 		full := make(chan struct{})
 		e := newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
 			select {
@@ -113,9 +117,11 @@
 	})
 }
 
-// The attempt is lost, and called over only 2 s after anything could have asked for it: its client leaves in that pause.
+// The attempt is lost, and called over only 2 s after anything could have asked for it: its client leaves in that
+// pause.
 func TestAClientThatLeftInAPauseIsNotSentOn(t *testing.T) {
 	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+		t.Helper()
 		var first atomic.Pointer[engine]
 		left := make(chan struct{})
 		var engines [2]*engine
@@ -147,12 +153,16 @@
 		require.Eventually(t, func() bool { return first.Load() != nil }, 10*time.Second, time.Millisecond)
 		leave(r, c)
 		close(left)
-		for end := time.Now().Add(15 * time.Second); r.counter("ended_reset")+r.counter("ended_cancelled")+r.counter("ended_timeout") < 1; {
+		ended := func() int64 {
+			return r.counter("ended_reset") + r.counter("ended_cancelled") + r.counter("ended_timeout")
+		}
+		for end := time.Now().Add(15 * time.Second); ended() < 1; {
 			require.True(t, time.Now().Before(end), "the attempt does not end")
 			time.Sleep(5 * time.Millisecond)
 		}
 		r.tell(engines[0].entry("draining", 0), engines[1].entry("draining", 0))
-		require.Eventually(t, func() bool { return strings.Count(r.log.String(), "state=draining") == 2 }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Count(r.log.String(), "state=draining") == 2 }, 10*time.Second,
+			time.Millisecond)
 		control(t, r)
 		assert.Equal(t, 1, engines[0].count("POST")+engines[1].count("POST"))
 	})
@@ -160,6 +170,7 @@
 
 // lateEngine is an engine whose machine takes no connection before open is called. coming tells that one is on its way.
 func lateEngine(t *testing.T) (e *engine, coming func() bool, open func()) {
+	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -167,8 +178,9 @@
 	f := os.NewFile(uintptr(fd), "late")
 	l, err := net.FileListener(f)
 	require.NoError(t, err)
-	f.Close()
-	// The queue of such a listener holds a connection or two, and what comes next is not heard until they are taken from it.
+	_ = f.Close()
+	// The queue of such a listener holds a connection or two, and what comes next is not heard until they are taken from
+	// it.
 	for {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
 		if err != nil {
@@ -197,6 +209,7 @@
 
 func TestAClientThatLeftWhileAConnectionComesUpIsNotSentOn(t *testing.T) {
 	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+		t.Helper()
 		e, coming, open := lateEngine(t)
 		r := startAs(t, facts, e)
 		c := r.dial()
@@ -322,7 +335,8 @@
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			const window = 1200 * time.Millisecond
-			settings := strings.Replace(noProbes(true), `"name":"lookup"`, fmt.Sprintf(`"memory_span":%d,"name":"lookup"`, window), 1)
+			settings := strings.Replace(noProbes(true), `"name":"lookup"`, fmt.Sprintf(`"memory_span":%d,"name":"lookup"`,
+				window), 1)
 			settings = strings.Replace(settings, "read_like", "idempotency_key", 1)
 			asked := make(chan struct{})
 			first := newEngine(t, func(call string, w http.ResponseWriter, _ *http.Request) bool {
@@ -363,8 +377,8 @@
 	}
 }
 
-// A connection is reset under its POST, which the engine's machine has taken and the engine reads only after it has said that it knows
-// nothing of the query: Linux keeps such bytes past a reset. The query is not out on two engines.
+// A connection is reset under its POST, which the engine's machine has taken and the engine reads only after it has
+// said that it knows nothing of the query: Linux keeps such bytes past a reset. The query is not out on two engines.
 func TestAPostThatIsReadAfterItsResetIsTakenBack(t *testing.T) {
 	var first atomic.Pointer[engine]
 	var runs, two atomic.Bool
@@ -400,8 +414,8 @@
 	assert.False(t, runs.Load())
 }
 
-// The way to an engine takes 0.3 s and brings no answer back. An attempt there is over 2 s after the engine was asked last, which is later than
-// it was sent.
+// The way to an engine takes 0.3 s and brings no answer back. An attempt there is over 2 s after the engine was asked
+// last, which is later than it was sent.
 func TestALostAttemptIsOverOnlyOnceItsLastCallIs(t *testing.T) {
 	var heard atomic.Int64
 	lost := newEngine(t, func(call string, _ http.ResponseWriter, q *http.Request) bool {
@@ -419,7 +433,8 @@
 	r := startAs(t, noProbes(true))
 	way := relays.NewNet(1)
 	t.Cleanup(way.Close)
-	way.Link("front", "engine").Set(relays.Trouble{Delay: 150 * time.Millisecond}) // for a connection, and again for what it brings
+	// for a connection, and again for what it brings
+	way.Link("front", "engine").Set(relays.Trouble{Delay: 150 * time.Millisecond})
 	address, err := way.Lead("front", "engine", lost.Listener.Addr().String(), false)
 	require.NoError(t, err)
 	entry := strings.Replace(lost.entry("ready", 0), lost.Listener.Addr().String(), address, 1)
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,13 +1,13 @@
-// Command gateway is a real front end: it takes queries over the MySQL protocol and runs them on engines.
+// Command gateway is the front end: it takes queries over the MySQL protocol and runs them on engines over HTTP.
+//
+// main.go has the exit codes, config.go reads the files, server.go wires the parts up and runs them from start to
+// shutdown, endpoints.go follows the engine list, fleet.go joins the fleet. docs/ARCHITECTURE.md has the whole picture.
 package main
 
 import (
 	"errors"
 	"fmt"
 	"os"
-
-	"beechcart/internal/operatorconfig"
-	"beechcart/internal/platformconfig"
 )
 
 // The exit codes.
@@ -15,15 +15,15 @@
 	exitFailed = 1 // it could not start, or could not go on
 	exitUsage  = 2 // the command line does not read
 
-	// The fleet has let it go out: what starts programs here is to start it again ...
+	// The fleet has granted a shutdown: whoever starts programs on this machine starts this one again ...
 	exitRestart = 75 // ... on the revision that 'gatewayctl fleet wanted' names
 	exitDrained = 76 // ... once it is undrained
 )
 
-// exitWith is an end that is no fault, with a code of its own.
-type exitWith int
+// exitError is an end that is no fault, with an exit code of its own.
+type exitError int
 
-func (e exitWith) Error() string { return fmt.Sprintf("ended with code %d", int(e)) }
+func (e exitError) Error() string { return fmt.Sprintf("ended with code %d", int(e)) }
 
 // usageError is a command line that does not read.
 type usageError struct{ error }
@@ -31,11 +31,11 @@
 func main() {
 	err := execute()
 	var usage usageError
-	var code exitWith
+	var exit exitError
 	switch {
 	case err == nil:
-	case errors.As(err, &code):
-		os.Exit(int(code))
+	case errors.As(err, &exit):
+		os.Exit(int(exit))
 	case errors.As(err, &usage):
 		fmt.Fprintf(os.Stderr, "gateway: %v\n", err)
 		os.Exit(exitUsage)
@@ -44,28 +44,3 @@
 		os.Exit(exitFailed)
 	}
 }
-
-// files are the two files that a front end is told its settings by.
-type files struct{ config, settings string }
-
-// load reads both files and checks what can be checked without starting.
-func (f *files) load() (*platformconfig.Config, operatorconfig.Settings, error) {
-	ops, err := operatorconfig.Load(f.settings)
-	if err != nil {
-		return nil, ops, err
-	}
-	if err := ops.Check(); err != nil {
-		return nil, ops, fmt.Errorf("settings %s: %w", f.settings, err)
-	}
-	cfg, err := platformconfig.Load(f.config, os.Getenv)
-	if err != nil {
-		return nil, ops, err
-	}
-	if err := cfg.Check(); err != nil {
-		return nil, ops, fmt.Errorf("configuration %s: %w", f.config, err)
-	}
-	if ops.Source == operatorconfig.ChangeLog && cfg.ChangeLog == "" {
-		return nil, ops, fmt.Errorf("configuration %s: changelog: no address is given", f.config)
-	}
-	return cfg, ops, nil
-}
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -45,27 +45,32 @@
 func TestGrantsReachTheEngine(t *testing.T) {
 	for grants, want := range map[bool]string{true: "24", false: ""} {
 		e := newEngine(t, nil)
-		r := startAs(t, strings.Replace(facts, `"lanes_count":true`, fmt.Sprintf(`"lanes_count":true,"takes_grants":%t,"most_grant":0.25`, grants), 1), e)
+		r := startAs(t, strings.Replace(facts, `"lanes_count":true`,
+			fmt.Sprintf(`"lanes_count":true,"takes_grants":%t,"most_grant":0.25`, grants), 1), e)
 		require.Zero(t, r.dial().query("lookup", 2500).code)
 		assert.Equal(t, want, e.heads[0].Get("X-Reserve"), "half over the estimate of 16 MB, where the platform takes grants")
 	}
 }
 
 func TestEndings(t *testing.T) {
+	fail := func(status int) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }
+	}
 	for name, k := range map[string]struct {
 		class string
 		first func(w http.ResponseWriter, q *http.Request) // answers the first POST
 		posts int
 		code  int // 0: served
 	}{
-		"an error may be repeated where that is safe": {"lookup", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, 2, 0},
-		"an error of a load is final":                 {"load", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, 1, 1105},
-		"a reset of a load may have run":              {"load", func(w http.ResponseWriter, _ *http.Request) { reset(w) }, 1, 1105},
+		"an error may be repeated where that is safe": {"lookup", fail(500), 2, 0},
+		"an error of a load is final":                 {"load", fail(500), 1, 1105},
+		"a reset of a load may have run": {"load", func(w http.ResponseWriter, _ *http.Request) { reset(w) },
+			1, 1105},
 		"a load that never ran goes out again": {"load", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Unrun", "1")
 			w.WriteHeader(503)
 		}, 2, 0},
-		"503 without the proof may have run": {"load", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, 1, 1105},
+		"503 without the proof may have run": {"load", fail(503), 1, 1105},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var posts atomic.Int32
@@ -111,13 +116,14 @@
 	a := start(t, e).dial().query("load", 20000)
 	assert.Zero(t, a.code, a.text)
 	assert.Equal(t, 1, e.count("POST"))
-	assert.Less(t, time.Duration(again.Load()-lost.Load()), 2*time.Second, "the engine gives a query up that nobody asks for")
+	assert.Less(t, time.Duration(again.Load()-lost.Load()), 2*time.Second,
+		"the engine gives a query up that nobody asks for")
 }
 
 func TestSilentEngineIsLeftOnlyWhenItsQueryIsOver(t *testing.T) {
 	t.Parallel()
 	var asked, posted atomic.Int64
-	silent := func(call string, w http.ResponseWriter, q *http.Request) bool {
+	silent := func(q *http.Request) bool {
 		asked.Store(time.Now().UnixNano())
 		<-q.Context().Done()
 		return true
@@ -128,7 +134,7 @@
 		var e *engine
 		e = newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
 			if first.CompareAndSwap(nil, e) || first.Load() == e {
-				return silent(call, w, q)
+				return silent(q)
 			}
 			posted.CompareAndSwap(0, time.Now().UnixNano())
 			return false
@@ -162,8 +168,8 @@
 	e.waitFor(t, "DELETE", 1)
 }
 
-// Guards against queries that stay out for good where the platform lets nobody cancel: on a day on which one class hung at
-// two engines they filled every bound, and six in ten requests were refused while the engines idled.
+// Guards against queries that stay out for good where the platform lets nobody cancel: on a day on which one class
+// hung at two engines they filled every bound, and six in ten requests were refused while the engines idled.
 func TestAQueryThatCannotBeCancelledIsAskedForNoMore(t *testing.T) {
 	var asked atomic.Int64
 	e := newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
@@ -172,7 +178,8 @@
 	})
 	r := startAs(t, strings.Replace(facts, `"cancel":true`, `"cancel":false`, 1), e)
 	assert.Equal(t, 1105, r.dial().query("lookup", 1000).code)
-	assert.Eventually(t, func() bool { return time.Now().UnixNano()-asked.Load() > int64(time.Second) }, 10*time.Second, 10*time.Millisecond)
+	assert.Eventually(t, func() bool { return time.Now().UnixNano()-asked.Load() > int64(time.Second) }, 10*time.Second,
+		10*time.Millisecond)
 	assert.Zero(t, e.count("DELETE"))
 }
 
@@ -266,6 +273,7 @@
 func TestLeavingClientsEndTheirQueries(t *testing.T) {
 	for name, leave := range map[string]func(t *testing.T, r *rig, c *client){
 		"kill": func(t *testing.T, r *rig, c *client) {
+			t.Helper()
 			k := r.dial()
 			k.send(0, fmt.Sprintf("\x03KILL QUERY %d", c.id))
 			assert.Zero(t, k.read().code)
@@ -341,7 +349,8 @@
 	}
 	good := r.config
 	reload(good[:len(good)/2], "reload failed")
-	reload(regexp.MustCompile(`"changelog":"[^"]*"`).ReplaceAllString(good, `"changelog":"`+silent+`"`), "changelog="+silent)
+	reload(regexp.MustCompile(`"changelog":"[^"]*"`).ReplaceAllString(good, `"changelog":"`+silent+`"`),
+		"changelog="+silent)
 	require.Eventually(t, func() bool { return old.Load() == 1 }, 10*time.Second, time.Millisecond)
 	reload(strings.Replace(r.config, silent, moved, 1), "changelog="+moved)
 	require.Eventually(t, func() bool { return dropped.Load() && next.Load() > 0 }, 10*time.Second, time.Millisecond)
@@ -366,8 +375,8 @@
 	e.waitFor(t, "POST", 2)
 	assert.Equal(t, -1, idle.read().code, "an idle session is closed")
 	select {
-	case <-r.exit:
-		t.Fatal("ended with requests open")
+	case err := <-r.exit:
+		t.Fatalf("ended with requests open: %v", err)
 	default:
 	}
 	close(release)
@@ -432,94 +441,3 @@
 	}
 	assert.Zero(t, r.dial().query("lookup", 2500).code, "others are served on")
 }
-
-func TestBadConfigurationIsOneLine(t *testing.T) {
-	for config, want := range map[string]string{
-		`{`:                           "JSON",
-		`{"changelog":"127.0.0.1:1"}`: "settings: missing",
-		`{"changelog":"127.0.0.1:1","seed":"xyz","settings":{}}`:                     "seed",
-		`{"changelog":"127.0.0.1:1","settings":{"replicas_of_me":0}}`:                "settings.replicas_of_me: 0 is not allowed: it must be 1 at least",
-		`{"changelog":"127.0.0.1:1","settings":{"services":[{"semantics":"x"}]}}`:    "semantics",
-		`{"changelog":"127.0.0.1:1","known":{"results":1},"settings":` + facts + `}`: "seq",
-		`{"settings":` + facts + `}`:                                                 "changelog",
-	} {
-		r := &rig{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
-		r.run(config)
-		assert.EqualError(t, <-r.exit, "exit status 1", config)
-		assert.Contains(t, r.log.String(), want, config)
-		assert.Equal(t, 1, strings.Count(r.log.String(), "\n"), r.log.String())
-	}
-}
-
-// A setting that is missing, of a wrong type or out of range is told by one line that names it, its value and what it may be.
-func TestBadSettingsAreNamed(t *testing.T) {
-	for _, k := range []struct{ was, is, want string }{
-		{`"me":0`, `"me":1`, "settings.me: 1 is not allowed: it must be under settings.replicas_of_me, which is 1"},
-		{`"me":0`, `"me":0.5`, "me: 0.5 is not allowed: it must be a whole number from 0 on"},
-		{`"cancel":true`, `"cancel":"yes"`, `permissions.cancel: "yes" is not allowed: it must be true or false`},
-		{`"drain_grace":500000000`, `"drain_grace":-1`, "rules.drain_grace: -1 is not allowed: it must be a number from 0 on"},
-		{`"drain_grace":500000000`, `"drain_grace":1e300`, "rules.drain_grace: 1e300 is not allowed: it must be a number from 0 on"},
-		{`"cold_from":0.3`, `"cold_from":30`, "settings.rules.cold_from: 30 is not allowed: it must be from 0 to 1"},
-		{`"deadline":2500000000,`, ``, "settings.services[0].deadline: 0 is not allowed: it must be over 0"},
-		{`"name":"load"`, `"name":"lookup"`, `settings.services[0].name: "lookup" is not allowed: it must be no other class's name`},
-		{`"name":"load"`, `"name":7`, "services[1].name: 7 is not allowed: it must be a string"},
-		{`"semantics":"read_like"`, `"semantics":"odd"`, `services[0].semantics: "odd" is not known: it must be one of ["idempotency_key" "non_idempotent" "read_like"]`},
-		{`"skus":["std-12"]`, `"skus":"std-12"`, `skus: "std-12" is not allowed: it must be a list`},
-	} {
-		require.Contains(t, facts, k.was)
-		r := &rig{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
-		r.run(`{"changelog":"127.0.0.1:1","settings":` + strings.Replace(facts, k.was, k.is, 1) + `}`)
-		assert.EqualError(t, <-r.exit, "exit status 1", k.is)
-		assert.Contains(t, r.log.String(), k.want)
-		assert.Equal(t, 1, strings.Count(r.log.String(), "\n"), r.log.String())
-	}
-	for limits, want := range map[string]string{
-		`{"sockets":7}`:      "limits.sockets: 7 is not allowed: it must be 16 at least",
-		`{"sockets":"many"}`: `limits.sockets: "many" is not allowed: it must be a number from 0 on`,
-		`{"memory_mb":-1}`:   "limits.memory_mb: -1 is not allowed: it must be a number from 0 on",
-	} {
-		r := &rig{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
-		r.run(`{"changelog":"127.0.0.1:1","limits":` + limits + `,"settings":` + facts + `}`)
-		assert.EqualError(t, <-r.exit, "exit status 1", limits)
-		assert.Contains(t, r.log.String(), want)
-	}
-}
-
-// Settings that are merely unusual serve, whatever the names, the number and the order of the classes.
-func TestUnusualSettingsServe(t *testing.T) {
-	class := func(name, semantics string, deadline int) string {
-		return fmt.Sprintf(`{"deadline":%d000000,"name":%q,"on_time":100000000,"points":1,"semantics":%q}`, deadline, name, semantics)
-	}
-	ten := []string{class("lookup", "non_idempotent", 300)}
-	for i := range 9 {
-		ten = append(ten, class(fmt.Sprint("c", i), []string{"read_like", "non_idempotent", "idempotency_key"}[i%3], 300+i*5000))
-	}
-	for name, k := range map[string]struct {
-		facts   string
-		sockets int
-	}{
-		"one class, nothing else told":   {`{"replicas_of_me":1,"services":[` + class("lookup", "read_like", 300) + `]}`, 1024},
-		"one unsafe class":               {`{"replicas_of_me":1,"services":[` + class("lookup", "non_idempotent", 300) + `]}`, 1024},
-		"ten classes":                    {`{"replicas_of_me":3,"me":2,"services":[` + strings.Join(ten, ",") + `]}`, 1024},
-		"a quarter of the descriptors":   {facts, 64},
-		"no tenants":                     {strings.Replace(facts, `"tenants":[{"allowance_per_s":1000,"fraction":1,"name":"south-grain"}]`, `"tenants":[]`, 1), 1024},
-		"no probes, no notes, no cancel": {strings.NewReplacer(`"tells_every":1000000000`, `"tells_every":0`).Replace(noProbes(false)), 1024},
-		"a short grace":                  {strings.Replace(facts, `"drain_grace":500000000`, `"drain_grace":1000000`, 1), 1024},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			e := newEngine(t, nil)
-			r := (&rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: k.facts}).start(k.sockets, e)
-			statement := fmt.Sprintf("\x03/* c=lookup,i=%016x,d=2000 */ SELECT a FROM sales_17.orders", 7)
-			c := r.dial()
-			c.send(0, statement)
-			a := c.read()
-			assert.Zero(t, a.code, a.text)
-			assert.Equal(t, 1, e.count("POST"))
-			r.tell(e.entry("draining", 0))
-			r.says("state=draining")
-			require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-			require.NoError(t, <-r.exit)
-		})
-	}
-}
--- a/cmd/gateway/news_test.go
+++ b/cmd/gateway/news_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The greatest age of a drain's news, whatever the poll that should have brought it does: decision/watchtimeout has the sum.
+// The greatest age of a drain's news, whatever the poll that should have brought it does: decision/watchtimeout has
+// the sum.
 func TestADrainIsHeardWithinTheGraceWhateverAPollBrings(t *testing.T) {
 	write := func(text string) func(w http.ResponseWriter, q *http.Request) {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
@@ -70,7 +71,8 @@
 	r := start(t, e)
 	list := []string{e.entry("draining", 0)}
 	for n := range 5000 {
-		list = append(list, fmt.Sprintf(`{"name":"s-%08x","address":"127.0.0.1:1","zone":"room-a","type":"std-12","group":0,"status":"gone","weight":1,"since_ms":0}`, n))
+		list = append(list, fmt.Sprintf(`{"name":"s-%08x","address":"127.0.0.1:1","zone":"room-a","type":"std-12",`+
+			`"group":0,"status":"gone","weight":1,"since_ms":0}`, n))
 	}
 	require.Greater(t, len(strings.Join(list, "")), 512<<10)
 	r.tell(list...)
@@ -96,7 +98,8 @@
 		began := time.Now()
 		n := strings.Count(r.log.String(), "msg=reloaded")
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return strings.Count(r.log.String(), "msg=reloaded") > n }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Count(r.log.String(), "msg=reloaded") > n }, 10*time.Second,
+			time.Millisecond)
 		if age == time.Hour {
 			age = time.Since(began)
 		}
--- a/cmd/gateway/outage_test.go
+++ b/cmd/gateway/outage_test.go
@@ -36,11 +36,12 @@
 }
 
 func newChangeLog(t *testing.T) *changeLog {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	c := &changeLog{t: t, address: l.Addr().String()}
 	c.serve(l)
-	t.Cleanup(func() { c.server.Close() })
+	t.Cleanup(func() { _ = c.server.Close() })
 	return c
 }
 
@@ -103,6 +104,7 @@
 
 // unanswered lets the machine answer no connection to the address before stop is called.
 func unanswered(t *testing.T, address string) (stop func()) {
+	t.Helper()
 	a, err := net.ResolveTCPAddr("tcp", address)
 	require.NoError(t, err)
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -122,6 +124,6 @@
 		for _, c := range fill {
 			c.Close()
 		}
-		syscall.Close(fd)
+		_ = syscall.Close(fd)
 	}
 }
--- a/cmd/gateway/restart_test.go
+++ b/cmd/gateway/restart_test.go
@@ -24,13 +24,16 @@
 	readyBound = 10 * time.Second
 	// readyShare is the share of the processes that keep to it, in percent.
 	readyShare = 90
-	// mostDelay is the time for which a process may have waited for a core, in all its threads. Over it the play tells nothing.
+	// mostDelay is the time for which a process may have waited for a core, in all its threads. Over it the play tells
+	// nothing.
 	mostDelay = readyBound / 5
 )
 
-// Front ends that end all at once and are started again all at once are ready in their time, whatever ails the change log meanwhile.
+// Front ends that end all at once and are started again all at once are ready in their time, whatever ails the change
+// log meanwhile.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
-	for name, o := range map[string]outage{"working": working, "slow": slowly, "mute": mute, "refusing": notListening, "unreachable": unreachable} {
+	for name, o := range map[string]outage{"working": working, "slow": slowly, "mute": mute, "refusing": notListening,
+		"unreachable": unreachable} {
 		for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 			t.Run(fmt.Sprintf("%s, %s", name, end), func(t *testing.T) {
 				for !restartsInTime(t, o, end) {
@@ -43,6 +46,7 @@
 
 // restartsInTime plays one restart of all processes. False: some of them got no core, and the play tells nothing.
 func restartsInTime(t *testing.T, o outage, end syscall.Signal) bool {
+	t.Helper()
 	const processes = 20
 	e, log := newEngine(t, nil), newChangeLog(t)
 	all := make([]*rig, processes)
@@ -60,7 +64,7 @@
 		require.NoError(t, r.cmd.Process.Signal(end))
 	}
 	for _, r := range all {
-		<-r.exit
+		r.t.Log("ended:", <-r.exit)
 	}
 	took := make([]time.Duration, processes)
 	var started sync.WaitGroup
@@ -91,13 +95,13 @@
 		a := r.dial().query("lookup", 2500)
 		assert.Zero(t, a.code, a.text)
 		_ = r.cmd.Process.Kill()
-		<-r.exit
+		r.t.Log("ended:", <-r.exit)
 	}
 	return true
 }
 
-// readyAfter is how long after that instant the program has said that it listens, and has answered a ping; over readyBound where it has
-// not by then.
+// readyAfter is how long after that instant the program has said that it listens, and has answered a ping; over
+// readyBound where it has not by then.
 func (r *rig) readyAfter(began time.Time) time.Duration {
 	for ; time.Since(began) <= readyBound; time.Sleep(5 * time.Millisecond) {
 		if strings.Contains(r.log.String(), "msg=listening") && answersPing(r.addr) {
--- /dev/null
+++ b/cmd/gateway/server.go
@@ -0,0 +1,301 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+
+	"beechcart/admission"
+	"beechcart/internal/admin"
+	"beechcart/internal/copycount"
+	"beechcart/internal/dispatch"
+	"beechcart/internal/endpoints"
+	"beechcart/internal/engine"
+	"beechcart/internal/invariant"
+	"beechcart/internal/mysql"
+	"beechcart/internal/operatorconfig"
+	"beechcart/internal/platformconfig"
+	"beechcart/internal/processstats"
+	"beechcart/internal/source"
+)
+
+const (
+	// drainingPeriod is how long the listener stays open after SIGTERM: the platform sends new requests for up to 0.6 s.
+	drainingPeriod = 850 * time.Millisecond
+
+	// The platform kills the process once the longest deadline, taken as maxDeadline at most, and killDelay have passed.
+	maxDeadline = 3 * time.Second
+	killDelay   = 700 * time.Millisecond
+	// killMargin is left for the last answers to go out, of which sessions that read none have sessionMargin.
+	killMargin    = 150 * time.Millisecond
+	sessionMargin = 100 * time.Millisecond
+
+	counterLogInterval = 30 * time.Second
+)
+
+// server is a front end: its parts, wired up, from the start to the shutdown of the process.
+type server struct {
+	config    configuration
+	log       *slog.Logger
+	counters  *invariant.Counters
+	dispatch  *dispatch.Planner // owns the controller
+	engines   *engine.Fleet
+	listener  *mysql.Server
+	endpoints *endpointFollower
+	member    membership
+
+	ctx     context.Context // ends with the server
+	closers []func()        // in the order of starting
+}
+
+// signals are those that the process acts on.
+type signals struct{ stop, reload chan os.Signal }
+
+// notifySignals takes signals from now on. Each kind has a channel of its own, because a full channel drops signals: a
+// stop must not be lost behind many reloads.
+func notifySignals() signals {
+	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go away
+	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.reload, syscall.SIGHUP)
+	return s
+}
+
+// run serves until a signal, or the fleet, ends it.
+func run(paths *configPaths) error {
+	received := notifySignals()
+	config, err := paths.load()
+	if err != nil {
+		return err
+	}
+	counters := &invariant.Counters{}
+	output := newLogWriter(os.Stderr, counters)
+	defer output.flush()
+	if err := limitResources(config.platform, output); err != nil {
+		return err
+	}
+	log := newLogger(output, config.operators.Log).With("node", config.platform.Name)
+	s, err := newServer(paths, config, counters, log)
+	if err != nil {
+		return err
+	}
+	defer s.close()
+	if err := s.start(); err != nil {
+		return err
+	}
+	request, err := s.serve(received)
+	if request == nil {
+		return err
+	}
+	if err := s.shutDown(); err != nil {
+		return err
+	}
+	if request.exitCode != 0 {
+		return exitError(request.exitCode)
+	}
+	return nil
+}
+
+// limitResources sizes the runtime to the part of the machine that the front end has.
+func limitResources(config *platformconfig.Config, log io.Writer) error {
+	runtime.GOMAXPROCS(max(1, int(config.Cores)))
+	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 7 / 10)
+	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
+}
+
+// newServer wires the parts up. Nothing runs before start.
+func newServer(
+	paths *configPaths,
+	config configuration,
+	counters *invariant.Counters,
+	log *slog.Logger,
+) (*server, error) {
+	s := &server{config: config, counters: counters, log: log}
+	platform, operators := config.platform, config.operators
+	controller, err := admission.New(platform.Admission, platform.Seed)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	s.dispatch = dispatch.New(controller, platform.Admission.Classes, counters, log)
+	reuse, err := operators.ReusePolicy(platform.HandshakePrice, platform.Sockets)
+	if err != nil {
+		return nil, err
+	}
+	s.engines = engine.New(engine.Options{
+		ConnectTimeout: platform.ConnectTimeout,
+		DrainGrace:     platform.Admission.DrainGrace,
+		Sockets:        platform.Sockets / 2,
+		Counters:       counters,
+		Classes:        platform.Admission.Classes,
+		Deletes:        platform.Admission.CancellationAllowed,
+		Reuse:          reuse,
+	}, s.dispatch)
+	s.listener, err = mysql.New(mysql.Options{
+		Names:    platform.Names,
+		Sessions: operators.Clients.SessionLimit(platform.Sockets),
+		Idle:     operators.Clients.IdleTimeout,
+		Counters: counters,
+		Log:      log,
+	}, s.dispatch)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	s.ctx = ctx
+	s.closers = append(s.closers, cancel)
+	if err := s.newEndpoints(paths); err != nil {
+		cancel()
+		return nil, err
+	}
+	return s, nil
+}
+
+// newEndpoints makes the follower of the engine list, and lets it take the list that the platform's configuration
+// holds.
+func (s *server) newEndpoints(paths *configPaths) error {
+	platform, operators := s.config.platform, s.config.operators
+	changeLog := endpoints.NewLog(platform.Names)
+	var known []endpoints.List
+	if len(platform.Known) > 0 && operators.Source == operatorconfig.SourceChangeLog {
+		var err error
+		if known, err = changeLog.Read(platform.Known); err != nil {
+			return fmt.Errorf("known: %w", err)
+		}
+	}
+	feed := source.NewFeed(s.ctx, s.dispatch.Members, operators.Consul.Membership.Linger, s.log)
+	s.endpoints = &endpointFollower{
+		paths: paths, engines: s.engines, changeLog: changeLog, feed: feed, log: s.log, counters: s.counters,
+	}
+	for _, list := range known {
+		feed.Take(list)
+	}
+	return nil
+}
+
+// start begins all that goes on in the background. close ends what has been started, also after an error.
+func (s *server) start() error {
+	stop := make(chan struct{})
+	s.closers = append(s.closers, func() { close(stop) })
+	go s.dispatch.Run(s.engines, stop)
+	if err := s.endpoints.follow(s.config); err != nil {
+		return err
+	}
+	s.closers = append(s.closers, s.endpoints.stop)
+	if err := s.openAdminSocket(); err != nil {
+		return err
+	}
+	var err error
+	s.member, err = joinFleet(s.config, s.endpoints.feed, s.engines, s.counters, s.log)
+	if err != nil {
+		return err
+	}
+	err = processstats.Open(func(stats *processstats.Figures) {
+		stats.Counters, stats.Copies = s.counters.Map(), copycount.Counts()
+	})
+	if err != nil {
+		return err
+	}
+	go logCounters(s.ctx, s.counters, s.log)
+	return nil
+}
+
+// close ends what start has begun, the last first.
+func (s *server) close() {
+	for i := len(s.closers) - 1; i >= 0; i-- {
+		s.closers[i]()
+	}
+}
+
+// openAdminSocket opens the socket that gatewayctl asks, where the operators have set one.
+func (s *server) openAdminSocket() error {
+	path := s.config.operators.AdminSocket
+	if path == "" {
+		return nil
+	}
+	socket, err := admin.Listen(path, map[string]admin.Command{
+		"list":     func() (any, error) { return s.endpoints.feed.Beliefs(), nil },
+		"counters": func() (any, error) { return s.counters.Map(), nil },
+	})
+	if err != nil {
+		return err
+	}
+	s.closers = append(s.closers, socket.Close)
+	s.log.Info("admin socket", "path", path)
+	return nil
+}
+
+// shutdownRequest is why the server ends in order.
+type shutdownRequest struct{ exitCode int }
+
+// serve takes clients until the listener fails, which gives no request, or a shutdown is asked for.
+func (s *server) serve(received signals) (*shutdownRequest, error) {
+	served := make(chan error, 1)
+	go func() { served <- s.listener.Serve(s.config.platform.Listen) }()
+	s.member.ReportServing()
+	for {
+		select {
+		case err := <-served:
+			return nil, err
+		case <-received.reload:
+			s.endpoints.reload()
+		case sig := <-received.stop:
+			s.log.Info("stopping", "signal", sig.String())
+			return &shutdownRequest{}, nil
+		case code := <-s.member.ShutdownGrants():
+			s.log.Info("stopping", "exit", code)
+			return &shutdownRequest{exitCode: code}, nil
+		}
+	}
+}
+
+// shutDown lets the requests in flight end, and then all sessions.
+func (s *server) shutDown() error {
+	s.member.ReportDraining()
+	timeout := shutdownTimeout(s.config.platform.Admission.Classes)
+	s.dispatch.Stop(timeout)
+	// Sessions that hold the end up, with half a packet or a client that reads nothing, are owed nothing by then.
+	ctx, cancel := context.WithTimeout(s.ctx, timeout+sessionMargin)
+	defer cancel()
+	time.Sleep(min(drainingPeriod, timeout))
+	if err := s.listener.Shutdown(ctx); errors.Is(err, context.DeadlineExceeded) {
+		s.log.Warn("sessions left", "after", timeout+sessionMargin)
+	} else if err != nil {
+		return err
+	}
+	s.member.Close()
+	s.log.Info("stopped", "counters", s.counters.String())
+	return nil
+}
+
+// shutdownTimeout is how long after SIGTERM the last request must be answered.
+func shutdownTimeout(classes []admission.Class) time.Duration {
+	longest := time.Duration(0)
+	for _, class := range classes {
+		longest = max(longest, class.Deadline)
+	}
+	return min(longest, maxDeadline) + killDelay - killMargin
+}
+
+// logCounters logs the counters at each interval until ctx ends.
+func logCounters(ctx context.Context, counters *invariant.Counters, log *slog.Logger) {
+	ticker := time.NewTicker(counterLogInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			log.Info("counters", "counters", counters.String())
+		}
+	}
+}
--- a/cmd/gateway/standing_test.go
+++ b/cmd/gateway/standing_test.go
@@ -27,13 +27,15 @@
 // standStill stops the process, as a machine that is short of time does; the function that it returns lets it go on.
 func (r *rig) standStill() (goOn func()) {
 	require.NoError(r.t, r.cmd.Process.Signal(syscall.SIGSTOP))
-	require.Eventually(r.t, func() bool { return strings.HasPrefix(r.status("State"), "T") }, 10*time.Second, time.Millisecond)
+	require.Eventually(r.t, func() bool { return strings.HasPrefix(r.status("State"), "T") }, 10*time.Second,
+		time.Millisecond)
 	return func() { require.NoError(r.t, r.cmd.Process.Signal(syscall.SIGCONT)) }
 }
 
 const several = 40 // sessions at once, so that what is looked at first can't be all of them
 
-// The machine has taken these connections, or what was written to them; the program stood still, and finds the time of its stop over.
+// The machine has taken these connections, or what was written to them; the program stood still, and finds the time
+// of its stop over.
 func TestWhatTheMachineHoldsAtAStopIsAnswered(t *testing.T) {
 	t.Run("requests on open sessions", func(t *testing.T) {
 		heldAtAStop(t, func(r *rig) (send func(), answers func()) {
@@ -75,6 +77,7 @@
 
 // heldAtAStop sends while the program stands still in a stop, and lets it go on once the time of the stop is over.
 func heldAtAStop(t *testing.T, prepare func(r *rig) (send func(), answers func())) {
+	t.Helper()
 	for {
 		r := start(t, newEngine(t, nil))
 		send, answers := prepare(r)
@@ -98,22 +101,29 @@
 
 // A request that has come before its session's time was over is answered, though the program looks at the time first.
 func TestARequestThatCameBeforeItsSessionEndsIsAnswered(t *testing.T) {
+	untouched := func(*client) {}
+	asked := func(c *client) {
+		c.send(0, "\x0e")
+		require.Zero(t, c.read().code)
+	}
 	for name, k := range map[string]struct {
-		asked bool
-		lasts time.Duration
+		prepare func(*client)
+		lasts   time.Duration
 	}{
-		"idle":       {true, 1500 * time.Millisecond},
-		"just there": {false, 2500 * time.Millisecond},
+		"idle":       {asked, 1500 * time.Millisecond},
+		"just there": {untouched, 2500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for !cameBeforeTheEnd(t, k.asked, k.lasts) { // a machine too busy for the order
+			for !cameBeforeTheEnd(t, k.prepare, k.lasts) { // a machine too busy for the order
 			}
 		})
 	}
 }
 
-func cameBeforeTheEnd(t *testing.T, asked bool, lasts time.Duration) bool {
+// cameBeforeTheEnd lets requests come just before idle sessions end, each session prepared first.
+func cameBeforeTheEnd(t *testing.T, prepare func(*client), lasts time.Duration) bool {
+	t.Helper()
 	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), settings: t.TempDir() + "/s.json"}
 	r.writeSettings(`{"schema":1,"clients":{"idle_ms":1500}}`)
 	r.start(1024, newEngine(t, nil))
@@ -121,10 +131,7 @@
 	all := make([]*client, several)
 	for i := range all {
 		all[i] = r.dial()
-		if asked {
-			all[i].send(0, "\x0e")
-			require.Zero(t, all[i].read().code)
-		}
+		prepare(all[i])
 	}
 	last := time.Now()
 	time.Sleep(time.Until(began.Add(lasts - 200*time.Millisecond)))
@@ -144,10 +151,12 @@
 	return true
 }
 
-// A client that sends on and on, each packet as it should be, is closed before it fills the memory, whether or not it reads.
+// A client that sends on and on, each packet as it should be, is closed before it fills the memory, whether or not it
+// reads.
 func TestASessionThatSendsOnAndOnIsBounded(t *testing.T) {
 	for name, unit := range map[string]string{
-		"ping": packet(0, "\x0e"), "unknown command": packet(0, "\x1c"), "no query": packet(0, "\x03x"), "kill": packet(0, "\x03KILL QUERY 7"),
+		"ping": packet(0, "\x0e"), "unknown command": packet(0, "\x1c"), "no query": packet(0, "\x03x"), "kill": packet(0,
+			"\x03KILL QUERY 7"),
 	} {
 		for _, reads := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, reads %t", name, reads), func(t *testing.T) {
@@ -200,7 +209,7 @@
 		goOn()
 		assert.Equal(t, 1040, c.read().code)
 		_, err = c.packet()
-		assert.ErrorIs(t, err, io.EOF, "the connection was reset")
+		require.ErrorIs(t, err, io.EOF, "the connection was reset")
 	}
 	assert.EqualValues(t, 5, r.counter("sessions_refused"))
 }
--- a/cmd/gateway/stopping_test.go
+++ b/cmd/gateway/stopping_test.go
@@ -21,7 +21,8 @@
 	c := r.dial()
 	c.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 1)
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM} {
+	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP,
+		syscall.SIGHUP, syscall.SIGTERM} {
 		require.NoError(t, r.cmd.Process.Signal(s))
 		r.says("msg=stopping")
 	}
@@ -43,7 +44,8 @@
 	require.NoError(t, syscall.Mkfifo(r.path, 0o600))
 	signal := func(s syscall.Signal) {
 		require.NoError(t, r.cmd.Process.Signal(s))
-		require.Eventually(t, func() bool { return strings.Trim(r.status("ShdPnd"), "0") == "" }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Trim(r.status("ShdPnd"), "0") == "" }, 10*time.Second,
+			time.Millisecond)
 	}
 	signal(syscall.SIGHUP)
 	var held *os.File
@@ -64,11 +66,12 @@
 	assert.Contains(t, r.log.String(), "reload failed", "half a configuration")
 }
 
-// withLog starts the program once more, with the configuration of a rig, and returns the end of its log that is read, once it listens.
+// withLog starts the program once more, with the configuration of a rig, and returns the end of its log that is read,
+// once it listens.
 func (r *rig) withLog() (cmd *exec.Cmd, read *os.File, second *rig) {
 	read, write, err := os.Pipe()
 	require.NoError(r.t, err)
-	r.t.Cleanup(func() { read.Close() })
+	r.t.Cleanup(func() { _ = read.Close() })
 	cmd = exec.Command(program)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+r.path, "PROXY_LISTEN=127.0.0.1:0", "BEECHCART_SETTINGS=")
 	cmd.Stderr = write
@@ -129,9 +132,11 @@
 	require.NoError(t, cmd.Wait())
 }
 
-// With deadlines of 300 ms the platform kills the process 1 s after SIGTERM: nobody may hold its end up, and all is answered before.
+// With deadlines of 300 ms the platform kills the process 1 s after SIGTERM: nobody may hold its end up, and all is
+// answered before.
 func TestNobodyHoldsUpAnEndWithShortDeadlines(t *testing.T) {
-	short := strings.NewReplacer(`"deadline":25000000000`, `"deadline":300000000`, `"deadline":2500000000`, `"deadline":300000000`,
+	short := strings.NewReplacer(`"deadline":25000000000`, `"deadline":300000000`, `"deadline":2500000000`,
+		`"deadline":300000000`,
 		`"on_time":500000000`, `"on_time":100000000`, `"on_time":3000000000`, `"on_time":200000000`).Replace(facts)
 	age := time.Hour
 	for range 3 { // the least of three: a busy machine only adds to it
@@ -164,6 +169,7 @@
 
 // leavesDuringAStop plays the case once; false when the stop had ended before the client could leave.
 func leavesDuringAStop(t *testing.T, cancel bool) bool {
+	t.Helper()
 	held, release := heldEngine(t)
 	defer close(release)
 	r := startAs(t, noProbes(cancel), held)
--- a/cmd/gatewayctl/config.go
+++ b/cmd/gatewayctl/config.go
@@ -12,48 +12,64 @@
 	"beechcart/internal/operatorconfig/cuefile"
 )
 
-// settingsFile is the file of a command line, or the one that stands in the repository.
+// defaultSettingsFile stands in the repository.
+const defaultSettingsFile = "deploy/beechcart.cue"
+
+// settingsFile is the file of a command line, or the default.
 func settingsFile(args []string) string {
 	if len(args) > 0 {
 		return args[0]
 	}
-	return "deploy/beechcart.cue"
+	return defaultSettingsFile
 }
 
 func configCommand() *cobra.Command {
 	root := &cobra.Command{Use: "config", Short: "Check, print and build the operators' settings"}
+	root.AddCommand(configCheckCommand(), configPrintCommand(), configBuildCommand(), configSchemaCommand())
+	return root
+}
+
+func configCheckCommand() *cobra.Command {
 	var asJSON bool
-	check := &cobra.Command{
+	c := &cobra.Command{
 		Use: "check [FILE]", Short: "Tell all that is wrong with a settings file", Args: cobra.MaximumNArgs(1),
-		Long:    "check reads a CUE file (deploy/beechcart.cue without FILE) and tells each problem with file, line, field, what was\nfound and what is allowed. Exit code 1 where there is any.",
+		Long: "check reads a CUE file (" + defaultSettingsFile + " without FILE) and tells each error with file, line, field,\n" +
+			"what was found and what is allowed. Exit code 1 where there is any.",
 		Example: "  gatewayctl config check\n  gatewayctl config check --json mine.cue",
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := cuefile.Build(settingsFile(args))
-			var list cuefile.Problems
-			if err != nil && !errors.As(err, &list) {
-				return err
-			}
 			if asJSON {
-				if list == nil {
-					list = cuefile.Problems{}
-				}
-				if err := printJSON(c.OutOrStdout(), list); err != nil {
-					return err
-				}
-				if len(list) > 0 {
-					return noError{}
-				}
-				return nil
+				return printValidation(c, err)
 			}
 			if err != nil {
-				return noError{err}
+				return asNo(err)
 			}
 			_, err = fmt.Fprintln(c.OutOrStdout(), settingsFile(args)+": good")
 			return err
 		},
 	}
-	check.Flags().BoolVar(&asJSON, "json", false, "print the problems as a JSON list")
-	show := &cobra.Command{
+	c.Flags().BoolVar(&asJSON, "json", false, "print the errors as a JSON list")
+	return c
+}
+
+// printValidation prints what a check has found as a JSON list. An error that is not about the file's contents is
+// returned.
+func printValidation(c *cobra.Command, err error) error {
+	list := cuefile.ValidationErrors{}
+	if err != nil && !errors.As(err, &list) {
+		return err
+	}
+	if err := printJSON(c.OutOrStdout(), list); err != nil {
+		return err
+	}
+	if len(list) > 0 {
+		return noError{}
+	}
+	return nil
+}
+
+func configPrintCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "print [FILE]", Short: "Print the settings with every default filled in, as CUE", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			v, err := cuefile.Read(settingsFile(args))
@@ -68,9 +84,13 @@
 			return err
 		},
 	}
+}
+
+func configBuildCommand() *cobra.Command {
 	var output string
-	build := &cobra.Command{
-		Use: "build [FILE]", Short: "Check a settings file and write the JSON that the front end reads", Args: cobra.MaximumNArgs(1),
+	c := &cobra.Command{
+		Use: "build [FILE]", Short: "Check a settings file and write the JSON that the front end reads",
+		Args:    cobra.MaximumNArgs(1),
 		Example: "  gatewayctl config build -o /etc/beechcart/settings.json deploy/beechcart.cue",
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := cuefile.Build(settingsFile(args))
@@ -84,21 +104,24 @@
 			return renameio.WriteFile(output, text, 0o644)
 		},
 	}
-	build.Flags().StringVarP(&output, "output", "o", "", "file to write, whole or not at all; none or -: standard output")
-	schema := &cobra.Command{
+	c.Flags().StringVarP(&output, "output", "o", "",
+		"file to write, whole or not at all; none or -: standard output")
+	return c
+}
+
+func configSchemaCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "schema", Short: "Print every field with its default, range and unit", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := fmt.Fprint(c.OutOrStdout(), cuefile.Schema())
 			return err
 		},
 	}
-	root.AddCommand(check, show, build, schema)
-	return root
 }
 
-// asNo makes a file that is not good an answer of no.
+// asNo turns errors in a settings file into a negative answer.
 func asNo(err error) error {
-	var list cuefile.Problems
+	var list cuefile.ValidationErrors
 	if errors.As(err, &list) {
 		return noError{err}
 	}
--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -51,17 +51,19 @@
 func (f *fleetCommands) client() (*fleet.Client, error) {
 	settings, err := operatorconfig.Load(f.settings)
 	if err == nil {
-		err = settings.Check()
+		err = settings.ResolveFiles()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(settings.Fleet.Keepers) == 0 {
+	if len(settings.Fleet.ControlReplicas) == 0 {
 		return nil, errors.New("settings: fleet.keepers: none is named")
 	}
-	options := &fleet.Options{Key: settings.Fleet.Key, Routes: settings.Fleet.Routes}
-	for _, replica := range settings.Fleet.Keepers {
-		options.Keepers = append(options.Keepers, fleet.Address(replica))
+	options := &fleet.Options{Key: settings.Fleet.Key, Routes: settings.Fleet.DialOverrides}
+	for _, replica := range settings.Fleet.ControlReplicas {
+		options.Keepers = append(options.Keepers, fleet.Address{
+			Name: replica.Name, Log: replica.LogAddress, Ask: replica.APIAddress, Gossip: replica.GossipAddress,
+		})
 	}
 	return fleet.NewClient(options), nil
 }
--- a/cmd/gatewayctl/main_test.go
+++ b/cmd/gatewayctl/main_test.go
@@ -39,7 +39,7 @@
 	assert.Contains(t, errs, bad+":1: membership.max_out: not allowed; found 2")
 	code, out, _ = ctl("config", "check", "--json", bad)
 	assert.Equal(t, exitNo, code)
-	var list cuefile.Problems
+	var list cuefile.ValidationErrors
 	require.NoError(t, json.Unmarshal([]byte(out), &list))
 	assert.Len(t, list, 2)
 	code, _, errs = ctl("config", "check", filepath.Join(dir, "none.cue"))
--- a/internal/operatorconfig/cuefile/recorded_test.go
+++ b/internal/operatorconfig/cuefile/recorded_test.go
@@ -8,35 +8,22 @@
 	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
+	"beechcart/internal/recorded"
+
 	"github.com/stretchr/testify/require"
 
 	"beechcart/internal/operatorconfig/cuefile"
 )
 
-// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
-func holdToRecording(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got, path)
-}
-
 func TestRecordedBuild(t *testing.T) {
 	every, err := cuefile.Build("testdata/every_field.cue")
 	require.NoError(t, err)
-	holdToRecording(t, "every_field.json", string(every))
+	recorded.Compare(t, "every_field.json", every)
 	empty := filepath.Join(t.TempDir(), "empty.cue")
 	require.NoError(t, os.WriteFile(empty, nil, 0o600))
 	defaults, err := cuefile.Build(empty)
 	require.NoError(t, err)
-	holdToRecording(t, "defaults.json", string(defaults))
+	recorded.Compare(t, "defaults.json", defaults)
 }
 
 func TestRecordedProblems(t *testing.T) {
@@ -57,7 +44,7 @@
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		_, err := cuefile.Build(file)
 		fmt.Fprintf(&b, "%q\n", text)
-		var problems cuefile.Problems
+		var problems cuefile.ValidationErrors
 		if !errors.As(err, &problems) {
 			fmt.Fprintf(&b, "\tno list of problems: %v\n", err)
 		}
@@ -69,5 +56,5 @@
 	_, err = cuefile.Build("none.cue")
 	fmt.Fprintf(&b, "no file: %v\n", err)
 	t.Chdir(recordings)
-	holdToRecording(t, "problems.txt", b.String())
+	recorded.Compare(t, "problems.txt", []byte(b.String()))
 }
--- a/internal/operatorconfig/recorded_test.go
+++ b/internal/operatorconfig/recorded_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 
+	"beechcart/internal/recorded"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
@@ -18,26 +20,12 @@
 // everyField is the built form of a file that sets every field.
 const everyField = "cuefile/testdata/recorded/every_field.json"
 
-// holdToRecording compares got with a recorded file. RECORD=1 writes a file that is not there, and never another.
-func holdToRecording(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	assert.Equal(t, string(want), got, path)
-}
-
 // values lists each setting under its key in the file.
 func values(s *operatorconfig.Settings) string {
 	c, p, m, mp, f := &s.Consul, &s.Consul.Poll, &s.Consul.Membership, &s.Consul.Mapping, &s.Fleet
 	var keepers []string
-	for _, k := range f.Keepers {
-		keepers = append(keepers, strings.Join([]string{k.Name, k.Log, k.Ask, k.Gossip}, " "))
+	for _, k := range f.ControlReplicas {
+		keepers = append(keepers, strings.Join([]string{k.Name, k.LogAddress, k.APIAddress, k.GossipAddress}, " "))
 	}
 	var b strings.Builder
 	for _, setting := range []struct {
@@ -62,13 +50,13 @@
 		{"membership.reset_after_ms", m.ResetAfter}, {"membership.penalty", m.Penalty},
 		{"membership.half_life_ms", m.HalfLife}, {"membership.suppress", m.Suppress}, {"membership.reuse", m.Reuse},
 		{"membership.max_suppress_ms", m.MaxSuppress}, {"membership.linger_ms", m.Linger},
-		{"last_good.path", s.LastGood.Path}, {"last_good.write_every_ms", s.LastGood.WriteEvery},
-		{"last_good.max_age_ms", s.LastGood.MaxAge}, {"clients.idle_ms", s.Clients.Idle},
+		{"last_good.path", s.EndpointCache.Path}, {"last_good.write_every_ms", s.EndpointCache.WriteInterval},
+		{"last_good.max_age_ms", s.EndpointCache.MaxAge}, {"clients.idle_ms", s.Clients.IdleTimeout},
 		{"clients.max_sessions", s.Clients.MaxSessions}, {"engines.reuse", s.Reuse}, {"admin_socket", s.AdminSocket},
-		{"fleet.room", f.Room}, {"fleet.kind", f.Kind}, {"fleet.revision", f.Revision}, {"fleet.weight", f.Weight},
-		{"fleet.gossip", f.Gossip}, {"fleet.keepers", strings.Join(keepers, ", ")}, {"fleet.dir", f.Dir},
-		{"fleet.key_file", f.KeyFile}, {"fleet.routes", f.Routes}, {"fleet.disk_faults", f.DiskFaults},
-		{"fleet.ahead_ms", f.Ahead}, {"fleet key", f.Key},
+		{"fleet.room", f.Zone}, {"fleet.kind", f.Kind}, {"fleet.revision", f.Revision}, {"fleet.weight", f.CapacityPerSecond},
+		{"fleet.gossip", f.GossipAddress}, {"fleet.keepers", strings.Join(keepers, ", ")}, {"fleet.dir", f.LogDirectory},
+		{"fleet.key_file", f.KeyFile}, {"fleet.routes", f.DialOverrides}, {"fleet.disk_faults", f.DiskFaultFile},
+		{"fleet.ahead_ms", f.ClockSkew}, {"fleet key", f.Key},
 	} {
 		fmt.Fprintf(&b, "%s = %v\n", setting.key, setting.value)
 	}
@@ -77,10 +65,10 @@
 
 func TestRecordedSettings(t *testing.T) {
 	defaults := operatorconfig.Default()
-	holdToRecording(t, "defaults.txt", values(&defaults))
+	recorded.Compare(t, "defaults.txt", []byte(values(&defaults)))
 	every, err := operatorconfig.Load(everyField)
 	require.NoError(t, err)
-	holdToRecording(t, "every_field.txt", values(&every))
+	recorded.Compare(t, "every_field.txt", []byte(values(&every)))
 	unchanged, err := operatorconfig.Load("")
 	require.NoError(t, err)
 	assert.Equal(t, values(&defaults), values(&unchanged))
@@ -95,19 +83,19 @@
 	var b strings.Builder
 	for _, sessions := range []int{0, 1, 100, 1000} {
 		for _, sockets := range []int{16, 250, 511, 4096} {
-			c := operatorconfig.Clients{MaxSessions: sessions}
-			fmt.Fprintf(&b, "max_sessions %d, %d descriptors: %d\n", sessions, sockets, c.Sessions(sockets))
+			c := operatorconfig.ClientLimits{MaxSessions: sessions}
+			fmt.Fprintf(&b, "max_sessions %d, %d descriptors: %d\n", sessions, sockets, c.SessionLimit(sockets))
 		}
 	}
-	for _, reuse := range []string{"auto", "on", "off"} {
+	for _, reuse := range []operatorconfig.ConnectionReuse{"auto", "on", "off"} {
 		for _, price := range []float64{0, 0.01} {
 			s := operatorconfig.Settings{Reuse: reuse}
-			trust, err := s.Connections(price, 512)
+			trust, err := s.ReusePolicy(price, 512)
 			require.NoError(t, err)
 			fmt.Fprintf(&b, "reuse %s, handshake price %v: %t\n", reuse, price, trust != nil)
 		}
 	}
-	holdToRecording(t, "session_bounds.txt", b.String())
+	recorded.Compare(t, "session_bounds.txt", []byte(b.String()))
 }
 
 // badValues are put in the place of every value.
@@ -152,7 +140,7 @@
 		_, err := operatorconfig.Parse([]byte(bad))
 		fmt.Fprintf(&b, "whole file\t%s\t%v\n", bad, err)
 	}
-	holdToRecording(t, "bad_values.txt", b.String())
+	recorded.Compare(t, "bad_values.txt", []byte(b.String()))
 }
 
 func TestRecordedErrorsOfFiles(t *testing.T) {
@@ -161,12 +149,12 @@
 	t.Chdir(t.TempDir())
 	require.NoError(t, os.WriteFile("there", []byte(" 0123456789abcdef\n"), 0o600))
 	record := func(b *strings.Builder, name string, s operatorconfig.Settings) {
-		err := s.Check()
+		err := s.ResolveFiles()
 		fmt.Fprintf(b, "%s: %v; key %q\n", name, err, s.Fleet.Key)
 	}
 	with := func(change func(*operatorconfig.Settings)) operatorconfig.Settings {
 		s := operatorconfig.Default()
-		s.Source = operatorconfig.Consul
+		s.Source = operatorconfig.SourceConsul
 		change(&s)
 		return s
 	}
@@ -179,15 +167,21 @@
 	record(&b, "key without certificate", with(func(s *operatorconfig.Settings) { s.Consul.KeyFile = "there" }))
 	record(&b, "both", with(func(s *operatorconfig.Settings) { s.Consul.CertFile, s.Consul.KeyFile = "there", "there" }))
 	record(&b, "another source", with(func(s *operatorconfig.Settings) {
-		s.Source, s.Consul.TokenFile = operatorconfig.ChangeLog, "none"
+		s.Source, s.Consul.TokenFile = operatorconfig.SourceChangeLog, "none"
+	}))
+	record(&b, "fleet key missing", with(func(s *operatorconfig.Settings) {
+		s.Fleet.GossipAddress,
+			s.Fleet.KeyFile = "a:1", "none"
+	}))
+	record(&b, "fleet key there", with(func(s *operatorconfig.Settings) {
+		s.Fleet.GossipAddress,
+			s.Fleet.KeyFile = "a:1", "there"
 	}))
-	record(&b, "fleet key missing", with(func(s *operatorconfig.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "none" }))
-	record(&b, "fleet key there", with(func(s *operatorconfig.Settings) { s.Fleet.Gossip, s.Fleet.KeyFile = "a:1", "there" }))
 	_, err = operatorconfig.Load("none")
 	fmt.Fprintf(&b, "no file: %v\n", err)
 	require.NoError(t, os.WriteFile("bad", []byte(`{"schema":1,"source":7}`), 0o600))
 	_, err = operatorconfig.Load("bad")
 	fmt.Fprintf(&b, "bad file: %v\n", err)
 	t.Chdir(recordings)
-	holdToRecording(t, "file_errors.txt", b.String())
+	recorded.Compare(t, "file_errors.txt", []byte(b.String()))
 }
