--- a/cmd/gateway/endpoints.go
+++ b/cmd/gateway/endpoints.go
@@ -19,8 +19,8 @@
 // call it.
 type endpointFollower struct {
 	paths     *configPaths
-	engines   *engine.Fleet
-	changeLog *endpoints.Log
+	engines   *engine.Client
+	changeLog *endpoints.ChangeLog
 	feed      *source.Feed
 	log       *slog.Logger
 	counters  *invariant.Counters
@@ -60,7 +60,7 @@
 	case next == nil:
 		// The events of the change log are numbered: it goes on from the last one, and after another source from the first.
 		if previous == operatorconfig.SourceConsul {
-			f.changeLog = endpoints.NewLog(c.platform.Names)
+			f.changeLog = endpoints.NewChangeLog(c.platform.Names)
 		}
 		s := changelog.New(f.engines, c.platform.ChangeLog, f.changeLog, f.log)
 		f.feed.Follow(s, previous != operatorconfig.SourceConsul)
--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -30,7 +30,7 @@
 type fleetMember struct {
 	member         *fleet.Member
 	feed           *source.Feed
-	engines        *engine.Fleet
+	engines        *engine.Client
 	counters       *invariant.Counters
 	names          platformconfig.Names
 	kinds          []admission.Kind
@@ -38,7 +38,7 @@
 }
 
 // joinFleet joins the fleet that the operators' settings name, if any.
-func joinFleet(config configuration, feed *source.Feed, engines *engine.Fleet, counters *invariant.Counters,
+func joinFleet(config configuration, feed *source.Feed, engines *engine.Client, counters *invariant.Counters,
 	log *slog.Logger) (membership, error) {
 	platform, settings := config.platform, config.operators.Fleet
 	if settings.GossipAddress == "" {
@@ -104,19 +104,19 @@
 func (m *fleetMember) ReportServing() { m.member.Say(rollout.Serving) }
 
 // ReportDraining implements membership.
-func (m *fleetMember) ReportDraining() { m.member.Say(rollout.Leaving) }
+func (m *fleetMember) ReportDraining() { m.member.Say(rollout.Draining) }
 
 // Close implements membership.
 func (m *fleetMember) Close() { m.member.Close(fleetCloseTimeout) }
 
 // Veto implements fleet.Front.
-func (m *fleetMember) Veto(engines map[string]bool) { m.feed.Veto(engines) }
+func (m *fleetMember) Veto(engines map[string]bool) { m.feed.Exclude(engines) }
 
 // Idle implements fleet.Front.
 func (m *fleetMember) Idle(name string) bool {
-	for _, e := range m.feed.Known() {
+	for _, e := range m.feed.Endpoints() {
 		if e.Name == name {
-			return m.engines.Idle(e.ID)
+			return m.engines.Drained(e.ID)
 		}
 	}
 	return true
@@ -124,11 +124,11 @@
 
 // Engines implements fleet.Front.
 func (m *fleetMember) Engines() (engines []rollout.Engine) {
-	for _, e := range m.feed.Known() {
+	for _, e := range m.feed.Endpoints() {
 		reported := rollout.Engine{
 			Name:    e.Name,
 			Process: uint64(e.Started),
-			Room:    nameAt(m.names.Zones, e.Zone),
+			Zone:    nameAt(m.names.Zones, e.Zone),
 			Kind:    nameAt(m.names.Kinds, e.Kind),
 			Listed:  true,
 			Ready:   e.State == admission.Ready,
--- a/cmd/gateway/fleet_lean.go
+++ b/cmd/gateway/fleet_lean.go
@@ -12,7 +12,7 @@
 )
 
 // joinFleet rejects settings that name a fleet: this build leaves it out.
-func joinFleet(config configuration, _ *source.Feed, _ *engine.Fleet, _ *invariant.Counters,
+func joinFleet(config configuration, _ *source.Feed, _ *engine.Client, _ *invariant.Counters,
 	_ *slog.Logger) (membership, error) {
 	if config.operators.Fleet.GossipAddress != "" {
 		return nil, errors.New("settings: fleet: this build has none (tag lean)")
--- a/cmd/gateway/server.go
+++ b/cmd/gateway/server.go
@@ -45,14 +45,14 @@
 
 // server is a front end: its parts, wired up, from the start to the shutdown of the process.
 type server struct {
-	config    configuration
-	log       *slog.Logger
-	counters  *invariant.Counters
-	dispatch  *dispatch.Planner // owns the controller
-	engines   *engine.Fleet
-	listener  *mysql.Server
-	endpoints *endpointFollower
-	member    membership
+	config     configuration
+	log        *slog.Logger
+	counters   *invariant.Counters
+	dispatcher *dispatch.Dispatcher // owns the controller
+	engines    *engine.Client
+	listener   *mysql.Server
+	endpoints  *endpointFollower
+	member     membership
 
 	ctx     context.Context // ends with the server
 	closers []func()        // in the order of starting
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	s.dispatch = dispatch.New(controller, platform.Admission.Classes, counters, log)
+	s.dispatcher = dispatch.New(controller, platform.Admission.Classes, counters, log)
 	reuse, err := operators.ReusePolicy(platform.HandshakePrice, platform.Sockets)
 	if err != nil {
 		return nil, err
@@ -137,16 +137,16 @@
 		Sockets:        platform.Sockets / 2,
 		Counters:       counters,
 		Classes:        platform.Admission.Classes,
-		Deletes:        platform.Admission.CancellationAllowed,
+		MayDelete:      platform.Admission.CancellationAllowed,
 		Reuse:          reuse,
-	}, s.dispatch)
+	}, s.dispatcher)
 	s.listener, err = mysql.New(mysql.Options{
-		Names:    platform.Names,
-		Sessions: operators.Clients.SessionLimit(platform.Sockets),
-		Idle:     operators.Clients.IdleTimeout,
-		Counters: counters,
-		Log:      log,
-	}, s.dispatch)
+		Names:       platform.Names,
+		MaxSessions: operators.Clients.SessionLimit(platform.Sockets),
+		IdleTimeout: operators.Clients.IdleTimeout,
+		Counters:    counters,
+		Log:         log,
+	}, s.dispatcher)
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 // holds.
 func (s *server) newEndpoints(paths *configPaths) error {
 	platform, operators := s.config.platform, s.config.operators
-	changeLog := endpoints.NewLog(platform.Names)
+	changeLog := endpoints.NewChangeLog(platform.Names)
 	var known []endpoints.List
 	if len(platform.Known) > 0 && operators.Source == operatorconfig.SourceChangeLog {
 		var err error
@@ -172,12 +172,12 @@
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	feed := source.NewFeed(s.ctx, s.dispatch.Members, operators.Consul.Membership.Linger, s.log)
+	feed := source.NewFeed(s.ctx, s.dispatcher.EndpointsChanged, operators.Consul.Membership.Linger, s.log)
 	s.endpoints = &endpointFollower{
 		paths: paths, engines: s.engines, changeLog: changeLog, feed: feed, log: s.log, counters: s.counters,
 	}
 	for _, list := range known {
-		feed.Take(list)
+		feed.Publish(list)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 func (s *server) start() error {
 	stop := make(chan struct{})
 	s.closers = append(s.closers, func() { close(stop) })
-	go s.dispatch.Run(s.engines, stop)
+	go s.dispatcher.Run(s.engines, stop)
 	if err := s.endpoints.follow(s.config); err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 		return nil
 	}
 	socket, err := admin.Listen(path, map[string]admin.Command{
-		"list":     func() (any, error) { return s.endpoints.feed.Beliefs(), nil },
+		"list":     func() (any, error) { return s.endpoints.feed.Statuses(), nil },
 		"counters": func() (any, error) { return s.counters.Map(), nil },
 	})
 	if err != nil {
@@ -262,7 +262,7 @@
 func (s *server) shutDown() error {
 	s.member.ReportDraining()
 	timeout := shutdownTimeout(s.config.platform.Admission.Classes)
-	s.dispatch.Stop(timeout)
+	s.dispatcher.Shutdown(timeout)
 	// Sessions that hold the end up, with half a packet or a client that reads nothing, are owed nothing by then.
 	ctx, cancel := context.WithTimeout(s.ctx, timeout+sessionMargin)
 	defer cancel()
--- /dev/null
+++ b/decision/execution/antientropy_test.go
@@ -0,0 +1,97 @@
+package execution
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func everyID(string) bool { return true }
+
+// Two replicas that differ find exactly what they lack, and are equal after one round.
+func TestDigestsFindWhatDiffers(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	a, b := newTestReplica(t, nil), newTestReplica(t, nil)
+	for i := range 3000 {
+		id := fmt.Sprintf("%016x", rng.Uint64())
+		for _, r := range []*Replica{a, b} {
+			if i%1000 == 0 && r == b {
+				continue // three are missing there
+			}
+			require.True(t, r.Prepare(0, prepareMessage(id, "d", 1)).OK)
+			require.True(t, r.Accept(0, acceptMessage(id, "d", 1, 1, Outcome{Phase: Intended})).OK)
+			if i%1500 == 7 && r == a { // two are behind
+				require.True(t, r.Accept(0, acceptMessage(id, "d", 1, 2, Outcome{Phase: Completed})).OK)
+			}
+		}
+	}
+	ofA, ofB := a.RangeDigests(everyID), b.RangeDigests(everyID)
+	differing := ofA.DifferingRanges(&ofB)
+	assert.NotEmpty(t, differing)
+	assert.LessOrEqual(t, len(differing), 5)
+	compared, missing := 0, 0
+	for _, i := range differing {
+		summaries := a.Summaries(i, everyID)
+		compared += len(summaries)
+		for _, id := range b.Missing(summaries) {
+			missing++
+			b.Merge(*a.records[id])
+		}
+		assert.Empty(t, a.Missing(b.Summaries(i, everyID)), "nothing is later there")
+	}
+	assert.Equal(t, 5, missing)
+	assert.Less(t, compared, 3000/8, "the summaries of a few ranges only")
+	ofA, ofB = a.RangeDigests(everyID), b.RangeDigests(everyID)
+	assert.Empty(t, ofA.DifferingRanges(&ofB))
+	_, bytesOfA := a.Size()
+	_, bytesOfB := b.Size()
+	assert.Equal(t, bytesOfA, bytesOfB)
+}
+
+// Merge never lowers what is held: a record of a replica that was behind changes nothing.
+func TestMergeOfAnOlderRecordChangesNothing(t *testing.T) {
+	r := newTestReplica(t, nil)
+	require.True(t, r.Prepare(0, prepareMessage("id", "d", 5)).OK)
+	require.True(t, r.Accept(0, acceptMessage("id", "d", 5, 3, Outcome{Phase: Completed})).OK)
+	before := r.Records()[0]
+	older := Record{
+		ID:              "id",
+		StatementDigest: "d",
+		Promised:        Ballot{4, "y"},
+		Accepted:        Ballot{4, "y"},
+		Version:         9,
+		Outcome:         Outcome{Phase: Intended},
+	}
+	r.Merge(older)
+	assert.Equal(t, before, r.Records()[0])
+	older.Promised, older.Outcome = Ballot{7, "y"}, Outcome{}
+	r.Merge(older)
+	assert.Equal(t, Ballot{7, "y"}, r.Records()[0].Promised, "a later promise is kept")
+	assert.Equal(t, Completed, r.Records()[0].Outcome.Phase)
+}
+
+func TestAntiEntropyCopiesTheFewestCopiesFirst(t *testing.T) {
+	a := NewAntiEntropy(100, 0)
+	for i := range 1000 {
+		a.SetCopies(fmt.Sprintf("%04d", i), 2, 3)
+	}
+	a.SetCopies("0500", 1, 3)
+	a.SetCopies("0001", 3, 3)
+	assert.Equal(t, 999, a.Waiting())
+	assert.Empty(t, a.Next(0))
+	first := a.Next(50 * time.Millisecond)
+	assert.Equal(t, []string{"0500", "0000", "0002", "0003", "0004"}, first)
+	copied, now := len(first), 50*time.Millisecond
+	for a.Waiting() > 0 {
+		now += 20 * time.Millisecond
+		copied += len(a.Next(now))
+		require.Less(t, now, time.Minute)
+	}
+	assert.Equal(t, 999, copied)
+	assert.InDelta(t, 10.0, now.Seconds(), 0.5, "a hundred a second")
+	assert.LessOrEqual(t, len(a.Next(now+time.Hour)), 10)
+}
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -30,20 +30,18 @@
 	hold  chan struct{} // where it is not nil: nothing is taken before it is closed
 }
 
-func (s *told) Ended(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
-	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n",
-		o.ID, o.Attempt,
+func (s *told) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
+	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n", o.ID, o.Attempt,
 		o.Engine, int(o.Status), o.Alive, int64(o.Work), math.Float64bits(o.NeedMB), reportText(o.Report), rows)
 }
 
-func (s *told) Told(ev admission.Event) {
+func (s *told) Notify(ev admission.Event) {
 	if s.hold != nil {
 		<-s.hold
 	}
 	switch ev := ev.(type) {
 	case admission.Progress:
-		s.lines <- fmt.Sprintf("note id=%s attempt=%d engine=%d kind=%d value=%016x\n", ev.ID, ev.Attempt, ev.Engine,
-			int(ev.Kind),
+		s.lines <- fmt.Sprintf("note id=%s attempt=%d engine=%d kind=%d value=%016x\n", ev.ID, ev.Attempt, ev.Engine, int(ev.Kind),
 			math.Float64bits(ev.Value))
 	case admission.HealthCheckResult:
 		s.lines <- fmt.Sprintf("health engine=%d status=%d report=%s\n", ev.Engine, int(ev.Status), reportText(ev.Report))
@@ -61,8 +59,7 @@
 	return b.String()
 }
 
-// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that
-// brought it.
+// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that brought it.
 type scriptedPeer struct {
 	address string
 	calls   chan string
@@ -151,33 +148,30 @@
 }
 
 var (
-	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\nX-Gauges: "+
-		"inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
-	running   = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
-	spilling  = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
-	waiting   = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
-	odd       = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
-	unknown   = answer("500 Error", "", "")
-	noContent = "HTTP/1.1 204 No Content\r\n\r\n"
-	chunked   = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n" +
-		"a\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
+	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\nX-Gauges: inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
+	running    = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
+	spilling   = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
+	waiting    = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
+	odd        = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
+	unknown    = answer("500 Error", "", "")
+	noContent  = "HTTP/1.1 204 No Content\r\n\r\n"
+	chunked    = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
 )
 
-func newClient(p *scriptedPeer) (*engine.Fleet, *told) {
+func newClient(p *scriptedPeer) (*engine.Client, *told) {
 	s := &told{lines: make(chan string, 100)}
 	f := engine.New(engine.Options{
-		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, Deletes: true, Counters: &invariant.Counters{},
+		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, MayDelete: true, Counters: &invariant.Counters{},
 		Classes: []admission.Class{{Idempotency: admission.Idempotent}, {Idempotency: admission.NonIdempotent}},
 	}, s)
-	f.Update(endpoints.List{Engines: []endpoints.Engine{
-		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Addr: p.address},
+	f.Update(endpoints.List{Endpoints: []endpoints.Endpoint{
+		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Address: p.address},
 	}})
 	return f, s
 }
 
 func newRequest() *exchange.Exchange {
-	return exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", ClassName: "load", Class: 1,
-		Statement: []byte("SELECT a FROM sales_17.orders")},
+	return exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", ClassName: "load", Class: 1, Statement: []byte("SELECT a FROM sales_17.orders")},
 		time.Now())
 }
 
@@ -202,8 +196,7 @@
 		{"reset-never-arrived", []string{resetConn, unknown, noContent}},
 		{"reset-while-running", []string{running, resetConn, running, unknown}},
 		{"silent-then-served", []string{staySilent, servedOnce}},
-		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""), answer("200 OK",
-			"X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
+		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""), answer("200 OK", "X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
 		{"closed-then-polled", []string{answer("202 Accepted", "Connection: close\r\n", ""), servedOnce}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
@@ -246,16 +239,15 @@
 
 // A health check, and one that is reset and made again.
 func TestRecordedHealthCheck(t *testing.T) {
-	p := servePeer(t, resetConn, answer("200 OK",
-		"X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n", ""),
+	p := servePeer(t, resetConn, answer("200 OK", "X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n", ""),
 		answer("200 OK", "", ""), unknown)
 	f, s := newClient(p)
 	var out bytes.Buffer
 	for range 3 {
-		f.Probe(7)
+		f.CheckHealth(7)
 		out.WriteString(<-s.lines)
 	}
-	f.Probe(8) // nobody knows it
+	f.CheckHealth(8) // nobody knows it
 	out.WriteString(<-s.lines)
 	for len(p.calls) > 0 {
 		out.WriteString(<-p.calls)
@@ -265,8 +257,7 @@
 
 // The polls of the change log say which event came last, and how long to wait.
 func TestRecordedChangeLog(t *testing.T) {
-	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown, answer("200 OK", "",
-		"third"), staySilent)
+	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown, answer("200 OK", "", "third"), staySilent)
 	f, _ := newClient(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	taken := make(chan string, 10)
@@ -274,7 +265,7 @@
 	var since int64 = 41
 	go func() {
 		defer close(ended)
-		f.Changes(ctx, p.address, 41, func(text []byte) (int64, error) {
+		f.FollowChangeLog(ctx, p.address, 41, func(text []byte) (int64, error) {
 			since++
 			taken <- string(text)
 			return since, nil
--- a/internal/recorded/recorded.go
+++ b/internal/recorded/recorded.go
@@ -1,8 +1,8 @@
 // Package recorded compares what a package answers now with what an earlier build answered to the same events. Only
 // tests import it.
 //
-// A recording is a file under testdata/recorded beside the test. It is written once, when RECORD=1 is set and the
-// file does not exist; nothing overwrites it.
+// A recording is a file under testdata/recorded beside the test. It is written once, when RECORD=1 is set and the file
+// does not exist; nothing overwrites it.
 package recorded
 
 import (
