--- /dev/null
+++ b/internal/dispatch/action.go
@@ -0,0 +1,92 @@
+package dispatch
+
+import (
+	"time"
+
+	"beechcart/admission"
+	"beechcart/internal/exchange"
+)
+
+// execute carries out one action of the controller.
+func (d *Dispatcher) execute(action admission.Action) {
+	switch a := action.(type) {
+	case admission.Send:
+		d.send(a)
+	case admission.Terms:
+		if r := d.open[a.ID]; r != nil {
+			r.terms = a
+		}
+	case admission.Reject:
+		d.reject(a)
+	case admission.Fail:
+		d.answer(a.ID, failedInDoubt)
+	case admission.Cancel:
+		d.counters.Add("cancelled", 1)
+		d.engines.Cancel(a.ID, a.Attempt)
+	case admission.HealthCheck:
+		d.counters.Add("probes", 1)
+		d.engines.CheckHealth(a.Engine)
+	case admission.CloseIdle:
+		d.engines.CloseIdle(a.Engine)
+	case admission.SetTimer:
+		time.AfterFunc(a.Delay, func() { d.Notify(admission.Timer{Token: a.Token}) })
+	case admission.Log:
+		d.log.Info("controller", "says", a.Text)
+	case admission.WatchEndpoints, admission.PollEndpoints, admission.SendGossip:
+		// The endpoint list arrives without being asked for, and front ends have no gossip of load.
+	}
+}
+
+// send begins an attempt. An attempt of a request with an idempotency key carries the end of the deduplication
+// window: the wait for its connection may outlast the window, and engines would no longer recognise the retry.
+func (d *Dispatcher) send(a admission.Send) {
+	r := d.open[a.ID]
+	if !d.counters.Hold(r != nil && r.inFlight == 0, "two_attempts") {
+		return
+	}
+	attempt := r.attempts
+	r.attempts++
+	r.inFlight++
+	r.sentAt = time.Now()
+	var notAfter time.Time
+	class := &d.classes[r.exchange.Class]
+	if class.Idempotency == admission.IdempotentWithKey && !r.mayHaveRun.IsZero() {
+		notAfter = r.mayHaveRun.Add(class.DeduplicationWindow)
+	}
+	d.counters.Add("sent", 1)
+	d.engines.Start(r.exchange, attempt, a.Engine, r.terms, a.Cap, notAfter)
+}
+
+var failedInDoubt = exchange.Answer{Kind: exchange.Failed, Reason: "the query failed and may have run"}
+
+// reject passes on a rejection with the controller's Retry-After. A rejection promises that a retry is harmless, so a
+// non-idempotent request that may have run fails instead.
+func (d *Dispatcher) reject(a admission.Reject) {
+	r := d.open[a.ID]
+	if r == nil {
+		return
+	}
+	nonIdempotent := d.classes[r.exchange.Class].Idempotency == admission.NonIdempotent
+	retryHarmful := nonIdempotent && (!r.mayHaveRun.IsZero() || r.inFlight > 0)
+	if !d.counters.Hold(!retryHarmful, "refused_in_doubt") {
+		d.answer(a.ID, failedInDoubt)
+		return
+	}
+	d.answer(a.ID, exchange.Answer{Kind: exchange.Rejected, RetryAfter: a.RetryAfter, Reason: "too busy"})
+}
+
+// answer settles a request with an answer of the controller.
+func (d *Dispatcher) answer(id string, answer exchange.Answer) {
+	r := d.open[id]
+	if r == nil {
+		return
+	}
+	if r.exchange.Settle(answer) {
+		if answer.Kind == exchange.Rejected {
+			d.counters.Add("refused", 1)
+		} else {
+			d.counters.Add("failed", 1)
+		}
+	}
+	d.removeIfDone(r)
+}
--- /dev/null
+++ b/internal/dispatch/dispatcher.go
@@ -0,0 +1,164 @@
+// Package dispatch runs the event loop that owns one admission controller.
+//
+// Other goroutines post messages to a [Dispatcher]: requests, clients that have gone, attempts that are done, changes
+// of the endpoint list, timers. Its one goroutine, in [Dispatcher.Run], takes all messages that have come in as one
+// batch, translates them into events, steps the controller, and carries out the actions that it returns, in order.
+// Every decision is the controller's.
+package dispatch
+
+import (
+	"log/slog"
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"beechcart/admission"
+	"beechcart/internal/endpoints"
+	"beechcart/internal/exchange"
+	"beechcart/internal/invariant"
+)
+
+// Engines sends attempts and health checks to engines. The Dispatcher calls it from its own goroutine.
+type Engines interface {
+	// Update applies a change of the endpoint list.
+	Update(l endpoints.List)
+	// Start begins an attempt that may last for timeout. Its query is not sent after notAfter, unless that is zero.
+	Start(x *exchange.Exchange, attempt int, engine uint32, terms admission.Terms, timeout time.Duration,
+		notAfter time.Time)
+	// Cancel gives up on an attempt. It stays in flight until its end is reported.
+	Cancel(id string, attempt int)
+	// CheckHealth checks the health of an engine.
+	CheckHealth(engine uint32)
+	// CloseIdle closes the idle connections to an engine.
+	CloseIdle(engine uint32)
+}
+
+// Controller decides on admission. The program uses admission.Controller; tests use others.
+type Controller interface {
+	Step(now time.Duration, events []admission.Event) []admission.Action
+}
+
+// Dispatcher owns one controller. All its methods but Run are safe for concurrent use.
+type Dispatcher struct {
+	controller Controller
+	classes    []admission.Class
+	engines    Engines
+	counters   *invariant.Counters
+	log        *slog.Logger
+	start      time.Time     // carries the monotonic clock
+	startUnix  time.Duration // the Unix time of start
+
+	mu    sync.Mutex
+	queue []message     // guarded by mu
+	wake  chan struct{} // holds one token while the queue may not be empty
+
+	// Owned by Run.
+	open       map[string]*request // by request id
+	recent     *recentIDs
+	shutdownAt time.Time // all requests are answered by then; zero: no shutdown has begun
+	batch      []admission.Event
+}
+
+// New returns a Dispatcher for a controller that was built with these classes.
+func New(controller Controller, classes []admission.Class, counters *invariant.Counters, log *slog.Logger) *Dispatcher {
+	now := time.Now()
+	return &Dispatcher{
+		controller: controller, classes: classes, counters: counters, log: log, start: now,
+		startUnix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1), open: map[string]*request{},
+		recent: newRecentIDs(),
+	}
+}
+
+// Accept takes a request. Its exchange is settled with the final answer.
+func (d *Dispatcher) Accept(x *exchange.Exchange) { d.post(requestAccepted{x}) }
+
+// ClientGone reports that the client of a request has disconnected, or has cancelled the request.
+func (d *Dispatcher) ClientGone(x *exchange.Exchange) {
+	if x.Settle(exchange.Answer{Kind: exchange.ClientGone}) {
+		d.counters.Add("left", 1)
+		d.post(clientGone{x})
+	}
+}
+
+// AttemptDone reports the outcome of an attempt. rows is the whole result of one that was served.
+func (d *Dispatcher) AttemptDone(x *exchange.Exchange, outcome admission.Outcome, rows []byte) {
+	d.post(&attemptDone{exchange: x, outcome: outcome, rows: rows})
+}
+
+// Notify passes an event on to the controller as it is, such as the progress of an attempt or the result of a health
+// check.
+func (d *Dispatcher) Notify(ev admission.Event) { d.post(ev) }
+
+// EndpointsChanged reports a change of the endpoint list.
+func (d *Dispatcher) EndpointsChanged(l endpoints.List) { d.post(endpointsChanged{l}) }
+
+// Shutdown announces that the process ends after the timeout. All requests that are open, or are still accepted, are
+// answered by then.
+func (d *Dispatcher) Shutdown(timeout time.Duration) { d.post(shutdownRequested{timeout}) }
+
+// Run processes messages until stop is closed.
+func (d *Dispatcher) Run(engines Engines, stop <-chan struct{}) {
+	d.engines = engines
+	d.step(nil)
+	var spare []message
+	for {
+		select {
+		case <-stop:
+			return
+		case <-d.wake:
+		}
+		d.mu.Lock()
+		messages := d.queue
+		d.queue = spare[:0]
+		d.mu.Unlock()
+		d.step(messages)
+		clear(messages)
+		spare = messages
+	}
+}
+
+func (d *Dispatcher) post(m message) {
+	d.mu.Lock()
+	d.queue = append(d.queue, m)
+	d.mu.Unlock()
+	select {
+	case d.wake <- struct{}{}:
+	default:
+	}
+}
+
+// step hands one batch to the controller and carries out its actions, in order.
+func (d *Dispatcher) step(messages []message) {
+	d.batch = d.batch[:0]
+	for _, m := range messages {
+		if ev := d.event(m); ev != nil {
+			d.batch = append(d.batch, ev)
+		}
+	}
+	for _, action := range d.decide() {
+		d.execute(action)
+	}
+}
+
+// clock is the controller's time: monotonic, and comparable with the Unix times of the endpoint list.
+func (d *Dispatcher) clock() time.Duration { return d.startUnix + time.Since(d.start) }
+
+// stepAfterPanic is how long after a panic of the controller it is stepped again.
+const stepAfterPanic = 50 * time.Millisecond
+
+// decide steps the controller. After a panic of the controller a release build goes on without the actions of this
+// step, and the requests concerned are answered at their deadlines. The controller's next timer may be among the lost
+// actions, so a timer event is posted in its place: without it, queued requests would be looked at only when another
+// message comes in.
+func (d *Dispatcher) decide() (actions []admission.Action) {
+	done := false
+	defer func() {
+		if !done && !d.counters.Hold(false, "controller_panic") {
+			d.log.Error("controller panic", "cause", recover(), "stack", string(debug.Stack()))
+			time.AfterFunc(stepAfterPanic, func() { d.Notify(admission.Timer{}) })
+		}
+	}()
+	actions = d.controller.Step(d.clock(), d.batch)
+	done = true
+	return actions
+}
