--- a/decision/poll/poll.go
+++ b/decision/poll/poll.go
@@ -34,29 +34,29 @@
 
 // Settings are the bounds of the decisions. [Defaults] gives each with its reason.
 type Settings struct {
-	Wait     time.Duration // how long a call may wait at the catalogue for news
-	Slack    time.Duration // how much later than that its answer may come
-	MaxSlack time.Duration // ... after calls whose time ran out
-	Confirm  time.Duration // the wait while a list is in doubt, and the gap where answers carry no index
-	MinGap   time.Duration // between two calls that succeed
-	MaxShare float64       // the most of the time that reading may take, 0 to 1
-	MinPause time.Duration // after a first round of failures
-	MaxPause time.Duration // after many
-	HoldFor  time.Duration // after a call that was denied
+	Wait               time.Duration // how long a call may wait at the catalogue for news
+	ResponseTimeout    time.Duration // how much later than that its answer may come
+	MaxResponseTimeout time.Duration // ... after calls whose time ran out
+	ConfirmInterval    time.Duration // the wait while a list is in doubt, and the gap where answers carry no index
+	MinInterval        time.Duration // between two calls that succeed
+	MaxBusyShare       float64       // the most of the time that reading may take, 0 to 1
+	MinBackoff         time.Duration // after a first round of failures
+	MaxBackoff         time.Duration // after many
+	DeniedBackoff      time.Duration // after a call that was denied
 }
 
 // Defaults are the bounds in force where nothing else is set.
 func Defaults() Settings {
 	return Settings{
 		// A connection into a cut says nothing: it is noticed within Wait and Slack, so both are short.
-		Wait: 5 * time.Second, Slack: 1500 * time.Millisecond,
+		Wait: 5 * time.Second, ResponseTimeout: 1500 * time.Millisecond,
 		// A list of 10 MB on a slow link or a busy machine; a catalogue that hangs at every address costs no more than this.
-		MaxSlack: 12 * time.Second,
-		Confirm:  2 * time.Second,
+		MaxResponseTimeout: 12 * time.Second,
+		ConfirmInterval:    2 * time.Second,
 		// A change is read within 10 ms of the one before, and a flapping catalogue costs a fifth of a core at most.
-		MinGap: 10 * time.Millisecond, MaxShare: 0.2,
-		MinPause: 100 * time.Millisecond, MaxPause: 3 * time.Second,
-		HoldFor: 30 * time.Second,
+		MinInterval: 10 * time.Millisecond, MaxBusyShare: 0.2,
+		MinBackoff: 100 * time.Millisecond, MaxBackoff: 3 * time.Second,
+		DeniedBackoff: 30 * time.Second,
 	}
 }
 
@@ -66,68 +66,68 @@
 		name string
 		v    time.Duration
 	}{
-		{"wait", s.Wait}, {"slack", s.Slack}, {"confirm", s.Confirm}, {"min_gap", s.MinGap},
-		{"min_pause", s.MinPause}, {"max_pause", s.MaxPause}, {"hold_for", s.HoldFor},
+		{"wait", s.Wait}, {"slack", s.ResponseTimeout}, {"confirm", s.ConfirmInterval}, {"min_gap", s.MinInterval},
+		{"min_pause", s.MinBackoff}, {"max_pause", s.MaxBackoff}, {"hold_for", s.DeniedBackoff},
 	} {
 		if d.v <= 0 {
 			return fmt.Errorf("%s: %v is not more than 0", d.name, d.v)
 		}
 	}
-	if s.MaxSlack < s.Slack {
-		return fmt.Errorf("max_slack: %v is less than slack (%v)", s.MaxSlack, s.Slack)
+	if s.MaxResponseTimeout < s.ResponseTimeout {
+		return fmt.Errorf("max_slack: %v is less than slack (%v)", s.MaxResponseTimeout, s.ResponseTimeout)
 	}
-	if s.MaxPause < s.MinPause {
-		return fmt.Errorf("max_pause: %v is less than min_pause (%v)", s.MaxPause, s.MinPause)
+	if s.MaxBackoff < s.MinBackoff {
+		return fmt.Errorf("max_pause: %v is less than min_pause (%v)", s.MaxBackoff, s.MinBackoff)
 	}
-	if !(s.MaxShare > 0 && s.MaxShare <= 1) {
-		return fmt.Errorf("max_share: %v is not between 0 and 1", s.MaxShare)
+	if !(s.MaxBusyShare > 0 && s.MaxBusyShare <= 1) {
+		return fmt.Errorf("max_share: %v is not between 0 and 1", s.MaxBusyShare)
 	}
 	return nil
 }
 
-// Call is what to ask next.
-type Call struct {
-	At      time.Duration // not before
-	Address int           // place in the list of addresses
-	Index   uint64        // 0: answer at once
-	Wait    time.Duration // with Index: how long the catalogue may wait
-	Within  time.Duration // how long the head of the answer is waited for
-	Slack   time.Duration // how long each further piece of it is
+// Request is what to ask next.
+type Request struct {
+	NotBefore     time.Duration // not before
+	Address       int           // place in the list of addresses
+	Index         uint64        // 0: answer at once
+	Wait          time.Duration // with Index: how long the catalogue may wait
+	HeaderTimeout time.Duration // how long the head of the answer is waited for
+	ReadTimeout   time.Duration // how long each further piece of it is
 }
 
-// Ending is how a call ended.
-type Ending int
+// Outcome is how a call ended.
+type Outcome int
 
 // The endings of a call.
 const (
-	Read    Ending = iota // a whole, readable answer of status 200
-	Failed                // no answer, an unreadable one, 429, 5xx
-	Denied                // 403 and other refusals that asking again won't change
-	Renewed               // given up, as the token or the addresses have changed
+	Succeeded Outcome = iota // a whole, readable answer of status 200
+	Failed                   // no answer, an unreadable one, 429, 5xx
+	Denied                   // 403 and other refusals that asking again won't change
+	Cancelled                // given up, as the token or the addresses have changed
 )
 
 // Result tells how a call ended.
 type Result struct {
-	Ending Ending
-	Index  uint64        // of the answer; Read only
-	Cost   time.Duration // from its first byte to its last change carried out; Read only
-	Took   time.Duration // from the call to its last byte; Read only
-	Doubt  bool          // what it told waits for confirmation; Read only
-	Late   bool          // its time ran out; Failed only
+	Outcome            Outcome
+	Index              uint64        // of the answer; Read only
+	BusyTime           time.Duration // from its first byte to its last change carried out; Read only
+	Latency            time.Duration // from the call to its last byte; Read only
+	AwaitsConfirmation bool          // what it told waits for confirmation; Read only
+	TimedOut           bool          // its time ran out; Failed only
 }
 
 // Poller decides the calls to one catalogue.
 type Poller struct {
-	set       Settings
+	settings  Settings
 	addresses int
 	rng       *rand.Rand
 
-	next  Call
-	index uint64 // of the latest answer; 0: none, or it went backwards
-	fails int    // in a row
-	late  bool   // one of this round's calls ran out of time
-	slack time.Duration
-	doubt bool
+	next               Request
+	index              uint64 // of the latest answer; 0: none, or it went backwards
+	failures           int    // in a row
+	timedOut           bool   // one of this round's calls ran out of time
+	responseTimeout    time.Duration
+	awaitsConfirmation bool
 }
 
 // New returns a Poller for so many addresses whose first call is due at once, or an error that names the bound
@@ -139,89 +139,89 @@
 	if addresses < 1 {
 		return nil, fmt.Errorf("poll: addresses: %d is not at least 1", addresses)
 	}
-	p := &Poller{set: set, addresses: addresses, rng: rng, slack: set.Slack}
+	p := &Poller{settings: set, addresses: addresses, rng: rng, responseTimeout: set.ResponseTimeout}
 	// Front ends that start together begin at different addresses.
-	p.plan(0, rng.IntN(addresses))
+	p.schedule(0, rng.IntN(addresses))
 	return p, nil
 }
 
 // Next is the call to make now, or at its time.
-func (p *Poller) Next() Call { return p.next }
+func (p *Poller) Next() Request { return p.next }
 
-// plan sets the next call.
-func (p *Poller) plan(at time.Duration, address int) {
-	c := Call{At: at, Address: address, Within: p.slack, Slack: p.slack}
+// schedule sets the next call.
+func (p *Poller) schedule(at time.Duration, address int) {
+	c := Request{NotBefore: at, Address: address, HeaderTimeout: p.responseTimeout, ReadTimeout: p.responseTimeout}
 	if p.index > 0 {
-		wait := p.set.Wait
-		if p.doubt {
-			wait = min(wait, p.set.Confirm) // a blocking call all the same: a drain must not wait for the next read
+		wait := p.settings.Wait
+		if p.awaitsConfirmation {
+			wait = min(wait, p.settings.ConfirmInterval) // a blocking call all the same: a drain must not wait for the next read
 		}
 		c.Index = p.index
 		c.Wait = time.Duration(float64(wait) * (0.9 + 0.2*p.rng.Float64()))
 		// The catalogue adds up to a sixteenth of the wait by itself.
-		c.Within += c.Wait + c.Wait/16
+		c.HeaderTimeout += c.Wait + c.Wait/16
 	}
 	p.next = c
 }
 
-// Done takes the end of the call in hand.
-func (p *Poller) Done(now time.Duration, r Result) {
+// HandleResult takes the end of the call in hand.
+func (p *Poller) HandleResult(now time.Duration, r Result) {
 	address := p.next.Address
-	switch r.Ending {
-	case Read:
-		p.fails, p.doubt, p.late = 0, r.Doubt, false
-		for p.slack/2 >= max(p.set.Slack, 2*r.Took) {
-			p.slack /= 2
+	switch r.Outcome {
+	case Succeeded:
+		p.failures, p.awaitsConfirmation, p.timedOut = 0, r.AwaitsConfirmation, false
+		for p.responseTimeout/2 >= max(p.settings.ResponseTimeout, 2*r.Latency) {
+			p.responseTimeout /= 2
 		}
-		gap := p.set.MinGap
-		if busy := time.Duration(float64(r.Cost) * (1/p.set.MaxShare - 1)); busy > gap {
+		gap := p.settings.MinInterval
+		if busy := time.Duration(float64(r.BusyTime) * (1/p.settings.MaxBusyShare - 1)); busy > gap {
 			gap = busy
 		}
-		if r.Index == 0 && p.set.Confirm > gap {
-			gap = p.set.Confirm // without an index nothing blocks: the rate is ours to keep
+		if r.Index == 0 && p.settings.ConfirmInterval > gap {
+			gap = p.settings.ConfirmInterval // without an index nothing blocks: the rate is ours to keep
 		}
 		if r.Index < p.index {
 			r.Index = 0
 		}
 		p.index = r.Index
-		p.plan(now+gap, address)
+		p.schedule(now+gap, address)
 	case Denied:
-		p.fails++
-		p.plan(now+p.set.HoldFor, (address+1)%p.addresses)
-	case Renewed:
-		p.fails = 0
-		p.plan(now, address)
+		p.failures++
+		p.schedule(now+p.settings.DeniedBackoff, (address+1)%p.addresses)
+	case Cancelled:
+		p.failures = 0
+		p.schedule(now, address)
 	default:
-		p.fails++
-		p.late = p.late || r.Late
-		if p.late && p.fails%p.addresses == 0 {
-			p.slack, p.late = min(2*p.slack, p.set.MaxSlack), false
+		p.failures++
+		p.timedOut = p.timedOut || r.TimedOut
+		if p.timedOut && p.failures%p.addresses == 0 {
+			p.responseTimeout, p.timedOut = min(2*p.responseTimeout, p.settings.MaxResponseTimeout), false
 		}
-		p.plan(now+p.pause(), (address+1)%p.addresses)
+		p.schedule(now+p.backoff(), (address+1)%p.addresses)
 	}
 }
 
-// pause is how long to wait after the failures so far: nothing until all addresses have been tried.
-func (p *Poller) pause() time.Duration {
-	rounds := p.fails / p.addresses
-	if rounds == 0 || p.fails%p.addresses != 0 {
+// backoff is how long to wait after the failures so far: nothing until all addresses have been tried.
+func (p *Poller) backoff() time.Duration {
+	rounds := p.failures / p.addresses
+	if rounds == 0 || p.failures%p.addresses != 0 {
 		return 0
 	}
-	d := p.set.MaxPause
+	d := p.settings.MaxBackoff
 	if rounds <= 16 {
-		d = min(d, p.set.MinPause<<(rounds-1))
+		d = min(d, p.settings.MinBackoff<<(rounds-1))
 	}
 	return d/2 + time.Duration(p.rng.Int64N(int64(d/2)+1))
 }
 
-// Renew tells that the token has changed, or that an operator asks for a fresh read: what is held is asked at once.
-func (p *Poller) Renew(now time.Duration) {
-	p.fails = 0
-	p.plan(now, p.next.Address)
+// RetryNow tells that the token has changed, or that an operator asks for a fresh read: what is held is asked at once.
+func (p *Poller) RetryNow(now time.Duration) {
+	p.failures = 0
+	p.schedule(now, p.next.Address)
 }
 
-// Switch tells that another catalogue, with so many addresses, is asked from now on.
-func (p *Poller) Switch(now time.Duration, addresses int) {
-	p.addresses, p.index, p.fails, p.doubt, p.late, p.slack = addresses, 0, 0, false, false, p.set.Slack
-	p.plan(now, p.rng.IntN(addresses))
+// Reset tells that another catalogue, with so many addresses, is asked from now on.
+func (p *Poller) Reset(now time.Duration, addresses int) {
+	p.addresses, p.index, p.failures, p.awaitsConfirmation, p.timedOut, p.responseTimeout = addresses, 0, 0, false, false, p.settings.ResponseTimeout
+	p.schedule(now, p.rng.IntN(addresses))
 }
--- a/decision/poll/poll_test.go
+++ b/decision/poll/poll_test.go
@@ -25,37 +25,37 @@
 		asks    uint64        // its index
 		another bool          // of the two addresses
 	}{
-		"first answer":         {0, Result{Index: 7}, set.MinGap, 7, false},
-		"news":                 {7, Result{Index: 9}, set.MinGap, 9, false},
-		"a wait ended":         {7, Result{Index: 7}, set.MinGap, 7, false},
-		"backwards":            {7, Result{Index: 5}, set.MinGap, 0, false},
-		"no index":             {7, Result{}, set.Confirm, 0, false},
-		"costly":               {7, Result{Index: 9, Cost: time.Second}, 4 * time.Second, 9, false},
-		"in doubt":             {7, Result{Index: 9, Doubt: true}, set.MinGap, 9, false},
-		"failed":               {7, Result{Ending: Failed}, 0, 7, true},
-		"denied":               {7, Result{Ending: Denied}, set.HoldFor, 7, true},
-		"given up for renewal": {7, Result{Ending: Renewed}, 0, 7, false},
+		"first answer":         {0, Result{Index: 7}, set.MinInterval, 7, false},
+		"news":                 {7, Result{Index: 9}, set.MinInterval, 9, false},
+		"a wait ended":         {7, Result{Index: 7}, set.MinInterval, 7, false},
+		"backwards":            {7, Result{Index: 5}, set.MinInterval, 0, false},
+		"no index":             {7, Result{}, set.ConfirmInterval, 0, false},
+		"costly":               {7, Result{Index: 9, BusyTime: time.Second}, 4 * time.Second, 9, false},
+		"in doubt":             {7, Result{Index: 9, AwaitsConfirmation: true}, set.MinInterval, 9, false},
+		"failed":               {7, Result{Outcome: Failed}, 0, 7, true},
+		"denied":               {7, Result{Outcome: Denied}, set.DeniedBackoff, 7, true},
+		"given up for renewal": {7, Result{Outcome: Cancelled}, 0, 7, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := poller(t, 2)
 			if k.index > 0 {
-				p.Done(time.Second, Result{Index: k.index})
+				p.HandleResult(time.Second, Result{Index: k.index})
 			}
 			was := p.Next().Address
-			p.Done(time.Minute, k.r)
+			p.HandleResult(time.Minute, k.r)
 			next := p.Next()
-			assert.Equal(t, time.Minute+k.gap, next.At)
+			assert.Equal(t, time.Minute+k.gap, next.NotBefore)
 			assert.Equal(t, k.asks, next.Index)
 			assert.Equal(t, k.another, next.Address != was)
 			if k.asks == 0 {
 				assert.Zero(t, next.Wait)
 			} else {
 				wait := set.Wait
-				if k.r.Doubt {
-					wait = set.Confirm
+				if k.r.AwaitsConfirmation {
+					wait = set.ConfirmInterval
 				}
 				assert.InDelta(t, float64(wait), float64(next.Wait), float64(wait)/10)
-				assert.Equal(t, next.Wait+next.Wait/16+set.Slack, next.Within)
+				assert.Equal(t, next.Wait+next.Wait/16+set.ResponseTimeout, next.HeaderTimeout)
 			}
 		})
 	}
@@ -63,13 +63,13 @@
 
 func TestHeldCallIsRenewed(t *testing.T) {
 	p := poller(t, 1)
-	p.Done(time.Second, Result{Ending: Denied})
-	require.Equal(t, 31*time.Second, p.Next().At)
-	p.Renew(2 * time.Second)
-	assert.Equal(t, 2*time.Second, p.Next().At)
-	p.Done(3*time.Second, Result{Index: 4})
-	p.Switch(5*time.Second, 3)
-	assert.Equal(t, 5*time.Second, p.Next().At)
+	p.HandleResult(time.Second, Result{Outcome: Denied})
+	require.Equal(t, 31*time.Second, p.Next().NotBefore)
+	p.RetryNow(2 * time.Second)
+	assert.Equal(t, 2*time.Second, p.Next().NotBefore)
+	p.HandleResult(3*time.Second, Result{Index: 4})
+	p.Reset(5*time.Second, 3)
+	assert.Equal(t, 5*time.Second, p.Next().NotBefore)
 	assert.Zero(t, p.Next().Index, "another catalogue counts from elsewhere")
 }
 
@@ -89,24 +89,24 @@
 			if c != p.Next() {
 				t.Fatal("1: Next changed without Done")
 			}
-			now = max(now, c.At)
+			now = max(now, c.NotBefore)
 			if c.Address < 0 || c.Address >= n {
 				t.Fatalf("address %d of %d", c.Address, n)
 			}
 			if c.Index > 0 && (c.Wait < set.Wait*9/10 || c.Wait > set.Wait*11/10) {
 				t.Fatalf("7: wait %v", c.Wait)
 			}
-			r := Result{Ending: Ending(rapid.IntRange(0, 2).Draw(t, "ending")), Index: rapid.Uint64Range(0, 9).Draw(t, "index"),
-				Cost: time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "cost"))}
+			r := Result{Outcome: Outcome(rapid.IntRange(0, 2).Draw(t, "ending")), Index: rapid.Uint64Range(0, 9).Draw(t, "index"),
+				BusyTime: time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "cost"))}
 			began := now
-			p.Done(now, r)
-			gap := p.Next().At - began
-			switch r.Ending {
-			case Read:
+			p.HandleResult(now, r)
+			gap := p.Next().NotBefore - began
+			switch r.Outcome {
+			case Succeeded:
 				fails = 0
 				clear(tried)
-				if gap < set.MinGap || float64(r.Cost) > (set.MaxShare+1e-6)*float64(gap+r.Cost) {
-					t.Fatalf("5: %v after a read that took %v", gap, r.Cost)
+				if gap < set.MinInterval || float64(r.BusyTime) > (set.MaxBusyShare+1e-6)*float64(gap+r.BusyTime) {
+					t.Fatalf("5: %v after a read that took %v", gap, r.BusyTime)
 				}
 				if next := p.Next().Index; r.Index < last && next != 0 {
 					t.Fatalf("2: asks with %d after %d was followed by %d", next, last, r.Index)
@@ -119,7 +119,7 @@
 				}
 			case Denied:
 				fails++
-				if gap != set.HoldFor {
+				if gap != set.DeniedBackoff {
 					t.Fatalf("4: %v after a denied call", gap)
 				}
 			case Failed:
@@ -128,7 +128,7 @@
 				if gap > 0 && len(tried) < n && fails <= len(tried) {
 					t.Fatalf("6: a pause after %d of %d addresses", len(tried), n)
 				}
-				if gap > set.MaxPause {
+				if gap > set.MaxBackoff {
 					t.Fatalf("3: a pause of %v", gap)
 				}
 			}
@@ -140,15 +140,15 @@
 	p, set := poller(t, 3), Defaults()
 	var pauses []time.Duration
 	for range 60 {
-		at := p.Next().At
-		p.Done(at, Result{Ending: Failed})
-		if d := p.Next().At - at; d > 0 {
+		at := p.Next().NotBefore
+		p.HandleResult(at, Result{Outcome: Failed})
+		if d := p.Next().NotBefore - at; d > 0 {
 			pauses = append(pauses, d)
 		}
 	}
 	require.Len(t, pauses, 20, "one pause in a round of three")
 	for i, d := range pauses {
-		most := min(set.MaxPause, set.MinPause<<min(i, 20))
+		most := min(set.MaxBackoff, set.MinBackoff<<min(i, 20))
 		assert.GreaterOrEqual(t, d, most/2, i)
 		assert.LessOrEqual(t, d, most, i)
 	}
@@ -156,8 +156,8 @@
 
 func TestSettingsAreChecked(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"wait": func(s *Settings) { s.Wait = 0 }, "max_pause": func(s *Settings) { s.MaxPause = s.MinPause / 2 },
-		"max_share": func(s *Settings) { s.MaxShare = 1.5 }, "min_gap": func(s *Settings) { s.MinGap = -1 },
+		"wait": func(s *Settings) { s.Wait = 0 }, "max_pause": func(s *Settings) { s.MaxBackoff = s.MinBackoff / 2 },
+		"max_share": func(s *Settings) { s.MaxBusyShare = 1.5 }, "min_gap": func(s *Settings) { s.MinInterval = -1 },
 	} {
 		set := Defaults()
 		spoil(&set)
@@ -175,24 +175,24 @@
 	now := time.Duration(0)
 	const makes = 5 * time.Second
 	calls, wasted := 0, time.Duration(0)
-	for ; p.Next().Within < makes; calls++ {
+	for ; p.Next().HeaderTimeout < makes; calls++ {
 		require.Less(t, calls, 20, "never read")
-		now = max(now, p.Next().At) + p.Next().Within
-		wasted += p.Next().Within
-		p.Done(now, Result{Ending: Failed, Late: true})
+		now = max(now, p.Next().NotBefore) + p.Next().HeaderTimeout
+		wasted += p.Next().HeaderTimeout
+		p.HandleResult(now, Result{Outcome: Failed, TimedOut: true})
 	}
 	assert.Equal(t, 4, calls, "two rounds of two addresses")
 	assert.Less(t, wasted, 10*time.Second)
-	p.Done(now, Result{Index: 1, Took: makes})
-	assert.Equal(t, 6*time.Second, p.Next().Slack, "the next reading takes as long")
-	p.Done(now, Result{Index: 2, Took: 10 * time.Millisecond})
-	assert.Equal(t, set.Slack, p.Next().Slack)
+	p.HandleResult(now, Result{Index: 1, Latency: makes})
+	assert.Equal(t, 6*time.Second, p.Next().ReadTimeout, "the next reading takes as long")
+	p.HandleResult(now, Result{Index: 2, Latency: 10 * time.Millisecond})
+	assert.Equal(t, set.ResponseTimeout, p.Next().ReadTimeout)
 	for range 40 {
-		p.Done(now, Result{Ending: Failed, Late: true})
+		p.HandleResult(now, Result{Outcome: Failed, TimedOut: true})
 	}
-	assert.Equal(t, set.MaxSlack, p.Next().Slack, "bounded")
-	p.Done(now, Result{Index: 3})
-	p.Done(now, Result{Ending: Failed})
-	p.Done(now, Result{Ending: Failed})
-	assert.Equal(t, set.Slack, p.Next().Slack, "a refused call is no slow one")
+	assert.Equal(t, set.MaxResponseTimeout, p.Next().ReadTimeout, "bounded")
+	p.HandleResult(now, Result{Index: 3})
+	p.HandleResult(now, Result{Outcome: Failed})
+	p.HandleResult(now, Result{Outcome: Failed})
+	assert.Equal(t, set.ResponseTimeout, p.Next().ReadTimeout, "a refused call is no slow one")
 }
--- a/decision/poll/recorded_test.go
+++ b/decision/poll/recorded_test.go
@@ -23,30 +23,30 @@
 		now := time.Duration(0)
 		for range 400 {
 			c := p.Next()
-			trace.Time(c.At, c.Wait, c.Within, c.Slack)
+			trace.Time(c.NotBefore, c.Wait, c.HeaderTimeout, c.ReadTimeout)
 			trace.Int(c.Address)
 			trace.Uint(c.Index)
-			now = max(now, c.At) + time.Duration(rng.Int64N(int64(8*time.Second)))
+			now = max(now, c.NotBefore) + time.Duration(rng.Int64N(int64(8*time.Second)))
 			switch n := rng.IntN(20); n {
 			case 0:
-				p.Renew(now)
+				p.RetryNow(now)
 				trace.Count("renew")
 			case 1:
 				addresses = 1 + rng.IntN(4)
-				p.Switch(now, addresses)
+				p.Reset(now, addresses)
 				trace.Count("switch")
 			default:
-				r := poll.Result{Ending: poll.Ending(rng.IntN(4)), Doubt: rng.IntN(3) == 0, Late: rng.IntN(2) == 0}
-				if r.Ending == poll.Denied && rng.IntN(3) > 0 {
-					r.Ending = poll.Failed
+				r := poll.Result{Outcome: poll.Outcome(rng.IntN(4)), AwaitsConfirmation: rng.IntN(3) == 0, TimedOut: rng.IntN(2) == 0}
+				if r.Outcome == poll.Denied && rng.IntN(3) > 0 {
+					r.Outcome = poll.Failed
 				}
 				if rng.IntN(6) > 0 {
 					r.Index = 90 + rng.Uint64N(20)
 				}
-				r.Cost = time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
-				r.Took = time.Duration(rng.Int64N(int64(4 * time.Second)))
-				p.Done(now, r)
-				trace.Count("ending " + strconv.Itoa(int(r.Ending)))
+				r.BusyTime = time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
+				r.Latency = time.Duration(rng.Int64N(int64(4 * time.Second)))
+				p.HandleResult(now, r)
+				trace.Count("ending " + strconv.Itoa(int(r.Outcome)))
 			}
 		}
 		trace.Mark()
--- a/decision/reuse/reuse.go
+++ b/decision/reuse/reuse.go
@@ -41,66 +41,66 @@
 
 // Settings are the bounds of the decisions. [Defaults] gives each with its reason.
 type Settings struct {
-	Off          bool
-	Quiet        time.Duration
-	Prove        int
-	ProveEach    int
-	Distrust     time.Duration
-	MostDistrust time.Duration
-	Forget       time.Duration
-	MostQueries  int
-	MaxIdle      time.Duration
-	MaxUnheard   time.Duration
-	MostIdle     int
-	MostIdleAll  int
-	Confirm      bool
+	Disabled                  bool
+	QuietPeriod               time.Duration
+	ProofConnections          int
+	ProofConnectionsPerEngine int
+	DistrustPeriod            time.Duration
+	MaxDistrustPeriod         time.Duration
+	FaultMemory               time.Duration
+	MaxQueries                int
+	MaxIdleTime               time.Duration
+	MaxEngineSilence          time.Duration
+	MaxIdlePerEngine          int
+	MaxIdleTotal              int
+	ConfirmResponses          bool
 }
 
 // Defaults are the bounds in force where nothing else is set.
 func Defaults() Settings {
 	return Settings{
 		// Many times a round trip within a site (2.6 ms at most here): a copy that was sent with the answer is there by then.
-		Quiet: 20 * time.Millisecond,
+		QuietPeriod: 20 * time.Millisecond,
 		// Answers are spoilt on the way or by a release, so by all engines alike: one row for all proves it within a second or
 		// two at a few queries a second, where a row for each engine would take a front end of a large fleet most of a
 		// minute. What one process alone does its own first connection shows.
-		Prove: 12, ProveEach: 1,
+		ProofConnections: 12, ProofConnectionsPerEngine: 1,
 		// A day that spoils answers spoils one every few seconds: the second one already doubles the time.
-		Distrust: time.Minute, MostDistrust: time.Hour, Forget: 2 * time.Hour,
+		DistrustPeriod: time.Minute, MaxDistrustPeriod: time.Hour, FaultMemory: 2 * time.Hour,
 		// A connection that is opened anew now and then costs nothing and bounds what one fault can do.
-		MostQueries: 1000,
+		MaxQueries: 1000,
 		// Far under the idle time-outs of engines (30 s here) and of what stands between.
-		MaxIdle: 3 * time.Second,
+		MaxIdleTime: 3 * time.Second,
 		// A front end of a large fleet hears of each engine that it draws from several times in this.
-		MaxUnheard: 2 * time.Second,
-		MostIdle:   16, MostIdleAll: 64,
+		MaxEngineSilence: 2 * time.Second,
+		MaxIdlePerEngine: 16, MaxIdleTotal: 64,
 		// One more call on a connection that is there costs less than a handshake, and proves more than silence does.
-		Confirm: true,
+		ConfirmResponses: true,
 	}
 }
 
 // Check names the first bound that can't be used.
 func (s Settings) Check() error {
 	switch {
-	case s.Quiet <= 0:
-		return fmt.Errorf("quiet: %v is not more than 0", s.Quiet)
-	case s.Prove < 1:
-		return fmt.Errorf("prove: %d is not at least 1", s.Prove)
-	case s.ProveEach < 0 || s.ProveEach > s.Prove:
-		return fmt.Errorf("prove_each: %d is not from 0 to prove (%d)", s.ProveEach, s.Prove)
-	case s.Distrust <= 0:
-		return fmt.Errorf("distrust: %v is not more than 0", s.Distrust)
-	case s.MostDistrust < s.Distrust:
-		return fmt.Errorf("most_distrust: %v is less than distrust (%v)", s.MostDistrust, s.Distrust)
-	case s.Forget <= 0:
-		return fmt.Errorf("forget: %v is not more than 0", s.Forget)
-	case s.MostQueries < 1:
-		return fmt.Errorf("most_queries: %d is not at least 1", s.MostQueries)
-	case s.MaxIdle <= s.Quiet:
-		return fmt.Errorf("max_idle: %v is not more than quiet (%v)", s.MaxIdle, s.Quiet)
-	case s.MaxUnheard <= 0:
-		return fmt.Errorf("max_unheard: %v is not more than 0", s.MaxUnheard)
-	case s.MostIdle < 0 || s.MostIdleAll < 0:
+	case s.QuietPeriod <= 0:
+		return fmt.Errorf("quiet: %v is not more than 0", s.QuietPeriod)
+	case s.ProofConnections < 1:
+		return fmt.Errorf("prove: %d is not at least 1", s.ProofConnections)
+	case s.ProofConnectionsPerEngine < 0 || s.ProofConnectionsPerEngine > s.ProofConnections:
+		return fmt.Errorf("prove_each: %d is not from 0 to prove (%d)", s.ProofConnectionsPerEngine, s.ProofConnections)
+	case s.DistrustPeriod <= 0:
+		return fmt.Errorf("distrust: %v is not more than 0", s.DistrustPeriod)
+	case s.MaxDistrustPeriod < s.DistrustPeriod:
+		return fmt.Errorf("most_distrust: %v is less than distrust (%v)", s.MaxDistrustPeriod, s.DistrustPeriod)
+	case s.FaultMemory <= 0:
+		return fmt.Errorf("forget: %v is not more than 0", s.FaultMemory)
+	case s.MaxQueries < 1:
+		return fmt.Errorf("most_queries: %d is not at least 1", s.MaxQueries)
+	case s.MaxIdleTime <= s.QuietPeriod:
+		return fmt.Errorf("max_idle: %v is not more than quiet (%v)", s.MaxIdleTime, s.QuietPeriod)
+	case s.MaxEngineSilence <= 0:
+		return fmt.Errorf("max_unheard: %v is not more than 0", s.MaxEngineSilence)
+	case s.MaxIdlePerEngine < 0 || s.MaxIdleTotal < 0:
 		return fmt.Errorf("most_idle: it is negative")
 	}
 	return nil
@@ -108,78 +108,78 @@
 
 // Conn is what has to be known of a connection that has just ended a query, or that is idle.
 type Conn struct {
-	Queries int           // that it has served
-	Idle    time.Duration // since its last answer was consumed
-	Unheard time.Duration // since anything was heard of its engine
-	Clean   bool          // open, its answers consumed to the last byte, and nothing more has come
-	Last    bool          // its engine has told that it closes it
+	Queries       int           // that it has served
+	IdleTime      time.Duration // since its last answer was consumed
+	EngineSilence time.Duration // since anything was heard of its engine
+	Clean         bool          // open, its answers consumed to the last byte, and nothing more has come
+	Closing       bool          // its engine has told that it closes it
 }
 
-// Trust is what one front end makes of its engines' connections.
-type Trust struct {
-	set     Settings
-	engines map[uint32]*row
-	silent  int           // connections in a row that stayed silent, of all engines
-	until   time.Duration // no connection serves again before
-	spoilt  time.Duration // when distrust began last
-	times   int           // that it began within Forget
-	idle    int           // connections that are kept
+// Policy is what one front end makes of its engines' connections.
+type Policy struct {
+	settings        Settings
+	engines         map[uint32]*engineRecord
+	quietInRow      int           // connections in a row that stayed silent, of all engines
+	distrustedUntil time.Duration // no connection serves again before
+	lastFaultAt     time.Duration // when distrust began last
+	recentFaults    int           // that it began within Forget
+	idle            int           // connections that are kept
 }
 
-// row is the record of one process of an engine.
-type row struct {
-	silent int // connections in a row that stayed silent
-	idle   int // connections that are kept
+// engineRecord is the record of one process of an engine.
+type engineRecord struct {
+	quietInRow int // connections in a row that stayed silent
+	idle       int // connections that are kept
 }
 
 // New returns a Trust that trusts nobody yet, or an error that names the bound that can't be used.
-func New(set Settings) (*Trust, error) {
+func New(set Settings) (*Policy, error) {
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("reuse: %w", err)
 	}
-	return &Trust{set: set, engines: map[uint32]*row{}}, nil
+	return &Policy{settings: set, engines: map[uint32]*engineRecord{}}, nil
 }
 
-func (t *Trust) row(engine uint32) *row {
+func (t *Policy) engine(engine uint32) *engineRecord {
 	r := t.engines[engine]
 	if r == nil {
-		r = &row{}
+		r = &engineRecord{}
 		t.engines[engine] = r
 	}
 	return r
 }
 
-// Forget drops an engine whose process has gone or was replaced; its kept connections must have been told by Dropped
+// RemoveEngine drops an engine whose process has gone or was replaced; its kept connections must have been told by Dropped
 // before.
-func (t *Trust) Forget(engine uint32) { delete(t.engines, engine) }
+func (t *Policy) RemoveEngine(engine uint32) { delete(t.engines, engine) }
 
-// Spoilt tells that an answer of the engine could not be read or could not be right, or that more came than belonged
+// Malformed tells that an answer of the engine could not be read or could not be right, or that more came than belonged
 // to it.
-func (t *Trust) Spoilt(engine uint32, now time.Duration) {
-	t.row(engine).silent, t.silent = 0, 0
-	if t.times > 0 && now-t.spoilt > t.set.Forget {
-		t.times = 0
+func (t *Policy) Malformed(engine uint32, now time.Duration) {
+	t.engine(engine).quietInRow, t.quietInRow = 0, 0
+	if t.recentFaults > 0 && now-t.lastFaultAt > t.settings.FaultMemory {
+		t.recentFaults = 0
 	}
-	t.spoilt = now
-	hold := t.set.MostDistrust
-	if t.times < 30 {
-		hold = min(hold, t.set.Distrust<<t.times)
+	t.lastFaultAt = now
+	hold := t.settings.MaxDistrustPeriod
+	if t.recentFaults < 30 {
+		hold = min(hold, t.settings.DistrustPeriod<<t.recentFaults)
 	}
-	t.times++
-	t.until = max(t.until, now+hold)
+	t.recentFaults++
+	t.distrustedUntil = max(t.distrustedUntil, now+hold)
 }
 
-// Silent tells that a connection of the engine brought nothing more for Quiet after its last answer.
-func (t *Trust) Silent(engine uint32) {
-	t.row(engine).silent++
-	t.silent++
+// StayedQuiet tells that a connection of the engine brought nothing more for Quiet after its last answer.
+func (t *Policy) StayedQuiet(engine uint32) {
+	t.engine(engine).quietInRow++
+	t.quietInRow++
 }
 
 // Keep decides whether a connection that has just ended a query is kept: to serve again, or at least to prove itself
 // silent. Each one that is kept is told by Dropped or Taken later.
-func (t *Trust) Keep(engine uint32, c Conn) bool {
-	r := t.row(engine)
-	if t.set.Off || !c.Clean || c.Last || c.Queries >= t.set.MostQueries || r.idle >= t.set.MostIdle || t.idle >= t.set.MostIdleAll {
+func (t *Policy) Keep(engine uint32, c Conn) bool {
+	r := t.engine(engine)
+	if t.settings.Disabled || !c.Clean || c.Closing || c.Queries >= t.settings.MaxQueries || r.idle >= t.settings.MaxIdlePerEngine || t.idle >= t.settings.MaxIdleTotal {
 		return false
 	}
 	r.idle++
@@ -187,8 +187,8 @@
 	return true
 }
 
-// Dropped tells that a kept connection is kept no more.
-func (t *Trust) Dropped(engine uint32) {
+// Released tells that a kept connection is kept no more.
+func (t *Policy) Released(engine uint32) {
 	if r := t.engines[engine]; r != nil && r.idle > 0 {
 		r.idle--
 	}
@@ -197,43 +197,43 @@
 	}
 }
 
-// Verdict is what is to be done with a kept connection.
-type Verdict int
+// Decision is what is to be done with a kept connection.
+type Decision int
 
 // The verdicts.
 const (
-	Wait  Verdict = iota // it stays kept
-	Serve                // it may take the query
-	Close                // it is to be closed
-	Prove                // it may take the query, and the answer counts once it was confirmed
+	KeepIdle      Decision = iota // it stays kept
+	Use                           // it may take the query
+	Close                         // it is to be closed
+	UseAndConfirm                 // it may take the query, and the answer counts once it was confirmed
 )
 
-// Serve decides what a kept connection may do for a query, and what becomes of it otherwise. unsafe tells a request that
+// Decide decides what a kept connection may do for a query, and what becomes of it otherwise. unsafe tells a request that
 // must not run twice.
-func (t *Trust) Serve(engine uint32, c Conn, unsafe bool, now time.Duration) Verdict {
+func (t *Policy) Decide(engine uint32, c Conn, unsafe bool, now time.Duration) Decision {
 	switch {
-	case !c.Clean || c.Last || c.Idle > t.set.MaxIdle:
+	case !c.Clean || c.Closing || c.IdleTime > t.settings.MaxIdleTime:
 		return Close
-	case now < t.until && !t.set.Confirm:
+	case now < t.distrustedUntil && !t.settings.ConfirmResponses:
 		return Close // it has proved itself silent, and may do no more
-	case c.Idle < t.set.Quiet || unsafe || c.Unheard > t.set.MaxUnheard:
-		return Wait
+	case c.IdleTime < t.settings.QuietPeriod || unsafe || c.EngineSilence > t.settings.MaxEngineSilence:
+		return KeepIdle
 	case t.Trusted(engine, now):
-		return Serve
-	case t.set.Confirm && !t.set.Off:
-		return Prove
+		return Use
+	case t.settings.ConfirmResponses && !t.settings.Disabled:
+		return UseAndConfirm
 	}
-	return Wait
+	return KeepIdle
 }
 
 // Trusted tells whether connections of the engine may serve again at this time.
-func (t *Trust) Trusted(engine uint32, now time.Duration) bool {
+func (t *Policy) Trusted(engine uint32, now time.Duration) bool {
 	r := t.engines[engine]
-	return !t.set.Off && r != nil && t.silent >= t.set.Prove && r.silent >= t.set.ProveEach && now >= t.until
+	return !t.settings.Disabled && r != nil && t.quietInRow >= t.settings.ProofConnections && r.quietInRow >= t.settings.ProofConnectionsPerEngine && now >= t.distrustedUntil
 }
 
-// Quiet is how long a connection must have been silent before it serves again.
-func (t *Trust) Quiet() time.Duration { return t.set.Quiet }
+// QuietPeriod is how long a connection must have been silent before it serves again.
+func (t *Policy) QuietPeriod() time.Duration { return t.settings.QuietPeriod }
 
-// MaxIdle is how long a connection may be idle.
-func (t *Trust) MaxIdle() time.Duration { return t.set.MaxIdle }
+// MaxIdleTime is how long a connection may be idle.
+func (t *Policy) MaxIdleTime() time.Duration { return t.settings.MaxIdleTime }
--- a/decision/watchtimeout/recorded_test.go
+++ b/decision/watchtimeout/recorded_test.go
@@ -23,15 +23,15 @@
 				}
 				switch rng.IntN(6) {
 				case 0:
-					w.Answered(took)
+					w.ResponseReceived(took)
 				case 1, 2:
-					w.Silent()
+					w.ResponseTimedOut()
 				case 3:
-					w.Reached(took)
+					w.DialSucceeded(took)
 				default:
-					w.Unreached()
+					w.DialFailed()
 				}
-				trace.Time(w.Wait(), w.Pause(), w.Slack(), w.Dial(), w.Bound())
+				trace.Time(w.PollWait(), w.RetryDelay(), w.Response(), w.Dial(), w.MaxDelay())
 			}
 			trace.Mark()
 		}
--- a/decision/watchtimeout/watch.go
+++ b/decision/watchtimeout/watch.go
@@ -24,85 +24,87 @@
 
 // The parts of the grace, in hundredths, that the steps may take; 85 in all with the second answer.
 const (
-	waitPart  = 40
-	slackPart = 15
-	dialPart  = 15
-	pausePart = 10
+	pollWaitPercent   = 40
+	responsePercent   = 15
+	dialPercent       = 15
+	retryDelayPercent = 10
 )
 
 // The bounds of the steps, whatever the grace.
 const (
-	leastWait, mostWait   = 20 * time.Millisecond, time.Second
-	leastSlack, mostSlack = 30 * time.Millisecond, 500 * time.Millisecond
-	leastPause, mostPause = 10 * time.Millisecond, 100 * time.Millisecond
-	noGrace               = time.Second // where the settings name no grace
-	wholeEvery            = 8           // one try in so many has the whole time
+	minPollWait, maxPollWait     = 20 * time.Millisecond, time.Second
+	minResponse, maxResponse     = 30 * time.Millisecond, 500 * time.Millisecond
+	minRetryDelay, maxRetryDelay = 10 * time.Millisecond, 100 * time.Millisecond
+	defaultGrace                 = time.Second // where the settings name no grace
+	longestEvery                 = 8           // one try in so many has the whole time
 )
 
-// Watch holds the bounds for one change log.
-type Watch struct {
-	wait, pause time.Duration
-	slack, dial patience
+// Timeouts holds the bounds for one change log.
+type Timeouts struct {
+	pollWait, retryDelay time.Duration
+	response, dial       adaptiveTimeout
 }
 
-// patience is how long something is waited for.
-type patience struct {
-	usual, whole time.Duration
-	seen         time.Duration // what it took lately, fading
-	fails        int           // in a row
+// adaptiveTimeout is how long something is waited for.
+type adaptiveTimeout struct {
+	usual, longest time.Duration
+	recent         time.Duration // what it took lately, fading
+	failures       int           // in a row
 }
 
 // New returns the bounds for a grace; connect is how long a connection may take to come up.
-func New(grace, connect time.Duration) *Watch {
+func New(grace, connect time.Duration) *Timeouts {
 	if grace <= 0 {
-		grace = noGrace
+		grace = defaultGrace
 	}
 	part := func(n int, least, most time.Duration) time.Duration {
 		return min(max(grace*time.Duration(n)/100, least), most)
 	}
-	slack := part(slackPart, leastSlack, mostSlack)
-	return &Watch{
-		wait: part(waitPart, leastWait, mostWait), pause: part(pausePart, leastPause, mostPause),
-		slack: patience{usual: slack, whole: mostSlack},
-		dial:  patience{usual: min(part(dialPart, leastSlack, mostSlack), connect), whole: connect},
+	slack := part(responsePercent, minResponse, maxResponse)
+	return &Timeouts{
+		pollWait: part(pollWaitPercent, minPollWait, maxPollWait), retryDelay: part(retryDelayPercent, minRetryDelay, maxRetryDelay),
+		response: adaptiveTimeout{usual: slack, longest: maxResponse},
+		dial:     adaptiveTimeout{usual: min(part(dialPercent, minResponse, maxResponse), connect), longest: connect},
 	}
 }
 
-// Wait is how long the log may hold a poll for which it has nothing to tell.
-func (w *Watch) Wait() time.Duration { return w.wait }
+// PollWait is how long the log may hold a poll for which it has nothing to tell.
+func (w *Timeouts) PollWait() time.Duration { return w.pollWait }
 
-// Pause is how long after a failure that took no time the log is asked again.
-func (w *Watch) Pause() time.Duration { return w.pause }
+// RetryDelay is how long after a failure that took no time the log is asked again.
+func (w *Timeouts) RetryDelay() time.Duration { return w.retryDelay }
 
-// Slack is how much later than Wait the answer may come.
-func (w *Watch) Slack() time.Duration { return w.slack.next() }
+// Response is how much later than Wait the answer may come.
+func (w *Timeouts) Response() time.Duration { return w.response.current() }
 
 // Dial is how long the connection may take to come up.
-func (w *Watch) Dial() time.Duration { return w.dial.next() }
+func (w *Timeouts) Dial() time.Duration { return w.dial.current() }
 
-// Bound is the greatest age of news where one watch falls silent and the next is answered.
-func (w *Watch) Bound() time.Duration { return w.wait + 2*w.slack.usual + w.dial.usual }
+// MaxDelay is the greatest age of news where one watch falls silent and the next is answered.
+func (w *Timeouts) MaxDelay() time.Duration { return w.pollWait + 2*w.response.usual + w.dial.usual }
 
-// Answered tells that an answer came so long after its poll was sent. What came before the wait was over tells nothing.
-func (w *Watch) Answered(took time.Duration) { w.slack.came(max(0, took-w.wait)) }
+// ResponseReceived tells that an answer came so long after its poll was sent. What came before the wait was over tells nothing.
+func (w *Timeouts) ResponseReceived(took time.Duration) {
+	w.response.succeeded(max(0, took-w.pollWait))
+}
 
-// Silent tells that an answer did not come in its time.
-func (w *Watch) Silent() { w.slack.fails++ }
+// ResponseTimedOut tells that an answer did not come in its time.
+func (w *Timeouts) ResponseTimedOut() { w.response.failures++ }
 
-// Reached tells that a connection came up.
-func (w *Watch) Reached(took time.Duration) { w.dial.came(took) }
+// DialSucceeded tells that a connection came up.
+func (w *Timeouts) DialSucceeded(took time.Duration) { w.dial.succeeded(took) }
 
-// Unreached tells that a connection did not come up in its time.
-func (w *Watch) Unreached() { w.dial.fails++ }
+// DialFailed tells that a connection did not come up in its time.
+func (w *Timeouts) DialFailed() { w.dial.failures++ }
 
-func (p *patience) next() time.Duration {
-	if p.fails%wholeEvery == wholeEvery-1 {
-		return p.whole
+func (p *adaptiveTimeout) current() time.Duration {
+	if p.failures%longestEvery == longestEvery-1 {
+		return p.longest
 	}
-	return min(max(p.usual, 2*p.seen), max(p.usual, p.whole))
+	return min(max(p.usual, 2*p.recent), max(p.usual, p.longest))
 }
 
-func (p *patience) came(took time.Duration) {
-	p.fails = 0
-	p.seen = max(took, p.seen-p.seen/8)
+func (p *adaptiveTimeout) succeeded(took time.Duration) {
+	p.failures = 0
+	p.recent = max(took, p.recent-p.recent/8)
 }
--- a/decision/watchtimeout/watch_test.go
+++ b/decision/watchtimeout/watch_test.go
@@ -13,13 +13,13 @@
 func TestTheBoundStaysWithinTheGrace(t *testing.T) {
 	for grace := 150 * time.Millisecond; grace <= 5*time.Second; grace += 10 * time.Millisecond {
 		w := New(grace, connect)
-		assert.LessOrEqual(t, w.Bound(), grace)
-		assert.Equal(t, w.Bound(), w.Wait()+w.Slack()+w.Dial()+w.Slack(), "the sum of what is waited for")
-		assert.Less(t, w.Dial()+w.Pause()+w.Dial()+w.Slack(), grace, "a log that comes back while it is not asked")
+		assert.LessOrEqual(t, w.MaxDelay(), grace)
+		assert.Equal(t, w.MaxDelay(), w.PollWait()+w.Response()+w.Dial()+w.Response(), "the sum of what is waited for")
+		assert.Less(t, w.Dial()+w.RetryDelay()+w.Dial()+w.Response(), grace, "a log that comes back while it is not asked")
 	}
-	assert.Equal(t, 425*time.Millisecond, New(500*time.Millisecond, connect).Bound())
-	assert.Equal(t, 110*time.Millisecond, New(time.Millisecond, connect).Bound(), "what can't be kept is told")
-	assert.Equal(t, New(noGrace, connect).Bound(), New(0, connect).Bound())
+	assert.Equal(t, 425*time.Millisecond, New(500*time.Millisecond, connect).MaxDelay())
+	assert.Equal(t, 110*time.Millisecond, New(time.Millisecond, connect).MaxDelay(), "what can't be kept is told")
+	assert.Equal(t, New(defaultGrace, connect).MaxDelay(), New(0, connect).MaxDelay())
 }
 
 // Invariant 2: whatever a log takes, up to the whole time, it is followed from the eighth try on.
@@ -29,18 +29,18 @@
 		fails := 0
 		for tries := range 200 {
 			if w.Dial() < took {
-				w.Unreached()
+				w.DialFailed()
 				fails++
 			} else {
-				w.Reached(took)
+				w.DialSucceeded(took)
 			}
-			if w.Slack() < took {
-				w.Silent()
+			if w.Response() < took {
+				w.ResponseTimedOut()
 				fails++
 			} else {
-				w.Answered(w.Wait() + took)
+				w.ResponseReceived(w.PollWait() + took)
 			}
-			if tries == 2*wholeEvery {
+			if tries == 2*longestEvery {
 				fails = 0
 			}
 		}
@@ -50,11 +50,11 @@
 
 func TestTheTimesFallBackOnceALogIsQuick(t *testing.T) {
 	w := New(500*time.Millisecond, connect)
-	usual := w.Slack()
-	w.Answered(w.Wait() + 200*time.Millisecond)
-	assert.Equal(t, 400*time.Millisecond, w.Slack())
+	usual := w.Response()
+	w.ResponseReceived(w.PollWait() + 200*time.Millisecond)
+	assert.Equal(t, 400*time.Millisecond, w.Response())
 	for range 40 {
-		w.Answered(time.Millisecond)
+		w.ResponseReceived(time.Millisecond)
 	}
-	assert.Equal(t, usual, w.Slack())
+	assert.Equal(t, usual, w.Response())
 }
--- a/internal/engine/changelog.go
+++ b/internal/engine/changelog.go
@@ -24,20 +24,20 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(w.Pause()):
+		case <-time.After(w.RetryDelay()):
 		}
 	}
 }
 
 // follow polls on one connection until that fails.
-func (f *Fleet) follow(ctx context.Context, w *watchtimeout.Watch, addr string, since *int64, take func([]byte) (int64, error), state func(error)) error {
+func (f *Fleet) follow(ctx context.Context, w *watchtimeout.Timeouts, addr string, since *int64, take func([]byte) (int64, error), state func(error)) error {
 	began := time.Now()
 	c, err := f.socks.dial(ctx, addr, w.Dial(), true)
 	if err != nil {
-		w.Unreached()
+		w.DialFailed()
 		return err
 	}
-	w.Reached(time.Since(began))
+	w.DialSucceeded(time.Since(began))
 	c.most = maxList
 	defer c.close()
 	defer context.AfterFunc(ctx, c.close)()
@@ -49,21 +49,21 @@
 	}
 }
 
-func (f *Fleet) changes(c *conn, w *watchtimeout.Watch, addr string, since *int64, take func([]byte) (int64, error)) error {
+func (f *Fleet) changes(c *conn, w *watchtimeout.Timeouts, addr string, since *int64, take func([]byte) (int64, error)) error {
 	c.begin("GET", "/changes?since="+strconv.FormatInt(*since, 10)+
-		"&timeout="+strconv.FormatInt(w.Wait().Milliseconds(), 10), addr)
+		"&timeout="+strconv.FormatInt(w.PollWait().Milliseconds(), 10), addr)
 	if err := c.send(nil); err != nil {
 		return err
 	}
 	sent := time.Now()
-	r, err := c.receive(sent.Add(w.Wait() + w.Slack()))
+	r, err := c.receive(sent.Add(w.PollWait() + w.Response()))
 	if err != nil {
 		if isTimeout(err) {
-			w.Silent()
+			w.ResponseTimedOut()
 		}
 		return err
 	}
-	w.Answered(time.Since(sent))
+	w.ResponseReceived(time.Since(sent))
 	if r.code != 200 {
 		return fmt.Errorf("change log: status %d", r.code)
 	}
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -29,8 +29,8 @@
 	DrainGrace     time.Duration // within which a drain has to be heard
 	Sockets        int           // connections in all, the reserve included
 	Classes        []admission.Class
-	Deletes        bool         // a query that nobody waits for may be deleted; else it is asked for no more
-	Reuse          *reuse.Trust // nil keeps no connection
+	Deletes        bool          // a query that nobody waits for may be deleted; else it is asked for no more
+	Reuse          *reuse.Policy // nil keeps no connection
 	Counters       *invariant.Counters
 }
 
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -14,7 +14,7 @@
 	start time.Time
 
 	mu    sync.Mutex
-	trust *reuse.Trust
+	trust *reuse.Policy
 	idle  map[*peer][]*kept // by engine, the one that came last at the end
 	armed bool              // a sweep is due
 	swept time.Time         // when all that is kept was last looked at
@@ -32,7 +32,7 @@
 }
 
 // newPool returns a pool; nil where trust is nil and nothing is to be kept.
-func newPool(trust *reuse.Trust, count func(name string)) *pool {
+func newPool(trust *reuse.Policy, count func(name string)) *pool {
 	if trust == nil {
 		return nil
 	}
@@ -55,7 +55,7 @@
 	if !clean && c.surplus() {
 		p.spoilt(of)
 	}
-	if !of.isReady() || !p.trust.Keep(of.id, reuse.Conn{Queries: c.queries, Clean: clean, Last: c.last}) {
+	if !of.isReady() || !p.trust.Keep(of.id, reuse.Conn{Queries: c.queries, Clean: clean, Closing: c.last}) {
 		c.close()
 		return
 	}
@@ -67,7 +67,7 @@
 func (p *pool) arm() {
 	if !p.armed {
 		p.armed = true
-		time.AfterFunc(min(lookEvery, p.trust.MaxIdle()/4), p.sweep)
+		time.AfterFunc(min(lookEvery, p.trust.MaxIdleTime()/4), p.sweep)
 	}
 }
 
@@ -82,10 +82,10 @@
 	list := p.idle[of]
 	for i := len(list) - 1; i >= 0; i-- {
 		switch p.judge(of, list[i], unsafe) {
-		case reuse.Serve:
+		case reuse.Use:
 			p.count("conn_reused")
 			return p.remove(of, i), false
-		case reuse.Prove:
+		case reuse.UseAndConfirm:
 			p.count("conn_proving")
 			return p.remove(of, i), true
 		case reuse.Close:
@@ -96,17 +96,17 @@
 }
 
 // judge tells trust what has become of a kept connection and asks what it may do; the lock is held.
-func (p *pool) judge(of *peer, k *kept, unsafe bool) reuse.Verdict {
+func (p *pool) judge(of *peer, k *kept, unsafe bool) reuse.Decision {
 	idle := time.Since(k.since)
 	clean := k.c.fresh()
 	if !clean && k.c.surplus() {
 		p.spoilt(of)
-	} else if clean && !k.silent && idle >= p.trust.Quiet() {
+	} else if clean && !k.silent && idle >= p.trust.QuietPeriod() {
 		k.silent = true
-		p.trust.Silent(of.id)
+		p.trust.StayedQuiet(of.id)
 	}
-	seen := reuse.Conn{Queries: k.c.queries, Idle: idle, Unheard: of.unheard(), Clean: clean}
-	return p.trust.Serve(of.id, seen, unsafe, p.now())
+	seen := reuse.Conn{Queries: k.c.queries, IdleTime: idle, EngineSilence: of.unheard(), Clean: clean}
+	return p.trust.Decide(of.id, seen, unsafe, p.now())
 }
 
 // remove takes the connection at that place off the books; those before it stay in place. The lock is held.
@@ -117,13 +117,13 @@
 	if p.idle[of] = list; len(list) == 0 {
 		delete(p.idle, of)
 	}
-	p.trust.Dropped(of.id)
+	p.trust.Released(of.id)
 	return c
 }
 
 // spoilt tells that an engine sent what can't be right, or more than belonged to its answer; the lock is held.
 func (p *pool) spoilt(of *peer) {
-	p.trust.Spoilt(of.id, p.now())
+	p.trust.Malformed(of.id, p.now())
 	p.count("reuse_distrust")
 }
 
@@ -149,7 +149,7 @@
 		p.remove(of, n-1).close()
 	}
 	if ended {
-		p.trust.Forget(of.id)
+		p.trust.RemoveEngine(of.id)
 	}
 }
 
@@ -178,7 +178,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.armed = false
-	all := time.Since(p.swept) >= p.trust.MaxIdle()/4
+	all := time.Since(p.swept) >= p.trust.MaxIdleTime()/4
 	if all {
 		p.swept = time.Now()
 	}
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -20,14 +20,14 @@
 func keeping(t *testing.T, most int, answer func(call string, nth int) string) (*Fleet, sink, string, *script) {
 	f, s, addr, e := newFleet(t, most, answer)
 	f.opt.Classes = []admission.Class{{Idempotency: admission.Idempotent}, {Idempotency: admission.NonIdempotent}}
-	keep(t, f, reuse.Defaults().MaxIdle)
+	keep(t, f, reuse.Defaults().MaxIdleTime)
 	return f, s, addr, e
 }
 
 // proving gives a fleet a pool that never trusts, and confirms.
 func proving(t *testing.T, f *Fleet) {
 	set := reuse.Defaults()
-	set.Quiet, set.Prove = time.Millisecond, 1_000_000
+	set.QuietPeriod, set.ProofConnections = time.Millisecond, 1_000_000
 	trust, err := reuse.New(set)
 	require.NoError(t, err)
 	f.pool = newPool(trust, func(name string) { f.opt.Counters.Add(name, 1) })
@@ -36,7 +36,7 @@
 // keep gives a fleet a pool that trusts soon.
 func keep(t *testing.T, f *Fleet, maxIdle time.Duration) {
 	set := reuse.Defaults()
-	set.Quiet, set.Prove, set.MaxIdle, set.Confirm = time.Millisecond, 2, maxIdle, false
+	set.QuietPeriod, set.ProofConnections, set.MaxIdleTime, set.ConfirmResponses = time.Millisecond, 2, maxIdle, false
 	trust, err := reuse.New(set)
 	require.NoError(t, err)
 	f.pool = newPool(trust, func(name string) { f.opt.Counters.Add(name, 1) })
--- a/internal/operatorconfig/operators.go
+++ b/internal/operatorconfig/operators.go
@@ -87,12 +87,12 @@
 
 // Connections decides which connections to engines serve again, where a new one costs that price and there are so many
 // descriptors; nil where none does.
-func (s *Settings) Connections(handshakePrice float64, sockets int) (*reuse.Trust, error) {
+func (s *Settings) Connections(handshakePrice float64, sockets int) (*reuse.Policy, error) {
 	if s.Reuse == ReuseOff || (s.Reuse == ReuseAuto && handshakePrice <= 0) {
 		return nil, nil
 	}
 	set := reuse.Defaults()
-	set.MostIdleAll = min(set.MostIdleAll, sockets/8) // places at engines are scarce too
+	set.MaxIdleTotal = min(set.MaxIdleTotal, sockets/8) // places at engines are scarce too
 	return reuse.New(set)
 }
 
@@ -160,9 +160,9 @@
 			"token_file":  word(&c.TokenFile), "ca_file": word(&c.CAFile), "server_name": word(&c.ServerName),
 			"cert_file": word(&c.CertFile), "key_file": word(&c.KeyFile),
 			"max_body_mb": megabytes(&c.MaxBody), "connect_ms": millis(&c.Connect),
-			"wait_ms": millis(&p.Wait), "slack_ms": millis(&p.Slack), "max_slack_ms": millis(&p.MaxSlack), "confirm_ms": millis(&p.Confirm),
-			"min_gap_ms": millis(&p.MinGap), "max_read_share": share(&p.MaxShare),
-			"min_pause_ms": millis(&p.MinPause), "max_pause_ms": millis(&p.MaxPause), "hold_ms": millis(&p.HoldFor),
+			"wait_ms": millis(&p.Wait), "slack_ms": millis(&p.ResponseTimeout), "max_slack_ms": millis(&p.MaxResponseTimeout), "confirm_ms": millis(&p.ConfirmInterval),
+			"min_gap_ms": millis(&p.MinInterval), "max_read_share": share(&p.MaxBusyShare),
+			"min_pause_ms": millis(&p.MinBackoff), "max_pause_ms": millis(&p.MaxBackoff), "hold_ms": millis(&p.DeniedBackoff),
 			"map": object{
 				"zone": word(&mp.Zone), "kind": word(&mp.Kind), "cell": word(&mp.Cell), "weight": word(&mp.Weight),
 				"mark": word(&mp.Mark), "started": word(&mp.Started),
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).Wait()
+	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).PollWait()
 	p.as(record.FrontEnd).add("change_log_idle_polls_per_second", 1/wait.Seconds())
 	p.as(record.FrontEnd).add("change_log_idle_bytes_per_second", nothing/wait.Seconds())
 	return nil
--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -24,7 +24,7 @@
 )
 
 // keptMost is the most connections to databases that a front end keeps: by decision/reuse, and by its sockets.
-func keptMost() float64 { return float64(min(reuse.Defaults().MostIdleAll, frontSockets/8)) }
+func keptMost() float64 { return float64(min(reuse.Defaults().MaxIdleTotal, frontSockets/8)) }
 
 // simulation is some front ends of a fleet and its databases on one clock.
 type simulation struct {
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -59,7 +59,7 @@
 }
 
 // path is the call's path and query.
-func (o *Options) path(c poll.Call) string {
+func (o *Options) path(c poll.Request) string {
 	q := url.Values{}
 	set := func(name, v string) {
 		if v != "" {
@@ -122,9 +122,9 @@
 }
 
 // ask makes one call; ctx ends it.
-func (c *client) ask(ctx context.Context, at address, call poll.Call, token string) (reply, error) {
+func (c *client) ask(ctx context.Context, at address, call poll.Request, token string) (reply, error) {
 	asked := time.Now()
-	deadline := asked.Add(call.Within)
+	deadline := asked.Add(call.HeaderTimeout)
 	if c.conn != nil && (c.at != at || !c.conn.Fresh()) {
 		c.close()
 	}
@@ -138,7 +138,7 @@
 	return r, err
 }
 
-func (c *client) try(ctx context.Context, at address, call poll.Call, token string, deadline time.Time) (r reply, err error) {
+func (c *client) try(ctx context.Context, at address, call poll.Request, token string, deadline time.Time) (r reply, err error) {
 	if c.conn == nil {
 		if err := c.dial(ctx, at); err != nil {
 			return r, err
@@ -166,7 +166,7 @@
 		return r, statusError{head.Code}
 	}
 	d := newDecoder(c.opt.Mapping)
-	if err := c.conn.Body(head, lim, r.began.Add(bodyWait), call.Slack, d); err != nil {
+	if err := c.conn.Body(head, lim, r.began.Add(bodyWait), call.ReadTimeout, d); err != nil {
 		return r, err
 	}
 	r.Endpoints, err = d.finish()
--- a/internal/source/consul/decode_test.go
+++ b/internal/source/consul/decode_test.go
@@ -137,8 +137,8 @@
 func TestPath(t *testing.T) {
 	o := Options{Service: "en/gine", Datacenter: "dc1", Namespace: "ns", Tag: "a b", Filter: `"x" in Service.Tags`, Passing: true, Consistency: "stale"}
 	assert.Equal(t, "/v1/health/service/en%2Fgine?dc=dc1&filter=%22x%22+in+Service.Tags&index=7&ns=ns&tag=a+b&wait=1500ms&passing&stale",
-		o.path(poll.Call{Index: 7, Wait: 1500 * time.Millisecond}))
-	assert.Equal(t, "/v1/health/service/e?", (&Options{Service: "e", Consistency: "default"}).path(poll.Call{}))
+		o.path(poll.Request{Index: 7, Wait: 1500 * time.Millisecond}))
+	assert.Equal(t, "/v1/health/service/e?", (&Options{Service: "e", Consistency: "default"}).path(poll.Request{}))
 }
 
 func TestAddresses(t *testing.T) {
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -106,7 +106,7 @@
 	s.set, s.now, s.started, s.restored = old.set, old.now, old.started, true
 	_ = s.set.Configure(s.opt.Membership) // New has checked it
 	s.set.Switch(s.now())
-	s.poller.Renew(s.now())
+	s.poller.RetryNow(s.now())
 }
 
 // unixClock is Unix time that never jumps.
@@ -136,11 +136,11 @@
 	s.token, _ = s.opt.readToken()
 	for ctx.Err() == nil {
 		call := s.poller.Next()
-		s.wait(ctx, call.At, take)
+		s.wait(ctx, call.NotBefore, take)
 		if ctx.Err() != nil {
 			return
 		}
-		if call = s.poller.Next(); call.At > s.now() {
+		if call = s.poller.Next(); call.NotBefore > s.now() {
 			continue
 		}
 		s.ask(ctx, call, take)
@@ -190,7 +190,7 @@
 		}
 		timer.Stop()
 		if s.denied && s.newToken() {
-			s.poller.Renew(s.now())
+			s.poller.RetryNow(s.now())
 			return
 		}
 	}
@@ -216,7 +216,7 @@
 }
 
 // ask makes one call. What time alone changes meanwhile is carried out while it waits.
-func (s *Source) ask(ctx context.Context, call poll.Call, take func(endpoints.List)) {
+func (s *Source) ask(ctx context.Context, call poll.Request, take func(endpoints.List)) {
 	s.newToken()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -251,14 +251,14 @@
 	}
 }
 
-func (s *Source) ended(call poll.Call, r reply, err error, take func(endpoints.List)) {
+func (s *Source) ended(call poll.Request, r reply, err error, take func(endpoints.List)) {
 	at := s.addrs[call.Address].hostPort
 	if err != nil {
 		s.counters.Add("catalogue_failed", 1)
 		var late net.Error
-		result := poll.Result{Ending: poll.Failed, Late: errors.As(err, &late) && late.Timeout()}
+		result := poll.Result{Outcome: poll.Failed, TimedOut: errors.As(err, &late) && late.Timeout()}
 		if denied(err) {
-			result.Ending = poll.Denied
+			result.Outcome = poll.Denied
 			s.counters.Add("catalogue_denied", 1)
 			if !s.denied {
 				s.log.Error("catalogue denies the read", "address", at, "error", err)
@@ -268,7 +268,7 @@
 			s.log.Warn("catalogue lost", "address", at, "error", err)
 		}
 		s.lost = true
-		s.poller.Done(s.now(), result)
+		s.poller.HandleResult(s.now(), result)
 		return
 	}
 	if s.lost || s.denied {
@@ -283,7 +283,7 @@
 	if len(a.Changes) > 0 && s.store != nil && !doubt {
 		s.store.Save(s.set.Snapshot())
 	}
-	s.poller.Done(s.now(), poll.Result{Index: r.Index, Cost: time.Since(r.began), Took: r.took, Doubt: doubt})
+	s.poller.HandleResult(s.now(), poll.Result{Index: r.Index, BusyTime: time.Since(r.began), Latency: r.took, AwaitsConfirmation: doubt})
 }
 
 // carry hands an answer on: the first as a whole list, the later ones as changes.
