--- a/internal/operatorconfig/settings.go
+++ b/internal/operatorconfig/settings.go
@@ -101,12 +101,12 @@
 
 // ReusePolicy decides which connections to engines are reused, where one new connection costs handshakePrice points of
 // service and the front end may open so many descriptors. It is nil where none is reused.
-func (s *Settings) ReusePolicy(handshakePrice float64, descriptors int) (*reuse.Trust, error) {
+func (s *Settings) ReusePolicy(handshakePrice float64, descriptors int) (*reuse.Policy, error) {
 	if s.Reuse == ReuseOff || (s.Reuse == ReuseAuto && handshakePrice <= 0) {
 		return nil, nil
 	}
 	set := reuse.Defaults()
-	set.MostIdleAll = min(set.MostIdleAll, descriptors/8) // idle connections take places at engines, which are scarce
+	set.MaxIdleTotal = min(set.MaxIdleTotal, descriptors/8) // idle connections take places at engines, which are scarce
 	return reuse.New(set)
 }
 
