--- a/cmd/gatewayctl/main_test.go
+++ b/cmd/gatewayctl/main_test.go
@@ -39,7 +39,7 @@
 	assert.Contains(t, errs, bad+":1: membership.max_out: not allowed; found 2")
 	code, out, _ = ctl("config", "check", "--json", bad)
 	assert.Equal(t, exitNo, code)
-	var list cuefile.Problems
+	var list cuefile.ValidationErrors
 	require.NoError(t, json.Unmarshal([]byte(out), &list))
 	assert.Len(t, list, 2)
 	code, _, errs = ctl("config", "check", filepath.Join(dir, "none.cue"))
@@ -73,7 +73,7 @@
 	path := filepath.Join(dir, "s")
 	d, err := admin.Listen(path, map[string]admin.Command{
 		"list": func() (any, error) {
-			return []source.Belief{{Name: "n/e1", State: "draining", Reason: "drain commanded"}}, nil
+			return []source.EngineStatus{{Name: "n/e1", State: "draining", Reason: "drain commanded"}}, nil
 		},
 		"counters": func() (any, error) { return map[string]int64{"served": 7}, nil },
 	})
@@ -90,7 +90,7 @@
 	assert.Regexp(t, `served +7`, out)
 
 	file := filepath.Join(dir, "list")
-	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Entry{{Key: "n/e2", Addr: "10.0.0.1:1", Drain: true}}, time.Now()), 0o600))
+	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Endpoint{{Key: "n/e2", Addr: "10.0.0.1:1", Drain: true}}, time.Now()), 0o600))
 	code, out, _ = ctl("list", "show", "--file", file)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "n/e2")
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -59,7 +59,7 @@
 }
 
 // path is the call's path and query.
-func (o *Options) path(c poll.Call) string {
+func (o *Options) path(c poll.Request) string {
 	q := url.Values{}
 	set := func(name, v string) {
 		if v != "" {
@@ -122,10 +122,10 @@
 }
 
 // ask makes one call; ctx ends it.
-func (c *client) ask(ctx context.Context, at address, call poll.Call, token string) (reply, error) {
+func (c *client) ask(ctx context.Context, at address, call poll.Request, token string) (reply, error) {
 	asked := time.Now()
-	deadline := asked.Add(call.Within)
-	if c.conn != nil && (c.at != at || !c.conn.Fresh()) {
+	deadline := asked.Add(call.HeaderTimeout)
+	if c.conn != nil && (c.at != at || !c.conn.Reusable()) {
 		c.close()
 	}
 	reused := c.conn != nil
@@ -138,7 +138,7 @@
 	return r, err
 }
 
-func (c *client) try(ctx context.Context, at address, call poll.Call, token string, deadline time.Time) (r reply, err error) {
+func (c *client) try(ctx context.Context, at address, call poll.Request, token string, deadline time.Time) (r reply, err error) {
 	if c.conn == nil {
 		if err := c.dial(ctx, at); err != nil {
 			return r, err
@@ -156,40 +156,40 @@
 		fields = append(fields, [2]string{"X-Consul-Token", token})
 	}
 	lim := http1.Limits{Head: 16 << 10, Body: c.opt.MaxBody}
-	r.Leader = true // servers that don't tell have one, or they would not answer
-	head, err := c.conn.Begin(http1.Call{Method: "GET", Path: c.opt.path(call), Fields: fields}, deadline, lim, r.field)
+	r.HasLeader = true // servers that don't tell have one, or they would not answer
+	head, err := c.conn.Do(http1.Request{Method: "GET", Path: c.opt.path(call), Fields: fields}, deadline, lim, r.field)
 	if err != nil {
 		return r, err
 	}
 	r.began = time.Now()
-	if head.Code != 200 {
-		return r, statusError{head.Code}
+	if head.StatusCode != 200 {
+		return r, statusError{head.StatusCode}
 	}
 	d := newDecoder(c.opt.Mapping)
-	if err := c.conn.Body(head, lim, r.began.Add(bodyWait), call.Slack, d); err != nil {
+	if err := c.conn.Body(head, lim, r.began.Add(bodyWait), call.ReadTimeout, d); err != nil {
 		return r, err
 	}
-	r.Entries, err = d.finish()
+	r.Endpoints, err = d.finish()
 	return r, err
 }
 
 // field reads a field of the answer's head.
 func (r *reply) field(name, value []byte) error {
 	switch {
-	case http1.Is(name, "X-Consul-Index"):
+	case http1.EqualName(name, "X-Consul-Index"):
 		n, err := strconv.ParseUint(string(value), 10, 64)
 		if err != nil {
 			return http1.ErrMalformed
 		}
 		r.Index = n
-	case http1.Is(name, "X-Consul-KnownLeader"):
-		r.Leader = http1.Is(value, "true")
-	case http1.Is(name, "X-Consul-LastContact"):
-		n, err := http1.Whole(value)
+	case http1.EqualName(name, "X-Consul-KnownLeader"):
+		r.HasLeader = http1.EqualName(value, "true")
+	case http1.EqualName(name, "X-Consul-LastContact"):
+		n, err := http1.ParseDigits(value)
 		if err != nil {
 			return err
 		}
-		r.Lag = time.Duration(n) * time.Millisecond
+		r.LastContact = time.Duration(n) * time.Millisecond
 	}
 	return nil
 }
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -29,9 +29,9 @@
 // Store keeps the last good list.
 type Store interface {
 	// Load returns the list kept last, and when it was kept.
-	Load() (list []discovery.Entry, kept time.Time, err error)
+	Load() (list []discovery.Endpoint, kept time.Time, err error)
 	// Save keeps a list; it may put it off, and must not block for long.
-	Save(list []discovery.Entry)
+	Save(list []discovery.Endpoint)
 }
 
 // Source follows one catalogue.
@@ -45,7 +45,7 @@
 	now      func() time.Duration // Unix time, monotonic
 
 	mu       sync.Mutex
-	set      *discovery.Set
+	set      *discovery.EndpointSet
 	restored bool
 	before   *Source // the one that this one takes over from
 
@@ -106,7 +106,7 @@
 	s.set, s.now, s.started, s.restored = old.set, old.now, old.started, true
 	_ = s.set.Configure(s.opt.Membership) // New has checked it
 	s.set.Switch(s.now())
-	s.poller.Renew(s.now())
+	s.poller.RetryNow(s.now())
 }
 
 // unixClock is Unix time that never jumps.
@@ -116,14 +116,14 @@
 	return func() time.Duration { return base + time.Since(start) }
 }
 
-// Beliefs tells what is believed of each engine, by name.
-func (s *Source) Beliefs() []source.Belief {
+// Statuses tells what is believed of each engine, by name.
+func (s *Source) Statuses() []source.EngineStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []source.Belief
-	for _, c := range s.set.Beliefs() {
-		out = append(out, source.Belief{Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason),
-			Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.Started.Milliseconds()})
+	var out []source.EngineStatus
+	for _, c := range s.set.Current() {
+		out = append(out, source.EngineStatus{Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason),
+			Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.StartedAt.Milliseconds()})
 	}
 	return out
 }
@@ -136,11 +136,11 @@
 	s.token, _ = s.opt.readToken()
 	for ctx.Err() == nil {
 		call := s.poller.Next()
-		s.wait(ctx, call.At, take)
+		s.wait(ctx, call.NotBefore, take)
 		if ctx.Err() != nil {
 			return
 		}
-		if call = s.poller.Next(); call.At > s.now() {
+		if call = s.poller.Next(); call.NotBefore > s.now() {
 			continue
 		}
 		s.ask(ctx, call, take)
@@ -190,7 +190,7 @@
 		}
 		timer.Stop()
 		if s.denied && s.newToken() {
-			s.poller.Renew(s.now())
+			s.poller.RetryNow(s.now())
 			return
 		}
 	}
@@ -207,7 +207,7 @@
 
 func (s *Source) advance(now time.Duration, take func(endpoints.List)) {
 	s.mu.Lock()
-	var a discovery.Answer
+	var a discovery.Update
 	if next, ok := s.set.Next(); ok && next <= now {
 		a = s.set.Advance(now)
 	}
@@ -216,7 +216,7 @@
 }
 
 // ask makes one call. What time alone changes meanwhile is carried out while it waits.
-func (s *Source) ask(ctx context.Context, call poll.Call, take func(endpoints.List)) {
+func (s *Source) ask(ctx context.Context, call poll.Request, take func(endpoints.List)) {
 	s.newToken()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -251,14 +251,14 @@
 	}
 }
 
-func (s *Source) ended(call poll.Call, r reply, err error, take func(endpoints.List)) {
+func (s *Source) ended(call poll.Request, r reply, err error, take func(endpoints.List)) {
 	at := s.addrs[call.Address].hostPort
 	if err != nil {
 		s.counters.Add("catalogue_failed", 1)
 		var late net.Error
-		result := poll.Result{Ending: poll.Failed, Late: errors.As(err, &late) && late.Timeout()}
+		result := poll.Result{Outcome: poll.Failed, TimedOut: errors.As(err, &late) && late.Timeout()}
 		if denied(err) {
-			result.Ending = poll.Denied
+			result.Outcome = poll.Denied
 			s.counters.Add("catalogue_denied", 1)
 			if !s.denied {
 				s.log.Error("catalogue denies the read", "address", at, "error", err)
@@ -268,7 +268,7 @@
 			s.log.Warn("catalogue lost", "address", at, "error", err)
 		}
 		s.lost = true
-		s.poller.Done(s.now(), result)
+		s.poller.HandleResult(s.now(), result)
 		return
 	}
 	if s.lost || s.denied {
@@ -277,17 +277,17 @@
 	}
 	s.mu.Lock()
 	a := s.set.Observe(s.now(), r.Observation)
-	doubt := s.set.Doubted()
+	doubt := s.set.Suspicious()
 	s.mu.Unlock()
 	s.carry(a, take)
 	if len(a.Changes) > 0 && s.store != nil && !doubt {
-		s.store.Save(s.set.Entries())
+		s.store.Save(s.set.Snapshot())
 	}
-	s.poller.Done(s.now(), poll.Result{Index: r.Index, Cost: time.Since(r.began), Took: r.took, Doubt: doubt})
+	s.poller.HandleResult(s.now(), poll.Result{Index: r.Index, BusyTime: time.Since(r.began), Latency: r.took, AwaitsConfirmation: doubt})
 }
 
 // carry hands an answer on: the first as a whole list, the later ones as changes.
-func (s *Source) carry(a discovery.Answer, take func(endpoints.List)) {
+func (s *Source) carry(a discovery.Update, take func(endpoints.List)) {
 	for _, n := range a.Notices {
 		s.counters.Add("notice_"+counterName(n.Kind), 1)
 		s.log.Warn("catalogue", "says", string(n.Kind), "engines", n.Count, "detail", n.Detail)
@@ -299,35 +299,35 @@
 	list := endpoints.List{Complete: !s.started}
 	s.started = true
 	for _, c := range a.Changes {
-		list.Engines = append(list.Engines, endpoints.Engine{
+		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{
 			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.Find(s.names.Kinds, c.Kind), Zone: platformconfig.Find(s.names.Zones, c.Zone),
-				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.Started},
-			Name: c.Key, Addr: c.Addr, Reason: string(c.Reason),
+				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.StartedAt},
+			Name: c.Key, Address: c.Addr, Reason: string(c.Reason),
 		})
 	}
 	take(list)
 }
 
 var states = map[discovery.State]admission.State{
-	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Gone: admission.Removed,
+	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Removed: admission.Removed,
 }
 
 // counterName makes one word of a notice.
 func counterName(k discovery.NoticeKind) string {
 	switch k {
-	case discovery.DoubtBegun:
+	case discovery.NoticeListSuspect:
 		return "doubt_begun"
-	case discovery.DoubtCleared:
+	case discovery.NoticeSuspicionCleared:
 		return "doubt_cleared"
-	case discovery.DoubtSettled:
+	case discovery.NoticeListConfirmed:
 		return "doubt_confirmed"
-	case discovery.DoubtExpired:
+	case discovery.NoticeSuspicionExpired:
 		return "doubt_expired"
-	case discovery.EmptyKept:
+	case discovery.NoticeEmptyList:
 		return "empty_kept"
-	case discovery.OldWord:
+	case discovery.NoticeUntrusted:
 		return "old_word"
-	case discovery.EpochBegun:
+	case discovery.NoticeIndexReset:
 		return "index_reset"
 	}
 	return "malformed"
