--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// fleetBed is many controllers on one clock, before engines that all of them share. Each engine answers after the work of
+// fleetHarness is many controllers on one clock, before engines that all of them share. Each engine answers after the work of
 // a request; what one front end does that hurts only when all do it shows in its sums.
-type fleetBed struct {
+type fleetHarness struct {
 	now  time.Duration
 	ctls []*Controller
-	ends []ending // in the order of time
-	next int      // of the requests
+	ends []plannedEvent // in the order of time
+	next int            // of the requests
 
 	work   []time.Duration // of a request, by class
 	answer func(at time.Duration, ctl int, s Send) (Status, time.Duration)
@@ -20,17 +20,17 @@
 	tries  map[string]int
 }
 
-type ending struct {
+type plannedEvent struct {
 	at  time.Duration
 	ctl int
 	ev  Event
 }
 
-// newFleetBed starts n controllers with the same list, and seeds from the one given on.
-func newFleetBed(t *testing.T, set Settings, n int, list []Engine, seed uint64) *fleetBed {
+// newFleetHarness starts n controllers with the same list, and seeds from the one given on.
+func newFleetHarness(t *testing.T, set Settings, n int, list []Engine, seed uint64) *fleetHarness {
 	set.Replicas = n
-	ctls := gateways(t, set, func(me int) uint64 { return seed + uint64(me) }, func(me int) int { return me % set.Zones })
-	f := &fleetBed{now: 100 * sec, ctls: ctls, tries: map[string]int{}, work: []time.Duration{100 * ms, 100 * ms}}
+	ctls := newControllers(t, set, func(me int) uint64 { return seed + uint64(me) }, func(me int) int { return me % set.Zones })
+	f := &fleetHarness{now: 100 * sec, ctls: ctls, tries: map[string]int{}, work: []time.Duration{100 * ms, 100 * ms}}
 	f.answer = func(_ time.Duration, ctl int, s Send) (Status, time.Duration) {
 		r := f.ctls[ctl].requests[s.ID]
 		return OK, r.Work / time.Duration(r.classSettings.Threads)
@@ -41,23 +41,23 @@
 }
 
 // tell hands an event to all at once.
-func (f *fleetBed) tell(ev Event) {
+func (f *fleetHarness) tell(ev Event) {
 	for i := range f.ctls {
 		f.step(i, ev)
 	}
 }
 
-func (f *fleetBed) later(after time.Duration, ctl int, ev Event) {
+func (f *fleetHarness) later(after time.Duration, ctl int, ev Event) {
 	at := len(f.ends)
 	for at > 0 && f.ends[at-1].at > f.now+after {
 		at--
 	}
-	f.ends = append(f.ends, ending{})
+	f.ends = append(f.ends, plannedEvent{})
 	copy(f.ends[at+1:], f.ends[at:])
-	f.ends[at] = ending{f.now + after, ctl, ev}
+	f.ends[at] = plannedEvent{f.now + after, ctl, ev}
 }
 
-func (f *fleetBed) step(ctl int, ev ...Event) {
+func (f *fleetHarness) step(ctl int, ev ...Event) {
 	for _, a := range f.ctls[ctl].Step(f.now, ev) {
 		switch a := a.(type) {
 		case Send:
@@ -76,7 +76,7 @@
 
 // run plays that long with so many requests a second over all, spread evenly over the controllers; every tenth is of
 // the second class.
-func (f *fleetBed) run(long time.Duration, rate int) {
+func (f *fleetHarness) run(long time.Duration, rate int) {
 	gap := sec / time.Duration(rate)
 	for end, arrival := f.now+long, f.now; f.now < end; {
 		if len(f.ends) > 0 && f.ends[0].at <= arrival {
@@ -98,11 +98,11 @@
 // erringDay plays 80 controllers before an engine that answers four of five with an error, after 5 s in which it was
 // well, and counts what goes there in 10 s.
 func erringDay(t *testing.T, seed uint64) (sends, unsafe, users int) {
-	set := base()
+	set := baseSettings()
 	set.LoadReporting, set.HealthChecksAllowed = HealthCheckReports, true
 	set.Classes[1].Idempotency = NonIdempotent
 	const bad = 7
-	f := newFleetBed(t, set, 80, engines(30), seed)
+	f := newFleetHarness(t, set, 80, newEngines(30), seed)
 	began, used := f.now+5*sec, map[int]bool{}
 	f.sent = func(at time.Duration, ctl int, s Send) {
 		if s.Engine == bad && at >= began {
@@ -127,7 +127,7 @@
 // An engine that answers four of five with an error is quick and idle, so that what finds no room elsewhere goes there:
 // 664 errors in 12 s on a day of 80 front ends, once a second from each that had it near, and 37 loads lost. All of
 // them together must learn within a stated number of sends, and what must not run twice must keep away.
-func TestAnEngineOfErrorsIsAvoidedByAll(t *testing.T) {
+func TestErringEngineIsAvoidedByAll(t *testing.T) {
 	sends, unsafe, users := erringDay(t, 1)
 	if sends == 0 || sends > 12*users || unsafe > users/2 {
 		t.Fatalf("%d sends to an engine of errors in 10 s, %d of them unsafe, by %d front ends", sends, unsafe, users)
@@ -148,18 +148,18 @@
 // at all beside small work: heavy requests waited for up to 18 s while new engines held a tenth of what the others
 // did. All together must stay within the budget of each, in every window, and use it. The budget rises with the engine, and
 // what is sent with it: held to the least until an engine was warm, they got 107 to 112 in each 8 s.
-func TestColdEnginesGetTheHeavyInTurns(t *testing.T) {
-	set := base()
+func TestWarmingEnginesGetHeavyWorkInTurns(t *testing.T) {
+	set := baseSettings()
 	set.Classes[0].LatencyObjective, set.Classes[1].Threads = 300*ms, 4
 	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = 4, sec, 14*sec, 0.3
 	set.Kinds = []Kind{{Cores: 12, MemoryMB: 24576}, {Cores: 12, MemoryMB: 24576}}
 	const ctls = 80
-	list := engines(30)
+	list := newEngines(30)
 	cold := map[uint32]bool{}
 	for i := range list[:18] {
 		list[i].Started, cold[list[i].ID] = 99*sec, true
 	}
-	f := newFleetBed(t, set, ctls, list, 1)
+	f := newFleetHarness(t, set, ctls, list, 1)
 	type spent struct {
 		at   time.Duration
 		work float64
--- a/admission/ramp_test.go
+++ b/admission/slowstart_fleet_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// rampMix is what clients send on a ramp day, and the settings that make it many or few requests a window.
-type rampMix struct {
+// trafficMix is what clients send on a ramp day, and the settings that make it many or few requests a window.
+type trafficMix struct {
 	name         string
 	work         [2]time.Duration // mean work of the classes, over all threads
 	heavyEvery   int              // one request in so many is of the second class; 0: none
@@ -21,7 +21,7 @@
 }
 
 // meanWork is the mean work of a request, in seconds.
-func (m rampMix) meanWork() float64 {
+func (m trafficMix) meanWork() float64 {
 	if m.heavyEvery == 0 {
 		return m.work[0].Seconds()
 	}
@@ -30,7 +30,7 @@
 }
 
 // The mixes come to 2 to 60 requests of mean work in a window of a second, at the start of an engine.
-var rampMixes = []rampMix{
+var trafficMixes = []trafficMix{
 	{name: "two a window", work: [2]time.Duration{1200 * ms, 0}, cores: 4, fallMultiple: 2, rate: 50},
 	{name: "six a window", work: [2]time.Duration{800 * ms, 0}, cores: 8, fallMultiple: 2, rate: 130},
 	{name: "fifty a window", work: [2]time.Duration{290 * ms, 0}, cores: 12, fallMultiple: 4, rate: 520},
@@ -39,8 +39,8 @@
 	{name: "light and middling", work: [2]time.Duration{150 * ms, 900 * ms}, heavyEvery: 4, cores: 8, fallMultiple: 3, rate: 320},
 }
 
-// rampTroubles are what differs between ramp days beside the mix. The zero value is the plainest day.
-type rampTroubles struct {
+// fleetFaults are what differs between ramp days beside the mix. The zero value is the plainest day.
+type fleetFaults struct {
 	probes    bool // front ends pull reports by probes
 	tells     bool // ... and tell peers what the probes brought, so that all draw from all engines
 	staggered bool // engines start one after another
@@ -57,72 +57,72 @@
 	flood     bool // the burst is of three times the usual traffic, not of half as much again
 }
 
-func drawTroubles(r *rand.Rand) rampTroubles {
+func drawFaults(r *rand.Rand) fleetFaults {
 	is := func() bool { return r.IntN(2) == 0 }
-	t := rampTroubles{probes: is(), staggered: is(), returning: is(), lateLists: is(), uneven: is(), errors: is(),
+	t := fleetFaults{probes: is(), staggered: is(), returning: is(), lateLists: is(), uneven: is(), errors: is(),
 		removal: is(), churn: is(), overlap: is(), mixed: is(), scatter: is(), unknown: r.IntN(4) == 0, flood: is()}
 	t.tells = t.probes && r.IntN(3) == 0
 	return t
 }
 
-// rampSend is one attempt that reached a cold engine.
-type rampSend struct {
+// observedSend is one attempt that reached a cold engine.
+type observedSend struct {
 	at       time.Duration
 	work     float64 // seconds
 	informed bool    // its front end had been informed of the start
 }
 
-// rampDay is a fleet before engines of which some are cold, and what each of these got.
-type rampDay struct {
-	*fleetBed
+// slowStartRun is a fleet before engines of which some are cold, and what each of these got.
+type slowStartRun struct {
+	*fleetHarness
 	t          *testing.T
 	set        Settings
-	mix        rampMix
-	troubles   rampTroubles
+	mix        trafficMix
+	faults     fleetFaults
 	rng        *rand.Rand
 	list       []Engine
 	downFrom   map[uint32]time.Duration // of engines that come back
 	informedAt map[uint32]map[int]time.Duration
 	works      map[string]time.Duration
-	got        map[uint32][]rampSend
+	got        map[uint32][]observedSend
 	weights    []float64 // of the traffic, by controller; 0: it has left
 	erring     uint32    // engine that errs
 	seed       uint64
 }
 
 const (
-	rampBegin = 100 * sec
-	rampCold  = 14 * sec
-	rampFrom  = 0.3
-	rampLong  = 18 * sec
+	rampBegin         = 100 * sec
+	slowStartDuration = 14 * sec
+	slowStartCapacity = 0.3
+	rampLong          = 18 * sec
 )
 
-func newRampDay(t *testing.T, mix rampMix, seed uint64, troubles rampTroubles) *rampDay {
+func newSlowStartRun(t *testing.T, mix trafficMix, seed uint64, faults fleetFaults) *slowStartRun {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	set := base()
-	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = mix.fallMultiple, sec, rampCold, rampFrom
+	set := baseSettings()
+	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = mix.fallMultiple, sec, slowStartDuration, slowStartCapacity
 	set.Classes[0].Threads, set.Classes[1].Threads = 1, 4
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective = 3 * mix.work[i] / time.Duration(set.Classes[i].Threads)
 		set.Classes[i].Deadline = 3*set.Classes[i].LatencyObjective + 4*sec
 	}
-	if troubles.probes {
-		set.LoadReporting, set.HealthChecksAllowed, set.GossipAllowed = HealthCheckReports, true, troubles.tells
+	if faults.probes {
+		set.LoadReporting, set.HealthChecksAllowed, set.GossipAllowed = HealthCheckReports, true, faults.tells
 	}
 	set.Kinds = []Kind{{Cores: mix.cores, MemoryMB: 24576}, {Cores: mix.cores, MemoryMB: 24576}}
-	if troubles.mixed {
+	if faults.mixed {
 		set.Kinds[1].Cores *= 3
 	}
 	set.Replicas = []int{20, 25, 30}[rng.IntN(3)]
-	d := &rampDay{t: t, set: set, mix: mix, troubles: troubles, rng: rng, seed: seed, works: map[string]time.Duration{},
-		downFrom: map[uint32]time.Duration{}, informedAt: map[uint32]map[int]time.Duration{}, got: map[uint32][]rampSend{}}
-	d.list = engines(8 + 4*rng.IntN(2))
+	d := &slowStartRun{t: t, set: set, mix: mix, faults: faults, rng: rng, seed: seed, works: map[string]time.Duration{},
+		downFrom: map[uint32]time.Duration{}, informedAt: map[uint32]map[int]time.Duration{}, got: map[uint32][]observedSend{}}
+	d.list = newEngines(8 + 4*rng.IntN(2))
 	d.erring = uint32(len(d.list))
-	d.fleetBed = newFleetBed(t, set, set.Replicas, d.warm(), 1000*seed)
+	d.fleetHarness = newFleetHarness(t, set, set.Replicas, d.warm(), 1000*seed)
 	d.answer, d.sent = d.answers, d.counts
 	for i := range d.ctls {
 		d.weights = append(d.weights, 1)
-		if troubles.uneven && i%4 == 0 {
+		if faults.uneven && i%4 == 0 {
 			d.weights[i] = 4
 		}
 	}
@@ -130,20 +130,20 @@
 }
 
 // warm is the list as it stands before the first start, and plans the starts of the others.
-func (d *rampDay) warm() (listed []Engine) {
+func (d *slowStartRun) warm() (listed []Engine) {
 	for i := range d.list {
 		en := &d.list[i]
 		cold := i%2 == 0
 		if cold {
 			en.Started = rampBegin + 2*sec
-			if d.troubles.staggered {
+			if d.faults.staggered {
 				en.Started += time.Duration(i) * 700 * ms
 			}
 			d.informedAt[en.ID] = map[int]time.Duration{}
 		}
 		before := *en
 		before.Started = 0
-		if cold && d.troubles.returning && i%4 == 0 {
+		if cold && d.faults.returning && i%4 == 0 {
 			d.downFrom[en.ID] = en.Started - 1500*ms
 			listed = append(listed, before)
 		} else if !cold {
@@ -154,29 +154,29 @@
 }
 
 // answers is what an engine makes of an attempt.
-func (d *rampDay) answers(at time.Duration, ctl int, s Send) (Status, time.Duration) {
+func (d *slowStartRun) answers(at time.Duration, ctl int, s Send) (Status, time.Duration) {
 	en := d.list[s.Engine-1]
 	if down := d.downFrom[s.Engine]; down > 0 && at >= down && at < en.Started {
 		return ConnectFailed, ms
 	}
-	if d.troubles.errors && s.Engine == d.erring && d.rng.IntN(5) > 0 {
+	if d.faults.errors && s.Engine == d.erring && d.rng.IntN(5) > 0 {
 		return Errored, 5 * ms
 	}
 	return OK, d.works[s.ID] / time.Duration(d.ctls[ctl].requests[s.ID].classSettings.Threads)
 }
 
 // counts notes an attempt that reaches a cold engine. Each further attempt of a request counts again.
-func (d *rampDay) counts(at time.Duration, ctl int, s Send) {
+func (d *slowStartRun) counts(at time.Duration, ctl int, s Send) {
 	en := d.list[s.Engine-1]
 	if d.informedAt[s.Engine] == nil || at < en.Started {
 		return
 	}
 	informedAt, informed := d.informedAt[s.Engine][ctl]
-	d.got[s.Engine] = append(d.got[s.Engine], rampSend{at, d.works[s.ID].Seconds(), informed && informedAt <= at})
+	d.got[s.Engine] = append(d.got[s.Engine], observedSend{at, d.works[s.ID].Seconds(), informed && informedAt <= at})
 }
 
 // announce tells one front end of a change to the list, in so long.
-func (d *rampDay) announce(after time.Duration, ctl int, en Engine) {
+func (d *slowStartRun) announce(after time.Duration, ctl int, en Engine) {
 	if en.State == Ready {
 		d.informedAt[en.ID][ctl] = d.now + after
 	}
@@ -184,16 +184,16 @@
 }
 
 // listLag is how late a front end learns of a change.
-func (d *rampDay) listLag() time.Duration {
+func (d *slowStartRun) listLag() time.Duration {
 	lag := time.Duration(d.rng.IntN(100)) * ms
-	if d.troubles.lateLists && d.rng.IntN(3) == 0 {
+	if d.faults.lateLists && d.rng.IntN(3) == 0 {
 		lag += time.Duration(d.rng.IntN(2400)) * ms
 	}
 	return lag
 }
 
 // join starts a fresh front end with the number of one that there was; all that it knows is the list and its settings.
-func (d *rampDay) join(me int) {
+func (d *slowStartRun) join(me int) {
 	one := d.set
 	one.Me, one.Zone = me, me%one.Zones
 	c, err := New(one, 1000*d.seed+500+uint64(len(d.ctls)))
@@ -220,17 +220,17 @@
 }
 
 // leave ends a front end: nothing reaches it from now on.
-func (d *rampDay) leave(ctl int) { d.weights[ctl] = 0 }
+func (d *slowStartRun) leave(ctl int) { d.weights[ctl] = 0 }
 
 // stepLive passes on only what is for a front end that runs.
-func (d *rampDay) stepLive(ctl int, ev Event) {
+func (d *slowStartRun) stepLive(ctl int, ev Event) {
 	if d.weights[ctl] > 0 {
 		d.step(ctl, ev)
 	}
 }
 
 // until plays to that time; arrivals are spread over the front ends by their weights.
-func (d *rampDay) until(end time.Duration, rate int) {
+func (d *slowStartRun) until(end time.Duration, rate int) {
 	for arrival := d.now; d.now < end; {
 		if len(d.ends) > 0 && d.ends[0].at <= arrival {
 			e := d.ends[0]
@@ -245,25 +245,25 @@
 	}
 }
 
-func (d *rampDay) arrive() {
+func (d *slowStartRun) arrive() {
 	d.next++
 	class := 0
 	if d.mix.heavyEvery > 0 && d.rng.IntN(d.mix.heavyEvery) == 0 {
 		class = 1
 	}
 	r := Request{ID: fmt.Sprint("r", d.next), Class: class, Timeout: d.set.Classes[class].Deadline, Group: -1, Work: d.mix.work[class]}
-	if d.troubles.scatter {
+	if d.faults.scatter {
 		r.Work = time.Duration((0.4 + 1.2*d.rng.Float64()) * float64(r.Work))
 	}
 	d.works[r.ID] = r.Work
-	if d.troubles.unknown {
+	if d.faults.unknown {
 		r.Work = 0
 	}
 	d.step(d.pick(), r)
 }
 
 // pick draws a front end by its weight.
-func (d *rampDay) pick() int {
+func (d *slowStartRun) pick() int {
 	sum := 0.0
 	for _, w := range d.weights {
 		sum += w
@@ -279,7 +279,7 @@
 
 // play runs the day: the starts come 2 s after its begin, a burst from then for 8 s; front ends
 // leave and join from a second after the first start on.
-func (d *rampDay) play() {
+func (d *slowStartRun) play() {
 	for _, en := range d.list {
 		if d.informedAt[en.ID] != nil {
 			for ctl := range d.ctls {
@@ -287,7 +287,7 @@
 			}
 		}
 	}
-	if d.troubles.removal {
+	if d.faults.removal {
 		gone := d.list[1]
 		gone.State = Removed
 		for ctl := range d.ctls {
@@ -296,11 +296,11 @@
 	}
 	d.until(rampBegin+2*sec, d.mix.rate)
 	burst := d.mix.rate * 3 / 2
-	if d.troubles.flood {
+	if d.faults.flood {
 		burst = d.mix.rate * 3
 	}
 	for round := range 8 {
-		if d.troubles.churn {
+		if d.faults.churn {
 			d.churn(round)
 		}
 		d.until(rampBegin+time.Duration(round+3)*sec, burst)
@@ -309,9 +309,9 @@
 }
 
 // churn replaces two front ends. With overlap the old ones know that they end, and run on beside the new for a while.
-func (d *rampDay) churn(round int) {
+func (d *slowStartRun) churn(round int) {
 	for _, me := range []int{2 * round, 2*round + 1} {
-		if !d.troubles.overlap {
+		if !d.faults.overlap {
 			d.leave(me)
 			d.join(me)
 			continue
@@ -324,8 +324,8 @@
 	}
 }
 
-// rampWorst is the fullest window of an engine or a day, and what it came to in all.
-type rampWorst struct {
+// worstWindow is the fullest window of an engine or a day, and what it came to in all.
+type worstWindow struct {
 	of            float64 // the most that a window held, as a part of N + 2 x root of N + 2
 	count         float64 // ... that window in requests of mean work
 	budget        float64 // ... and N
@@ -341,7 +341,7 @@
 }
 
 // fuller joins what two engines or days came to.
-func (w rampWorst) fuller(o rampWorst) rampWorst {
+func (w worstWindow) fuller(o worstWindow) worstWindow {
 	falls, sends := w.falls+o.falls, w.sends+o.sends
 	overOf, plainOf := max(w.overOf, o.overOf), max(w.plainOf, o.plainOf)
 	work, allowed := w.work+o.work, w.allowed+o.allowed
@@ -353,11 +353,11 @@
 }
 
 // used is the part of the budgets that was used, over all windows.
-func (w rampWorst) used() float64 { return w.work / max(w.allowed, 1) }
+func (w worstWindow) used() float64 { return w.work / max(w.allowed, 1) }
 
 // fullest looks at each window of an engine that begins at a send, up to the engine's being warm; N is that of the
 // window's begin, the least in it.
-func fullest(set Settings, en Engine, mean float64, sends []rampSend) (w rampWorst) {
+func fullest(set Settings, en Engine, mean float64, sends []observedSend) (w worstWindow) {
 	perWindow := set.SlowStart.OverloadMultiple * float64(set.Kinds[en.Kind].Cores) * set.SlowStart.OverloadWindow.Seconds() / mean
 	warm := en.Started + set.SlowStart.Duration
 	w.allowed = perWindow * mean * (1 + set.SlowStart.InitialCapacity) / 2 * set.SlowStart.Duration.Seconds() / set.SlowStart.OverloadWindow.Seconds()
@@ -393,15 +393,15 @@
 	return w
 }
 
-func (d *rampDay) judge() (w rampWorst) {
+func (d *slowStartRun) judge() (w worstWindow) {
 	for _, en := range d.list {
 		w = w.fuller(fullest(d.set, en, d.mix.meanWork(), d.got[en.ID]))
 	}
 	return w
 }
 
-// rampSeeds is how many days are played for each mix: RAMP_SEEDS, or few.
-func rampSeeds(t *testing.T) uint64 {
+// slowStartSeeds is how many days are played for each mix: RAMP_SEEDS, or few.
+func slowStartSeeds(t *testing.T) uint64 {
 	text := os.Getenv("RAMP_SEEDS")
 	switch {
 	case text == "" && raceDetector:
@@ -419,16 +419,16 @@
 // Cold engines fall under the sum of what all front ends send. No window of a cold engine may hold more than
 // N + 2 x root of N + 2 requests of mean work from front ends that know of its start, N being what the settings allow
 // it in that time, whoever joins, leaves, learns late or has more traffic than the others.
-func TestRampHoldsForTheFleet(t *testing.T) {
-	for _, mix := range rampMixes {
+func TestSlowStartBudgetHoldsForTheFleet(t *testing.T) {
+	for _, mix := range trafficMixes {
 		t.Run(mix.name, func(t *testing.T) {
-			var worst rampWorst
+			var worst worstWindow
 			var worstSeed uint64
 			overOf, plainOf, used, fallen := 0.0, 0.0, 0.0, 0
-			seeds := rampSeeds(t)
+			seeds := slowStartSeeds(t)
 			for seed := range seeds {
-				troubles := drawTroubles(rand.New(rand.NewPCG(seed, 3)))
-				d := newRampDay(t, mix, seed, troubles)
+				troubles := drawFaults(rand.New(rand.NewPCG(seed, 3)))
+				d := newSlowStartRun(t, mix, seed, troubles)
 				d.play()
 				w := d.judge()
 				if w.sends == 0 {
@@ -450,9 +450,9 @@
 }
 
 // A test of the ramp that front ends without a budget for cold engines would pass tells nothing.
-func TestRampDaySeesFrontEndsWithoutABudget(t *testing.T) {
-	for _, mix := range rampMixes[4:5] {
-		d := newRampDay(t, mix, 6, rampTroubles{flood: true})
+func TestSlowStartRunDetectsFrontEndsWithoutABudget(t *testing.T) {
+	for _, mix := range trafficMixes[4:5] {
+		d := newSlowStartRun(t, mix, 6, fleetFaults{flood: true})
 		for _, c := range d.ctls {
 			c.settings.SlowStart.OverloadMultiple = 0
 		}
--- a/admission/ramp_greedy_test.go
+++ b/admission/slowstart_greedy_test.go
@@ -16,7 +16,7 @@
 	heavy float64   // part of the requests that are of the second class
 	mean  float64   // of a request, in seconds
 	list  []Engine
-	got   map[uint32][]rampSend
+	got   map[uint32][]observedSend
 	seed  uint64
 	rng   *rand.Rand
 }
@@ -28,8 +28,8 @@
 	ends  time.Duration            // when its process ends; 0: not for now
 }
 
-// greedyTroubles are what differs between the front ends of a greedy fleet.
-type greedyTroubles struct {
+// greedyFaults are what differs between the front ends of a greedy fleet.
+type greedyFaults struct {
 	staggered bool // engines start over 4 s
 	lateLists bool // ... and a third of the front ends hear of each start up to 2.5 s late
 	restarts  bool // two front ends a second are replaced by fresh ones
@@ -39,19 +39,19 @@
 }
 
 // newGreedyFleet draws the list, the settings and the mix from the seed.
-func newGreedyFleet(t *testing.T, seed uint64, troubles greedyTroubles) *greedyFleet {
+func newGreedyFleet(t *testing.T, seed uint64, faults greedyFaults) *greedyFleet {
 	r := rand.New(rand.NewPCG(seed, 11))
-	set := base()
+	set := baseSettings()
 	set.Replicas = 20 + r.IntN(11)
-	set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = sec, rampCold, rampFrom
+	set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = sec, slowStartDuration, slowStartCapacity
 	set.SlowStart.OverloadMultiple = float64(2 + r.IntN(3))
 	cores := 4 + 4*r.IntN(3)
 	set.Kinds = []Kind{{Cores: cores, MemoryMB: 24576}, {Cores: cores * (1 + 2*r.IntN(2)), MemoryMB: 24576}}
-	f := &greedyFleet{set: set, seed: seed, rng: r, list: engines(4 + r.IntN(27)), got: map[uint32][]rampSend{}}
+	f := &greedyFleet{set: set, seed: seed, rng: r, list: newEngines(4 + r.IntN(27)), got: map[uint32][]observedSend{}}
 	light := 0.02 * math.Pow(50, r.Float64())
 	f.works = []float64{light, light * math.Pow(20, r.Float64())}
 	f.heavy = 0.05 + 0.3*r.Float64()
-	if troubles.fewHeavy {
+	if faults.fewHeavy {
 		f.set.SlowStart.OverloadMultiple, f.set.Kinds = 2, []Kind{{Cores: 4, MemoryMB: 24576}, {Cores: 4, MemoryMB: 24576}}
 		f.works, f.heavy = []float64{light / 4, light * 5}, 0.1
 	}
@@ -60,19 +60,19 @@
 		f.list[i].ID = r.Uint32()
 		if r.IntN(3) > 0 {
 			f.list[i].Started = rampBegin
-			if troubles.staggered {
+			if faults.staggered {
 				f.list[i].Started += time.Duration(r.IntN(4000)) * ms
 			}
 		}
 	}
 	for me := range set.Replicas {
-		f.join(t, me, rampBegin-2*sec, troubles)
+		f.join(t, me, rampBegin-2*sec, faults)
 	}
 	return f
 }
 
 // join starts a front end that knows the classes, and of the engines what the list says.
-func (f *greedyFleet) join(t *testing.T, me int, at time.Duration, troubles greedyTroubles) {
+func (f *greedyFleet) join(t *testing.T, me int, at time.Duration, faults greedyFaults) {
 	one := f.set
 	one.Me = me
 	c, err := New(one, f.seed*1000+uint64(len(f.ctls)))
@@ -86,7 +86,7 @@
 		switch lag := time.Duration(f.rng.IntN(100)) * ms; {
 		case en.Started <= at:
 			list = append(list, en)
-		case troubles.lateLists && f.rng.IntN(3) == 0:
+		case faults.lateLists && f.rng.IntN(3) == 0:
 			lag = time.Duration(f.rng.IntN(2500)) * ms
 			fallthrough
 		default:
@@ -135,39 +135,39 @@
 func (f *greedyFleet) send(c *Controller, e *engineState, work float64) {
 	for c.warmth(e) < 1 && c.slowStartAllows(e, work) {
 		c.recordSlowStartSend(e, work)
-		f.got[e.ID] = append(f.got[e.ID], rampSend{at: c.now, work: work, informed: true})
+		f.got[e.ID] = append(f.got[e.ID], observedSend{at: c.now, work: work, informed: true})
 	}
 }
 
 // restart replaces two front ends, or all, by fresh ones. With overlap the old ones are told that they end, and do so 3 s later.
-func (f *greedyFleet) restart(t *testing.T, at time.Duration, round int, troubles greedyTroubles) {
+func (f *greedyFleet) restart(t *testing.T, at time.Duration, round int, faults greedyFaults) {
 	replaced := []int{2 * round % f.set.Replicas, (2*round + 1) % f.set.Replicas}
-	if troubles.allAnew {
+	if faults.allAnew {
 		replaced = f.rng.Perm(f.set.Replicas)
 	}
 	for _, me := range replaced {
 		old := f.ctls[me]
-		if old.ends = at; troubles.overlap {
+		if old.ends = at; faults.overlap {
 			old.ends = at + 3*sec
 			old.Step(at, []Event{ShutdownRequested{Timeout: 3 * sec}})
 		}
-		f.join(t, me, at, troubles)
+		f.join(t, me, at, faults)
 	}
 }
 
 // play lets all send for the whole ramp of all engines.
-func (f *greedyFleet) play(t *testing.T, troubles greedyTroubles) {
-	for at := rampBegin; at < rampBegin+rampCold+4*sec; at += housekeepingInterval {
+func (f *greedyFleet) play(t *testing.T, faults greedyFaults) {
+	for at := rampBegin; at < rampBegin+slowStartDuration+4*sec; at += housekeepingInterval {
 		age := at - rampBegin
-		if (troubles.restarts && age%sec == 0 && age < 8*sec) || (troubles.allAnew && age == 2*sec) {
-			f.restart(t, at, int(age/sec), troubles)
+		if (faults.restarts && age%sec == 0 && age < 8*sec) || (faults.allAnew && age == 2*sec) {
+			f.restart(t, at, int(age/sec), faults)
 		}
 		f.step(at)
 	}
 }
 
 // judge is the fullest window, as for a ramp day.
-func (f *greedyFleet) judge() (w rampWorst) {
+func (f *greedyFleet) judge() (w worstWindow) {
 	for _, en := range f.list {
 		w = w.fuller(fullest(f.set, en, f.mean, f.got[en.ID]))
 	}
@@ -175,8 +175,8 @@
 }
 
 // However the queues are filled, what the budgets of all front ends let through stays within what the engine bears.
-func TestRampHoldsWhenAllFrontEndsAreGreedy(t *testing.T) {
-	for name, troubles := range map[string]greedyTroubles{
+func TestSlowStartBudgetHoldsForGreedyFrontEnds(t *testing.T) {
+	for name, troubles := range map[string]greedyFaults{
 		"all at once":       {},
 		"staggered":         {staggered: true},
 		"late lists":        {staggered: true, lateLists: true},
@@ -187,9 +187,9 @@
 		"late, overlapping": {staggered: true, lateLists: true, restarts: true, overlap: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var worst rampWorst
+			var worst worstWindow
 			falls := 0
-			for seed := range rampSeeds(t) {
+			for seed := range slowStartSeeds(t) {
 				f := newGreedyFleet(t, seed, troubles)
 				f.play(t, troubles)
 				w := f.judge()
@@ -200,20 +200,20 @@
 				}
 				worst = worst.fuller(w)
 			}
-			t.Logf("%d of %d fleets with a fall; used %.2f, worst %+v", falls, rampSeeds(t), worst.used(), worst)
+			t.Logf("%d of %d fleets with a fall; used %.2f, worst %+v", falls, slowStartSeeds(t), worst.used(), worst)
 		})
 	}
 }
 
 // The same fleets with twice the budget fall: the test sees a sum of parts that is twice the whole.
-func TestRampGreedySeesTwiceTheBudget(t *testing.T) {
+func TestGreedyFleetDetectsTwiceTheBudget(t *testing.T) {
 	falls := 0
 	for seed := range uint64(3) {
-		f := newGreedyFleet(t, seed, greedyTroubles{})
+		f := newGreedyFleet(t, seed, greedyFaults{})
 		for _, g := range f.ctls {
 			g.settings.SlowStart.OverloadMultiple *= 2
 		}
-		f.play(t, greedyTroubles{})
+		f.play(t, greedyFaults{})
 		w := f.judge()
 		t.Logf("seed %d: %+v", seed, w)
 		falls += w.falls
--- a/admission/storm_test.go
+++ b/admission/storm_test.go
@@ -20,14 +20,14 @@
 // storm plays random events against a controller and checks the rules on each action.
 func storm(t *testing.T, seed uint64) (all []Action, sent int) {
 	t.Helper()
-	s := base()
+	s := baseSettings()
 	s.Classes = append(s.Classes,
 		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: sec, Threads: 1},
 		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Idempotency: NonIdempotent, OnlyZones: []int{1}, Threads: 1, LocksTables: true})
 	s.CancellationAllowed, s.Grants, s.Priorities = true, true, true
 	s.RetryBudget = &RetryBudget{MinRetries: 5, Ratio: 0.2, Window: 5 * sec}
 	dice := splitMix64(seed)
-	b := start(t, s, engines(6))
+	b := startController(t, s, newEngines(6))
 	told := map[uint32]time.Duration{}
 	reqs := map[string]*tally{}
 	var order []*tally
@@ -39,7 +39,7 @@
 			case Send:
 				q := reqs[a.ID]
 				sent++
-				e := b.c.enginesByID[a.Engine].Engine
+				e := b.controller.enginesByID[a.Engine].Engine
 				cl := s.Classes[q.Class]
 				switch {
 				case q.answered:
@@ -80,7 +80,7 @@
 		b.now += 10 * ms
 		var evs []Event
 		if i < 1200 {
-			q := &tally{Request: req(fmt.Sprint("s", i), int(dice.float64()*4)), attempt: -1}
+			q := &tally{Request: newRequest(fmt.Sprint("s", i), int(dice.float64()*4)), attempt: -1}
 			q.Timeout, q.Tenant, q.Group = 3*sec, int(dice.float64()*2), int(dice.float64()*4)
 			q.due = b.now + q.Timeout
 			reqs[q.ID] = q
@@ -89,7 +89,7 @@
 			evs = append(evs, q.Request)
 		}
 		if i%100 == 50 {
-			en := engines(6)[int(dice.float64()*6)]
+			en := newEngines(6)[int(dice.float64()*6)]
 			if en.State = Draining; told[en.ID] > 0 {
 				en.State, en.Started = Ready, b.now
 				delete(told, en.ID)
@@ -110,15 +110,15 @@
 			if st == OK {
 				q.answered = true
 			} else if !st.NeverRan() && !q.doubt {
-				q.doubt, q.doubtOn = true, b.c.enginesByID[q.engine].Engine
-				q.firstDoubt = b.c.requests[q.ID].attempts[q.attempt].sentAt
+				q.doubt, q.doubtOn = true, b.controller.enginesByID[q.engine].Engine
+				q.firstDoubt = b.controller.requests[q.ID].attempts[q.attempt].sentAt
 			}
-			evs = append(evs, end(Send{ID: q.ID, Engine: q.engine}, q.attempt, st))
+			evs = append(evs, outcomeOf(Send{ID: q.ID, Engine: q.engine}, q.attempt, st))
 		}
-		check(b.step(append(evs, Timer{Token: uint64(b.c.housekeepingAt)})...))
+		check(b.step(append(evs, Timer{Token: uint64(b.controller.housekeepingAt)})...))
 		for _, q := range order {
 			if !q.answered && b.now > q.due+s.DeadlineSlack {
-				t.Fatalf("seed %d: %s has no answer in time %+v", seed, q.ID, b.c.requests[q.ID])
+				t.Fatalf("seed %d: %s has no answer in time %+v", seed, q.ID, b.controller.requests[q.ID])
 			}
 		}
 	}
