--- a/admission/attempt_test.go
+++ b/admission/attempt_test.go
@@ -50,10 +50,10 @@
 	heavy := newRequest("h", 1)
 	heavy.Timeout = 20 * sec
 	if s := oneAction[Send](t, b.step(heavy)); s.Cap != 20*sec {
-		t.Fatalf("a heavy query is capped at %v", s.Cap)
+		t.Fatalf("a heavy request is capped at %v", s.Cap)
 	}
 	if s := oneAction[Send](t, b.step(newRequest("a", 0))); s.Cap != 4*sec {
-		t.Fatalf("a small query is capped at %v", s.Cap)
+		t.Fatalf("a small request is capped at %v", s.Cap)
 	}
 }
 
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -29,7 +29,8 @@
 func TestOldReportsFadeToTheAverage(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(3))
 	for id, util := range map[uint32]float64{1: 0.1, 2: 0.9} {
-		b.step(HealthCheckResult{Engine: id, Status: OK, Report: &Report{Util: util, Held: -1, Queue: -1, Memory: -1, Disks: -1}})
+		b.step(HealthCheckResult{Engine: id, Status: OK,
+			Report: &Report{Util: util, Held: -1, Queue: -1, Memory: -1, Disks: -1}})
 	}
 	b.controller.summarizeFleet()
 	avg := b.controller.fleet.averageLoad
@@ -61,8 +62,8 @@
 	oneAction[Send](t, b.step())
 }
 
-// TestLimitsBelowOneRequest: all gateways together run about the fleet's bound, though each one's part of it is
-// under one query.
+// TestLimitsBelowOneRequest: all front ends together run about the fleet's bound, though each one's part of it is
+// under one request.
 func TestLimitsBelowOneRequest(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 300
@@ -75,13 +76,14 @@
 		}
 		running += b.controller.threads
 	}
-	if bound := 20 * 8 * initialThreadFactor * (1 + calmLimitDeviations*math.Sqrt(lump)); running < bound*0.7 || running > bound*1.3 {
+	if bound := 20 * 8 * initialThreadFactor * (1 + calmLimitDeviations*math.Sqrt(lump)); running < bound*0.7 ||
+		running > bound*1.3 {
 		t.Fatalf("%v threads run, the bound of all is %v", running, bound)
 	}
 }
 
-// TestOwnThreadsCountAsFarAsTheLoadIsOwn: a query's own threads close an engine that reads busy to a
-// gateway of few, whose sends make the load, and not to one of many.
+// TestOwnThreadsCountAsFarAsTheLoadIsOwn: a request's own threads close an engine that reads busy to a
+// front end of few, whose sends make the load, and not to one of many.
 func TestOwnThreadsCountAsFarAsTheLoadIsOwn(t *testing.T) {
 	for n, calm := range map[int]bool{1: false, 300: true} {
 		s := baseSettings()
@@ -90,7 +92,7 @@
 		e := b.controller.enginesByID[1]
 		e.loadReport, e.reportedAt = Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}, b.now
 		if b.controller.isCalm(e, 3, 0.7) != calm {
-			t.Fatalf("%d gateways: calm %v", n, !calm)
+			t.Fatalf("%d front ends: calm %v", n, !calm)
 		}
 	}
 }
@@ -118,8 +120,8 @@
 	}
 }
 
-// TestOwnThreadsStandInForUnreportedLoad: where reports tell only the line for memory, one own query of one gateway among
-// many does not read as a full engine, while threads that stay do.
+// TestOwnThreadsStandInForUnreportedLoad: where reports tell only the line for memory, one own request of one front end
+// among many does not read as a full engine, while threads that stay do.
 func TestOwnThreadsStandInForUnreportedLoad(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 60
@@ -129,7 +131,7 @@
 	b.step(newRequest("a", 0))
 	b.advance(100 * ms)
 	if load := b.controller.reportedLoad(e); load > 0.3 {
-		t.Fatalf("one query reads as a load of %.2f", load)
+		t.Fatalf("one request reads as a load of %.2f", load)
 	}
 	e.threads = e.cores * 2 * b.controller.engineShare
 	b.advance(3 * averageThreadsDecay)
@@ -138,8 +140,8 @@
 	}
 }
 
-// TestHeavyRequestDoesNotLockSmallOnesOut: one heavy query is more than this gateway's part of the fleet's threads and
-// memory, and small ones still go.
+// TestHeavyRequestDoesNotLockSmallOnesOut: one heavy request is more than this front end's part of the fleet's threads
+// and memory, and small ones still go.
 func TestHeavyRequestDoesNotLockSmallOnesOut(t *testing.T) {
 	s := baseSettings()
 	s.Replicas, s.Classes[1].Threads = 60, 4
@@ -150,15 +152,15 @@
 	b.controller.randomDrawUntil, b.controller.randomDraw = b.now+20*sec, 0.1
 	b.step(Request{ID: "heavy", Class: 1, Timeout: 20 * sec, Group: -1, Work: 8 * sec, MemMB: 4000})
 	if b.controller.threads < b.controller.fleet.threadLimit {
-		t.Fatal("the heavy query is within our part: the test shows nothing")
+		t.Fatal("the heavy request is within our part: the test shows nothing")
 	}
 	small := newRequest("small", 0)
 	small.MemMB = 100
 	oneAction[Send](t, b.step(small))
 }
 
-// TestRequestsInFlightTellOverload: use ends at full; an engine that holds more threads than it carries well is under more
-// pressure than its use tells, also where it jams at little use.
+// TestRequestsInFlightTellOverload: use ends at full; an engine that holds more threads than it carries well is under
+// more pressure than its use tells, also where it jams at little use.
 func TestRequestsInFlightTellOverload(t *testing.T) {
 	s := baseSettings()
 	b := startController(t, s, newEngines(4))
@@ -174,20 +176,21 @@
 	}
 }
 
-// TestSmallClassesHaveTheirOwnMemory: a heavy query holds more than our part of an engine's memory, and more than half of
-// the tenant's, and small ones still go there, until they hold as much themselves.
+// TestSmallClassesHaveTheirOwnMemory: a heavy request holds more than our part of an engine's memory, and more than
+// half of the tenant's, and small ones still go there, until they hold as much themselves.
 func TestSmallClassesHaveTheirOwnMemory(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 60
 	b := startController(t, s, newEngines(12))
 	e := b.controller.engines[b.controller.subset.first]
-	r := &requestState{Request: newRequest("s", 0), classSettings: &b.controller.settings.Classes[0], tenant: b.controller.tenants[0]}
+	r := &requestState{Request: newRequest("s", 0), classSettings: &b.controller.settings.Classes[0],
+		tenant: b.controller.tenants[0]}
 	r.MemMB = 100
 	part := e.memoryMB * b.controller.engineShare
 	b.controller.estimates[1].work = 4
 	e.threads, e.memory = 2, 2*part
 	if !b.controller.hasCapacity(e, r) {
-		t.Fatal("a heavy query keeps the small out")
+		t.Fatal("a heavy request keeps the small out")
 	}
 	if e.smallMemory = part; b.controller.hasCapacity(e, r) {
 		t.Fatal("the small pass our part by themselves")
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -43,8 +44,8 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, _ := storm(t, 3)
-	b, _ := storm(t, 3)
+	a, _ := playStorm(t, 3)
+	b, _ := playStorm(t, 3)
 	if !reflect.DeepEqual(a, b) {
 		t.Fatal("two runs differ")
 	}
@@ -52,13 +53,13 @@
 
 func TestRandomEventsKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(12) {
-		if _, sent := storm(t, seed); sent < 200 {
+		if _, sent := playStorm(t, seed); sent < 200 {
 			t.Fatalf("seed %d: only %d sends", seed, sent)
 		}
 	}
 }
 
-// TestUnknownEventsChangeNothing: notes and outcomes of what has ended, repeated or unknown, change nothing.
+// TestUnknownEventsChangeNothing: progress and outcomes of what has ended, repeated or unknown, change nothing.
 func TestUnknownEventsChangeNothing(t *testing.T) {
 	s := baseSettings()
 	s.CancellationAllowed, s.ProgressInterval = true, 2*sec
@@ -67,8 +68,10 @@
 	b.step(outcomeOf(snd, 0, OK))
 	b.now += 3 * sec
 	acts := b.step(
-		Progress{ID: "a", Engine: snd.Engine, Kind: ProgressFraction, Value: 0.01}, outcomeOf(snd, 0, OK), outcomeOf(snd, 5, TimedOut),
-		Progress{ID: "none", Engine: 99, Kind: ProgressFraction}, Outcome{ID: "none", Engine: 99, Status: OK}, ClientDisconnected{ID: "a"},
+		Progress{ID: "a", Engine: snd.Engine, Kind: ProgressFraction, Value: 0.01}, outcomeOf(snd, 0, OK),
+		outcomeOf(snd, 5, TimedOut),
+		Progress{ID: "none", Engine: 99, Kind: ProgressFraction}, Outcome{ID: "none", Engine: 99, Status: OK},
+		ClientDisconnected{ID: "a"},
 		HealthCheckResult{Engine: 99}, FirstByte{ID: "none"},
 	)
 	for _, a := range acts {
@@ -90,7 +93,7 @@
 			}
 			c.Step(sec, []Event{EndpointsChanged{Kind: Persisted, Engines: newEngines(n)}})
 			for i := range bm.N {
-				for _, s := range actionsOf[Send](c.Step(sec+time.Duration(i)*ms, []Event{newRequest(fmt.Sprint(i), i%2)})) {
+				for _, s := range actionsOf[Send](c.Step(sec+time.Duration(i)*ms, []Event{newRequest(strconv.Itoa(i), i%2)})) {
 					c.Step(sec+time.Duration(i)*ms, []Event{outcomeOf(s, 0, OK)})
 				}
 			}
--- a/admission/deadline_test.go
+++ b/admission/deadline_test.go
@@ -10,7 +10,7 @@
 	b := startController(t, baseSettings(), nil)
 	b.step(newRequest("a", 0))
 	if a := oneAction[Reject](t, b.advance(4*sec)); a.RetryAfter <= 0 {
-		t.Fatal("a refusal must say when to come back")
+		t.Fatal("a rejection must say when to come back")
 	}
 	b = startController(t, baseSettings(), newEngines(1))
 	snd := oneAction[Send](t, b.step(newRequest("b", 0)))
@@ -31,7 +31,7 @@
 	}
 }
 
-// Callers of little patience: work that cannot end before they leave holds an engine for nobody (L9eba4f).
+// Callers of little patience: work that cannot end before they leave holds an engine for nobody.
 func TestNothingIsSentThatCannotEndInTime(t *testing.T) {
 	for _, c := range []struct {
 		left time.Duration
@@ -51,7 +51,7 @@
 			t.Errorf("%v left for 800 ms of work: sent %d times", c.left, n)
 		}
 		if n := len(actionsOf[Reject](acts)); (n == 1) == c.sent {
-			t.Errorf("%v left: refused %d times", c.left, n)
+			t.Errorf("%v left: rejected %d times", c.left, n)
 		}
 	}
 	// By the pace of the engine: one that has grown slow is passed over by what is in a hurry.
--- a/admission/engine_test.go
+++ b/admission/engine_test.go
@@ -37,7 +37,7 @@
 	oneAction[WatchEndpoints](t, b.advance(2*sec))
 }
 
-// TestRemovedEnginesAreForgotten: on a day of replacements all that had ever been listed were looked at in each step.
+// TestRemovedEnginesAreForgotten: on a run of replacements all that had ever been listed were looked at in each step.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
 	list := newEngines(2)
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,7 @@
 	"beechcart/admission"
 )
 
-// A gateway tells the controller what happened and carries out what it answers.
+// A front end tells the controller what happened and carries out what it answers.
 func Example() {
 	ctl, err := admission.New(admission.Settings{
 		Replicas: 1,
@@ -29,10 +29,10 @@
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
-		case admission.Send: // start the query on the engine; report its end as an Outcome
+		case admission.Send: // start the request on the engine; report its end as an Outcome
 			fmt.Printf("send %s to engine %d\n", a.ID, a.Engine)
 		case admission.Reject: // tell the client when to come back
-			fmt.Printf("refuse %s for %v\n", a.ID, a.RetryAfter)
+			fmt.Printf("reject %s for %v\n", a.ID, a.RetryAfter)
 		case admission.Fail:
 			fmt.Printf("fail %s\n", a.ID)
 		case admission.SetTimer: // call Step with a Timer of this token after the delay
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fleetHarness is many controllers on one clock, before engines that all of them share. Each engine answers after the work of
-// a request; what one front end does that hurts only when all do it shows in its sums.
+// fleetHarness is many controllers on one clock, before engines that all of them share. Each engine answers after the
+// work of a request; what one front end does that hurts only when all do it shows in its sums.
 type fleetHarness struct {
 	now  time.Duration
 	ctls []*Controller
@@ -28,8 +28,10 @@
 
 // newFleetHarness starts n controllers with the same list, and seeds from the one given on.
 func newFleetHarness(t *testing.T, set Settings, n int, list []Engine, seed uint64) *fleetHarness {
+	t.Helper()
 	set.Replicas = n
-	ctls := newControllers(t, set, func(me int) uint64 { return seed + uint64(me) }, func(me int) int { return me % set.Zones })
+	ctls := newControllers(t, set, func(me int) uint64 { return seed + uint64(me) },
+		func(me int) int { return me % set.Zones })
 	f := &fleetHarness{now: 100 * sec, ctls: ctls, tries: map[string]int{}, work: []time.Duration{100 * ms, 100 * ms}}
 	f.answer = func(_ time.Duration, ctl int, s Send) (Status, time.Duration) {
 		r := f.ctls[ctl].requests[s.ID]
@@ -65,9 +67,11 @@
 			f.tries[a.ID]++
 			f.sent(f.now, ctl, a)
 			status, after := f.answer(f.now, ctl, a)
-			f.later(after, ctl, Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: status, Latency: after, Closed: status == OK, Work: f.ctls[ctl].requests[a.ID].Work})
+			f.later(after, ctl, Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Status: status, Latency: after,
+				Closed: status == OK, Work: f.ctls[ctl].requests[a.ID].Work})
 		case HealthCheck:
-			f.later(2*ms, ctl, HealthCheckResult{Engine: a.Engine, Status: OK, Report: &Report{Held: -1, Queue: -1, Util: 0.4, Memory: -1, Disks: -1}})
+			f.later(2*ms, ctl, HealthCheckResult{Engine: a.Engine, Status: OK,
+				Report: &Report{Held: -1, Queue: -1, Util: 0.4, Memory: -1, Disks: -1}})
 		case SetTimer:
 			f.later(a.Delay, ctl, Timer{Token: a.Token})
 		}
@@ -91,13 +95,16 @@
 		if f.next++; f.next%10 == 0 {
 			class = 1
 		}
-		f.step(int(rendezvousHash(f.next, 0)%uint64(len(f.ctls))), Request{ID: fmt.Sprint("c", f.next), Class: class, Timeout: f.ctls[0].settings.Classes[class].Deadline, Group: -1, Work: f.work[class]})
+		f.step(int(rendezvousHash(f.next, 0)%uint64(len(f.ctls))),
+			Request{ID: fmt.Sprint("c", f.next), Class: class, Timeout: f.ctls[0].settings.Classes[class].Deadline, Group: -1,
+				Work: f.work[class]})
 	}
 }
 
 // erringDay plays 80 controllers before an engine that answers four of five with an error, after 5 s in which it was
 // well, and counts what goes there in 10 s.
 func erringDay(t *testing.T, seed uint64) (sends, unsafe, users int) {
+	t.Helper()
 	set := baseSettings()
 	set.LoadReporting, set.HealthChecksAllowed = HealthCheckReports, true
 	set.Classes[1].Idempotency = NonIdempotent
@@ -125,33 +132,35 @@
 }
 
 // An engine that answers four of five with an error is quick and idle, so that what finds no room elsewhere goes there:
-// 664 errors in 12 s on a day of 80 front ends, once a second from each that had it near, and 37 loads lost. All of
+// 664 errors in 12 s on a run of 80 front ends, once a second from each that had it near, and 37 loads lost. All of
 // them together must learn within a stated number of sends, and what must not run twice must keep away.
 func TestErringEngineIsAvoidedByAll(t *testing.T) {
 	sends, unsafe, users := erringDay(t, 1)
 	if sends == 0 || sends > 12*users || unsafe > users/2 {
-		t.Fatalf("%d sends to an engine of errors in 10 s, %d of them unsafe, by %d front ends", sends, unsafe, users)
+		t.Fatalf("%d sends to an engine of errors in 10 s, %d of them non-idempotent, by %d front ends", sends, unsafe, users)
 	}
-	// One set of seeds tells little: over more of them, less than one unsafe send for each front end.
+	// One set of seeds tells little: over more of them, less than one non-idempotent send for each front end.
 	allUnsafe, allUsers := 0, 0
 	for set := range uint64(6) {
 		_, unsafe, users := erringDay(t, 1000*(set+1))
 		allUnsafe, allUsers = allUnsafe+unsafe, allUsers+users
 	}
-	t.Logf("%d sends, %d unsafe, by %d; over six more sets of seeds %d unsafe by %d", sends, unsafe, users, allUnsafe, allUsers)
+	t.Logf("%d sends, %d non-idempotent, by %d; over six more sets of seeds %d non-idempotent by %d", sends, unsafe,
+		users, allUnsafe,
+		allUsers)
 	if allUnsafe >= allUsers {
-		t.Fatalf("%d unsafe sends to engines of errors, by %d front ends", allUnsafe, allUsers)
+		t.Fatalf("%d non-idempotent sends to engines of errors, by %d front ends", allUnsafe, allUsers)
 	}
 }
 
-// Six engines in ten are new within seconds. Parts of a query of a cold engine's budget were left to chance, and not
-// at all beside small work: heavy requests waited for up to 18 s while new engines held a tenth of what the others
-// did. All together must stay within the budget of each, in every window, and use it. The budget rises with the engine, and
-// what is sent with it: held to the least until an engine was warm, they got 107 to 112 in each 8 s.
+// Six engines in ten are new within seconds. Parts of a request of a warming engine's budget were left to chance, and
+// not at all beside small work: heavy requests waited for up to 18 s while new engines held a tenth of what the others
+// did. All together must stay within the budget of each, in every window, and use it. The budget rises with the engine,
+// and what is sent with it: held to the least until an engine was warm, they got 107 to 112 in each 8 s.
 func TestWarmingEnginesGetHeavyWorkInTurns(t *testing.T) {
 	set := baseSettings()
 	set.Classes[0].LatencyObjective, set.Classes[1].Threads = 300*ms, 4
-	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = 4, sec, 14*sec, 0.3
+	set.SlowStart = SlowStart{Duration: 14 * sec, InitialCapacity: 0.3, OverloadMultiple: 4, OverloadWindow: sec}
 	set.Kinds = []Kind{{Cores: 12, MemoryMB: 24576}, {Cores: 12, MemoryMB: 24576}}
 	const ctls = 80
 	list := newEngines(30)
@@ -188,8 +197,10 @@
 			most = max(most, sum/(4*12*(0.3+0.7*min(1, age.Seconds()/14))))
 		}
 	}
-	t.Logf("%d heavy requests to cold engines in 8 s from %v on, %d in the 4 s after, at most %.2f of what a window may hold", early, began, late, most)
+	t.Logf("%d heavy requests to warming engines in 8 s from %v on, %d in the 4 s after, at most %.2f of a window's",
+		early, began, late, most)
 	if most > 1 || early < 18*8*3/4 || late < early*3/4 {
-		t.Fatalf("%d heavy requests to 18 cold engines in 8 s, %d in the 4 s after, at most %.2f of what a window may hold", early, late, most)
+		t.Fatalf("%d heavy requests to 18 warming engines in 8 s, %d in the 4 s after, at most %.2f of a window's",
+			early, late, most)
 	}
 }
--- a/admission/gossip_test.go
+++ b/admission/gossip_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestMalformedGossipChangesNothing: lost, malformed and unknown words change nothing, a good one is a report.
+// TestMalformedGossipChangesNothing: lost, malformed and unknown messages change nothing, a good one is a report.
 func TestMalformedGossipChangesNothing(t *testing.T) {
 	s := baseSettings()
 	s.LoadReporting, s.HealthChecksAllowed, s.GossipAllowed, s.Replicas = HealthCheckReports, true, true, 4
@@ -20,25 +20,28 @@
 	if n := len(actionsOf[HealthCheck](asked)); n != 4 {
 		t.Fatalf("%d engines were asked", n)
 	}
-	b.step(HealthCheckResult{Engine: 1, Status: OK, Report: &Report{Util: 0.5, Held: -1, Queue: -1, Memory: -1, Disks: -1}})
+	b.step(HealthCheckResult{Engine: 1, Status: OK, Report: &Report{Util: 0.5, Held: -1, Queue: -1, Memory: -1,
+		Disks: -1}})
 	if early := b.advance(5 * housekeepingInterval); len(actionsOf[SendGossip](early)) > 0 {
 		t.Fatal("told before the burst was in")
 	}
 	for id := range uint32(3) {
 		b.step(HealthCheckResult{Engine: 2 + id, Status: TimedOut})
 	}
-	word := oneAction[SendGossip](t, b.advance(5*housekeepingInterval)).Data
-	if len(word) != 4*gossipEntrySize || word[5] != gossipFailure {
-		t.Fatalf("failed probes are not told: %v", word)
+	message := oneAction[SendGossip](t, b.advance(5*housekeepingInterval)).Data
+	if len(message) != 4*gossipEntrySize || message[5] != gossipFailure {
+		t.Fatalf("failed health checks are not told: %v", message)
 	}
 	o := startController(t, s, newEngines(4))
-	for _, ev := range []GossipReceived{{From: 9, Data: word}, {From: -1, Data: word}, {From: 1, Data: word[:1]}, {From: 1},
-		{From: 1, Data: []byte{1, 2, 3}}, {From: 0, Data: word}} {
+	for _, ev := range []GossipReceived{{From: 9, Data: message}, {From: -1, Data: message}, {From: 1, Data: message[:1]},
+		{From: 1},
+		{From: 1, Data: []byte{1, 2, 3}}, {From: 0, Data: message}} {
 		if o.step(ev); o.controller.enginesByID[1].reportedAt >= 0 {
 			t.Fatalf("%v was taken", ev)
 		}
 	}
-	if o.step(GossipReceived{From: 1, Data: word}); o.controller.enginesByID[1].reportedAt < 0 || o.controller.reportedLoad(o.controller.enginesByID[1]) != 0.5 {
-		t.Fatal("a good word was not taken")
+	if o.step(GossipReceived{From: 1, Data: message}); o.controller.enginesByID[1].reportedAt < 0 ||
+		o.controller.reportedLoad(o.controller.enginesByID[1]) != 0.5 {
+		t.Fatal("a good message was not taken")
 	}
 }
--- a/admission/harness_test.go
+++ b/admission/harness_test.go
@@ -17,7 +17,8 @@
 		Replicas: 1, Zones: 2, Kinds: []Kind{{Cores: 8, MemoryMB: 16384}, {Cores: 8, MemoryMB: 16384}},
 		Classes: []Class{
 			{LatencyObjective: sec, ObjectivePerWork: 1.5, Deadline: 4 * sec, PriorityWeight: 1, Threads: 1},
-			{LatencyObjective: 2 * sec, ObjectivePerWork: 2.5, Deadline: 20 * sec, PriorityWeight: 8, LateWeight: 0.4, Threads: 2},
+			{LatencyObjective: 2 * sec, ObjectivePerWork: 2.5, Deadline: 20 * sec, PriorityWeight: 8, LateWeight: 0.4,
+				Threads: 2},
 		},
 		Tenants:       []Tenant{{Quota: 0.5, RequestsPerSecond: 1000}, {Quota: 0.5, RequestsPerSecond: 1000}},
 		LoadReporting: InBandReports,
@@ -115,7 +116,7 @@
 	return all
 }
 
-// newFrontEnds is many gateways of one deployment, with the same list.
+// newFrontEnds is many front ends of one deployment, with the same list.
 func newFrontEnds(t *testing.T, s Settings, list []Engine) (all []*harness) {
 	t.Helper()
 	seed := func(me int) uint64 { return uint64(me)*7919 + 1 }
--- a/admission/healthcheck_test.go
+++ b/admission/healthcheck_test.go
@@ -23,51 +23,54 @@
 		}
 	}
 	if b.step(HealthCheckResult{Engine: 1, Status: OK}); b.controller.enginesByID[1].ejected {
-		t.Fatal("not taken back after a good probe")
+		t.Fatal("not in use again after a good health check")
 	}
 }
 
-// TestHealthChecksFollowRequests: probes are paced by own queries, and cease without them.
+// TestHealthChecksFollowRequests: health checks are paced by own requests, and cease without them.
 func TestHealthChecksFollowRequests(t *testing.T) {
 	free := healthChecksFor(t, 400, 0)
 	if free == 0 || float64(free) > 400*maxHealthChecksPerRequest+4 {
-		t.Fatalf("%d probes for 400 queries", free)
+		t.Fatalf("%d health checks for 400 requests", free)
 	}
-	// A probe for each request at 0.1 of all service costs more than half of what the probes told (docs/fleet.md).
-	if dear := healthChecksFor(t, 400, 0.1); dear == 0 || float64(dear) > 400*healthCheckCostPerRequest/0.1+4 || dear > free*2/3 {
-		t.Fatalf("%d probes for 400 queries where they are dear, %d where they are free", dear, free)
+	// A health check for each request at 0.1 of all service costs more than half of what the health checks told
+	// (docs/fleet.md).
+	if dear := healthChecksFor(t, 400, 0.1); dear == 0 || float64(dear) > 400*healthCheckCostPerRequest/0.1+4 ||
+		dear > free*2/3 {
+		t.Fatalf("%d health checks for 400 requests where they are dear, %d where they are free", dear, free)
 	}
 	if cheap := healthChecksFor(t, 400, 0.01); cheap != free {
-		t.Fatalf("%d probes for 400 queries where they are cheap, %d where they are free", cheap, free)
+		t.Fatalf("%d health checks for 400 requests where they are cheap, %d where they are free", cheap, free)
 	}
 }
 
-func healthChecksFor(t *testing.T, queries int, price float64) (probes int) {
+func healthChecksFor(t *testing.T, requests int, price float64) (checks int) {
+	t.Helper()
 	s := baseSettings()
 	s.LoadReporting, s.HealthChecksAllowed, s.Replicas, s.HealthCheckCost = HealthCheckReports, true, 30, price
 	b := startController(t, s, newEngines(40))
-	for i := range queries {
+	for i := range requests {
 		acts := b.step(newRequest(fmt.Sprint("q", i), 0))
 		for _, snd := range actionsOf[Send](acts) {
 			b.step(outcomeOf(snd, 0, OK))
 		}
-		probes += len(actionsOf[HealthCheck](append(acts, b.advance(200*ms)...)))
+		checks += len(actionsOf[HealthCheck](append(acts, b.advance(200*ms)...)))
 	}
 	if n := len(actionsOf[HealthCheck](b.advance(20 * sec))); n > healthCheckBurst {
-		t.Fatalf("%d probes without a query", n)
+		t.Fatalf("%d health checks without a request", n)
 	}
-	return probes
+	return checks
 }
 
-// A cut zone is known soon only if gateways ask different engines: where each asks the few that were heard of
-// least lately, and hears the others' words, all ask the same few at a time (if08b63).
+// A cut zone is known soon only if front ends ask different engines: where each asks the few that were heard of
+// least lately, and hears the others' messages, all ask the same few at a time.
 func TestFrontEndsCheckDifferentEngines(t *testing.T) {
-	const gateways, fleet = 30, 60
+	const frontEnds, fleet = 30, 60
 	s := baseSettings()
-	s.LoadReporting, s.HealthChecksAllowed, s.GossipAllowed, s.Replicas = HealthCheckReports, true, true, gateways
+	s.LoadReporting, s.HealthChecksAllowed, s.GossipAllowed, s.Replicas = HealthCheckReports, true, true, frontEnds
 	asked := map[uint32]bool{}
-	probes := 0
-	for g := range gateways {
+	checks := 0
+	for g := range frontEnds {
 		s.Me = g
 		c, err := New(s, uint64(g))
 		if err != nil {
@@ -80,12 +83,12 @@
 			for _, p := range acts {
 				asked[p.Engine] = true
 			}
-			if probes += len(acts); len(acts) > 0 {
+			if checks += len(acts); len(acts) > 0 {
 				break
 			}
 		}
 	}
-	if probes != gateways*healthCheckBurst || len(asked) < fleet*2/3 {
-		t.Fatalf("%d probes of %d gateways reached %d of %d engines", probes, gateways, len(asked), fleet)
+	if checks != frontEnds*healthCheckBurst || len(asked) < fleet*2/3 {
+		t.Fatalf("%d health checks of %d front ends reached %d of %d engines", checks, frontEnds, len(asked), fleet)
 	}
 }
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"testing"
 	"time"
 )
@@ -102,7 +103,7 @@
 }
 
 // TestConnectionResetsDoNotEject: resets of single connections, after which the engine answered, ejected
-// engines that were well on a day with many.
+// engines that were well on a run with many.
 func TestConnectionResetsDoNotEject(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		b := startController(t, baseSettings(), newEngines(1))
@@ -121,6 +122,7 @@
 // hangingDay plays four engines of which the first so many hang on the heavy class and answer the rest, until it ends.
 // It returns what went to those of the heavy class in each of the last windows of 5 s.
 func hangingDay(t *testing.T, hanging, windows int, until time.Duration) (sends []int, b *harness) {
+	t.Helper()
 	s := baseSettings()
 	s.Replicas, s.ProgressInterval = 3, 0
 	b = startController(t, s, newEngines(4))
@@ -146,11 +148,13 @@
 			if n%10 == 0 {
 				class = 1
 			}
-			ev = append(ev, Request{ID: fmt.Sprint(n), Class: class, Tenant: n % 2, Timeout: 4 * sec, Group: n % 7, Work: time.Duration(1+2*class) * 20 * ms})
+			ev = append(ev, Request{ID: strconv.Itoa(n), Class: class, Tenant: n % 2, Timeout: 4 * sec, Group: n % 7,
+				Work: time.Duration(1+2*class) * 20 * ms})
 		}
 		for _, snd := range actionsOf[Send](b.step(ev...)) {
 			r := b.controller.requests[snd.ID]
-			o := Outcome{ID: snd.ID, Engine: snd.Engine, Attempt: len(r.attempts) - 1, Status: OK, Latency: 40 * ms, Work: r.Work, Report: &Report{Held: 1, Queue: -1, Util: 0.1, Memory: -1, Disks: -1}}
+			o := Outcome{ID: snd.ID, Engine: snd.Engine, Attempt: len(r.attempts) - 1, Status: OK, Latency: 40 * ms,
+				Work: r.Work, Report: &Report{Held: 1, Queue: -1, Util: 0.1, Memory: -1, Disks: -1}}
 			at := b.now + 40*ms
 			if r.Class == 1 && int(snd.Engine) <= hanging {
 				sends[int((b.now-began)/(5*sec))]++
@@ -170,10 +174,10 @@
 func TestHangingClassRestsAtItsEngine(t *testing.T) {
 	sends, b := hangingDay(t, 1, 6, 20*sec)
 	if sends[1] > 4 || sends[2] > 2 || sends[3] > 2 {
-		t.Fatalf("%v heavy queries in windows of 5 s to an engine on which they hang", sends)
+		t.Fatalf("%v heavy requests in windows of 5 s to an engine on which they hang", sends)
 	}
 	if sends[5] < 5 {
-		t.Fatalf("%v heavy queries in windows of 5 s: it is well since 20 s, and not used", sends)
+		t.Fatalf("%v heavy requests in windows of 5 s: it is well since 20 s, and not used", sends)
 	}
 	for _, e := range b.controller.engines {
 		if e.ejected {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -81,8 +81,10 @@
 		r.Timeout, r.Work = 20*sec, 2*sec
 		refused += len(actionsOf[Reject](b.step(r)))
 	}
-	if b.controller.queuedRequests > max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)) || refused == 0 {
-		t.Fatalf("%d queued, depth %d, %d refused", b.controller.queuedRequests, max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), refused)
+	if b.controller.queuedRequests > max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)) ||
+		refused == 0 {
+		t.Fatalf("%d queued, depth %d, %d rejected", b.controller.queuedRequests,
+			max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), refused)
 	}
 }
 
@@ -128,8 +130,8 @@
 	oneAction[Send](t, b.step(keyed("third", "m")))
 }
 
-// TestLateRequestOfAKeyGivesWay: in a crowded key the first would be late one after the other; a late one is refused where
-// one in time waits behind it, and kept where none does.
+// TestLateRequestOfAKeyGivesWay: in a crowded key the first would be late one after the other; a late one is rejected
+// where one in time waits behind it, and kept where none does.
 func TestLateRequestOfAKeyGivesWay(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered, s.Classes[1].LateWeight = true, 0.5
@@ -144,7 +146,7 @@
 	}
 	b.step(keyed("next", "k"))
 	if r := oneAction[Reject](t, b.advance(2*housekeepingInterval)); r.ID != "head" {
-		t.Fatalf("refused %s", r.ID)
+		t.Fatalf("rejected %s", r.ID)
 	}
 	if snd := actionsOf[Send](b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(4)})); len(snd) != 2 {
 		t.Fatalf("want next and alone sent: %v", snd)
--- a/admission/race_test.go
+++ b/admission/race_test.go
@@ -2,5 +2,5 @@
 
 package admission
 
-// raceDetector tells that the tests run ten times slower, and play fewer days.
+// raceDetector tells that the tests run ten times slower, and play fewer runs.
 const raceDetector = true
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"hash"
 	"math"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
+	"beechcart/internal/recorded"
 )
 
 // The recorded runs hold every decision of a controller to what it was when the run was recorded. Each run plays
@@ -43,15 +42,15 @@
 const (
 	actionSend = 1 + iota
 	actionTerms
-	actionRefuse
+	actionReject
 	actionFail
 	actionCancel
-	actionProbe
+	actionHealthCheck
 	actionCloseIdle
-	actionTell
+	actionSendGossip
 	actionSetTimer
-	actionWatch
-	actionFetch
+	actionWatchEndpoints
+	actionPollEndpoints
 	actionLog
 	actionTypes
 )
@@ -78,6 +77,14 @@
 	r.buffer = r.buffer[:0]
 	r.number(uint64(gateway))
 	r.duration(now)
+	if !r.ofRequest(action) && !r.ofFrontEnd(action) {
+		r.unknown = append(r.unknown, action)
+	}
+	r.hash.Write(r.buffer)
+}
+
+// ofRequest encodes the actions on a request; false for another.
+func (r *recorder) ofRequest(action admission.Action) bool {
 	switch a := action.(type) {
 	case admission.Send:
 		r.begin(actionSend)
@@ -90,7 +97,7 @@
 		r.number(uint64(a.Priority))
 		r.number(math.Float64bits(a.GrantMB))
 	case admission.Reject:
-		r.begin(actionRefuse)
+		r.begin(actionReject)
 		r.text(a.ID)
 		r.duration(a.RetryAfter)
 	case admission.Fail:
@@ -100,14 +107,23 @@
 		r.begin(actionCancel)
 		r.text(a.ID)
 		r.number(uint64(a.Attempt))
+	default:
+		return false
+	}
+	return true
+}
+
+// ofFrontEnd encodes the actions that belong to no request; false for another.
+func (r *recorder) ofFrontEnd(action admission.Action) bool {
+	switch a := action.(type) {
 	case admission.HealthCheck:
-		r.begin(actionProbe)
+		r.begin(actionHealthCheck)
 		r.number(uint64(a.Engine))
 	case admission.CloseIdle:
 		r.begin(actionCloseIdle)
 		r.number(uint64(a.Engine))
 	case admission.SendGossip:
-		r.begin(actionTell)
+		r.begin(actionSendGossip)
 		r.number(uint64(a.To))
 		r.text(string(a.Data))
 	case admission.SetTimer:
@@ -115,16 +131,16 @@
 		r.duration(a.Delay)
 		r.number(a.Token)
 	case admission.WatchEndpoints:
-		r.begin(actionWatch)
+		r.begin(actionWatchEndpoints)
 		r.number(map[bool]uint64{true: 1}[a.On])
 	case admission.PollEndpoints:
-		r.begin(actionFetch)
+		r.begin(actionPollEndpoints)
 	case admission.Log:
 		r.begin(actionLog)
 	default:
-		r.unknown = append(r.unknown, action)
+		return false
 	}
-	r.hash.Write(r.buffer)
+	return true
 }
 
 // String is what is kept of a run: a line of counts and the hash.
@@ -235,6 +251,7 @@
 func (w *world) tell(g *gateway, event admission.Event) { g.pending = append(g.pending, event) }
 
 func play(t *testing.T, run recordedRun, seed uint64) string {
+	t.Helper()
 	w := &world{recordedRun: run, random: randomSource(seed), now: 100 * time.Second}
 	w.hash = sha256.New()
 	for range run.engines {
@@ -613,18 +630,28 @@
 // recordedClasses cover each field of a class.
 func recordedClasses() []admission.Class {
 	return []admission.Class{
-		{LatencyObjective: 200 * time.Millisecond, ObjectivePerWork: 1.5, Deadline: 2 * time.Second, PriorityWeight: 1, Threads: 1},
-		{LatencyObjective: 500 * time.Millisecond, ObjectivePerWork: 2, Deadline: 4 * time.Second, PriorityWeight: 3, LateWeight: 0.4, Threads: 2,
-			Idempotency: admission.IdempotentWithKey, DeduplicationScope: admission.ScopeZone, DeduplicationWindow: 1500 * time.Millisecond, Ordered: true},
-		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 6, LateWeight: 0.2, Threads: 2, Idempotency: admission.NonIdempotent,
-			OnlyZones: []int{0, 1}},
-		{LatencyObjective: 2 * time.Second, ObjectivePerWork: 1, Deadline: 8 * time.Second, PriorityWeight: 9, LateWeight: 0.5, Threads: 4,
+		{LatencyObjective: 200 * time.Millisecond, ObjectivePerWork: 1.5, Deadline: 2 * time.Second, PriorityWeight: 1,
+			Threads: 1},
+		{LatencyObjective: 500 * time.Millisecond, ObjectivePerWork: 2, Deadline: 4 * time.Second, PriorityWeight: 3,
+			LateWeight: 0.4, Threads: 2,
+			Idempotency: admission.IdempotentWithKey, DeduplicationScope: admission.ScopeZone,
+			DeduplicationWindow: 1500 * time.Millisecond, Ordered: true},
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 6, LateWeight: 0.2, Threads: 2,
+			Idempotency: admission.NonIdempotent,
+			OnlyZones:   []int{0, 1}},
+		{LatencyObjective: 2 * time.Second, ObjectivePerWork: 1, Deadline: 8 * time.Second, PriorityWeight: 9,
+			LateWeight: 0.5, Threads: 4,
 			Stream: true, OnlyKinds: []int{0, 1}},
-		{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 2, Threads: 1, LocksTables: true},
-		{LatencyObjective: 400 * time.Millisecond, ObjectivePerWork: 3, Deadline: 3 * time.Second, PriorityWeight: 2, Threads: 1, WaitsForLocks: true,
-			Idempotency: admission.IdempotentWithKey, DeduplicationScope: admission.ScopeCell, DeduplicationWindow: 3 * time.Second},
-		{LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 2, LateWeight: 0.6, Threads: 1, Ordered: true,
-			Idempotency: admission.IdempotentWithKey, DeduplicationScope: admission.ScopeAll, DeduplicationWindow: 2 * time.Second},
+		{LatencyObjective: 300 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 2, Threads: 1,
+			LocksTables: true},
+		{LatencyObjective: 400 * time.Millisecond, ObjectivePerWork: 3, Deadline: 3 * time.Second, PriorityWeight: 2,
+			Threads: 1, WaitsForLocks: true,
+			Idempotency: admission.IdempotentWithKey, DeduplicationScope: admission.ScopeCell,
+			DeduplicationWindow: 3 * time.Second},
+		{LatencyObjective: 600 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 2, LateWeight: 0.6,
+			Threads: 1, Ordered: true,
+			Idempotency: admission.IdempotentWithKey, DeduplicationScope: admission.ScopeAll,
+			DeduplicationWindow: 2 * time.Second},
 	}
 }
 
@@ -636,8 +663,10 @@
 		Tenants: []admission.Tenant{{Quota: 0.5, RequestsPerSecond: 60}, {Quota: 0.3, RequestsPerSecond: 25}, {Quota: 0.2}},
 
 		OverQuotaWeight: 0.2, LoadReporting: admission.InBandReports, Grants: true, Priorities: true, TellsCost: true,
-		ProgressInterval: 60 * time.Millisecond, Shortage: admission.LineUp, MostGrant: 0.5, CancellationAllowed: true, HealthChecksAllowed: true,
-		MaxAttempts: 3, MaxRetryAfter: time.Second, DeadlineSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
+		ProgressInterval: 60 * time.Millisecond, Shortage: admission.LineUp, MostGrant: 0.5, CancellationAllowed: true,
+		HealthChecksAllowed: true,
+		MaxAttempts:         3, MaxRetryAfter: time.Second,
+		DeadlineSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 		KeyCooldown: 300 * time.Millisecond,
 		SlowStart: admission.SlowStart{
 			InitialCapacity: 0.3, Duration: 5 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
@@ -687,21 +716,7 @@
 	for name, run := range recordedRuns() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			requireRecorded(t, name+".txt", play(t, run, 11)+play(t, run, 12))
+			recorded.Compare(t, name+".txt", []byte(play(t, run, 11)+play(t, run, 12)))
 		})
 	}
 }
-
-// requireRecorded holds a text to the recorded one. A file that is missing is written only where RECORD=1 asks for it.
-func requireRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
-	}
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
-}
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -14,7 +14,7 @@
 		acts := b.step(outcomeOf(snd, 0, st))
 		oneAction[Fail](t, acts)
 		if len(actionsOf[Send](acts))+len(actionsOf[Reject](acts)) > 0 {
-			t.Fatalf("%d: resent or refused: %v", st, acts)
+			t.Fatalf("%d: resent or rejected: %v", st, acts)
 		}
 	}
 }
@@ -32,7 +32,8 @@
 func TestIdempotentWithKeyStaysInScopeAndWindow(t *testing.T) {
 	for _, scope := range []Scope{ScopeAll, ScopeZone, ScopeCell} {
 		s := baseSettings()
-		s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope, s.Classes[0].DeduplicationWindow = IdempotentWithKey, scope, sec
+		s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope, s.Classes[0].DeduplicationWindow = IdempotentWithKey,
+			scope, sec
 		for seed := range 20 {
 			b := startController(t, s, newEngines(8))
 			b.controller.random = splitMix64(seed)
@@ -101,7 +102,7 @@
 		back = actionsOf[Cancel](b.advance(20 * ms))
 	}
 	if len(back) == 0 {
-		t.Fatal("nothing was taken back")
+		t.Fatal("nothing was migrated")
 	}
 	if again := oneAction[Send](t, b.step(Outcome{ID: back[0].ID, Engine: 1, Status: Cancelled})); again.Engine == 1 {
 		t.Fatal("sent to the silent engine again")
@@ -110,7 +111,8 @@
 
 func TestIdempotentWithKeyPastItsWindowIsFailed(t *testing.T) {
 	s := baseSettings()
-	s.Classes[0].Idempotency, s.Classes[0].DeduplicationWindow, s.Classes[0].LatencyObjective = IdempotentWithKey, sec, 4*sec
+	s.Classes[0].Idempotency, s.Classes[0].DeduplicationWindow, s.Classes[0].LatencyObjective = IdempotentWithKey, sec,
+		4*sec
 	b := startController(t, s, newEngines(2))
 	snd := oneAction[Send](t, b.step(newRequest("a", 0)))
 	for _, e := range b.controller.engines {
@@ -119,7 +121,8 @@
 	b.step(outcomeOf(snd, 0, Reset))
 	b.now += sec
 	b.controller.now = b.now
-	if r := b.controller.requests["a"]; b.controller.permits(b.controller.engines[0], r) || b.controller.permits(b.controller.engines[1], r) {
+	if r := b.controller.requests["a"]; b.controller.permits(b.controller.engines[0], r) ||
+		b.controller.permits(b.controller.engines[1], r) {
 		t.Fatal("may be sent again after its window")
 	}
 	if acts := b.advance(40 * ms); len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) > 0 {
@@ -127,7 +130,7 @@
 	}
 }
 
-// TestLostAnswersAreRetried: an attempt whose notes have stopped is taken back, and one reset ejects nothing.
+// TestLostAnswersAreRetried: an attempt whose progress has stopped is migrated, and one reset ejects nothing.
 func TestLostAnswersAreRetried(t *testing.T) {
 	s := baseSettings()
 	s.CancellationAllowed, s.ProgressInterval = true, 2*sec
@@ -140,7 +143,7 @@
 		b.step(Progress{ID: "a", Engine: snd.Engine, Kind: ProgressFraction, Value: 0.5 + 0.2*float64(i)})
 	}
 	if n := len(actionsOf[Cancel](b.advance(4 * sec))); n != 0 {
-		t.Fatal("taken back while notes come")
+		t.Fatal("migrated while progress comes")
 	}
 	oneAction[Cancel](t, b.advance(4*sec))
 	oneAction[Send](t, b.step(Outcome{ID: "a", Engine: snd.Engine, Status: Cancelled}))
@@ -152,7 +155,7 @@
 	}
 }
 
-// TestNoMigrationWithoutARetry: an ejected engine's attempts are withdrawn only as far as the budget lets others
+// TestNoMigrationWithoutARetry: an ejected engine's attempts are migrated only as far as the budget lets others
 // follow them.
 func TestNoMigrationWithoutARetry(t *testing.T) {
 	s := baseSettings()
@@ -171,7 +174,7 @@
 		all = append(all, actionsOf[Cancel](b.controller.actions)...)
 	}
 	if len(all) != 2 {
-		t.Fatalf("%d attempts withdrawn, two can be repeated", len(all))
+		t.Fatalf("%d attempts migrated, two can be repeated", len(all))
 	}
 	for _, x := range all {
 		r := b.controller.requests[x.ID]
--- a/admission/selection_test.go
+++ b/admission/selection_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Hundreds of gateways hear the same report: if all lean hard on it they jam the engine that it shows idle
+// Hundreds of front ends hear the same report: if all lean hard on it they jam the engine that it shows idle
 // (ie87ac9: 60 sends a second to one that read 0.2 and turned most away). The idle get more, not nearly all.
 func TestSharedReportsSoftenSelection(t *testing.T) {
 	few := baseSettings()
@@ -95,7 +95,8 @@
 	sent := map[uint32]int{}
 	for i := range 600 {
 		for _, e := range b.controller.engines {
-			e.reportedAt, e.loadReport = b.now, Report{Util: 0.2 + 0.5*float64(e.ID-1), Held: -1, Queue: -1, Memory: -1, Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Util: 0.2 + 0.5*float64(e.ID-1), Held: -1, Queue: -1, Memory: -1,
+				Disks: -1}
 		}
 		for _, s := range actionsOf[Send](b.step(newRequest(fmt.Sprint("d", i), 0))) {
 			sent[s.Engine]++
@@ -109,12 +110,13 @@
 }
 
 // An engine that answers many requests with an error is quick and looks idle: it must not draw more for it, and
-// a gateway whose own stretch it is in looks further along the ring (i326ad6).
+// a front end whose own subset it is in looks further along the ring.
 func TestErringEnginesArePickedLess(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 2 * subsetMinReplicas
 	b := startController(t, s, newEngines(12))
-	b.controller.collectCandidates(&requestState{classSettings: &b.controller.settings.Classes[0], Request: Request{Group: -1}})
+	b.controller.collectCandidates(&requestState{classSettings: &b.controller.settings.Classes[0],
+		Request: Request{Group: -1}})
 	bad, before := b.controller.candidates.engines[0].ID, len(b.controller.candidates.engines)
 	sent, late := 0, 0
 	for i := range 300 {
@@ -134,14 +136,16 @@
 		}
 		b.now += 50 * ms
 	}
-	b.controller.collectCandidates(&requestState{classSettings: &b.controller.settings.Classes[0], Request: Request{Group: -1}})
+	b.controller.collectCandidates(&requestState{classSettings: &b.controller.settings.Classes[0],
+		Request: Request{Group: -1}})
 	if sent == 0 || late*8 > sent || len(b.controller.candidates.engines) <= before {
-		t.Fatalf("%d of %d sends to an engine of errors, stretch of %d, was %d", late, sent, len(b.controller.candidates.engines), before)
+		t.Fatalf("%d of %d sends to an engine of errors, subset of %d, was %d", late, sent,
+			len(b.controller.candidates.engines), before)
 	}
 }
 
-// TestMiddleEngineIsOpenToLockingAndWaiting: with few engines, holders of a group stood in line on two of five for seconds,
-// while those that wait for them had time to spare on the other three.
+// TestMiddleEngineIsOpenToLockingAndWaiting: with few engines, holders of a group stood in line on two of five for
+// seconds, while those that wait for them had time to spare on the other three.
 func TestMiddleEngineIsOpenToLockingAndWaiting(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].WaitsForLocks, s.Classes[1].LocksTables = true, true
--- a/admission/slowplan_test.go
+++ b/admission/slowplan_test.go
@@ -4,22 +4,24 @@
 	"testing"
 )
 
-// startHeavy sends one heavy query of an expected 1 s of work a thread on a site with notes.
+// startHeavy sends one heavy request of an expected 1 s of work a thread on a site with progress.
 func startHeavy(t *testing.T, change func(*Settings)) (*harness, Send) {
+	t.Helper()
 	s := baseSettings()
 	s.CancellationAllowed, s.ProgressInterval = true, 2*sec
 	if change != nil {
 		change(&s)
 	}
 	b := startController(t, s, newEngines(4))
-	return b, oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, Group: -1, Work: 2 * sec, MemMB: 64}))
+	return b, oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, Group: -1, Work: 2 * sec,
+		MemMB: 64}))
 }
 
 func (b *harness) reportProgress(attempt int, s Send, done float64) []Action {
 	return b.step(Progress{ID: s.ID, Attempt: attempt, Engine: s.Engine, Kind: ProgressFraction, Value: done})
 }
 
-// TestSlowPlanIsMigrated: notes that foretell many times the expected time end an attempt, and another follows.
+// TestSlowPlanIsMigrated: progress that foretells many times the expected time end an attempt, and another follows.
 func TestSlowPlanIsMigrated(t *testing.T) {
 	b, snd := startHeavy(t, nil)
 	b.advance(2 * sec)
@@ -30,17 +32,17 @@
 	again := oneAction[Send](t, b.step(Outcome{ID: "a", Engine: snd.Engine, Status: Cancelled}))
 	b.advance(2 * sec)
 	if acts := b.reportProgress(1, again, 0.12); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("a query that shows as much twice is costly, not badly planned")
+		t.Fatal("a request that shows as much twice is costly, not slow")
 	}
 }
 
-// TestUsualPlansRunOn: a query that is on its way, one near its end, and one on an engine that is slow as all
+// TestUsualPlansRunOn: a request that is on its way, one near its end, and one on an engine that is slow as all
 // are, run on.
 func TestUsualPlansRunOn(t *testing.T) {
 	b, snd := startHeavy(t, nil)
 	b.advance(2 * sec)
 	if acts := b.reportProgress(0, snd, 0.6); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("a usual query was ended")
+		t.Fatal("a usual request was ended")
 	}
 	b.advance(8 * sec)
 	if acts := b.reportProgress(0, snd, 0.9); len(actionsOf[Cancel](acts)) != 0 {
@@ -59,13 +61,13 @@
 	}
 }
 
-// TestSlowPlanIsLeftWhereNoRetryMayFollow: unsafe queries, the last attempt, and sites that do not cancel.
+// TestSlowPlanIsLeftWhereNoRetryMayFollow: non-idempotent requests, the last attempt, and sites that do not cancel.
 func TestSlowPlanIsLeftWhereNoRetryMayFollow(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"unsafe":  func(s *Settings) { s.Classes[1].Idempotency = NonIdempotent },
-		"last":    func(s *Settings) { s.MaxAttempts = 1 },
-		"no word": func(s *Settings) { s.CancellationAllowed = false },
-		"budget":  func(s *Settings) { s.RetryBudget = &RetryBudget{Window: 5 * sec} },
+		"non-idempotent": func(s *Settings) { s.Classes[1].Idempotency = NonIdempotent },
+		"last":           func(s *Settings) { s.MaxAttempts = 1 },
+		"no word":        func(s *Settings) { s.CancellationAllowed = false },
+		"budget":         func(s *Settings) { s.RetryBudget = &RetryBudget{Window: 5 * sec} },
 	} {
 		b, snd := startHeavy(t, change)
 		b.advance(2 * sec)
@@ -83,7 +85,7 @@
 	oneAction[Reject](t, b.step(Outcome{ID: "a", Engine: snd.Engine, Status: Cancelled}))
 }
 
-// TestSlowPlansDoNotTeach: the cost of bad plans stays out of what a class is taken to need.
+// TestSlowPlansDoNotTeach: the cost of slow plans stays out of what a class is taken to need.
 func TestSlowPlansDoNotTeach(t *testing.T) {
 	b, snd := startHeavy(t, nil)
 	for i := range 40 {
--- a/admission/slowstart_fleet_test.go
+++ b/admission/slowstart_fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// trafficMix is what clients send on a ramp day, and the settings that make it many or few requests a window.
+// trafficMix is what clients send on a run, and the settings that make it many or few requests a window.
 type trafficMix struct {
 	name         string
 	work         [2]time.Duration // mean work of the classes, over all threads
@@ -34,17 +34,20 @@
 	{name: "two a window", work: [2]time.Duration{1200 * ms, 0}, cores: 4, fallMultiple: 2, rate: 50},
 	{name: "six a window", work: [2]time.Duration{800 * ms, 0}, cores: 8, fallMultiple: 2, rate: 130},
 	{name: "fifty a window", work: [2]time.Duration{290 * ms, 0}, cores: 12, fallMultiple: 4, rate: 520},
-	{name: "few, light and heavy", work: [2]time.Duration{200 * ms, 2500 * ms}, heavyEvery: 5, cores: 6, fallMultiple: 2, rate: 110},
-	{name: "light and heavy", work: [2]time.Duration{100 * ms, 3500 * ms}, heavyEvery: 10, cores: 12, fallMultiple: 4, rate: 340},
-	{name: "light and middling", work: [2]time.Duration{150 * ms, 900 * ms}, heavyEvery: 4, cores: 8, fallMultiple: 3, rate: 320},
+	{name: "few, light and heavy", work: [2]time.Duration{200 * ms, 2500 * ms}, heavyEvery: 5, cores: 6, fallMultiple: 2,
+		rate: 110},
+	{name: "light and heavy", work: [2]time.Duration{100 * ms, 3500 * ms}, heavyEvery: 10, cores: 12, fallMultiple: 4,
+		rate: 340},
+	{name: "light and middling", work: [2]time.Duration{150 * ms, 900 * ms}, heavyEvery: 4, cores: 8, fallMultiple: 3,
+		rate: 320},
 }
 
-// fleetFaults are what differs between ramp days beside the mix. The zero value is the plainest day.
+// fleetFaults are what differs between runs beside the mix. The zero value is the plainest run.
 type fleetFaults struct {
-	probes    bool // front ends pull reports by probes
-	tells     bool // ... and tell peers what the probes brought, so that all draw from all engines
+	probes    bool // front ends pull reports by health checks
+	tells     bool // ... and tell peers what the health checks brought, so that all draw from all engines
 	staggered bool // engines start one after another
-	returning bool // half of the cold engines were there before, went down and come back
+	returning bool // half of the warming engines were there before, went down and come back
 	lateLists bool // a third of the front ends learn of each start up to 2.5 s late
 	uneven    bool // a quarter of the front ends have four times the traffic of the others
 	errors    bool // a warm engine answers most requests with an error
@@ -65,14 +68,14 @@
 	return t
 }
 
-// observedSend is one attempt that reached a cold engine.
+// observedSend is one attempt that reached a warming engine.
 type observedSend struct {
 	at       time.Duration
 	work     float64 // seconds
 	informed bool    // its front end had been informed of the start
 }
 
-// slowStartRun is a fleet before engines of which some are cold, and what each of these got.
+// slowStartRun is a fleet before engines of which some are warming, and what each of these got.
 type slowStartRun struct {
 	*fleetHarness
 	t          *testing.T
@@ -91,16 +94,20 @@
 }
 
 const (
-	rampBegin         = 100 * sec
-	slowStartDuration = 14 * sec
-	slowStartCapacity = 0.3
-	rampLong          = 18 * sec
+	slowStartBegin     = 100 * sec
+	slowStartDuration  = 14 * sec
+	slowStartCapacity  = 0.3
+	slowStartRunLength = 18 * sec
 )
 
 func newSlowStartRun(t *testing.T, mix trafficMix, seed uint64, faults fleetFaults) *slowStartRun {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := baseSettings()
-	set.SlowStart.OverloadMultiple, set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = mix.fallMultiple, sec, slowStartDuration, slowStartCapacity
+	set.SlowStart = SlowStart{
+		Duration: slowStartDuration, InitialCapacity: slowStartCapacity,
+		OverloadMultiple: mix.fallMultiple, OverloadWindow: sec,
+	}
 	set.Classes[0].Threads, set.Classes[1].Threads = 1, 4
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective = 3 * mix.work[i] / time.Duration(set.Classes[i].Threads)
@@ -115,7 +122,8 @@
 	}
 	set.Replicas = []int{20, 25, 30}[rng.IntN(3)]
 	d := &slowStartRun{t: t, set: set, mix: mix, faults: faults, rng: rng, seed: seed, works: map[string]time.Duration{},
-		downFrom: map[uint32]time.Duration{}, informedAt: map[uint32]map[int]time.Duration{}, got: map[uint32][]observedSend{}}
+		downFrom: map[uint32]time.Duration{}, informedAt: map[uint32]map[int]time.Duration{},
+		got: map[uint32][]observedSend{}}
 	d.list = newEngines(8 + 4*rng.IntN(2))
 	d.erring = uint32(len(d.list))
 	d.fleetHarness = newFleetHarness(t, set, set.Replicas, d.warm(), 1000*seed)
@@ -135,7 +143,7 @@
 		en := &d.list[i]
 		cold := i%2 == 0
 		if cold {
-			en.Started = rampBegin + 2*sec
+			en.Started = slowStartBegin + 2*sec
 			if d.faults.staggered {
 				en.Started += time.Duration(i) * 700 * ms
 			}
@@ -165,7 +173,7 @@
 	return OK, d.works[s.ID] / time.Duration(d.ctls[ctl].requests[s.ID].classSettings.Threads)
 }
 
-// counts notes an attempt that reaches a cold engine. Each further attempt of a request counts again.
+// counts notes an attempt that reaches a warming engine. Each further attempt of a request counts again.
 func (d *slowStartRun) counts(at time.Duration, ctl int, s Send) {
 	en := d.list[s.Engine-1]
 	if d.informedAt[s.Engine] == nil || at < en.Started {
@@ -251,7 +259,8 @@
 	if d.mix.heavyEvery > 0 && d.rng.IntN(d.mix.heavyEvery) == 0 {
 		class = 1
 	}
-	r := Request{ID: fmt.Sprint("r", d.next), Class: class, Timeout: d.set.Classes[class].Deadline, Group: -1, Work: d.mix.work[class]}
+	r := Request{ID: fmt.Sprint("r", d.next), Class: class, Timeout: d.set.Classes[class].Deadline, Group: -1,
+		Work: d.mix.work[class]}
 	if d.faults.scatter {
 		r.Work = time.Duration((0.4 + 1.2*d.rng.Float64()) * float64(r.Work))
 	}
@@ -277,7 +286,7 @@
 	return len(d.weights) - 1
 }
 
-// play runs the day: the starts come 2 s after its begin, a burst from then for 8 s; front ends
+// play runs the run: the starts come 2 s after its begin, a burst from then for 8 s; front ends
 // leave and join from a second after the first start on.
 func (d *slowStartRun) play() {
 	for _, en := range d.list {
@@ -294,7 +303,7 @@
 			d.announce(5*sec+d.listLag(), ctl, gone)
 		}
 	}
-	d.until(rampBegin+2*sec, d.mix.rate)
+	d.until(slowStartBegin+2*sec, d.mix.rate)
 	burst := d.mix.rate * 3 / 2
 	if d.faults.flood {
 		burst = d.mix.rate * 3
@@ -303,9 +312,9 @@
 		if d.faults.churn {
 			d.churn(round)
 		}
-		d.until(rampBegin+time.Duration(round+3)*sec, burst)
+		d.until(slowStartBegin+time.Duration(round+3)*sec, burst)
 	}
-	d.until(rampBegin+rampLong, d.mix.rate)
+	d.until(slowStartBegin+slowStartRunLength, d.mix.rate)
 }
 
 // churn replaces two front ends. With overlap the old ones know that they end, and run on beside the new for a while.
@@ -324,7 +333,7 @@
 	}
 }
 
-// worstWindow is the fullest window of an engine or a day, and what it came to in all.
+// worstWindow is the fullest window of an engine or a run, and what it came to in all.
 type worstWindow struct {
 	of            float64 // the most that a window held, as a part of N + 2 x root of N + 2
 	count         float64 // ... that window in requests of mean work
@@ -336,11 +345,11 @@
 	plainOf       float64       // the most requests, counted plainly, that a window held, as a part of the same bound
 	overOf        float64       // the most that a window held, as a part of N alone
 	falls         int           // engines that fall by the rule
-	sends         int           // to cold engines
+	sends         int           // to warming engines
 	work, allowed float64       // of these, and of all windows in all, in seconds
 }
 
-// fuller joins what two engines or days came to.
+// fuller joins what two engines or runs came to.
 func (w worstWindow) fuller(o worstWindow) worstWindow {
 	falls, sends := w.falls+o.falls, w.sends+o.sends
 	overOf, plainOf := max(w.overOf, o.overOf), max(w.plainOf, o.plainOf)
@@ -358,20 +367,22 @@
 // fullest looks at each window of an engine that begins at a send, up to the engine's being warm; N is that of the
 // window's begin, the least in it.
 func fullest(set Settings, en Engine, mean float64, sends []observedSend) (w worstWindow) {
-	perWindow := set.SlowStart.OverloadMultiple * float64(set.Kinds[en.Kind].Cores) * set.SlowStart.OverloadWindow.Seconds() / mean
-	warm := en.Started + set.SlowStart.Duration
-	w.allowed = perWindow * mean * (1 + set.SlowStart.InitialCapacity) / 2 * set.SlowStart.Duration.Seconds() / set.SlowStart.OverloadWindow.Seconds()
+	start := set.SlowStart
+	perWindow := start.OverloadMultiple * float64(set.Kinds[en.Kind].Cores) * start.OverloadWindow.Seconds() / mean
+	warm := en.Started + start.Duration
+	windows := start.Duration.Seconds() / start.OverloadWindow.Seconds()
+	w.allowed = perWindow * mean * (1 + start.InitialCapacity) / 2 * windows
 	for i, first := range sends {
 		if first.at >= warm {
 			break
 		}
 		w.sends, w.work = w.sends+1, w.work+first.work
 		age := first.at - en.Started
-		n := perWindow * (set.SlowStart.InitialCapacity + (1-set.SlowStart.InitialCapacity)*age.Seconds()/set.SlowStart.Duration.Seconds())
+		n := perWindow * (start.InitialCapacity + (1-start.InitialCapacity)*age.Seconds()/start.Duration.Seconds())
 		most := n + 2*math.Sqrt(n) + 2
 		count, informed, plain := 0.0, 0.0, 0
 		for _, s := range sends[i:] {
-			if s.at >= min(first.at+set.SlowStart.OverloadWindow, warm) {
+			if s.at >= min(first.at+start.OverloadWindow, warm) {
 				break
 			}
 			count, plain = count+s.work/mean, plain+1
@@ -387,7 +398,8 @@
 		}
 		w.overOf, w.plainOf = max(w.overOf, count/n), max(w.plainOf, float64(plain)/most)
 		if count/most > w.of {
-			w.of, w.count, w.budget, w.plain, w.informed, w.engine, w.age = count/most, count, n, plain, informed/count, en.ID, age
+			w.of, w.count, w.budget, w.plain, w.informed, w.engine, w.age = count/most, count, n, plain, informed/count, en.ID,
+				age
 		}
 	}
 	return w
@@ -400,8 +412,9 @@
 	return w
 }
 
-// slowStartSeeds is how many days are played for each mix: RAMP_SEEDS, or few.
+// slowStartSeeds is how many runs are played for each mix: RAMP_SEEDS, or few.
 func slowStartSeeds(t *testing.T) uint64 {
+	t.Helper()
 	text := os.Getenv("RAMP_SEEDS")
 	switch {
 	case text == "" && raceDetector:
@@ -416,7 +429,7 @@
 	return n
 }
 
-// Cold engines fall under the sum of what all front ends send. No window of a cold engine may hold more than
+// Warming engines fall under the sum of what all front ends send. No window of a warming engine may hold more than
 // N + 2 x root of N + 2 requests of mean work from front ends that know of its start, N being what the settings allow
 // it in that time, whoever joins, leaves, learns late or has more traffic than the others.
 func TestSlowStartBudgetHoldsForTheFleet(t *testing.T) {
@@ -427,29 +440,30 @@
 			overOf, plainOf, used, fallen := 0.0, 0.0, 0.0, 0
 			seeds := slowStartSeeds(t)
 			for seed := range seeds {
-				troubles := drawFaults(rand.New(rand.NewPCG(seed, 3)))
-				d := newSlowStartRun(t, mix, seed, troubles)
+				faults := drawFaults(rand.New(rand.NewPCG(seed, 3)))
+				d := newSlowStartRun(t, mix, seed, faults)
 				d.play()
 				w := d.judge()
 				if w.sends == 0 {
-					t.Errorf("seed %d: no send reached a cold engine", seed)
+					t.Errorf("seed %d: no send reached a warming engine", seed)
 				}
 				if w.falls > 0 {
 					fallen++
-					t.Errorf("seed %d, %d front ends: %d engines fall; %+v; %+v", seed, d.set.Replicas, w.falls, w, troubles)
+					t.Errorf("seed %d, %d front ends: %d engines fall; %+v; %+v", seed, d.set.Replicas, w.falls, w, faults)
 				}
 				if w.of > worst.of {
 					worst, worstSeed = w, seed
 				}
 				overOf, plainOf, used = max(overOf, w.overOf), max(plainOf, w.plainOf), used+w.used()
 			}
-			t.Logf("%d days, %d with a fall; worst of seed %d: %.1f of N %.1f, bound share %.2f (plain count %.2f); most over N alone %.2f; used %.2f",
+			t.Logf("%d runs, %d with an overload; worst of seed %d: %.1f of N %.1f, part of the bound %.2f (plain count %.2f);"+
+				" most over N alone %.2f; used %.2f",
 				seeds, fallen, worstSeed, worst.count, worst.budget, worst.of, plainOf, overOf, used/float64(seeds))
 		})
 	}
 }
 
-// A test of the ramp that front ends without a budget for cold engines would pass tells nothing.
+// A test of slow start that front ends without a budget for warming engines would pass tells nothing.
 func TestSlowStartRunDetectsFrontEndsWithoutABudget(t *testing.T) {
 	for _, mix := range trafficMixes[4:5] {
 		d := newSlowStartRun(t, mix, 6, fleetFaults{flood: true})
--- a/admission/slowstart_greedy_test.go
+++ b/admission/slowstart_greedy_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// greedyFleet is front ends that send a cold engine all that its budget lets through, from queues that never run dry:
-// the most that the sum of the parts can come to, whatever the traffic.
+// greedyFleet is front ends that send a warming engine all that its budget lets through, from queues that never run
+// dry: the most that the sum of the parts can come to, whatever the traffic.
 type greedyFleet struct {
 	set   Settings
 	ctls  []*greedyController
@@ -40,11 +40,14 @@
 
 // newGreedyFleet draws the list, the settings and the mix from the seed.
 func newGreedyFleet(t *testing.T, seed uint64, faults greedyFaults) *greedyFleet {
+	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 11))
 	set := baseSettings()
 	set.Replicas = 20 + r.IntN(11)
-	set.SlowStart.OverloadWindow, set.SlowStart.Duration, set.SlowStart.InitialCapacity = sec, slowStartDuration, slowStartCapacity
-	set.SlowStart.OverloadMultiple = float64(2 + r.IntN(3))
+	set.SlowStart = SlowStart{
+		Duration: slowStartDuration, InitialCapacity: slowStartCapacity,
+		OverloadMultiple: float64(2 + r.IntN(3)), OverloadWindow: sec,
+	}
 	cores := 4 + 4*r.IntN(3)
 	set.Kinds = []Kind{{Cores: cores, MemoryMB: 24576}, {Cores: cores * (1 + 2*r.IntN(2)), MemoryMB: 24576}}
 	f := &greedyFleet{set: set, seed: seed, rng: r, list: newEngines(4 + r.IntN(27)), got: map[uint32][]observedSend{}}
@@ -59,20 +62,21 @@
 	for i := range f.list {
 		f.list[i].ID = r.Uint32()
 		if r.IntN(3) > 0 {
-			f.list[i].Started = rampBegin
+			f.list[i].Started = slowStartBegin
 			if faults.staggered {
 				f.list[i].Started += time.Duration(r.IntN(4000)) * ms
 			}
 		}
 	}
 	for me := range set.Replicas {
-		f.join(t, me, rampBegin-2*sec, faults)
+		f.join(t, me, slowStartBegin-2*sec, faults)
 	}
 	return f
 }
 
 // join starts a front end that knows the classes, and of the engines what the list says.
 func (f *greedyFleet) join(t *testing.T, me int, at time.Duration, faults greedyFaults) {
+	t.Helper()
 	one := f.set
 	one.Me = me
 	c, err := New(one, f.seed*1000+uint64(len(f.ctls)))
@@ -139,8 +143,10 @@
 	}
 }
 
-// restart replaces two front ends, or all, by fresh ones. With overlap the old ones are told that they end, and do so 3 s later.
+// restart replaces two front ends, or all, by fresh ones. With overlap the old ones are told that they end, and do so 3
+// s later.
 func (f *greedyFleet) restart(t *testing.T, at time.Duration, round int, faults greedyFaults) {
+	t.Helper()
 	replaced := []int{2 * round % f.set.Replicas, (2*round + 1) % f.set.Replicas}
 	if faults.allAnew {
 		replaced = f.rng.Perm(f.set.Replicas)
@@ -157,8 +163,9 @@
 
 // play lets all send for the whole ramp of all engines.
 func (f *greedyFleet) play(t *testing.T, faults greedyFaults) {
-	for at := rampBegin; at < rampBegin+slowStartDuration+4*sec; at += housekeepingInterval {
-		age := at - rampBegin
+	t.Helper()
+	for at := slowStartBegin; at < slowStartBegin+slowStartDuration+4*sec; at += housekeepingInterval {
+		age := at - slowStartBegin
 		if (faults.restarts && age%sec == 0 && age < 8*sec) || (faults.allAnew && age == 2*sec) {
 			f.restart(t, at, int(age/sec), faults)
 		}
@@ -166,7 +173,7 @@
 	}
 }
 
-// judge is the fullest window, as for a ramp day.
+// judge is the fullest window, as for a run.
 func (f *greedyFleet) judge() (w worstWindow) {
 	for _, en := range f.list {
 		w = w.fuller(fullest(f.set, en, f.mean, f.got[en.ID]))
@@ -176,7 +183,7 @@
 
 // However the queues are filled, what the budgets of all front ends let through stays within what the engine bears.
 func TestSlowStartBudgetHoldsForGreedyFrontEnds(t *testing.T) {
-	for name, troubles := range map[string]greedyFaults{
+	for name, faults := range map[string]greedyFaults{
 		"all at once":       {},
 		"staggered":         {staggered: true},
 		"late lists":        {staggered: true, lateLists: true},
@@ -190,8 +197,8 @@
 			var worst worstWindow
 			falls := 0
 			for seed := range slowStartSeeds(t) {
-				f := newGreedyFleet(t, seed, troubles)
-				f.play(t, troubles)
+				f := newGreedyFleet(t, seed, faults)
+				f.play(t, faults)
 				w := f.judge()
 				if w.falls > 0 {
 					falls++
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strconv"
 	"testing"
 	"time"
 )
@@ -26,45 +27,62 @@
 	}
 }
 
-// TestSlowStartBudgetOfManyFrontEnds: the parts of a cold engine's budget fall under one query, and all gateways
-// together must neither pass it nor leave the engine idle.
+// TestSlowStartBudgetOfManyFrontEnds: the parts of a warming engine's budget are less than one request, and all front
+// ends together must neither exceed it nor leave the engine idle.
 func TestSlowStartBudgetOfManyFrontEnds(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
-		s := baseSettings()
-		s.Replicas, s.SlowStart.InitialCapacity = n, 0.3
-		list := newEngines(9)
-		list[4].Started = 99 * sec
-		var at []time.Duration
-		gws := newFrontEnds(t, s, list)
-		for i := range 1500 { // each gateway gets some 5 queries a second for 5 s, or one gateway all
-			for g, b := range gws {
-				if b.now = 100*sec + time.Duration(i)*10*sec/3*ms/sec; (i+g)%max(n/5, 1) != 0 {
-					continue
-				}
-				r := newRequest(fmt.Sprint(g, "-", i), 0)
-				for _, snd := range actionsOf[Send](b.step(r)) {
-					if snd.Engine == 5 {
-						at = append(at, b.now)
-					}
-					b.step(outcomeOf(snd, 0, OK))
+		t.Run(strconv.Itoa(n), func(t *testing.T) {
+			s := baseSettings()
+			s.Replicas, s.SlowStart.InitialCapacity = n, 0.3
+			list := newEngines(9)
+			list[4].Started = 99 * sec
+			frontEnds := newFrontEnds(t, s, list)
+			sends := sendsTo(frontEnds, 5)
+			most := mostInWindow(sends, s.SlowStart.OverloadWindow)
+			work := float64(most) * frontEnds[0].controller.estimates[0].work
+			if whole := 3 * 0.3 * 8 * 2.0; work > whole || len(sends) == 0 {
+				t.Fatalf("%d sends, %.2f s of work in a window of at most %.2f", len(sends), work, whole)
+			}
+		})
+	}
+}
+
+// sendsTo gives each front end some 5 requests a second for 5 s, or a single one all, and returns when one was sent to
+// the engine.
+func sendsTo(frontEnds []*harness, engine uint32) (sends []time.Duration) {
+	for i := range 1500 {
+		for k, b := range frontEnds {
+			b.now = 100*sec + time.Duration(i)*10*sec/3*ms/sec
+			if (i+k)%max(len(frontEnds)/5, 1) != 0 {
+				continue
+			}
+			for _, send := range actionsOf[Send](b.step(newRequest(fmt.Sprint(k, "-", i), 0))) {
+				if send.Engine == engine {
+					sends = append(sends, b.now)
 				}
+				b.step(outcomeOf(send, 0, OK))
 			}
 		}
-		most := 0
-		for i := range at {
-			k := 0
-			for k = i; k < len(at) && at[k] < at[i]+s.SlowStart.OverloadWindow; k++ {
+	}
+	return sends
+}
+
+// mostInWindow is the largest number of sends in a window of that length.
+func mostInWindow(sends []time.Duration, window time.Duration) (most int) {
+	for i, first := range sends {
+		count := 0
+		for _, at := range sends[i:] {
+			if at >= first+window {
+				break
 			}
-			most = max(most, k-i)
-		}
-		work := float64(most) * gws[0].controller.estimates[0].work
-		if whole := 3 * 0.3 * 8 * 2.0; work > whole || len(at) == 0 {
-			t.Fatalf("%d gateways: %d sends, %.2f s of work in a window of at most %.2f", n, len(at), work, whole)
+			count++
 		}
+		most = max(most, count)
 	}
+	return most
 }
 
-// TestWarmingEnginesAreLeftToTheirSubsets: the parts of a cold budget are those of the gateways whose stretch
+// TestWarmingEnginesAreLeftToTheirSubsets: the parts of a slow start budget are those of the front ends whose subset
 // begins near the engine. Others that come to it past ejected engines, and those just restarted, leave it be.
 func TestWarmingEnginesAreLeftToTheirSubsets(t *testing.T) {
 	s := baseSettings()
@@ -97,9 +115,9 @@
 	}
 	all, some := open(0, 2*sec, 10*s.SlowStart.OverloadWindow), open(6, 2*sec, 10*s.SlowStart.OverloadWindow)
 	if all == 0 || some != all {
-		t.Fatalf("%d gateways may draw the cold engine, %d when others are ejected", all, some)
+		t.Fatalf("%d front ends may draw the warming engine, %d when others are ejected", all, some)
 	}
 	if n := open(0, 0, s.SlowStart.OverloadWindow-housekeepingInterval); n != 0 {
-		t.Fatalf("%d gateways draw a cold engine within a window of their own start", n)
+		t.Fatalf("%d front ends draw a warming engine within a window of their own start", n)
 	}
 }
--- a/admission/storm_test.go
+++ b/admission/storm_test.go
@@ -6,123 +6,177 @@
 	"time"
 )
 
-// tally is what the checks of a storm know of one request.
-type tally struct {
+// stormRequest is what the checks of a storm know of one request.
+type stormRequest struct {
 	Request
-	due, firstDoubt time.Duration
-	open            bool // an attempt is out
+	deadline        time.Duration
+	inFlight        bool // an attempt is
 	engine          uint32
 	attempt         int
-	answered, doubt bool
-	doubtOn         Engine
+	answered        bool
+	mayHaveRun      bool
+	mayHaveRunSince time.Duration
+	mayHaveRunOn    Engine
 }
 
-// storm plays random events against a controller and checks the rules on each action.
-func storm(t *testing.T, seed uint64) (all []Action, sent int) {
+// storm plays random events against a controller and checks the invariants on each action.
+type storm struct {
+	*testing.T
+	*harness
+	seed     uint64
+	settings Settings
+	random   splitMix64
+	drained  map[uint32]time.Duration // engines, by when their drain was told
+	requests map[string]*stormRequest
+	order    []*stormRequest
+	arrivals []time.Duration
+	retries  []time.Duration
+	actions  []Action
+	sends    int
+}
+
+// playStorm returns all actions of a storm and the number of its sends.
+func playStorm(t *testing.T, seed uint64) ([]Action, int) {
 	t.Helper()
 	s := baseSettings()
 	s.Classes = append(s.Classes,
-		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: sec, Threads: 1},
-		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Idempotency: NonIdempotent, OnlyZones: []int{1}, Threads: 1, LocksTables: true})
+		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Threads: 1,
+			Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: sec},
+		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Threads: 1,
+			Idempotency: NonIdempotent, OnlyZones: []int{1}, LocksTables: true})
 	s.CancellationAllowed, s.Grants, s.Priorities = true, true, true
 	s.RetryBudget = &RetryBudget{MinRetries: 5, Ratio: 0.2, Window: 5 * sec}
-	dice := splitMix64(seed)
-	b := startController(t, s, newEngines(6))
-	told := map[uint32]time.Duration{}
-	reqs := map[string]*tally{}
-	var order []*tally
-	var taken, extra []time.Duration
-	check := func(acts []Action) {
-		all = append(all, acts...)
-		for _, a := range acts {
-			switch a := a.(type) {
-			case Send:
-				q := reqs[a.ID]
-				sent++
-				e := b.controller.enginesByID[a.Engine].Engine
-				cl := s.Classes[q.Class]
-				switch {
-				case q.answered:
-					t.Fatalf("seed %d: %s sent after its answer", seed, a.ID)
-				case q.open:
-					t.Fatalf("seed %d: %s has two attempts out", seed, a.ID)
-				case told[a.Engine] > 0 && b.now > told[a.Engine]+s.DrainGrace:
-					t.Fatalf("seed %d: %s sent to a drained engine", seed, a.ID)
-				case len(cl.OnlyZones) > 0 && e.Zone != 1:
-					t.Fatalf("seed %d: %s misplaced", seed, a.ID)
-				case q.doubt && cl.Idempotency == NonIdempotent:
-					t.Fatalf("seed %d: unsafe %s resent in doubt", seed, a.ID)
-				case q.doubt && cl.Idempotency == IdempotentWithKey && (e.Cell != q.doubtOn.Cell || b.now >= q.firstDoubt+cl.DeduplicationWindow):
-					t.Fatalf("seed %d: keyed %s resent out of its group or window", seed, a.ID)
-				}
-				if q.attempt++; q.attempt > 0 {
-					extra = append(extra, b.now)
-					if n, m := since(extra, b.now-5*sec), since(taken, b.now-5*sec); float64(n) > 5+0.2*float64(m) {
-						t.Fatalf("seed %d: %d further attempts for %d taken", seed, n, m)
-					}
-				}
-				q.open, q.engine = true, a.Engine
-			case Reject:
-				q := reqs[a.ID]
-				if e := s.Classes[q.Class].Idempotency; q.answered || (e != Idempotent && (q.doubt || q.open)) {
-					t.Fatalf("seed %d: %s refused wrongly", seed, a.ID)
-				}
-				q.answered = true
-			case Fail:
-				if reqs[a.ID].answered {
-					t.Fatalf("seed %d: %s answered twice", seed, a.ID)
-				}
-				reqs[a.ID].answered = true
-			}
-		}
+	w := &storm{
+		T: t, harness: startController(t, s, newEngines(6)), seed: seed, settings: s, random: splitMix64(seed),
+		drained: map[uint32]time.Duration{}, requests: map[string]*stormRequest{},
 	}
 	for i := range 1500 {
-		b.now += 10 * ms
-		var evs []Event
+		w.now += 10 * ms
+		var events []Event
 		if i < 1200 {
-			q := &tally{Request: newRequest(fmt.Sprint("s", i), int(dice.float64()*4)), attempt: -1}
-			q.Timeout, q.Tenant, q.Group = 3*sec, int(dice.float64()*2), int(dice.float64()*4)
-			q.due = b.now + q.Timeout
-			reqs[q.ID] = q
-			order = append(order, q)
-			taken = append(taken, b.now)
-			evs = append(evs, q.Request)
+			events = append(events, w.arrive(i))
 		}
 		if i%100 == 50 {
-			en := newEngines(6)[int(dice.float64()*6)]
-			if en.State = Draining; told[en.ID] > 0 {
-				en.State, en.Started = Ready, b.now
-				delete(told, en.ID)
-			} else {
-				told[en.ID] = b.now
-			}
-			evs = append(evs, EndpointsChanged{Kind: Partial, Engines: []Engine{en}})
+			events = append(events, w.drainOrReturn())
 		}
-		for _, q := range order {
-			if !q.open || (dice.float64() > 0.08 && b.now < q.due) {
-				continue
-			}
-			st := []Status{OK, OK, OK, OK, Errored, Overloaded, TimedOut, ConnectFailed, Reset}[int(dice.float64()*9)]
-			if b.now >= q.due {
-				st = TimedOut
-			}
-			q.open = false
-			if st == OK {
-				q.answered = true
-			} else if !st.NeverRan() && !q.doubt {
-				q.doubt, q.doubtOn = true, b.controller.enginesByID[q.engine].Engine
-				q.firstDoubt = b.controller.requests[q.ID].attempts[q.attempt].sentAt
-			}
-			evs = append(evs, outcomeOf(Send{ID: q.ID, Engine: q.engine}, q.attempt, st))
+		events = append(events, w.endAttempts()...)
+		w.check(w.step(append(events, Timer{Token: uint64(w.controller.housekeepingAt)})...))
+		w.checkAnswered()
+	}
+	return w.actions, w.sends
+}
+
+func (w *storm) arrive(i int) Event {
+	r := &stormRequest{Request: newRequest(fmt.Sprint("s", i), int(w.random.float64()*4)), attempt: -1}
+	r.Timeout, r.Tenant, r.Group = 3*sec, int(w.random.float64()*2), int(w.random.float64()*4)
+	r.deadline = w.now + r.Timeout
+	w.requests[r.ID] = r
+	w.order = append(w.order, r)
+	w.arrivals = append(w.arrivals, w.now)
+	return r.Request
+}
+
+// drainOrReturn drains an engine, or brings it back if it is drained.
+func (w *storm) drainOrReturn() Event {
+	engine := newEngines(6)[int(w.random.float64()*6)]
+	if engine.State = Draining; w.drained[engine.ID] > 0 {
+		engine.State, engine.Started = Ready, w.now
+		delete(w.drained, engine.ID)
+	} else {
+		w.drained[engine.ID] = w.now
+	}
+	return EndpointsChanged{Kind: Partial, Engines: []Engine{engine}}
+}
+
+// endAttempts ends some of the attempts in flight, and all whose time is over.
+func (w *storm) endAttempts() (events []Event) {
+	statuses := []Status{OK, OK, OK, OK, Errored, Overloaded, TimedOut, ConnectFailed, Reset}
+	for _, r := range w.order {
+		if !r.inFlight || (w.random.float64() > 0.08 && w.now < r.deadline) {
+			continue
+		}
+		status := statuses[int(w.random.float64()*9)]
+		if w.now >= r.deadline {
+			status = TimedOut
 		}
-		check(b.step(append(evs, Timer{Token: uint64(b.controller.housekeepingAt)})...))
-		for _, q := range order {
-			if !q.answered && b.now > q.due+s.DeadlineSlack {
-				t.Fatalf("seed %d: %s has no answer in time %+v", seed, q.ID, b.controller.requests[q.ID])
+		r.inFlight = false
+		if status == OK {
+			r.answered = true
+		} else if !status.NeverRan() && !r.mayHaveRun {
+			r.mayHaveRun, r.mayHaveRunOn = true, w.controller.enginesByID[r.engine].Engine
+			r.mayHaveRunSince = w.controller.requests[r.ID].attempts[r.attempt].sentAt
+		}
+		events = append(events, outcomeOf(Send{ID: r.ID, Engine: r.engine}, r.attempt, status))
+	}
+	return events
+}
+
+func (w *storm) check(actions []Action) {
+	w.Helper()
+	w.actions = append(w.actions, actions...)
+	for _, action := range actions {
+		switch a := action.(type) {
+		case Send:
+			w.checkSend(a)
+		case Reject:
+			w.checkReject(a)
+		case Fail:
+			if w.requests[a.ID].answered {
+				w.Fatalf("seed %d: %s answered twice", w.seed, a.ID)
 			}
+			w.requests[a.ID].answered = true
+		}
+	}
+}
+
+func (w *storm) checkSend(a Send) {
+	w.Helper()
+	r := w.requests[a.ID]
+	w.sends++
+	engine := w.controller.enginesByID[a.Engine].Engine
+	class := w.settings.Classes[r.Class]
+	switch {
+	case r.answered:
+		w.Fatalf("seed %d: %s sent after its answer", w.seed, a.ID)
+	case r.inFlight:
+		w.Fatalf("seed %d: %s has two attempts in flight", w.seed, a.ID)
+	case w.drained[a.Engine] > 0 && w.now > w.drained[a.Engine]+w.settings.DrainGrace:
+		w.Fatalf("seed %d: %s sent to a drained engine", w.seed, a.ID)
+	case len(class.OnlyZones) > 0 && engine.Zone != 1:
+		w.Fatalf("seed %d: %s misplaced", w.seed, a.ID)
+	case r.mayHaveRun && class.Idempotency == NonIdempotent:
+		w.Fatalf("seed %d: non-idempotent %s may have run and is sent again", w.seed, a.ID)
+	case r.mayHaveRun && class.Idempotency == IdempotentWithKey &&
+		(engine.Cell != r.mayHaveRunOn.Cell || w.now >= r.mayHaveRunSince+class.DeduplicationWindow):
+		w.Fatalf("seed %d: %s is sent again out of its scope or window", w.seed, a.ID)
+	}
+	if r.attempt++; r.attempt > 0 {
+		w.retries = append(w.retries, w.now)
+		retries, arrivals := since(w.retries, w.now-5*sec), since(w.arrivals, w.now-5*sec)
+		if float64(retries) > 5+0.2*float64(arrivals) {
+			w.Fatalf("seed %d: %d retries for %d arrivals", w.seed, retries, arrivals)
+		}
+	}
+	r.inFlight, r.engine = true, a.Engine
+}
+
+func (w *storm) checkReject(a Reject) {
+	w.Helper()
+	r := w.requests[a.ID]
+	idempotency := w.settings.Classes[r.Class].Idempotency
+	if r.answered || (idempotency != Idempotent && (r.mayHaveRun || r.inFlight)) {
+		w.Fatalf("seed %d: %s rejected wrongly", w.seed, a.ID)
+	}
+	r.answered = true
+}
+
+func (w *storm) checkAnswered() {
+	w.Helper()
+	for _, r := range w.order {
+		if !r.answered && w.now > r.deadline+w.settings.DeadlineSlack {
+			w.Fatalf("seed %d: %s has no answer in time %+v", w.seed, r.ID, w.controller.requests[r.ID])
 		}
 	}
-	return all, sent
 }
 
 func since(times []time.Duration, from time.Duration) (n int) {
--- a/admission/subset_test.go
+++ b/admission/subset_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestSubsetsShareTheFleet: gateways that hear too little to know all engines draw from a few each, and
+// TestSubsetsShareTheFleet: front ends that hear too little to know all engines draw from a few each, and
 // every engine is drawn from by about as many.
 func TestSubsetsShareTheFleet(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 300
-	s.Tenants = nil // no allowance: all gateways count as equal
+	s.Tenants = nil // no allowance: all front ends count as equal
 	from := map[uint32]int{}
 	for g, b := range newFrontEnds(t, s, newEngines(60)) {
 		used := map[uint32]bool{}
@@ -21,7 +21,7 @@
 			}
 		}
 		if len(used) > subsetEngines+1 {
-			t.Fatalf("gateway %d sent to %d engines", g, len(used))
+			t.Fatalf("front end %d sent to %d engines", g, len(used))
 		}
 		for id := range used {
 			from[id]++
@@ -29,7 +29,7 @@
 	}
 	for id, n := range from {
 		if part := subsetEngines * 300 / 60; n < part*2/3 || n > part*5/3+1 {
-			t.Fatalf("engine %d is drawn from by %d gateways of 300, %d are its part", id, n, part)
+			t.Fatalf("engine %d is drawn from by %d front ends of 300, %d are its part", id, n, part)
 		}
 	}
 	if len(from) != 60 {
