--- a/decision/discovery/property_test.go
+++ b/decision/discovery/property_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
 	"testing"
 	"time"
@@ -9,144 +10,178 @@
 	"pgregory.net/rapid"
 )
 
-// world draws observations that may be wrong in any way, and remembers what the invariants speak of.
+// world draws observations that may be wrong in any way, and remembers what the invariants are about.
 type world struct {
-	set    *EndpointSet
-	bounds Settings
-	now    time.Duration
-	drains map[string]uint64 // the latest index that told the drain
+	set      *EndpointSet
+	settings Settings
+	now      time.Duration
+	ready    map[string]bool   // by key, as the updates have it
+	drains   map[string]uint64 // by key, the latest index that reported the drain
 }
 
-func entries(max int) *rapid.Generator[[]Endpoint] {
+func newWorld(t *rapid.T) *world {
+	w := &world{settings: Defaults(), now: time.Hour, ready: map[string]bool{}, drains: map[string]uint64{}}
+	var err error
+	w.set, err = New(w.settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return w
+}
+
+// apply takes over an update.
+func (w *world) apply(update Update) {
+	for _, change := range update.Changes {
+		w.ready[change.Key] = change.State == Ready
+	}
+}
+
+func propertyEndpoint(i, host int) Endpoint {
+	return Endpoint{Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", host+1), CreateIndex: 1, Passing: true}
+}
+
+// drawList draws a list of at most that many endpoints, some of them twice or at another's address.
+func drawList(maxLength int) *rapid.Generator[[]Endpoint] {
 	return rapid.Custom(func(t *rapid.T) []Endpoint {
-		n := rapid.IntRange(0, max).Draw(t, "entries")
 		var list []Endpoint
-		for range n {
-			i := rapid.IntRange(0, 9).Draw(t, "engine")
+		for range rapid.IntRange(0, maxLength).Draw(t, "length") {
+			i := rapid.IntRange(0, 9).Draw(t, "endpoint")
 			host := i
 			if rapid.IntRange(0, 19).Draw(t, "moved") == 0 {
 				host = rapid.IntRange(0, 9).Draw(t, "host")
 			}
-			list = append(list, Endpoint{
-				Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", host+1), Weight: 1,
-				CreateIndex: rapid.Uint64Range(1, 3).Draw(t, "created"),
-				Drain:       rapid.IntRange(0, 9).Draw(t, "drain") == 0, Passing: rapid.IntRange(0, 2).Draw(t, "passing") > 0,
-			})
+			e := propertyEndpoint(i, host)
+			e.Weight = 1
+			e.CreateIndex = rapid.Uint64Range(1, 3).Draw(t, "create index")
+			e.Drain = rapid.IntRange(0, 9).Draw(t, "drain") == 0
+			e.Passing = rapid.IntRange(0, 2).Draw(t, "passing") > 0
+			list = append(list, e)
 		}
 		return list
 	})
 }
 
+func drawObservation(t *rapid.T, full []Endpoint) Observation {
+	o := Observation{
+		Index:       rapid.Uint64Range(95, 110).Draw(t, "index"),
+		HasLeader:   rapid.IntRange(0, 4).Draw(t, "leader") > 0,
+		LastContact: time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "last contact")),
+		Endpoints:   drawList(14).Draw(t, "list"),
+	}
+	if rapid.Bool().Draw(t, "complete") {
+		o.Endpoints = append(o.Endpoints, full...)
+	}
+	return o
+}
+
 // TestInvariants numbers what it checks as doc.go does.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{bounds: Defaults(), now: time.Hour, drains: map[string]uint64{}}
-		var err error
-		if w.set, err = New(w.bounds); err != nil {
-			t.Fatal(err)
-		}
-		ready := map[string]bool{}
-		take := func(a Update) {
-			for _, c := range a.Changes {
-				ready[c.Key] = c.State == Ready
-			}
-		}
+		w := newWorld(t)
 		full := make([]Endpoint, 0, 8)
 		for i := range 8 {
-			full = append(full, Endpoint{Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), CreateIndex: 1, Passing: true})
+			full = append(full, propertyEndpoint(i, i))
 		}
-		take(w.set.Observe(w.now, Observation{Index: 100, HasLeader: true, Endpoints: full}))
-		steps := rapid.IntRange(1, 60).Draw(t, "steps")
-		for range steps {
+		w.apply(w.set.Observe(w.now, Observation{Index: 100, HasLeader: true, Endpoints: full}))
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.now += time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "passes"))
-			take(w.set.Advance(w.now)) // what time alone changes is no word's doing
-			w.check(t, ready)
-			if rapid.IntRange(0, 4).Draw(t, "idle") == 0 {
-				continue
-			}
-			o := Observation{
-				Index: rapid.Uint64Range(95, 110).Draw(t, "index"), HasLeader: rapid.IntRange(0, 4).Draw(t, "leader") > 0,
-				LastContact: time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "lag")), Endpoints: entries(14).Draw(t, "list"),
-			}
-			if rapid.Bool().Draw(t, "whole") {
-				o.Endpoints = append(o.Endpoints, full...)
-			}
-			before, held, index := map[string]bool{}, map[string]bool{}, w.set.Index()
-			for k, v := range ready {
-				before[k] = v
-			}
-			for k, m := range w.set.endpoints {
-				held[k] = m.drain
-			}
-			take(w.set.Observe(w.now, o))
-			if w.set.Index() < index {
-				clear(w.drains) // a new epoch
-			}
-			trusted := o.HasLeader && o.LastContact <= w.bounds.MaxStaleness && w.set.Index() == o.Index
-			told := map[string]bool{}
-			for _, e := range o.Endpoints {
-				if _, known := held[e.Key]; known && e.Drain {
-					told[e.Key] = true
-					w.drains[e.Key] = max(w.drains[e.Key], o.Index)
-					if ready[e.Key] {
-						t.Fatalf("1: %s is ready though it was told to drain", e.Key)
-					}
-				}
-			}
-			for k, m := range w.set.endpoints {
-				was, known := held[k]
-				if !trusted && !known {
-					t.Fatalf("6: %s was added by a word that is not trusted", k)
-				}
-				if was && !m.drain {
-					if !trusted || o.Index <= w.drains[k] || told[k] {
-						t.Fatalf("2: the drain of %s, told at %d, was lifted at %d, trusted %v", k, w.drains[k], o.Index, trusted)
-					}
-					delete(w.drains, k)
-				}
-			}
-			if len(o.Endpoints) == 0 {
-				for k, was := range before {
-					if was && !ready[k] {
-						t.Fatalf("4: an empty list took %s out", k)
-					}
-				}
+			w.apply(w.set.Advance(w.now)) // what time alone changes is not due to the observation
+			w.checkState(t)
+			if rapid.IntRange(0, 4).Draw(t, "idle") > 0 {
+				w.observe(t, drawObservation(t, full))
+				w.checkState(t)
 			}
-			w.check(t, ready)
 		}
 	})
 }
 
-func (w *world) check(t *rapid.T, ready map[string]bool) {
-	counting, out := 0, 0
-	addrs, numbers := map[string]string{}, map[uint32]string{}
-	for _, b := range w.set.Current() {
-		if ready[b.Key] != (b.State == Ready) {
-			t.Fatalf("%s is %v, and the answers say ready %v", b.Key, b.State, ready[b.Key])
-		}
-		if other, ok := numbers[b.ID]; ok || b.ID != EndpointID(b.Key) {
-			t.Fatalf("10: %s and %s share number %d", b.Key, other, b.ID)
-		}
-		numbers[b.ID] = b.Key
-		switch b.Reason {
+// observe hands an observation to the set and checks what it has changed.
+func (w *world) observe(t *rapid.T, observation Observation) {
+	readyBefore, index := maps.Clone(w.ready), w.set.Index()
+	drainBefore := map[string]bool{}
+	for key, e := range w.set.endpoints {
+		drainBefore[key] = e.drain
+	}
+	w.apply(w.set.Observe(w.now, observation))
+	if w.set.Index() < index {
+		clear(w.drains) // a new epoch
+	}
+	drained := w.checkReportedDrains(t, observation, drainBefore)
+	w.checkTrust(t, observation, drainBefore, drained)
+	if len(observation.Endpoints) == 0 {
+		for key, before := range readyBefore {
+			if before && !w.ready[key] {
+				t.Fatalf("4: an empty list took %s out", key)
+			}
+		}
+	}
+}
+
+// checkReportedDrains checks invariant 1 and returns the endpoints that the observation reports to drain.
+func (w *world) checkReportedDrains(t *rapid.T, o Observation, drainBefore map[string]bool) map[string]bool {
+	drained := map[string]bool{}
+	for _, e := range o.Endpoints {
+		if _, known := drainBefore[e.Key]; !known || !e.Drain {
+			continue
+		}
+		drained[e.Key] = true
+		w.drains[e.Key] = max(w.drains[e.Key], o.Index)
+		if w.ready[e.Key] {
+			t.Fatalf("1: %s is ready though it was reported to drain", e.Key)
+		}
+	}
+	return drained
+}
+
+// checkTrust checks invariants 2 and 6.
+func (w *world) checkTrust(t *rapid.T, o Observation, drainBefore, drained map[string]bool) {
+	trusted := o.HasLeader && o.LastContact <= w.settings.MaxStaleness && w.set.Index() == o.Index
+	for key, e := range w.set.endpoints {
+		before, known := drainBefore[key]
+		if !trusted && !known {
+			t.Fatalf("6: %s was added by an observation that is not trusted", key)
+		}
+		if !before || e.drain {
+			continue
+		}
+		if !trusted || o.Index <= w.drains[key] || drained[key] {
+			t.Fatalf("2: the drain of %s, reported at %d, was lifted at %d, trusted %v", key, w.drains[key], o.Index, trusted)
+		}
+		delete(w.drains, key)
+	}
+}
+
+// checkState checks what holds after every event.
+func (w *world) checkState(t *rapid.T) {
+	ejectable, ejected := 0, 0
+	addresses, ids := map[string]string{}, map[uint32]string{}
+	for _, change := range w.set.Current() {
+		if w.ready[change.Key] != (change.State == Ready) {
+			t.Fatalf("%s is %v, and the updates say ready %v", change.Key, change.State, w.ready[change.Key])
+		}
+		if other, ok := ids[change.ID]; ok || change.ID != EndpointID(change.Key) {
+			t.Fatalf("10: %s and %s share id %d", change.Key, other, change.ID)
+		}
+		ids[change.ID] = change.Key
+		switch change.Reason {
 		case ReasonCheckFailing, ReasonFlapping:
-			out++
-			counting++
+			ejected++
+			ejectable++
 		case ReasonDrainRequested, ReasonDeregistered, ReasonAddressReused, ReasonAddressDraining:
 		default:
-			counting++
-			if other, ok := addrs[b.Addr]; ok {
-				t.Fatalf("9: %s and %s are ready at %s", b.Key, other, b.Addr)
+			ejectable++
+			if other, ok := addresses[change.Addr]; ok {
+				t.Fatalf("9: %s and %s are ready at %s", change.Key, other, change.Addr)
 			}
-			addrs[b.Addr] = b.Key
+			addresses[change.Addr] = change.Key
 		}
 	}
-	if out > int(w.bounds.MaxEjected*float64(counting)) || (counting > 0 && out >= counting) {
-		t.Fatalf("3: %d of %d are out by health", out, counting)
+	if ejected > int(w.settings.MaxEjected*float64(ejectable)) || (ejectable > 0 && ejected >= ejectable) {
+		t.Fatalf("3: %d of %d are ejected by health", ejected, ejectable)
 	}
-	for _, m := range w.set.endpoints {
-		if p := m.penalty.decayed(w.now, &w.bounds); p > w.bounds.ceiling() {
-			t.Fatalf("7: the penalty of %s is %v", m.Key, p)
+	for _, e := range w.set.endpoints {
+		if p := e.penalty.at(w.now, &w.settings); p > w.settings.ceiling() {
+			t.Fatalf("7: the penalty of %s is %v", e.Key, p)
 		}
 	}
 	if next, ok := w.set.Next(); ok && next <= w.now {
--- a/decision/discovery/recorded_test.go
+++ b/decision/discovery/recorded_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"strconv"
 	"testing"
 	"time"
@@ -12,7 +13,7 @@
 	"beechcart/internal/recorded"
 )
 
-func traceEntry(trace *recorded.Trace, e discovery.Endpoint) {
+func traceEndpoint(trace *recorded.Trace, e discovery.Endpoint) {
 	trace.Text(e.Key, e.Addr, e.Zone, e.Kind, e.Incarnation)
 	trace.Int(e.Cell)
 	trace.Float(e.Weight)
@@ -25,7 +26,7 @@
 	trace.Int(len(changes))
 	for _, c := range changes {
 		trace.Uint(uint64(c.ID))
-		traceEntry(trace, c.Endpoint)
+		traceEndpoint(trace, c.Endpoint)
 		trace.Int(int(c.State))
 		trace.Text(c.State.String(), string(c.Reason))
 		trace.Time(c.StartedAt)
@@ -33,10 +34,10 @@
 	}
 }
 
-func traceAnswer(trace *recorded.Trace, a discovery.Update) {
-	traceChanges(trace, "change", a.Changes)
-	trace.Int(len(a.Notices))
-	for _, n := range a.Notices {
+func traceUpdate(trace *recorded.Trace, u discovery.Update) {
+	traceChanges(trace, "change", u.Changes)
+	trace.Int(len(u.Notices))
+	for _, n := range u.Notices {
 		trace.Text(string(n.Kind), n.Detail)
 		trace.Int(n.Count)
 		trace.Count("notice " + string(n.Kind))
@@ -51,8 +52,17 @@
 }
 
 func (c *catalogue) entry(i int) discovery.Endpoint {
-	e := discovery.Endpoint{Key: fmt.Sprintf("node-%d/e%d", i/2, i), Addr: fmt.Sprintf("10.0.%d.%d:80", i/8, i+1), Zone: fmt.Sprint("z", i%3),
-		Kind: "std", Cell: i % 4, Weight: 1 + float64(i%3)/2, CreateIndex: c.index, ModifyIndex: c.index, Passing: true}
+	e := discovery.Endpoint{
+		Key:         fmt.Sprintf("node-%d/e%d", i/2, i),
+		Addr:        fmt.Sprintf("10.0.%d.%d:80", i/8, i+1),
+		Zone:        fmt.Sprint("z", i%3),
+		Kind:        "std",
+		Cell:        i % 4,
+		Weight:      1 + float64(i%3)/2,
+		CreateIndex: c.index,
+		ModifyIndex: c.index,
+		Passing:     true,
+	}
 	switch c.rng.IntN(12) {
 	case 0:
 		e.Incarnation = fmt.Sprint("start-", c.rng.IntN(4))
@@ -113,76 +123,118 @@
 	return o
 }
 
+// Moods of a catalogue from 1 to 6 are the faults that answer knows; in this one checks flap.
+const flappingMood = 7
+
+// run is an EndpointSet that observes a catalogue whose moods change.
+type run struct {
+	rng       *rand.Rand
+	trace     *recorded.Trace
+	set       *discovery.EndpointSet
+	settings  discovery.Settings
+	catalogue *catalogue
+	now       time.Duration
+	mood      int // 0: all is well
+	moodLeft  int // for how many more answers it goes on
+}
+
+func newRun(t *testing.T, trace *recorded.Trace, seed uint64) *run {
+	t.Helper()
+	r := &run{rng: rand.New(rand.NewPCG(seed, 5)), trace: trace, settings: discovery.Defaults()}
+	var err error
+	r.set, err = discovery.New(r.settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.catalogue = &catalogue{rng: r.rng, index: 1000}
+	for i := range 4 + int(seed)%8 {
+		r.catalogue.engines = append(r.catalogue.engines, r.catalogue.entry(i))
+	}
+	r.now = time.Duration(1000+r.rng.IntN(1000)) * time.Second
+	return r
+}
+
+// restore begins with a cached list.
+func (r *run) restore() {
+	list := slices.Clone(r.catalogue.engines)
+	for i := range list {
+		list[i].Drain, list[i].Passing = r.rng.IntN(5) == 0, r.rng.IntN(5) > 0
+	}
+	traceUpdate(r.trace, r.set.Restore(r.now, list))
+}
+
+// turnCatalogue lets time pass and something happen in the catalogue.
+func (r *run) turnCatalogue() {
+	step := 3 * time.Second
+	if r.mood == flappingMood {
+		step = time.Second
+		engines := r.catalogue.engines
+		for i := range engines[:min(4, len(engines))] {
+			engines[i].Passing = !engines[i].Passing
+		}
+	}
+	r.now += time.Duration(r.rng.Int64N(int64(step)))
+	if r.moodLeft--; r.moodLeft < 0 {
+		if r.mood, r.moodLeft = 0, r.rng.IntN(12); r.rng.IntN(2) == 0 {
+			r.mood, r.moodLeft = 1+r.rng.IntN(flappingMood), r.rng.IntN(30)
+		}
+		if r.rng.IntN(40) == 0 {
+			r.catalogue.index = 10 // it was restored
+		}
+	}
+	for range r.rng.IntN(3) {
+		r.catalogue.turn()
+	}
+}
+
+// event hands something to the set.
+func (r *run) event(t *testing.T) {
+	t.Helper()
+	switch r.rng.IntN(40) {
+	case 0:
+		r.set.Switch(r.now)
+	case 1:
+		r.settings.MaxEjected, r.settings.MaxLoss = r.rng.Float64(), r.rng.Float64()
+		if err := r.set.Configure(r.settings); err != nil {
+			t.Fatal(err)
+		}
+	case 2, 3, 4, 5:
+		traceUpdate(r.trace, r.set.Advance(r.now))
+	default:
+		traceUpdate(r.trace, r.set.Observe(r.now, r.catalogue.answer(r.mood)))
+	}
+}
+
+// traceState adds all that the set tells without an event.
+func (r *run) traceState() {
+	at, due := r.set.Next()
+	r.trace.Bool(due, r.set.Suspicious())
+	if due {
+		r.trace.Time(at)
+		if r.rng.IntN(4) == 0 && at < r.now+time.Minute {
+			r.now = at
+			traceUpdate(r.trace, r.set.Advance(r.now))
+		}
+	}
+	r.trace.Uint(r.set.Index())
+	traceChanges(r.trace, "belief", r.set.Current())
+	for _, e := range r.set.Snapshot() {
+		traceEndpoint(r.trace, e)
+	}
+}
+
 // What a seeded run of a catalogue with faults leads to is the recorded answer, event by event.
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for seed := range uint64(24) {
-		rng := rand.New(rand.NewPCG(seed, 5))
-		bounds := discovery.Defaults()
-		set, err := discovery.New(bounds)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c := &catalogue{rng: rng, index: 1000}
-		for i := range 4 + int(seed)%8 {
-			c.engines = append(c.engines, c.entry(i))
-		}
-		now := time.Duration(1000+rng.IntN(1000)) * time.Second
+		r := newRun(t, trace, seed)
 		if seed%3 == 0 {
-			list := append([]discovery.Endpoint(nil), c.engines...)
-			for i := range list {
-				list[i].Drain, list[i].Passing = rng.IntN(5) == 0, rng.IntN(5) > 0
-			}
-			traceAnswer(trace, set.Restore(now, list))
+			r.restore()
 		}
-		mood, left := 0, 0 // a kind of fault, and for how many more answers it goes on
 		for range 250 {
-			step := 3 * time.Second
-			if mood == 7 { // checks that flap
-				step = time.Second
-				for i := range c.engines[:min(4, len(c.engines))] {
-					c.engines[i].Passing = !c.engines[i].Passing
-				}
-			}
-			now += time.Duration(rng.Int64N(int64(step)))
-			if left--; left < 0 {
-				if mood, left = 0, rng.IntN(12); rng.IntN(2) == 0 {
-					mood, left = 1+rng.IntN(7), rng.IntN(30)
-				}
-				if rng.IntN(40) == 0 {
-					c.index = 10 // a restored catalogue
-				}
-			}
-			for range rng.IntN(3) {
-				c.turn()
-			}
-			switch rng.IntN(40) {
-			case 0:
-				set.Switch(now)
-			case 1:
-				bounds.MaxEjected, bounds.MaxLoss = rng.Float64(), rng.Float64()
-				if err := set.Configure(bounds); err != nil {
-					t.Fatal(err)
-				}
-			case 2, 3, 4, 5:
-				traceAnswer(trace, set.Advance(now))
-			default:
-				traceAnswer(trace, set.Observe(now, c.answer(mood)))
-			}
-			at, due := set.Next()
-			trace.Bool(due, set.Suspicious())
-			if due {
-				trace.Time(at)
-				if rng.IntN(4) == 0 && at < now+time.Minute {
-					now = at
-					traceAnswer(trace, set.Advance(now))
-				}
-			}
-			trace.Uint(set.Index())
-			traceChanges(trace, "belief", set.Current())
-			for _, e := range set.Snapshot() {
-				traceEntry(trace, e)
-			}
+			r.turnCatalogue()
+			r.event(t)
+			r.traceState()
 		}
 		trace.Mark()
 	}
--- a/decision/discovery/settings.go
+++ b/decision/discovery/settings.go
@@ -6,68 +6,72 @@
 	"time"
 )
 
-// Settings are the bounds of the decisions. [Defaults] gives each with its reason.
+// Settings bound the decisions. [Defaults] has usable values.
 type Settings struct {
-	MaxStaleness time.Duration // a follower that last heard of its leader longer ago is not trusted
-	MaxEjected   float64       // share of the engines that health alone may take out, 0 to 1
-	MaxLoss      float64       // share of the engines whose deregistration is a command, 0 to 1
+	MaxStaleness time.Duration // a follower that last heard from its leader longer ago is not trusted
+	MaxEjected   float64       // share of the endpoints that health alone may eject, 0 to 1
+	MaxLoss      float64       // share of the endpoints whose deregistration is a command, 0 to 1
 	LossWindow   time.Duration // losses within this time count together
-	ConfirmReads int           // trusted reads that confirm a doubted list, the first included
+	ConfirmReads int           // trusted reads that confirm a suspect list, the first included
 	ConfirmAfter time.Duration // ... over at least this time
-	MaxSuspicion time.Duration // a doubted list is obeyed after this time without confirmation
-	ResetAfter   time.Duration // an older index told for so long, and nothing newer, is a new epoch
-	Penalty      float64       // for each turn from passing to failing
+	MaxSuspicion time.Duration // a suspect list is obeyed after this time without confirmation
+	ResetAfter   time.Duration // if only earlier indexes are reported for so long, they are a new epoch
+	Penalty      float64       // of each change from passing to failing
 	HalfLife     time.Duration // of the penalty
-	Suppress     float64       // an engine of this penalty stays out also while it passes ...
+	Suppress     float64       // from this penalty an endpoint stays ejected even if it passes ...
 	Reuse        float64       // ... until its penalty has decayed to this
-	MaxSuppress  time.Duration // no engine is out longer than this after its last failure
-	Linger       time.Duration // from a deregistration until the engine counts as gone
+	MaxSuppress  time.Duration // no endpoint is suppressed for longer after its last failure
+	Linger       time.Duration // from a deregistration until the endpoint is removed
 }
 
-// Defaults are the bounds in force where nothing else is set.
+// Defaults returns the settings that are in force if nothing else is configured.
 func Defaults() Settings {
 	return Settings{
-		// Followers hear of their leader every 50 to 200 ms; one that has not for 2 s is cut off.
 		MaxStaleness: 2 * time.Second,
-		// A quarter: with eight engines two may fail by health alone, and the rest can carry an ordinary day.
-		MaxEjected: 0.25,
-		// A quarter within 10 s: a rolling restart touches one or two of eight at a time.
-		MaxLoss: 0.25, LossWindow: 10 * time.Second,
-		// Three reads over 10 s: a leader election or a restart of the catalogue is over by then.
-		ConfirmReads: 3, ConfirmAfter: 10 * time.Second,
-		// Where nobody confirms, waiting on costs little: sends to engines that are gone are refused at once.
+		MaxEjected:   0.25,
+		MaxLoss:      0.25,
+		LossWindow:   10 * time.Second,
+		ConfirmReads: 3,
+		ConfirmAfter: 10 * time.Second, // a leader election or a restart of the catalogue is over by then
 		MaxSuspicion: 60 * time.Second,
-		// Longer than a lagging follower is served by, shorter than an operator's patience after a restore.
-		ResetAfter: 10 * time.Second,
-		// Two failures within a half-life are forgiven, a third is flapping; it is over after some 30 s of calm.
-		Penalty: 1, HalfLife: 15 * time.Second, Suppress: 2.5, Reuse: 0.75, MaxSuppress: 60 * time.Second,
-		// Longer than any query may take (25 s here).
-		Linger: 30 * time.Second,
+		ResetAfter:   10 * time.Second,
+		Penalty:      1,
+		HalfLife:     15 * time.Second,
+		Suppress:     2.5, // the third failure within a half-life
+		Reuse:        0.75,
+		MaxSuppress:  60 * time.Second,
+		Linger:       30 * time.Second, // longer than any query may take
 	}
 }
 
-// Check names the first bound that can't be used.
+// Check returns an error that names the first setting out of range, by its key in the operators' settings.
 func (s Settings) Check() error {
-	share := func(name string, v float64) error {
-		if !(v >= 0 && v <= 1) {
-			return fmt.Errorf("%s: %v is not between 0 and 1", name, v)
-		}
-		return nil
-	}
-	positive := func(name string, v time.Duration) error {
-		if v <= 0 {
-			return fmt.Errorf("%s: %v is not more than 0", name, v)
+	for _, share := range []struct {
+		key   string
+		value float64
+	}{
+		{"max_out", s.MaxEjected},
+		{"max_loss", s.MaxLoss},
+	} {
+		if !(share.value >= 0 && share.value <= 1) {
+			return fmt.Errorf("%s: %v is not between 0 and 1", share.key, share.value)
 		}
-		return nil
 	}
-	for _, err := range []error{
-		share("max_out", s.MaxEjected), share("max_loss", s.MaxLoss), positive("max_lag", s.MaxStaleness),
-		positive("loss_window", s.LossWindow), positive("confirm_after", s.ConfirmAfter),
-		positive("doubt_for", s.MaxSuspicion), positive("reset_after", s.ResetAfter),
-		positive("half_life", s.HalfLife), positive("max_suppress", s.MaxSuppress), positive("linger", s.Linger),
+	for _, duration := range []struct {
+		key   string
+		value time.Duration
+	}{
+		{"max_lag", s.MaxStaleness},
+		{"loss_window", s.LossWindow},
+		{"confirm_after", s.ConfirmAfter},
+		{"doubt_for", s.MaxSuspicion},
+		{"reset_after", s.ResetAfter},
+		{"half_life", s.HalfLife},
+		{"max_suppress", s.MaxSuppress},
+		{"linger", s.Linger},
 	} {
-		if err != nil {
-			return err
+		if duration.value <= 0 {
+			return fmt.Errorf("%s: %v is not more than 0", duration.key, duration.value)
 		}
 	}
 	switch {
