--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -95,15 +95,15 @@
 }
 
 // Counted implements fleet.Front.
-func (f *inFleet) Counted() rollout.Count {
+func (f *inFleet) Counted() rollout.RequestCounts {
 	return answers(f.counters.Map())
 }
 
 // answers counts requests by their answers, all of them as they end. Guards against a window in which more end than begin:
 // its counts would be impossible, and a keeper throws such a window away.
-func answers(n map[string]int64) rollout.Count {
+func answers(n map[string]int64) rollout.RequestCounts {
 	failed := n["failed"] + n["deadline"]
-	return rollout.Count{Requests: n["served"] + failed + n["refused"], Failed: failed, Refused: n["refused"], Slow: n["served_late"]}
+	return rollout.RequestCounts{Requests: n["served"] + failed + n["refused"], Failed: failed, Rejected: n["refused"], Slow: n["served_late"]}
 }
 
 // nameOf is the name of a place; empty where it has none.
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -15,7 +15,7 @@
 func TestCountsOfAWindowArePossible(t *testing.T) {
 	before := answers(map[string]int64{"taken": 13, "served": 9, "served_late": 2, "refused": 1})
 	now := answers(map[string]int64{"taken": 14, "served": 9, "served_late": 2, "refused": 1, "deadline": 3})
-	assert.Equal(t, rollout.Count{Requests: 10, Refused: 1, Slow: 2}, before)
+	assert.Equal(t, rollout.RequestCounts{Requests: 10, Rejected: 1, Slow: 2}, before)
 	assert.Equal(t, int64(3), now.Failed-before.Failed)
 	assert.LessOrEqual(t, now.Failed-before.Failed, now.Requests-before.Requests)
 }
--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -106,8 +106,8 @@
 		_, _ = rand.Read(id)
 		command.ID = hex.EncodeToString(id)
 	}
-	if command.By = f.by; command.By == "" {
-		command.By = "unknown"
+	if command.RequestedBy = f.by; command.RequestedBy == "" {
+		command.RequestedBy = "unknown"
 	}
 }
 
--- a/cmd/gatewayctl/fleet_release.go
+++ b/cmd/gatewayctl/fleet_release.go
@@ -80,8 +80,8 @@
 	fmt.Fprintln(t, "WAVE\tFRONT ENDS\tAT ONCE\tLONGEST\tWHO")
 	longest := time.Duration(0)
 	for i, wave := range waves {
-		longest += wave.Longest
-		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%s\n", i+1, len(wave.Members), wave.AtOnce, wave.Longest, clip(strings.Join(wave.Members, " ")))
+		longest += wave.MaxDuration
+		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%s\n", i+1, len(wave.Members), wave.MaxUnavailable, wave.MaxDuration, clip(strings.Join(wave.Members, " ")))
 	}
 	fmt.Fprintf(t, "in all\t\t\t%v\n", longest)
 	return t.Flush()
@@ -125,7 +125,7 @@
 	case release == nil || release.Number != number:
 		return progress{done: true}, nil
 	case release.State == rollout.Halted || release.State == rollout.Halting:
-		return progress{waitFor: status.Waiting}, noError{fmt.Errorf("halted: %s", release.Cause)}
+		return progress{waitFor: status.Waiting}, noError{fmt.Errorf("halted: %s", release.HaltCause)}
 	}
 	return progress{release.State == rollout.Done, status.Waiting}, nil
 }
--- a/cmd/gatewayctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -79,7 +79,7 @@
 	}
 	for _, permit := range state.Permits {
 		if permit.Subject == name && !permit.Engine && permit.Purpose == rollout.Drain && !permit.Cancelled {
-			return "", noError{fmt.Errorf("%s is drained by %s", name, permit.By)}
+			return "", noError{fmt.Errorf("%s is drained by %s", name, permit.RequestedBy)}
 		}
 	}
 	return member.TargetRevision, nil
@@ -121,7 +121,7 @@
 		if permit := permits[rollout.Subject{Name: name}]; permit != nil {
 			held = fmt.Sprintf("%d %s %s", permit.Number, permit.Purpose, permit.Revision)
 		}
-		since := (time.Duration(time.Now().UnixNano()) - member.Changed).Round(time.Second)
+		since := (time.Duration(time.Now().UnixNano()) - member.ChangedAt).Round(time.Second)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, member.Zone, member.Revision, phase, held, since)
 	}
 }
@@ -154,7 +154,7 @@
 func writeBudgets(w io.Writer, status fleet.Status) {
 	fmt.Fprintln(w, "\nBUDGET\tOF\tMAY BE OUT\tARE OUT")
 	for _, budget := range status.Budgets {
-		fmt.Fprintf(w, "%s\t%s, %d\t%d\t%s\n", budget.Of, budget.Scope, budget.N, budget.Limit, strings.Join(budget.Out, " "))
+		fmt.Fprintf(w, "%s\t%s, %d\t%d\t%s\n", budget.Subjects, budget.Scope, budget.Total, budget.Limit, strings.Join(budget.Unavailable, " "))
 	}
 }
 
@@ -162,7 +162,7 @@
 	t := newTable(w)
 	for _, line := range lines {
 		at := time.Unix(0, int64(line.At)).Format(time.RFC3339)
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\n", line.Number, at, line.By, line.What, line.From, line.To)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\n", line.Number, at, line.Actor, line.Action, line.From, line.To)
 	}
 	return t.Flush()
 }
@@ -185,9 +185,9 @@
 		}
 	}
 	fmt.Fprintf(w, "\nrelease %d %s: %s, wave %d of %d, %d of %d on it, by %s\n", release.Number, way, release.State,
-		release.Wave+1, len(release.Waves), onTarget, len(status.State.Members), release.By)
-	if release.Cause != "" {
-		fmt.Fprintf(w, "  halted: %s\n", release.Cause)
+		release.Wave+1, len(release.Waves), onTarget, len(status.State.Members), release.StartedBy)
+	if release.HaltCause != "" {
+		fmt.Fprintf(w, "  halted: %s\n", release.HaltCause)
 	}
 	for _, line := range status.Waiting {
 		fmt.Fprintf(w, "  waits for %s\n", line)
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -16,7 +16,7 @@
 	state := &rollout.State{
 		Members: map[string]*rollout.Member{"n0": {TargetRevision: "r2"}, "n1": {TargetRevision: "r2"}},
 		Permits: map[uint64]*rollout.Permit{
-			1: {Subject: "n1", Purpose: rollout.Drain, By: "ops"},
+			1: {Subject: "n1", Purpose: rollout.Drain, RequestedBy: "ops"},
 			2: {Subject: "n0", Purpose: rollout.Drain, Engine: true}, // of an engine with the name of a front end
 			3: {Subject: "n0", Purpose: rollout.Drain, Cancelled: true},
 		},
@@ -56,7 +56,7 @@
 func TestReleaseProgress(t *testing.T) {
 	status := fleet.Status{Waiting: []string{"n2 to serve"}}
 	at := func(state rollout.ReleaseState) (progress, error) {
-		status.State.Release = &rollout.Release{Number: 3, State: state, Cause: "errors"}
+		status.State.Release = &rollout.Release{Number: 3, State: state, HaltCause: "errors"}
 		return releaseProgress(status, 3)
 	}
 	got, err := at(rollout.Running)
--- a/decision/rollout/command.go
+++ b/decision/rollout/command.go
@@ -8,9 +8,9 @@
 
 // Command is one entry of the log: one of its pointers is set.
 type Command struct {
-	ID string        `json:"id,omitempty"` // a repeat under the same id is answered as the first was; empty: it may repeat
-	By string        `json:"by,omitempty"` // who asked
-	At time.Duration `json:"at"`           // Unix time at the keeper that entered it
+	ID          string        `json:"id,omitempty"` // a repeat under the same id is answered as the first was; empty: it may repeat
+	RequestedBy string        `json:"by,omitempty"` // who asked
+	At          time.Duration `json:"at"`           // Unix time at the keeper that entered it
 
 	ReportStatus   *ReportStatus    `json:"say,omitempty"`
 	Suspect        *Suspect         `json:"doubt,omitempty"`
@@ -68,9 +68,9 @@
 	}
 	// ZoneCounts is one room's part of a Health.
 	ZoneCounts struct {
-		Zone string `json:"room"`
-		New  Count  `json:"new"`
-		Old  Count  `json:"old"`
+		Zone string        `json:"room"`
+		New  RequestCounts `json:"new"`
+		Old  RequestCounts `json:"old"`
 	}
 	// Load is what is measured: front ends in the unit of their weights, engines in cores.
 	Load struct {
@@ -97,11 +97,11 @@
 
 // RejectedError says why a command was not carried out.
 type RejectedError struct {
-	Code  string   `json:"code"`
-	Text  string   `json:"text"`
-	Scope string   `json:"scope,omitempty"` // of the budget: "all", "room room-a", "kind std-12", "capacity"
-	Limit int      `json:"limit,omitempty"`
-	Out   []string `json:"out,omitempty"` // who holds the budget
+	Code        string   `json:"code"`
+	Text        string   `json:"text"`
+	Scope       string   `json:"scope,omitempty"` // of the budget: "all", "room room-a", "kind std-12", "capacity"
+	Limit       int      `json:"limit,omitempty"`
+	Unavailable []string `json:"out,omitempty"` // who holds the budget
 }
 
 // The codes of refusals.
@@ -116,13 +116,13 @@
 )
 
 func (r *RejectedError) Error() string {
-	if len(r.Out) == 0 {
+	if len(r.Unavailable) == 0 {
 		return r.Text
 	}
-	return r.Text + ": out are " + strings.Join(r.Out, ", ")
+	return r.Text + ": out are " + strings.Join(r.Unavailable, ", ")
 }
 
-func refuse(code, format string, args ...any) Result {
+func reject(code, format string, args ...any) Result {
 	return Result{Rejected: &RejectedError{Code: code, Text: fmt.Sprintf(format, args...)}}
 }
 
@@ -141,10 +141,10 @@
 func (m *StateMachine) Apply(c Command) Result {
 	m.Applied++
 	m.Now = max(m.Now, c.At)
-	if at, seen := m.ids[c.ID]; seen && c.ID != "" && !m.skip(checkRepeat) {
+	if at, seen := m.resultIndex[c.ID]; seen && c.ID != "" && !m.skip(checkRepeat) {
 		return m.Results[at].Result
 	}
-	r := m.carryOut(&c)
+	r := m.execute(&c)
 	m.advance()
 	if c.ReportStatus != nil {
 		r.Applied = m.Applied
@@ -157,52 +157,52 @@
 	if r.Release != 0 && m.Release != nil && m.Release.Number == r.Release {
 		r.State = m.Release.State // as the command left it
 	}
-	m.remember(c.ID, r)
+	m.rememberResult(c.ID, r)
 	return r
 }
 
-func (m *StateMachine) carryOut(c *Command) Result {
+func (m *StateMachine) execute(c *Command) Result {
 	switch {
 	case c.ReportStatus != nil:
-		return m.say(c.ReportStatus)
+		return m.applyStatus(c.ReportStatus)
 	case c.Suspect != nil:
-		return m.doubt(c.Suspect)
+		return m.applySuspect(c.Suspect)
 	case c.ActivatePermit != nil:
-		return m.begin(c.ActivatePermit)
+		return m.activatePermit(c.ActivatePermit)
 	case c.ReturnPermit != nil:
-		return m.handBack(c.ReturnPermit)
+		return m.returnPermit(c.ReturnPermit)
 	case c.ReportDrained != nil:
-		return m.empty(c.ReportDrained)
+		return m.applyReportDrained(c.ReportDrained)
 	case c.Engine != nil:
-		return m.engine(*c.Engine)
+		return m.applyEngine(*c.Engine)
 	case c.Health != nil:
-		return m.health(c.Health)
+		return m.applyHealth(c.Health)
 	case c.Load != nil:
 		m.Load = *c.Load
 		return Result{}
 	case c.Drain != nil:
-		return m.drain(c.Drain, c.By)
+		return m.applyDrain(c.Drain, c.RequestedBy)
 	case c.Undrain != nil:
-		return m.undrain(c.Undrain, c.By)
+		return m.applyUndrain(c.Undrain, c.RequestedBy)
 	case c.RemoveMember != nil:
-		return m.forget(c.RemoveMember, c.By)
+		return m.applyRemove(c.RemoveMember, c.RequestedBy)
 	case c.StartRelease != nil:
-		return m.start(c.StartRelease, c.By)
+		return m.startRelease(c.StartRelease, c.RequestedBy)
 	case c.Halt != nil:
-		return m.halt(c.By, c.Halt.Cause)
+		return m.haltRelease(c.RequestedBy, c.Halt.Cause)
 	case c.Resume != nil:
-		return m.resume(c.By)
+		return m.resumeRelease(c.RequestedBy)
 	case c.Rollback != nil:
-		return m.wayBack(c.By)
+		return m.rollBackRelease(c.RequestedBy)
 	case c.Configure != nil:
-		return m.configure(*c.Configure, c.By)
+		return m.applySettings(*c.Configure, c.RequestedBy)
 	}
 	return Result{} // a tick
 }
 
-func (m *StateMachine) configure(s Settings, by string) Result {
+func (m *StateMachine) applySettings(s Settings, by string) Result {
 	if err := s.Check(); err != nil {
-		return refuse(InvalidArgument, "%v", err)
+		return reject(InvalidArgument, "%v", err)
 	}
 	m.audit(by, "settings", m.Settings.auditText(), s.auditText())
 	m.Settings = s
--- a/decision/rollout/judge.go
+++ b/decision/rollout/judge.go
@@ -13,64 +13,64 @@
 // not independent: the ratio is taken to the power of 1/Dispersion, which keeps the game from being better than fair as long
 // as they come in groups of that size.
 
-// measures are what is compared.
-var measures = [...]string{"failures", "refusals", "slow answers"}
+// metrics are what is compared.
+var metrics = [...]string{"failures", "refusals", "slow answers"}
 
-// worse are the factors that are bet on, on top of the tolerance.
-var worse = [...]float64{1.5, 3, 8, 30}
+// betFactors are the factors that are bet on, on top of the tolerance.
+var betFactors = [...]float64{1.5, 3, 8, 30}
 
 // evidence holds, by measure and factor, the sum of the logarithms of the ratios, in millionths. Whole numbers keep the
 // state the same at all keepers.
-type evidence [len(measures)][len(worse)]int64
+type evidence [len(metrics)][len(betFactors)]int64
 
-// health takes one window's counts.
-func (m *StateMachine) health(h *Health) Result {
+// applyHealth takes one window's counts.
+func (m *StateMachine) applyHealth(h *Health) Result {
 	r := m.Release
 	if !r.active() || r.RollingBack || h.Release != r.Number {
-		return refuse(NothingToDo, "no release %d is under way", h.Release)
+		return reject(NothingToDo, "no release %d is under way", h.Release)
 	}
 	if h.Window <= r.Window && !m.skip(checkWindow) {
-		return refuse(StaleMessage, "window %d was taken", h.Window)
+		return reject(StaleMessage, "window %d was taken", h.Window)
 	}
 	for _, c := range h.Zones {
-		if !c.New.sound() || !c.Old.sound() {
-			return refuse(InvalidArgument, "room %s: counts must lie between 0 and the requests", c.Zone)
+		if !c.New.valid() || !c.Old.valid() {
+			return reject(InvalidArgument, "room %s: counts must lie between 0 and the requests", c.Zone)
 		}
 	}
 	r.Window = h.Window
 	for _, c := range h.Zones {
-		r.Sample += c.New.Requests
+		r.WaveRequests += c.New.Requests
 		if c.New.Requests == 0 || c.Old.Requests == 0 {
 			continue // nothing to compare with
 		}
 		r.New.add(c.New)
 		r.Old.add(c.Old)
-		for i, x := range c.New.measures() {
-			r.Evidence.bet(i, c.New.Requests, c.Old.Requests, x, c.Old.measures()[i], m.Settings.Analyzer)
+		for i, x := range c.New.metrics() {
+			r.Evidence.add(i, c.New.Requests, c.Old.Requests, x, c.Old.metrics()[i], m.Settings.Analyzer)
 		}
 	}
 	return Result{Release: r.Number}
 }
 
-func (c Count) sound() bool {
-	return c.Requests >= 0 && c.Failed >= 0 && c.Refused >= 0 && c.Slow >= 0 && c.Failed+c.Refused+c.Slow <= c.Requests &&
+func (c RequestCounts) valid() bool {
+	return c.Requests >= 0 && c.Failed >= 0 && c.Rejected >= 0 && c.Slow >= 0 && c.Failed+c.Rejected+c.Slow <= c.Requests &&
 		c.Requests < 1<<40
 }
 
-func (c Count) measures() [len(measures)]int64 { return [...]int64{c.Failed, c.Refused, c.Slow} }
+func (c RequestCounts) metrics() [len(metrics)]int64 { return [...]int64{c.Failed, c.Rejected, c.Slow} }
 
-func (c *Count) add(o Count) {
-	c.Requests, c.Failed, c.Refused, c.Slow = c.Requests+o.Requests, c.Failed+o.Failed, c.Refused+o.Refused, c.Slow+o.Slow
+func (c *RequestCounts) add(o RequestCounts) {
+	c.Requests, c.Failed, c.Rejected, c.Slow = c.Requests+o.Requests, c.Failed+o.Failed, c.Rejected+o.Rejected, c.Slow+o.Slow
 }
 
-// bet books x failures among n1 requests on the new revision and y among n0 on the old.
-func (e *evidence) bet(measure int, n1, n0, x, y int64, j Analyzer) {
+// add books x failures among n1 requests on the new revision and y among n0 on the old.
+func (e *evidence) add(measure int, n1, n0, x, y int64, j Analyzer) {
 	if x+y == 0 {
 		return
 	}
 	odds := j.Tolerance * float64(n1) / float64(n0)
 	p := odds / (1 + odds)
-	for i, k := range worse {
+	for i, k := range betFactors {
 		q := k * odds / (1 + k*odds)
 		llr := float64(x)*math.Log(q/p) + float64(y)*math.Log((1-q)/(1-p))
 		e[measure][i] += int64(math.Round(1e6 * llr / j.Dispersion))
@@ -83,17 +83,17 @@
 	for _, v := range e[measure] {
 		sum += math.Exp(float64(v) / 1e6)
 	}
-	return sum / float64(len(worse))
+	return sum / float64(len(betFactors))
 }
 
-// judged tells whether the new revision is worse; empty for not known to be. Each wave is a game of its own, or what was
+// worseMetric tells whether the new revision is worse; empty for not known to be. Each wave is a game of its own, or what was
 // lost while all was well would have to be won back before a fault shows; the chance is shared among waves and measures.
-func (m *StateMachine) judged(r *Release) string {
+func (m *StateMachine) worseMetric(r *Release) string {
 	j := m.Settings.Analyzer
-	for i, name := range measures {
-		if r.Evidence.value(i) >= float64(len(measures)*len(r.Waves))/j.Alpha {
+	for i, name := range metrics {
+		if r.Evidence.value(i) >= float64(len(metrics)*len(r.Waves))/j.Alpha {
 			return fmt.Sprintf("%s on %s: %d in %d requests, beside %d in %d on %s", name, r.Revision,
-				r.New.measures()[i], r.New.Requests, r.Old.measures()[i], r.Old.Requests, r.PreviousRevision)
+				r.New.metrics()[i], r.New.Requests, r.Old.metrics()[i], r.Old.Requests, r.PreviousRevision)
 		}
 	}
 	return ""
--- a/decision/rollout/property_test.go
+++ b/decision/rollout/property_test.go
@@ -30,10 +30,10 @@
 
 func newFleet(t interface{ Fatal(...any) }, rng *rand.Rand, size int, skip check) *fleet {
 	set := Defaults()
-	set.FrontEnds = Budget{Share: 0.2, ZoneShare: 0.25, Headroom: 0.1}
-	set.Engines = Budget{Most: 2, ZoneMost: 1}
-	set.KeepIDs, set.KeepAudit, set.KeepRemoved = 20, 30, 500
-	set.Analyzer.Least = 0
+	set.FrontEnds = Budget{MaxShare: 0.2, ZoneMaxShare: 0.25, Headroom: 0.1}
+	set.Engines = Budget{Max: 2, ZoneMax: 1}
+	set.KeepResults, set.KeepAudit, set.KeepRemoved = 20, 30, 500
+	set.Analyzer.MinRequests = 0
 	m, err := New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 	kind := f.rng.IntN(30)
 	if kind < 5 && f.rng.IntN(3) > 0 { // most words are of those that are out, and come back
 		for range 20 {
-			if name = f.any(); f.m.Members[name] == nil || !f.m.Members[name].serves() {
+			if name = f.any(); f.m.Members[name] == nil || !f.m.Members[name].isServing() {
 				break
 			}
 		}
@@ -154,7 +154,7 @@
 		return f.operator(Command{Resume: &struct{}{}})
 	case 26:
 		if r := f.m.Release; r != nil {
-			return Command{Health: &Health{Release: r.Number, Window: r.Window + uint64(f.rng.IntN(2)), Zones: []ZoneCounts{{"room-a", Count{Requests: 50}, Count{Requests: 50}}}}}
+			return Command{Health: &Health{Release: r.Number, Window: r.Window + uint64(f.rng.IntN(2)), Zones: []ZoneCounts{{"room-a", RequestCounts{Requests: 50}, RequestCounts{Requests: 50}}}}}
 		}
 	case 27: // heard a second time, and late
 		if len(f.known) > 0 {
@@ -166,7 +166,7 @@
 
 func (f *fleet) operator(c Command) Command {
 	f.ids++
-	c.ID, c.By = fmt.Sprint("op", f.ids), "a test"
+	c.ID, c.RequestedBy = fmt.Sprint("op", f.ids), "a test"
 	return c
 }
 
@@ -264,9 +264,9 @@
 	}
 	for _, scope := range []string{"", in} {
 		l := n[scope]
-		m, s := b.Most, b.Share
+		m, s := b.Max, b.MaxShare
 		if scope != "" {
-			m, s = b.ZoneMost, b.ZoneShare
+			m, s = b.ZoneMax, b.ZoneMaxShare
 		}
 		if m > 0 {
 			l = min(l, m)
@@ -348,11 +348,11 @@
 		if p.Engine && p.DrainedAt > 0 && !(had && was.DrainedAt > 0) {
 			f.done["may stop"]++
 			for _, o := range m.Members {
-				left := o.Phase == Terminated && m.Now-o.Changed >= m.Settings.Protocol
+				left := o.Phase == Terminated && m.Now-o.ChangedAt >= m.Settings.AbandonedQueryTimeout
 				if !left && p.DrainedBy[o.Name] != o.Incarnation {
 					return fmt.Sprintf("6: %s may be stopped without a word of %s", p.Subject, o.Name)
 				}
-				if o.PreviousEndedAt > 0 && m.Now-o.PreviousEndedAt < m.Settings.Protocol {
+				if o.PreviousEndedAt > 0 && m.Now-o.PreviousEndedAt < m.Settings.AbandonedQueryTimeout {
 					return fmt.Sprintf("6: %s may be stopped while queries of the last process of %s may run", p.Subject, o.Name)
 				}
 			}
@@ -416,7 +416,7 @@
 			}
 		}
 	}
-	if len(m.Results) > 2*m.Settings.KeepIDs || len(m.Audit) > m.Settings.KeepAudit || len(m.RemovedOrder) > m.Settings.KeepRemoved || len(m.Removed) > m.Settings.KeepRemoved {
+	if len(m.Results) > 2*m.Settings.KeepResults || len(m.Audit) > m.Settings.KeepAudit || len(m.RemovedOrder) > m.Settings.KeepRemoved || len(m.Removed) > m.Settings.KeepRemoved {
 		return "10: the state has grown"
 	}
 	return ""
--- a/decision/rollout/recorded_test.go
+++ b/decision/rollout/recorded_test.go
@@ -262,7 +262,7 @@
 }
 
 func (r *seededRun) permit() (permitView, bool) {
-	numbers := r.machine.Numbers()
+	numbers := r.machine.PermitNumbers()
 	if len(numbers) == 0 {
 		return permitView{}, false
 	}
@@ -379,7 +379,7 @@
 func (r *seededRun) settings() string {
 	set := rollout.Defaults()
 	require.NoError(r.t, json.Unmarshal([]byte(recordedSettings), &set))
-	set.Engines.Most = r.rng.IntN(3) // 0 is refused
+	set.Engines.Max = r.rng.IntN(3) // 0 is refused
 	text, err := json.Marshal(set)
 	require.NoError(r.t, err)
 	return string(text)
@@ -441,14 +441,14 @@
 
 // look hashes what the machine tells beside its answers.
 func (r *seededRun) look() {
-	due, ok := r.machine.Due()
+	due, ok := r.machine.NextDeadline()
 	var plan rollout.StartRelease
 	require.NoError(r.t, json.Unmarshal([]byte(`{"revision":"p","waves":[0.2,1],"soak":1000}`), &plan))
 	waves, err := r.machine.Plan(plan)
 	require.NoError(r.t, err)
-	seen := []any{due, ok, r.machine.Budgets(), r.machine.Waiting(), waves}
-	for _, number := range r.machine.Numbers() {
-		seen = append(seen, number, r.machine.Blocks(number))
+	seen := []any{due, ok, r.machine.Budgets(), r.machine.ReleaseBlockers(), waves}
+	for _, number := range r.machine.PermitNumbers() {
+		seen = append(seen, number, r.machine.DrainBlockers(number))
 	}
 	text, err := json.Marshal(seen)
 	require.NoError(r.t, err)
--- a/decision/rollout/release.go
+++ b/decision/rollout/release.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// start begins a release, unless one is under way.
-func (m *StateMachine) start(s *StartRelease, by string) Result {
+// startRelease begins a release, unless one is under way.
+func (m *StateMachine) startRelease(s *StartRelease, by string) Result {
 	if r := m.Release; r.active() && !m.skip(checkOneRelease) {
 		return Result{Release: r.Number, Rejected: &RejectedError{Code: FailedPrecondition,
-			Text: fmt.Sprintf("release %d to %s, started by %s, is %s: one at a time", r.Number, r.Revision, r.By, r.State)}}
+			Text: fmt.Sprintf("release %d to %s, started by %s, is %s: one at a time", r.Number, r.Revision, r.StartedBy, r.State)}}
 	}
-	if err := s.check(); err != nil {
-		return refuse(InvalidArgument, "%v", err)
+	if err := s.validate(); err != nil {
+		return reject(InvalidArgument, "%v", err)
 	}
 	from := s.PreviousRevision
 	if from == "" {
-		from = m.common()
+		from = m.commonRevision()
 	}
 	if from == s.Revision {
-		return refuse(NothingToDo, "the fleet serves on %s already", from)
+		return reject(NothingToDo, "the fleet serves on %s already", from)
 	}
-	m.Releases++
-	m.Release = &Release{Number: m.Releases, Revision: s.Revision, PreviousRevision: from, By: by, Waves: slices.Clone(s.Waves), Soak: s.Soak,
-		Order: m.order(m.Releases), State: Running, Started: m.Now}
-	m.audit(by, fmt.Sprintf("release %d", m.Releases), from, s.Revision)
-	return Result{Release: m.Releases}
+	m.LastRelease++
+	m.Release = &Release{Number: m.LastRelease, Revision: s.Revision, PreviousRevision: from, StartedBy: by, Waves: slices.Clone(s.Waves), Soak: s.Soak,
+		Order: m.releaseOrder(m.LastRelease), State: Running, StartedAt: m.Now}
+	m.audit(by, fmt.Sprintf("release %d", m.LastRelease), from, s.Revision)
+	return Result{Release: m.LastRelease}
 }
 
-func (s *StartRelease) check() error {
+func (s *StartRelease) validate() error {
 	switch {
 	case s.Revision == "" || strings.ContainsAny(s.Revision, "/\\ \t\n\x00") || s.Revision[0] == '.':
 		return fmt.Errorf("revision: found %q, allowed is one word that may name a folder", s.Revision)
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// common is the revision that most serve on; the first by name of equals.
-func (m *StateMachine) common() (most string) {
+// commonRevision is the revision that most serve on; the first by name of equals.
+func (m *StateMachine) commonRevision() (most string) {
 	n := map[string]int{}
-	for _, name := range m.names() {
-		if o := m.Members[name]; o.serves() {
+	for _, name := range m.memberNames() {
+		if o := m.Members[name]; o.isServing() {
 			n[o.Revision]++
 			if n[o.Revision] > n[most] || (n[o.Revision] == n[most] && o.Revision < most) {
 				most = o.Revision
@@ -69,9 +69,9 @@
 	return most
 }
 
-// order draws the members room by room in turn, within a room by a hash of name and release: each wave spreads over the
+// releaseOrder draws the members room by room in turn, within a room by a hash of name and release: each wave spreads over the
 // rooms, and no machine is the canary of every release.
-func (m *StateMachine) order(release uint64) []string {
+func (m *StateMachine) releaseOrder(release uint64) []string {
 	rooms, names := map[string][]string{}, []string(nil)
 	place := func(name string) uint64 {
 		h := fnv.New64a()
@@ -79,7 +79,7 @@
 		return h.Sum64()
 	}
 	var list []string
-	for _, name := range m.names() {
+	for _, name := range m.memberNames() {
 		o := m.Members[name]
 		if rooms[o.Zone] == nil {
 			list = append(list, o.Zone)
@@ -100,32 +100,32 @@
 	return names
 }
 
-// halt stops the release: what was not begun is revoked, and what was is waited for before it is acknowledged.
-func (m *StateMachine) halt(by, cause string) Result {
+// haltRelease stops the release: what was not begun is revoked, and what was is waited for before it is acknowledged.
+func (m *StateMachine) haltRelease(by, cause string) Result {
 	r := m.Release
 	if !r.active() {
-		return refuse(NothingToDo, "no release is under way")
+		return reject(NothingToDo, "no release is under way")
 	}
 	if r.State != Running {
 		return Result{Release: r.Number}
 	}
 	m.audit(by, fmt.Sprintf("halt release %d: %s", r.Number, cause), string(r.State), string(Halting))
-	r.State, r.Cause, r.SoakingSince = Halting, cause, 0
-	m.revoke(r)
+	r.State, r.HaltCause, r.SoakingSince = Halting, cause, 0
+	m.revokePermits(r)
 	return Result{Release: r.Number}
 }
 
-// revoke ends the permits of a release that were not begun.
-func (m *StateMachine) revoke(r *Release) {
+// revokePermits ends the permits of a release that were not begun.
+func (m *StateMachine) revokePermits(r *Release) {
 	for _, n := range m.numbers() {
 		if p := m.Permits[n]; p.Release == r.Number && p.ActivatedAt == 0 && !m.skip(checkHaltRevokes) {
-			m.end(p)
+			m.endPermit(p)
 		}
 	}
 }
 
-// going lists members that were told to go for the release and were not seen out since: they may yet go.
-func (m *StateMachine) going(r *Release) (names []string) {
+// pendingShutdowns lists members that were told to go for the release and were not seen out since: they may yet go.
+func (m *StateMachine) pendingShutdowns(r *Release) (names []string) {
 	for _, n := range m.numbers() {
 		p := m.Permits[n]
 		if p.Release != r.Number || p.ActivatedAt == 0 {
@@ -138,14 +138,14 @@
 	return names
 }
 
-func (m *StateMachine) resume(by string) Result {
+func (m *StateMachine) resumeRelease(by string) Result {
 	r := m.Release
 	if !r.active() || r.State == Running {
-		return refuse(NothingToDo, "no release is halted")
+		return reject(NothingToDo, "no release is halted")
 	}
 	m.audit(by, fmt.Sprintf("resume release %d", r.Number), string(r.State), string(Running))
-	r.State, r.Cause, r.SoakingSince = Running, "", 0
-	r.Evidence, r.New, r.Old = evidence{}, Count{}, Count{} // the operator has seen it and goes on
+	r.State, r.HaltCause, r.SoakingSince = Running, "", 0
+	r.Evidence, r.New, r.Old = evidence{}, RequestCounts{}, RequestCounts{} // the operator has seen it and goes on
 	for _, o := range m.Members {
 		o.Crashes = nil
 	}
@@ -157,28 +157,28 @@
 	return Result{Release: r.Number}
 }
 
-// wayBack turns the release round: all go back to the old revision, and what starts meanwhile starts on it.
-func (m *StateMachine) wayBack(by string) Result {
+// rollBackRelease turns the release round: all go back to the old revision, and what starts meanwhile starts on it.
+func (m *StateMachine) rollBackRelease(by string) Result {
 	r := m.Release
 	if r == nil {
-		return refuse(NothingToDo, "there is no release to take back")
+		return reject(NothingToDo, "there is no release to take back")
 	}
 	if r.RollingBack {
 		if r.State == Done {
-			return refuse(NothingToDo, "release %d was taken back", r.Number)
+			return reject(NothingToDo, "release %d was taken back", r.Number)
 		}
 		if r.State != Running {
-			return m.resume(by)
+			return m.resumeRelease(by)
 		}
 		return Result{Release: r.Number}
 	}
 	m.audit(by, fmt.Sprintf("take release %d back", r.Number), r.Revision, r.PreviousRevision)
 	if r.State == Done {
-		r.Order = m.order(r.Number)
+		r.Order = m.releaseOrder(r.Number)
 	}
-	r.State, r.RollingBack, r.SoakingSince, r.Cause = Running, true, 0, ""
+	r.State, r.RollingBack, r.SoakingSince, r.HaltCause = Running, true, 0, ""
 	if !m.skip(checkBackRevokes) {
-		m.revoke(r)
+		m.revokePermits(r)
 	}
 	for _, o := range m.Members {
 		o.TargetRevision = r.PreviousRevision
@@ -191,8 +191,8 @@
 	return Result{Release: r.Number}
 }
 
-// cut is how many of the order the waves so far hold.
-func (r *Release) cut() int {
+// waveEnd is how many of the order the waves so far hold.
+func (r *Release) waveEnd() int {
 	if r.RollingBack {
 		return len(r.Order)
 	}
@@ -202,7 +202,7 @@
 // advance carries on what time and the last command allow.
 func (m *StateMachine) advance() {
 	for _, n := range m.numbers() {
-		if p := m.Permits[n]; p.Engine && p.DrainedAt == 0 && m.empties(p) {
+		if p := m.Permits[n]; p.Engine && p.DrainedAt == 0 && m.isDrained(p) {
 			p.DrainedAt = m.Now
 		}
 	}
@@ -210,46 +210,46 @@
 	if !r.active() {
 		return
 	}
-	if r.State == Halting && (len(m.going(r)) == 0 || m.skip(checkHaltSeenOut)) {
+	if r.State == Halting && (len(m.pendingShutdowns(r)) == 0 || m.skip(checkHaltSeenOut)) {
 		r.State = Halted
 	}
 	if r.State != Running {
 		return
 	}
-	if cause := m.fault(r); cause != "" && !r.RollingBack {
-		m.halt("the fleet", cause)
-		if len(m.going(r)) == 0 {
+	if cause := m.haltCause(r); cause != "" && !r.RollingBack {
+		m.haltRelease("the fleet", cause)
+		if len(m.pendingShutdowns(r)) == 0 {
 			r.State = Halted
 		}
 		return
 	}
-	m.give(r)
-	m.progress(r)
+	m.grantReleasePermits(r)
+	m.advanceWave(r)
 }
 
-func (m *StateMachine) empties(p *Permit) bool {
+func (m *StateMachine) isDrained(p *Permit) bool {
 	for _, o := range m.Members {
-		if m.blocks(p, o) != "" {
+		if m.drainBlocker(p, o) != "" {
 			return false
 		}
 	}
 	return true
 }
 
-// fault tells why a release must not go on; empty for nothing.
-func (m *StateMachine) fault(r *Release) string {
-	if cause := m.judged(r); cause != "" {
+// haltCause tells why a release must not go on; empty for nothing.
+func (m *StateMachine) haltCause(r *Release) string {
+	if cause := m.worseMetric(r); cause != "" {
 		return cause
 	}
-	t := m.memberTally(false)
-	if out, most := t.overrun(); out > most {
-		return fmt.Sprintf("%d of %d front ends are out, and %d may be", out, t.all.n, most)
+	t := m.memberUsage(false)
+	if out, most := t.unavailable(); out > most {
+		return fmt.Sprintf("%d of %d front ends are out, and %d may be", out, t.all.total, most)
 	}
-	for _, name := range m.names() {
+	for _, name := range m.memberNames() {
 		o := m.Members[name]
 		lately := 0
 		for _, at := range o.Crashes {
-			if time.Duration(at) > m.Now-m.Settings.CrashWindow && time.Duration(at) > r.Started {
+			if time.Duration(at) > m.Now-m.Settings.CrashWindow && time.Duration(at) > r.StartedAt {
 				lately++
 			}
 		}
@@ -266,69 +266,69 @@
 	return ""
 }
 
-// give hands permits to the members of the waves so far, as many as the budgets allow.
-func (m *StateMachine) give(r *Release) {
-	t := m.memberTally(r.RollingBack)
-	for _, name := range r.Order[:r.cut()] {
+// grantReleasePermits hands permits to the members of the waves so far, as many as the budgets allow.
+func (m *StateMachine) grantReleasePermits(r *Release) {
+	t := m.memberUsage(r.RollingBack)
+	for _, name := range r.Order[:r.waveEnd()] {
 		o := m.Members[name]
-		if o.Revision == r.target() || !m.inFleet(o) {
+		if o.Revision == r.target() || !m.isAvailable(o) {
 			continue
 		}
-		if u := m.memberUnit(o); m.fits(t, u) == nil || m.skip(checkGrantBudget) {
-			m.grant(Permit{Subject: name, Purpose: Restart, Revision: r.target(), Release: r.Number, Incarnation: o.Incarnation})
-			t.take(u)
+		if u := m.memberUnit(o); m.checkBudget(t, u) == nil || m.skip(checkGrantBudget) {
+			m.grantPermit(Permit{Subject: name, Purpose: Restart, Revision: r.target(), Release: r.Number, Incarnation: o.Incarnation})
+			t.markUnavailable(u)
 		}
 	}
 }
 
-// waiting lists members of the waves so far that keep them from being complete.
-func (m *StateMachine) waiting(r *Release) (names []string) {
-	for _, name := range r.Order[:r.cut()] {
+// unfinishedMembers lists members of the waves so far that keep them from being complete.
+func (m *StateMachine) unfinishedMembers(r *Release) (names []string) {
+	for _, name := range r.Order[:r.waveEnd()] {
 		o := m.Members[name]
 		p := m.permitOf(name, false)
 		mine := p != nil && p.Release == r.Number
 		// Who was out before its turn is not waited for; who was taken to the new revision must serve there.
-		if mine || (m.inFleet(o) && o.Revision != r.target()) || (p == nil && !o.serves() && o.TargetRevision == r.target()) {
+		if mine || (m.isAvailable(o) && o.Revision != r.target()) || (p == nil && !o.isServing() && o.TargetRevision == r.target()) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// progress ends a wave that is complete and has soaked, and the release with the last.
-func (m *StateMachine) progress(r *Release) {
-	if len(m.waiting(r)) > 0 && !m.skip(checkWave) {
+// advanceWave ends a wave that is complete and has soaked, and the release with the last.
+func (m *StateMachine) advanceWave(r *Release) {
+	if len(m.unfinishedMembers(r)) > 0 && !m.skip(checkWave) {
 		r.SoakingSince = 0
 		return
 	}
 	if r.RollingBack {
-		m.finish(r)
+		m.finishRelease(r)
 		return
 	}
 	if r.SoakingSince == 0 {
 		r.SoakingSince = m.Now
 	}
-	if m.Now-r.SoakingSince < r.Soak || r.Sample < m.least(r) {
+	if m.Now-r.SoakingSince < r.Soak || r.WaveRequests < m.minWaveRequests(r) {
 		return
 	}
 	if r.Wave++; r.Wave < len(r.Waves) {
-		r.SoakingSince, r.Sample, r.Evidence = 0, 0, evidence{}
-		m.give(r)
+		r.SoakingSince, r.WaveRequests, r.Evidence = 0, 0, evidence{}
+		m.grantReleasePermits(r)
 		return
 	}
 	r.Wave--
-	m.finish(r)
+	m.finishRelease(r)
 }
 
-// least is how many requests the new revision must have had: once nobody is left on the old, there is none to compare with.
-func (m *StateMachine) least(r *Release) int64 {
-	if r.cut() == len(r.Order) {
+// minWaveRequests is how many requests the new revision must have had: once nobody is left on the old, there is none to compare with.
+func (m *StateMachine) minWaveRequests(r *Release) int64 {
+	if r.waveEnd() == len(r.Order) {
 		return 0
 	}
-	return m.Settings.Analyzer.Least
+	return m.Settings.Analyzer.MinRequests
 }
 
-func (m *StateMachine) finish(r *Release) {
+func (m *StateMachine) finishRelease(r *Release) {
 	what := "done"
 	if r.RollingBack {
 		what = "taken back"
--- a/decision/rollout/release_test.go
+++ b/decision/rollout/release_test.go
@@ -23,7 +23,7 @@
 
 func newBed(t *testing.T, n int, change func(*Settings)) *bed {
 	set := Defaults()
-	set.FrontEnds, set.Rollback, set.Analyzer.Least = Budget{Most: 2, ZoneMost: 1}, Budget{Most: 3}, 0
+	set.FrontEnds, set.Rollback, set.Analyzer.MinRequests = Budget{Max: 2, ZoneMax: 1}, Budget{Max: 3}, 0
 	if change != nil {
 		change(&set)
 	}
@@ -79,16 +79,16 @@
 
 func TestReleaseGoesInWaves(t *testing.T) {
 	b := newBed(t, 9, nil)
-	r := b.do(Command{ID: "1", By: "ann", StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.1, 0.5, 1}, Soak: 10 * time.Second}})
+	r := b.do(Command{ID: "1", RequestedBy: "ann", StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.1, 0.5, 1}, Soak: 10 * time.Second}})
 	require.Nil(t, r.Rejected)
-	again := b.do(Command{ID: "2", By: "bob", StartRelease: &StartRelease{Revision: "newer", Waves: []float64{1}}})
+	again := b.do(Command{ID: "2", RequestedBy: "bob", StartRelease: &StartRelease{Revision: "newer", Waves: []float64{1}}})
 	require.NotNil(t, again.Rejected)
 	assert.Equal(t, "release 1 to new, started by ann, is running: one at a time", again.Rejected.Text)
 
 	assert.Len(t, b.turn(), 1, "the canary")
 	assert.Empty(t, b.turn(), "it soaks")
-	assert.Contains(t, strings.Join(b.m.Waiting(), "\n"), "wave 1 soaks for 10s more")
-	due, ok := b.m.Due()
+	assert.Contains(t, strings.Join(b.m.ReleaseBlockers(), "\n"), "wave 1 soaks for 10s more")
+	due, ok := b.m.NextDeadline()
 	assert.True(t, ok)
 	assert.Equal(t, b.now+10*time.Second, due)
 	b.after(10 * time.Second)
@@ -128,7 +128,7 @@
 	assert.Equal(t, Running, b.m.Release.State)
 	b.after(2 * time.Second)
 	assert.Equal(t, Halting, b.m.Release.State, "nobody has seen it out: it may yet be about to go")
-	assert.Contains(t, b.m.Release.Cause, p.Subject+" went out and is not back")
+	assert.Contains(t, b.m.Release.HaltCause, p.Subject+" went out and is not back")
 	b.do(Command{Rollback: &struct{}{}})
 	o := b.m.Members[p.Subject]
 	assert.Equal(t, "old", o.TargetRevision)
@@ -141,7 +141,7 @@
 }
 
 func TestCrashLoopHalts(t *testing.T) {
-	b := newBed(t, 6, func(s *Settings) { s.FrontEnds = Budget{Most: 2} })
+	b := newBed(t, 6, func(s *Settings) { s.FrontEnds = Budget{Max: 2} })
 	b.do(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.1, 1}, Soak: time.Hour}})
 	went := b.turn()
 	require.Len(t, went, 1)
@@ -153,8 +153,8 @@
 		b.say(i, 3+k, 1, "new", Serving)
 	}
 	assert.Equal(t, Halted, b.m.Release.State)
-	assert.Contains(t, b.m.Release.Cause, "crashed 3 times")
-	require.Nil(t, b.do(Command{By: "ann", Resume: &struct{}{}}).Rejected)
+	assert.Contains(t, b.m.Release.HaltCause, "crashed 3 times")
+	require.Nil(t, b.do(Command{RequestedBy: "ann", Resume: &struct{}{}}).Rejected)
 	assert.Equal(t, Running, b.m.Release.State, "an operator goes on all the same")
 }
 
@@ -168,8 +168,8 @@
 	}
 	for n := range b.m.Permits { // what was given again is handed back too, once two others have crashed
 		p := b.m.Permits[n]
-		for _, o := range b.m.names() {
-			if b.m.permitOf(o, false) == nil && b.m.Members[o].serves() {
+		for _, o := range b.m.memberNames() {
+			if b.m.permitOf(o, false) == nil && b.m.Members[o].isServing() {
 				b.do(Command{Suspect: &Suspect{o, 1}})
 				break
 			}
@@ -182,7 +182,7 @@
 		break
 	}
 	assert.Equal(t, Halted, b.m.Release.State)
-	assert.Contains(t, b.m.Release.Cause, "3 of 9 front ends are out, and 2 may be")
+	assert.Contains(t, b.m.Release.HaltCause, "3 of 9 front ends are out, and 2 may be")
 }
 
 func TestDrainIsRefusedByName(t *testing.T) {
@@ -191,7 +191,7 @@
 		b.do(Command{Engine: &Engine{Name: fmt.Sprint("e", i), Zone: testRooms[i], Cores: 12, Process: 5, Listed: true, Ready: true}})
 	}
 	b.do(Command{Load: &Load{Engines: 10}})
-	require.Nil(t, b.do(Command{ID: "a", By: "ann", Drain: &Subject{"e0", true}}).Rejected)
+	require.Nil(t, b.do(Command{ID: "a", RequestedBy: "ann", Drain: &Subject{"e0", true}}).Rejected)
 	no := b.do(Command{ID: "b", Drain: &Subject{"e1", true}})
 	require.NotNil(t, no.Rejected)
 	assert.Equal(t, "e1 may not go out: 1 of 3 (all) are out, and 1 may be: out are e0", no.Rejected.Error())
@@ -215,13 +215,13 @@
 	b.do(Command{Suspect: &Suspect{"n2", 1}})
 	b.after(time.Hour)
 	assert.Zero(t, b.m.Permits[p].DrainedAt, "silence is no proof, however long")
-	assert.Equal(t, []string{"n2: not heard of; forget it if it is gone"}, b.m.Blocks(p))
+	assert.Equal(t, []string{"n2: not heard of; forget it if it is gone"}, b.m.DrainBlockers(p))
 	b.say(2, 2, 1, "old", Serving) // its process was over, and what it had sent may run on for a while
 	says(2, 1)
 	assert.Zero(t, b.m.Permits[p].DrainedAt)
 	says(2, 2)
 	assert.Zero(t, b.m.Permits[p].DrainedAt)
-	due, ok := b.m.Due()
+	due, ok := b.m.NextDeadline()
 	require.True(t, ok)
 	b.after(due - b.now)
 	assert.Equal(t, b.now, b.m.Permits[p].DrainedAt)
@@ -235,7 +235,7 @@
 // An operator's drain of a front end holds through a crash, and ends with the member's own word.
 func TestFrontEndDrainHolds(t *testing.T) {
 	b := newBed(t, 3, nil)
-	p := b.do(Command{ID: "a", By: "ann", Drain: &Subject{Name: "n1"}}).Permit
+	p := b.do(Command{ID: "a", RequestedBy: "ann", Drain: &Subject{Name: "n1"}}).Permit
 	require.True(t, b.do(Command{ActivatePermit: &PermitReference{"n1", 1, p}}).Shutdown)
 	b.say(1, 1, 2, "old", Draining)
 	b.say(1, 2, 1, "old", Serving)
@@ -243,12 +243,12 @@
 	require.True(t, b.do(Command{ActivatePermit: &PermitReference{"n1", 2, p}}).Shutdown)
 	b.say(1, 2, 2, "old", Draining)
 	assert.Equal(t, FailedPrecondition, b.do(Command{ReturnPermit: &PermitReference{"n1", 2, p}}).Rejected.Code)
-	b.do(Command{By: "ann", Undrain: &Subject{Name: "n1"}})
+	b.do(Command{RequestedBy: "ann", Undrain: &Subject{Name: "n1"}})
 	assert.False(t, b.do(Command{ActivatePermit: &PermitReference{"n1", 2, p}}).Shutdown)
 	b.say(1, 2, 3, "old", Serving)
 	require.Nil(t, b.do(Command{ReturnPermit: &PermitReference{"n1", 2, p}}).Rejected)
 	assert.Empty(t, b.m.Permits)
-	assert.Equal(t, []string{"drain front end n1", "undrain front end n1"}, []string{b.m.Audit[0].What, b.m.Audit[1].What})
+	assert.Equal(t, []string{"drain front end n1", "undrain front end n1"}, []string{b.m.Audit[0].Action, b.m.Audit[1].Action})
 }
 
 func TestBadValuesChangeNothing(t *testing.T) {
@@ -283,7 +283,7 @@
 	require.NoError(t, err)
 	later := strings.Replace(string(text), `"version":1`, `"version":2`, 1)
 	err = b.m.Restore([]byte(later))
-	assert.True(t, errors.Is(err, errLater), err)
+	assert.True(t, errors.Is(err, errLaterVersion), err)
 	assert.ErrorContains(t, err, "2, and this program knows 1")
 	assert.Error(t, b.m.Restore([]byte(`{"version":1,"odd":3}`)))
 	assert.Error(t, b.m.Restore(text[:len(text)/2]))
@@ -333,7 +333,7 @@
 }
 
 func judgeBed(t *testing.T) *bed {
-	b := newBed(t, 12, func(s *Settings) { s.FrontEnds, s.Analyzer.Least = Budget{Most: 6}, 200 })
+	b := newBed(t, 12, func(s *Settings) { s.FrontEnds, s.Analyzer.MinRequests = Budget{Max: 6}, 200 })
 	b.do(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.05, 0.4, 1}, Soak: 60 * time.Second}})
 	b.turn()
 	return b
@@ -351,7 +351,7 @@
 		b := judgeBed(t)
 		if judgeDay(rng, b, func(int) float64 { return 1 }, 30) > 0 {
 			halts++
-			t.Log(b.m.Release.Cause)
+			t.Log(b.m.Release.HaltCause)
 		}
 	}
 	t.Logf("%d of %d healthy releases were halted", halts, releases)
@@ -376,7 +376,7 @@
 			if c.most < 10 {
 				assert.LessOrEqual(t, b.revisions()["new"], 1, "%s, seed %d: only the canary met it", name, seed)
 			}
-			assert.Contains(t, b.m.Release.Cause, "failures on new")
+			assert.Contains(t, b.m.Release.HaltCause, "failures on new")
 		}
 		t.Logf("%s: halted after %d windows at the latest", name, worst)
 		assert.LessOrEqual(t, worst, c.most, name)
@@ -391,13 +391,13 @@
 	require.Len(t, waves, 2)
 	assert.Len(t, waves[0].Members, 1)
 	assert.Len(t, waves[1].Members, 8)
-	assert.Equal(t, 4*time.Minute+time.Minute, waves[1].Longest)
+	assert.Equal(t, 4*time.Minute+time.Minute, waves[1].MaxDuration)
 	_, err = b.m.Plan(StartRelease{Revision: "new"})
 	assert.ErrorContains(t, err, "waves")
 	now, _ := b.m.Snapshot()
 	assert.Equal(t, string(was), string(now))
 	lines := b.m.Budgets()
-	assert.Equal(t, BudgetLine{Of: "front ends", Scope: "all", N: 9, Limit: 2, Out: []string{}}, lines[0])
+	assert.Equal(t, BudgetStatus{Subjects: "front ends", Scope: "all", Total: 9, Limit: 2, Unavailable: []string{}}, lines[0])
 }
 
 // A process that is new learns of the drains with the answer to its first word, and is waited for from then on. Without that it
@@ -432,7 +432,7 @@
 	r := b.do(begin)
 	require.NotNil(t, r.Rejected)
 	assert.False(t, r.Shutdown)
-	assert.Equal(t, []string{"n1", "n2"}, r.Rejected.Out)
+	assert.Equal(t, []string{"n1", "n2"}, r.Rejected.Unavailable)
 	require.NotNil(t, b.m.Permits[p], "it may have gone for all that is known: it counts as out until it says that it stays")
 	require.Nil(t, b.do(Command{ReturnPermit: &PermitReference{"n0", 1, p}}).Rejected)
 	assert.Nil(t, b.m.Permits[p])
--- a/decision/rollout/search_test.go
+++ b/decision/rollout/search_test.go
@@ -70,7 +70,7 @@
 		r.Order = slices.Clone(r.Order)
 		c.Release = &r
 	}
-	c.held, c.Audit, c.Results = maps.Clone(m.held), nil, nil
+	c.permitBySubject, c.Audit, c.Results = maps.Clone(m.permitBySubject), nil, nil
 	return &c
 }
 
@@ -84,7 +84,7 @@
 			b = append(b, '-')
 		}
 	}
-	for _, name := range w.m.names() {
+	for _, name := range w.m.memberNames() {
 		o := w.m.Members[name]
 		num(o.Incarnation)
 		num(o.StatusSequence)
@@ -276,8 +276,8 @@
 
 func small(t testing.TB, skip check, members int) *world {
 	set := Defaults()
-	set.FrontEnds, set.Rollback = Budget{Most: 1}, Budget{Most: 1}
-	set.CrashLoop, set.Analyzer.Least = 5, 0
+	set.FrontEnds, set.Rollback = Budget{Max: 1}, Budget{Max: 1}
+	set.CrashLoop, set.Analyzer.MinRequests = 5, 0
 	m, err := New(set)
 	if err != nil {
 		t.Fatal(err)
--- a/decision/rollout/state.go
+++ b/decision/rollout/state.go
@@ -36,12 +36,12 @@
 	TargetRevision  string        `json:"wanted"` // the revision that it is to be started on
 	Phase           Phase         `json:"phase"`
 	Suspected       bool          `json:"doubted,omitempty"` // not heard of since its last word
-	Changed         time.Duration `json:"changed"`           // when phase or doubt last did
+	ChangedAt       time.Duration `json:"changed"`           // when phase or doubt last did
 	PreviousEndedAt time.Duration `json:"before,omitempty"`  // when an earlier process was known to be over; 0: there was none
 	Crashes         []int64       `json:"crashes,omitempty"` // when processes of it ended unannounced, Unix nanoseconds, lately
 }
 
-func (m *Member) serves() bool { return m.Phase == Serving && !m.Suspected }
+func (m *Member) isServing() bool { return m.Phase == Serving && !m.Suspected }
 
 // Engine is a query engine, as the lists of the front ends tell.
 type Engine struct {
@@ -71,7 +71,7 @@
 	Purpose     Purpose       `json:"for"`
 	Revision    string        `json:"revision,omitempty"`
 	Release     uint64        `json:"release,omitempty"` // that it was given for; 0: an operator's
-	By          string        `json:"by,omitempty"`
+	RequestedBy string        `json:"by,omitempty"`
 	GrantedAt   time.Duration `json:"granted"`
 	ActivatedAt time.Duration `json:"begun,omitempty"` // when the holder was told to go; 0: not yet
 	Incarnation uint64        `json:"incarnation"`     // of the process that it was given to
@@ -92,11 +92,11 @@
 	Done    ReleaseState = "done"
 )
 
-// Count is what some front ends did in a window.
-type Count struct {
+// RequestCounts is what some front ends did in a window.
+type RequestCounts struct {
 	Requests int64 `json:"requests"`
 	Failed   int64 `json:"failed"`
-	Refused  int64 `json:"refused"`
+	Rejected int64 `json:"refused"`
 	Slow     int64 `json:"slow"` // served later than the class's aim
 }
 
@@ -105,20 +105,20 @@
 	Number           uint64        `json:"number"`
 	Revision         string        `json:"revision"`
 	PreviousRevision string        `json:"from"` // the revision of the way back
-	By               string        `json:"by"`
+	StartedBy        string        `json:"by"`
 	Waves            []float64     `json:"waves"` // shares of the fleet, rising to 1
 	Soak             time.Duration `json:"soak"`
 	Wave             int           `json:"wave"`
 	Order            []string      `json:"order"` // members, those of the first wave first
 	State            ReleaseState  `json:"state"`
 	RollingBack      bool          `json:"back,omitempty"` // it is on the way back
-	Cause            string        `json:"cause,omitempty"`
-	Started          time.Duration `json:"started"`
+	HaltCause        string        `json:"cause,omitempty"`
+	StartedAt        time.Duration `json:"started"`
 	SoakingSince     time.Duration `json:"soak_from,omitempty"` // since when all of the wave serve on it; 0: they don't
-	Sample           int64         `json:"sample"`              // requests on the new revision since the wave began
+	WaveRequests     int64         `json:"sample"`              // requests on the new revision since the wave began
 	Window           uint64        `json:"window"`              // the last of which counts were taken
-	New              Count         `json:"new"`                 // in windows and rooms that had both
-	Old              Count         `json:"old"`
+	New              RequestCounts `json:"new"`                 // in windows and rooms that had both
+	Old              RequestCounts `json:"old"`
 	Evidence         evidence      `json:"evidence"`
 }
 
@@ -136,8 +136,8 @@
 type AuditEntry struct {
 	Number uint64        `json:"number"`
 	At     time.Duration `json:"at"`
-	By     string        `json:"by"`
-	What   string        `json:"what"`
+	Actor  string        `json:"by"`
+	Action string        `json:"what"`
 	From   string        `json:"from,omitempty"`
 	To     string        `json:"to,omitempty"`
 }
@@ -159,7 +159,7 @@
 	Permits      map[uint64]*Permit `json:"permits"`
 	LastPermit   uint64             `json:"last"` // number of the last permit
 	Release      *Release           `json:"release,omitempty"`
-	Releases     uint64             `json:"releases"`
+	LastRelease  uint64             `json:"releases"`
 	Load         Load               `json:"load"`
 	Removed      map[string]uint64  `json:"forgotten,omitempty"` // the incarnation that was
 	RemovedOrder []string           `json:"gone,omitempty"`      // those forgotten, oldest first
@@ -171,9 +171,9 @@
 // StateMachine is the state and what may be done to it.
 type StateMachine struct {
 	State
-	ids     map[string]int // place in Answers, by id
-	held    map[string]uint64
-	skipped check // tests only: a check that is left out
+	resultIndex     map[string]int // place in Answers, by id
+	permitBySubject map[string]uint64
+	skipped         check // tests only: a check that is left out
 }
 
 // New returns a machine of an empty fleet, or an error that names the setting that can't be used.
@@ -183,15 +183,15 @@
 	}
 	m := &StateMachine{State: State{Version: Version, Settings: set, Members: map[string]*Member{}, Engines: map[string]*Engine{},
 		Permits: map[uint64]*Permit{}, Removed: map[string]uint64{}}}
-	m.index()
+	m.buildIndexes()
 	return m, nil
 }
 
 // Snapshot is the whole state as JSON.
 func (m *StateMachine) Snapshot() ([]byte, error) { return json.Marshal(&m.State) }
 
-// errLater tells a state that a later program has written.
-var errLater = errors.New("rollout: the state was written by a later version")
+// errLaterVersion tells a state that a later program has written.
+var errLaterVersion = errors.New("rollout: the state was written by a later version")
 
 // Restore takes a snapshot's state in place of the machine's. On an error the machine is as it was.
 func (m *StateMachine) Restore(text []byte) error {
@@ -202,7 +202,7 @@
 		return fmt.Errorf("rollout: the state can't be read: %w", err)
 	}
 	if head.Version > Version {
-		return fmt.Errorf("%w: %d, and this program knows %d", errLater, head.Version, Version)
+		return fmt.Errorf("%w: %d, and this program knows %d", errLaterVersion, head.Version, Version)
 	}
 	s := State{Members: map[string]*Member{}, Engines: map[string]*Engine{}, Permits: map[uint64]*Permit{}, Removed: map[string]uint64{}}
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -214,18 +214,18 @@
 		return err
 	}
 	m.State = s
-	m.index()
+	m.buildIndexes()
 	return nil
 }
 
-// index builds what is derived from the state.
-func (m *StateMachine) index() {
-	m.ids, m.held = map[string]int{}, map[string]uint64{}
+// buildIndexes builds what is derived from the state.
+func (m *StateMachine) buildIndexes() {
+	m.resultIndex, m.permitBySubject = map[string]int{}, map[string]uint64{}
 	for i, a := range m.Results {
-		m.ids[a.ID] = i
+		m.resultIndex[a.ID] = i
 	}
 	for n, p := range m.Permits {
-		m.held[p.key()] = n
+		m.permitBySubject[p.key()] = n
 	}
 }
 
@@ -241,40 +241,40 @@
 
 // permitOf is the permit that somebody holds; nil for none.
 func (m *StateMachine) permitOf(name string, engine bool) *Permit {
-	return m.Permits[m.held[holderKey(name, engine)]]
+	return m.Permits[m.permitBySubject[holderKey(name, engine)]]
 }
 
-func (m *StateMachine) end(p *Permit) {
+func (m *StateMachine) endPermit(p *Permit) {
 	delete(m.Permits, p.Number)
-	delete(m.held, p.key())
+	delete(m.permitBySubject, p.key())
 }
 
-// Numbers lists the permits in order.
-func (m *StateMachine) Numbers() []uint64 { return m.numbers() }
+// PermitNumbers lists the permits in order.
+func (m *StateMachine) PermitNumbers() []uint64 { return m.numbers() }
 
 func (m *StateMachine) numbers() []uint64 { return slices.Sorted(maps.Keys(m.Permits)) }
 
-// names lists the members in order.
-func (m *StateMachine) names() []string { return slices.Sorted(maps.Keys(m.Members)) }
+// memberNames lists the members in order.
+func (m *StateMachine) memberNames() []string { return slices.Sorted(maps.Keys(m.Members)) }
 
 func (m *StateMachine) audit(by, what, from, to string) {
 	m.AuditCount++
-	m.Audit = append(m.Audit, AuditEntry{Number: m.AuditCount, At: m.Now, By: by, What: what, From: from, To: to})
+	m.Audit = append(m.Audit, AuditEntry{Number: m.AuditCount, At: m.Now, Actor: by, Action: what, From: from, To: to})
 	if over := len(m.Audit) - m.Settings.KeepAudit; over > 0 {
 		m.Audit = slices.Delete(m.Audit, 0, over)
 	}
 }
 
-// remember keeps the answer of a command for its repeats.
-func (m *StateMachine) remember(id string, r Result) {
+// rememberResult keeps the answer of a command for its repeats.
+func (m *StateMachine) rememberResult(id string, r Result) {
 	if id == "" {
 		return
 	}
 	m.Results = append(m.Results, commandResult{id, r})
-	if len(m.Results) > 2*m.Settings.KeepIDs { // in halves, so that the index is not built at each command
-		m.Results = slices.Delete(m.Results, 0, len(m.Results)-m.Settings.KeepIDs)
-		m.index()
+	if len(m.Results) > 2*m.Settings.KeepResults { // in halves, so that the index is not built at each command
+		m.Results = slices.Delete(m.Results, 0, len(m.Results)-m.Settings.KeepResults)
+		m.buildIndexes()
 		return
 	}
-	m.ids[id] = len(m.Results) - 1
+	m.resultIndex[id] = len(m.Results) - 1
 }
--- a/internal/faulttest/rollout_release.go
+++ b/internal/faulttest/rollout_release.go
@@ -22,7 +22,7 @@
 func (r *rolloutRun) apply(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	r.mu.Lock()
 	r.commands++
-	c.ID, c.By = fmt.Sprintf("drill-%d", r.commands), "the drill"
+	c.ID, c.RequestedBy = fmt.Sprintf("drill-%d", r.commands), "the drill"
 	r.mu.Unlock()
 	for {
 		result, err := r.cluster.Client.Apply(c)
@@ -101,7 +101,7 @@
 		o.run.options.note("release %d ended, back %v, after %v", o.number, release.RollingBack, took.Round(time.Millisecond))
 		return true
 	case release.State == rollout.Halted && !o.rolledBack:
-		o.handleHalt(ctx, release.Cause)
+		o.handleHalt(ctx, release.HaltCause)
 	case release.State == rollout.Running && !o.resume && !o.rolledBack && time.Since(o.began) > releasePatience:
 		o.run.options.note("the bad release was not halted by itself")
 		o.run.count("halted_by_hand", 1)
--- a/internal/faulttest/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -180,13 +180,13 @@
 
 // settings returns the fleet settings of the test.
 func (r *rolloutRun) settings() rollout.Settings {
-	budget := rollout.Budget{Most: maxUnavailable, ZoneMost: maxUnavailableInZone}
+	budget := rollout.Budget{Max: maxUnavailable, ZoneMax: maxUnavailableInZone}
 	settings := rollout.Defaults()
 	settings.FrontEnds, settings.Rollback = budget, budget
-	settings.Engines = rollout.Budget{Most: maxUnavailableEngines}
+	settings.Engines = rollout.Budget{Max: maxUnavailableEngines}
 	settings.ReturnTimeout = 25 * time.Second
 	settings.CrashLoop = 4
-	settings.Analyzer.Least = 200
+	settings.Analyzer.MinRequests = 200
 	settings.Analyzer.Dispersion = 1 // failures here are independent
 	if r.options.Policy == policyUnjudged {
 		settings.Analyzer.Alpha = 1e-300
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -99,7 +99,7 @@
 	require.True(t, n0.Keeps && n1.Keeps)
 	n0.Signal(syscall.SIGSTOP)
 	n1.Signal(syscall.SIGSTOP)
-	_, err := f.cluster.Client.Apply(rollout.Command{ID: "lost", By: "a test", StartRelease: &rollout.StartRelease{Revision: "r2", Waves: []float64{1}}})
+	_, err := f.cluster.Client.Apply(rollout.Command{ID: "lost", RequestedBy: "a test", StartRelease: &rollout.StartRelease{Revision: "r2", Waves: []float64{1}}})
 	require.Error(t, err, "nothing is agreed")
 	assertServes(t, ctx, f)
 	for _, m := range f.cluster.Members {
@@ -187,7 +187,7 @@
 		before = append(before, identity(m.Name))
 		require.NoError(t, m.FailDisk("sync"))
 	}
-	_, _ = f.cluster.Client.Apply(rollout.Command{ID: "lost", By: "a test", Tick: &struct{}{}})
+	_, _ = f.cluster.Client.Apply(rollout.Command{ID: "lost", RequestedBy: "a test", Tick: &struct{}{}})
 	require.Eventually(t, func() bool { return f.leaderStatus() == nil }, 15*time.Second, 20*time.Millisecond)
 	assertServes(t, ctx, f)
 	for i, m := range f.cluster.Members[:2] {
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -28,15 +28,15 @@
 
 // Status is what a keeper knows of the fleet.
 type Status struct {
-	Keeper  string               `json:"keeper"`
-	Leads   bool                 `json:"leads"`
-	Leader  string               `json:"leader,omitempty"` // where it is asked; empty: no agreement
-	Index   uint64               `json:"index"`            // of the log, as far as this keeper has applied it
-	Servers []string             `json:"servers"`
-	State   rollout.State        `json:"state"`
-	Budgets []rollout.BudgetLine `json:"budgets"`
-	Waiting []string             `json:"waiting,omitempty"` // what a release waits for
-	Blocks  map[string][]string  `json:"blocks,omitempty"`  // what keeps an engine from being stopped
+	Keeper  string                 `json:"keeper"`
+	Leads   bool                   `json:"leads"`
+	Leader  string                 `json:"leader,omitempty"` // where it is asked; empty: no agreement
+	Index   uint64                 `json:"index"`            // of the log, as far as this keeper has applied it
+	Servers []string               `json:"servers"`
+	State   rollout.State          `json:"state"`
+	Budgets []rollout.BudgetStatus `json:"budgets"`
+	Waiting []string               `json:"waiting,omitempty"` // what a release waits for
+	Blocks  map[string][]string    `json:"blocks,omitempty"`  // what keeps an engine from being stopped
 }
 
 // View is what concerns one member.
@@ -65,7 +65,7 @@
 	if o := m.Members[name]; o != nil {
 		v = View{Known: true, Incarnation: o.Incarnation, Seq: o.StatusSequence, Phase: o.Phase, Doubted: o.Suspected, Wanted: o.TargetRevision}
 	}
-	for _, n := range m.Numbers() {
+	for _, n := range m.PermitNumbers() {
 		p := *m.Permits[n]
 		if p.Engine {
 			v.Drains = append(v.Drains, Drained{p.Subject, n, p.DrainedBy[name] == v.Incarnation && v.Known})
@@ -170,9 +170,9 @@
 		if text, err = m.Snapshot(); err == nil { // a copy: the machine goes on
 			err = json.Unmarshal(text, &s.State)
 		}
-		s.Budgets, s.Waiting = m.Budgets(), m.Waiting()
-		for _, n := range m.Numbers() {
-			if b := m.Blocks(n); len(b) > 0 {
+		s.Budgets, s.Waiting = m.Budgets(), m.ReleaseBlockers()
+		for _, n := range m.PermitNumbers() {
+			if b := m.DrainBlockers(n); len(b) > 0 {
 				s.Blocks[m.Permits[n].Subject] = b
 			}
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -236,7 +236,7 @@
 func TestCountsAreGatheredByWindow(t *testing.T) {
 	var c counts
 	for i, name := range []string{"a", "b", "a"} {
-		c.take(Counts{Name: name, Window: 5, Count: rollout.Count{Requests: int64(i + 1)}})
+		c.take(Counts{Name: name, Window: 5, Count: rollout.RequestCounts{Requests: int64(i + 1)}})
 	}
 	c.take(Counts{Name: "a", Window: 6})
 	w, n := c.whole(5)
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -14,7 +14,7 @@
 	Name, Room, Revision string
 	Window               int64 // Unix time over countsFor
 	Load                 float64
-	Count                rollout.Count
+	Count                rollout.RequestCounts
 }
 
 // counts gathers windows until they are old enough to be whole.
@@ -58,8 +58,8 @@
 	return windows, numbers
 }
 
-func add(to *rollout.Count, c rollout.Count) {
-	to.Requests, to.Failed, to.Refused, to.Slow = to.Requests+c.Requests, to.Failed+c.Failed, to.Refused+c.Refused, to.Slow+c.Slow
+func add(to *rollout.RequestCounts, c rollout.RequestCounts) {
+	to.Requests, to.Failed, to.Rejected, to.Slow = to.Requests+c.Requests, to.Failed+c.Failed, to.Rejected+c.Rejected, to.Slow+c.Slow
 }
 
 // window is the number of the window at a time.
@@ -154,7 +154,7 @@
 				out = append(out, rollout.Command{Health: &h})
 			}
 		}
-		if at, ok := m.Due(); ok && time.Duration(now.UnixNano()) >= at {
+		if at, ok := m.NextDeadline(); ok && time.Duration(now.UnixNano()) >= at {
 			out = append(out, rollout.Command{Tick: &struct{}{}})
 		}
 	})
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -24,7 +24,7 @@
 	// Engines tells what the list says, for the log; only asked where the log is kept.
 	Engines() []rollout.Engine
 	// Counted tells the counts since the start: requests, failed, refused.
-	Counted() rollout.Count
+	Counted() rollout.RequestCounts
 }
 
 // Member is a front end's part in the fleet. It is safe for concurrent use.
@@ -352,8 +352,8 @@
 			return
 		}
 		c := m.front.Counted()
-		w := Counts{Name: m.opt.Name, Room: m.opt.Room, Revision: m.opt.Revision, Window: window(next) - 1, Count: rollout.Count{
-			Requests: c.Requests - last.Requests, Failed: c.Failed - last.Failed, Refused: c.Refused - last.Refused, Slow: c.Slow - last.Slow,
+		w := Counts{Name: m.opt.Name, Room: m.opt.Room, Revision: m.opt.Revision, Window: window(next) - 1, Count: rollout.RequestCounts{
+			Requests: c.Requests - last.Requests, Failed: c.Failed - last.Failed, Rejected: c.Rejected - last.Rejected, Slow: c.Slow - last.Slow,
 		}}
 		w.Load = float64(w.Count.Requests) / max(time.Since(began).Seconds(), 0.1)
 		last, began = c, time.Now()
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -284,10 +284,10 @@
 // idleFront is a front end without engines or requests.
 type idleFront struct{}
 
-func (idleFront) Veto(map[string]bool)      {}
-func (idleFront) Idle(string) bool          { return true }
-func (idleFront) Engines() []rollout.Engine { return nil }
-func (idleFront) Counted() rollout.Count    { return rollout.Count{} }
+func (idleFront) Veto(map[string]bool)           {}
+func (idleFront) Idle(string) bool               { return true }
+func (idleFront) Engines() []rollout.Engine      { return nil }
+func (idleFront) Counted() rollout.RequestCounts { return rollout.RequestCounts{} }
 
 // A member that comes back as another process is heard of as that one, and a name without a number as none.
 func TestAliveProcessesFollowEvents(t *testing.T) {
--- a/internal/scale/hollow_front.go
+++ b/internal/scale/hollow_front.go
@@ -45,8 +45,8 @@
 func (f *hollowFront) Engines() []rollout.Engine { return f.engines }
 
 // Counted implements fleet.Front.
-func (f *hollowFront) Counted() rollout.Count {
-	return rollout.Count{Requests: int64(f.rate * time.Since(f.started).Seconds())}
+func (f *hollowFront) Counted() rollout.RequestCounts {
+	return rollout.RequestCounts{Requests: int64(f.rate * time.Since(f.started).Seconds())}
 }
 
 // excludedSince tells since when each drained engine is excluded.
--- a/internal/scale/parts/replica.go
+++ b/internal/scale/parts/replica.go
@@ -181,7 +181,7 @@
 	before, began := r.wire.bytes(), processCPU(r.process.pid())
 	for i := range r.place.size.Members {
 		report := fleet.Counts{Name: memberName(i), Room: zoneName(i), Revision: revision, Window: time.Now().UnixNano() / int64(countsEvery),
-			Load: PlannedRate, Count: rollout.Count{Requests: int64(PlannedRate * countsEvery.Seconds()), Refused: 3, Slow: 12}}
+			Load: PlannedRate, Count: rollout.RequestCounts{Requests: int64(PlannedRate * countsEvery.Seconds()), Rejected: 3, Slow: 12}}
 		if _, err := r.call(ctx, r.operator, "/counts", report, nil); err != nil {
 			return err
 		}
--- a/internal/scale/parts/state.go
+++ b/internal/scale/parts/state.go
@@ -42,7 +42,7 @@
 
 // drainCommand asks for the drain of a database.
 func drainCommand() rollout.Command {
-	return rollout.Command{ID: "drain-1", By: "operator@control-1", Drain: &rollout.Subject{Name: engineName(drainedEngine), Engine: true}}
+	return rollout.Command{ID: "drain-1", RequestedBy: "operator@control-1", Drain: &rollout.Subject{Name: engineName(drainedEngine), Engine: true}}
 }
 
 // emptyCommand is a front end's report that nothing of its own is at the drained database.
@@ -52,7 +52,7 @@
 
 // releaseCommand starts a release whose only wave is the whole fleet: as many front ends hold permits as the budget allows.
 func releaseCommand() rollout.Command {
-	return rollout.Command{ID: "release-1", By: "operator@control-1",
+	return rollout.Command{ID: "release-1", RequestedBy: "operator@control-1",
 		StartRelease: &rollout.StartRelease{Revision: nextRevision, Waves: []float64{1}, Soak: 5 * time.Minute}}
 }
 
@@ -130,7 +130,7 @@
 	}
 	p.add("control_log_command_busy_cpu_seconds", busy)
 	due, err := cpuEach(func() error {
-		s.Due()
+		s.NextDeadline()
 		return nil
 	})
 	if err != nil {
@@ -178,7 +178,7 @@
 	}
 	p.add("database_drain_state_cpu_seconds", ownCPU()-began)
 	if s.Permits[drained.Permit].DrainedAt == 0 {
-		return fmt.Errorf("the database may not be stopped although all have reported it empty: %v", s.Blocks(drained.Permit))
+		return fmt.Errorf("the database may not be stopped although all have reported it empty: %v", s.DrainBlockers(drained.Permit))
 	}
 	after, err := s.Snapshot()
 	if err != nil {
@@ -198,10 +198,10 @@
 	if err != nil {
 		return err
 	}
-	for i := range s.Settings.KeepIDs {
+	for i := range s.Settings.KeepResults {
 		holder := &rollout.Subject{Name: memberName(i % p.size.Members)}
-		drain := rollout.Command{ID: fmt.Sprintf("operator-%016x-d", i), By: "operator@control-1", Drain: holder}
-		undrain := rollout.Command{ID: fmt.Sprintf("operator-%016x-u", i), By: "operator@control-1", Undrain: holder}
+		drain := rollout.Command{ID: fmt.Sprintf("operator-%016x-d", i), RequestedBy: "operator@control-1", Drain: holder}
+		undrain := rollout.Command{ID: fmt.Sprintf("operator-%016x-u", i), RequestedBy: "operator@control-1", Undrain: holder}
 		for _, command := range []rollout.Command{drain, undrain} {
 			if _, err := s.apply(command); err != nil {
 				return err
--- a/internal/scale/runner.go
+++ b/internal/scale/runner.go
@@ -171,7 +171,7 @@
 		}
 	}
 	settings := rollout.Defaults()
-	settings.Engines = rollout.Budget{Most: mostDrains}
+	settings.Engines = rollout.Budget{Max: mostDrains}
 	if _, err := r.apply(within, rollout.Command{Configure: &settings}); err != nil {
 		return fmt.Errorf("scale: the control replicas agree on nothing: %w\n%s", err, r.lastWords())
 	}
@@ -246,7 +246,7 @@
 // apply enters a command, again under the same id until it is answered or ctx is over.
 func (r *run) apply(ctx context.Context, c rollout.Command) (applied, error) {
 	r.nextID++
-	c.ID, c.By = fmt.Sprintf("scale-%d", r.nextID), "scale run"
+	c.ID, c.RequestedBy = fmt.Sprintf("scale-%d", r.nextID), "scale run"
 	for {
 		sent := time.Now()
 		result, err := r.client.Apply(c)
