--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -15,7 +15,7 @@
 
 	"beechcart/admission"
 	"beechcart/internal/platformconfig"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // every is a configuration that has each field, and no two alike where they could be mixed up.
@@ -45,33 +45,35 @@
 // encoder writes values in a fixed order, without their names.
 type encoder struct{ bytes.Buffer }
 
+func (e *encoder) printf(format string, values ...any) { e.Write(fmt.Appendf(nil, format, values...)) }
+
 func (e *encoder) ints(values ...int) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", v)
+		e.printf("%d ", v)
 	}
 }
 
 func (e *encoder) durations(values ...time.Duration) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", int64(v))
+		e.printf("%d ", int64(v))
 	}
 }
 
 func (e *encoder) floats(values ...float64) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%016x ", math.Float64bits(v))
+		e.printf("%016x ", math.Float64bits(v))
 	}
 }
 
 func (e *encoder) bools(values ...bool) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%t ", v)
+		e.printf("%t ", v)
 	}
 }
 
 func (e *encoder) texts(values ...string) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%q ", v)
+		e.printf("%q ", v)
 	}
 }
 
@@ -120,7 +122,7 @@
 
 func (e *encoder) config(c *platformconfig.Config) {
 	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
-	fmt.Fprintf(e, "%d ", c.Seed)
+	e.printf("%d ", c.Seed)
 	e.floats(c.Cores, c.HandshakePrice)
 	e.ints(c.MemoryMB, c.Sockets)
 	e.durations(c.ConnectTimeout)
@@ -161,7 +163,7 @@
 		require.NoError(t, err)
 		var one encoder
 		one.config(c)
-		fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+		out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
 		if out.Len() < 100 {
 			out.Write(one.Bytes()) // the first in full
 		}
@@ -171,8 +173,8 @@
 	var one encoder
 	one.settings(&set)
 	one.names(&names)
-	fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
-	recording.Compare(t, "configuration", out.Bytes())
+	out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
+	recorded.Compare(t, "configuration", out.Bytes())
 }
 
 // What is said of a bad configuration is as it was recorded.
@@ -202,7 +204,7 @@
 	_, err := platformconfig.Load("", os.Getenv)
 	require.Error(t, err)
 	fmt.Fprintf(&out, "%v\n", err)
-	recording.Compare(t, "load-errors", out.Bytes())
+	recorded.Compare(t, "load-errors", out.Bytes())
 }
 
 // What a check says of a configuration that reads, and that a front end can't serve with, is as it was recorded.
@@ -218,5 +220,5 @@
 		require.NoError(t, err, text)
 		fmt.Fprintf(&out, "%v\n", c.Check())
 	}
-	recording.Compare(t, "check-errors", out.Bytes())
+	recorded.Compare(t, "check-errors", out.Bytes())
 }
