--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -142,16 +142,16 @@
 }
 
 // Counted implements fleet.Front.
-func (m *fleetMember) Counted() rollout.Count { return requestCounts(m.counters.Map()) }
+func (m *fleetMember) Counted() rollout.RequestCounts { return requestCounts(m.counters.Map()) }
 
 // requestCounts counts requests by their answers, each once it has ended. Requests are not counted as they begin: a
 // window in which more end than begin would have impossible counts, and a control replica discards such a window.
-func requestCounts(counters map[string]int64) rollout.Count {
+func requestCounts(counters map[string]int64) rollout.RequestCounts {
 	failed := counters["failed"] + counters["deadline"]
-	return rollout.Count{
+	return rollout.RequestCounts{
 		Requests: counters["served"] + failed + counters["refused"],
 		Failed:   failed,
-		Refused:  counters["refused"],
+		Rejected: counters["refused"],
 		Slow:     counters["served_late"],
 	}
 }
