--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -124,13 +124,13 @@
 
 func discoveryDecoder(s *discovery.Settings) objectDecoder {
 	return objectDecoder{
-		"max_lag_ms":       milliseconds(&s.MaxLag),
-		"max_out":          fraction(&s.MaxOut),
+		"max_lag_ms":       milliseconds(&s.MaxStaleness),
+		"max_out":          fraction(&s.MaxEjected),
 		"max_loss":         fraction(&s.MaxLoss),
 		"loss_window_ms":   milliseconds(&s.LossWindow),
 		"confirm_reads":    integer(&s.ConfirmReads, 1, 1000),
 		"confirm_after_ms": milliseconds(&s.ConfirmAfter),
-		"doubt_for_ms":     milliseconds(&s.DoubtFor),
+		"doubt_for_ms":     milliseconds(&s.MaxSuspicion),
 		"reset_after_ms":   milliseconds(&s.ResetAfter),
 		"penalty":          number(&s.Penalty),
 		"half_life_ms":     milliseconds(&s.HalfLife),
