--- a/cmd/gateway/consul_test.go
+++ b/cmd/gateway/consul_test.go
@@ -128,7 +128,7 @@
 			}
 		}
 	})
-	s.Maintain("n-"+a.name, a.name, true, "disks")
+	s.SetMaintenance("n-"+a.name, a.name, consul.Maintenance{Enabled: true, Reason: "disks"})
 	at := <-told
 	r.believes("draining", 1)
 	assert.Less(t, time.Since(at), 500*time.Millisecond)
@@ -141,7 +141,7 @@
 	s.SetFaults(consul.Faults{Stale: true, NoLeader: true})
 	s.SetFaults(consul.Faults{Empty: true})
 	r.says("empty list not obeyed")
-	s.SetFaults(consul.Faults{Half: true})
+	s.SetFaults(consul.Faults{Truncated: true})
 	r.says("catalogue lost")
 	s.SetFaults(consul.Faults{Status: 500})
 	for range 50 {
@@ -150,7 +150,7 @@
 	assert.Equal(t, before, a.count("POST"))
 	s.SetFaults(consul.Faults{})
 	r.says("catalogue back")
-	s.Maintain("n-"+a.name, a.name, false, "")
+	s.SetMaintenance("n-"+a.name, a.name, consul.Maintenance{})
 	r.believes("ready", 2)
 }
 
--- a/cmd/gateway/helper_test.go
+++ b/cmd/gateway/helper_test.go
@@ -168,7 +168,7 @@
 	defer func() { _ = theirs.Close() }()
 	r.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
 	r.t.Cleanup(r.door.Close)
-	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, processstats.Env+"=3")
+	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, processstats.DescriptorEnv+"=3")
 	require.NoError(r.t, r.cmd.Start())
 	go func() { r.exit <- r.cmd.Wait() }()
 }
@@ -250,7 +250,7 @@
 }
 
 func (r *rig) counter(name string) int64 {
-	f, err := r.door.Ask()
+	f, err := r.door.Stats()
 	require.NoError(r.t, err)
 	return f.Counters[name]
 }
--- a/cmd/gateway/server.go
+++ b/cmd/gateway/server.go
@@ -199,7 +199,7 @@
 	if err != nil {
 		return err
 	}
-	err = processstats.Open(func(stats *processstats.Figures) {
+	err = processstats.Open(func(stats *processstats.Stats) {
 		stats.Counters, stats.Copies = s.counters.Map(), copycount.Counts()
 	})
 	if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the local door of a running program: a Unix socket that takes one word and answers with one JSON
-// document. It is off unless the operators' settings name a path, and reaches nobody beyond the machine.
+// Package admin serves local requests about a running program: a Unix socket that takes the name of a command and
+// answers with one JSON document. It is off unless the operators' settings name a path, and reaches nobody beyond the
+// machine.
 package admin
 
 import (
@@ -8,126 +9,139 @@
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"os"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 )
 
-// Command answers one word. It may be called from several goroutines at once.
+// Command answers requests of one name. It may be called from several goroutines at once.
 type Command func() (any, error)
 
-// The bounds of a call.
 const (
-	callWait = 5 * time.Second
-	mostWord = 64
-	mostText = 64 << 20
+	callTimeout = 5 * time.Second
+	// probeTimeout is how long another program that may listen on the socket has to accept.
+	probeTimeout       = time.Second
+	acceptRetryDelay   = 100 * time.Millisecond
+	maxConcurrentCalls = 4 // each holds a descriptor
+	maxNameBytes       = 64
+	maxAnswerBytes     = 64 << 20
 )
 
-// answer is what goes over the socket.
+// answer is the document that goes over the socket.
 type answer struct {
 	Error string          `json:"error,omitempty"`
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// Door is a listening socket.
-type Door struct {
-	l        net.Listener
+// Server is a listening socket.
+type Server struct {
+	listener net.Listener
 	commands map[string]Command
-	slots    chan struct{}
+	slots    chan struct{} // holds one value for each call
 }
 
-// Listen opens a socket at path that only its owner can use. A socket that nobody listens on is replaced; anything
-// else at that path is an error.
-func Listen(path string, commands map[string]Command) (*Door, error) {
-	if info, err := os.Lstat(path); err == nil {
-		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("admin_socket: %s is there and no socket", path)
-		}
-		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-			c.Close()
-			return nil, fmt.Errorf("admin_socket: another program listens on %s", path)
-		}
-		if err := os.Remove(path); err != nil {
-			return nil, fmt.Errorf("admin_socket: %w", err)
-		}
+// Listen opens a socket at path that only its owner can use, and serves it until Close. A socket that nobody listens on
+// is replaced; anything else at that path is an error.
+func Listen(path string, commands map[string]Command) (*Server, error) {
+	if err := removeStaleSocket(path); err != nil {
+		return nil, err
 	}
-	l, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("admin_socket: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		l.Close()
+		listener.Close()
 		return nil, fmt.Errorf("admin_socket: %w", err)
 	}
-	d := &Door{l: l, commands: commands, slots: make(chan struct{}, 4)}
-	go d.serve()
-	return d, nil
+	s := &Server{listener: listener, commands: commands, slots: make(chan struct{}, maxConcurrentCalls)}
+	go s.serve()
+	return s, nil
 }
 
-// Close ends the socket.
-func (d *Door) Close() { d.l.Close() }
+func removeStaleSocket(path string) error {
+	info, err := os.Lstat(path)
+	if err != nil {
+		return nil // net.Listen tells what else is wrong with the path
+	}
+	if info.Mode()&os.ModeSocket == 0 {
+		return fmt.Errorf("admin_socket: %s is there and no socket", path)
+	}
+	if c, err := net.DialTimeout("unix", path, probeTimeout); err == nil {
+		c.Close()
+		return fmt.Errorf("admin_socket: another program listens on %s", path)
+	}
+	if err := os.Remove(path); err != nil {
+		return fmt.Errorf("admin_socket: %w", err)
+	}
+	return nil
+}
+
+// Close ends the socket. Calls that are being answered go on.
+func (s *Server) Close() { s.listener.Close() }
 
-func (d *Door) serve() {
+func (s *Server) serve() {
 	for {
-		c, err := d.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(100 * time.Millisecond) // out of descriptors, most likely
+			time.Sleep(acceptRetryDelay) // out of descriptors, most likely
 			continue
 		}
-		d.slots <- struct{}{} // bounds the descriptors that the door holds
+		s.slots <- struct{}{}
 		go func() {
-			d.call(c)
-			<-d.slots
+			s.answerCall(c)
+			<-s.slots
 		}()
 	}
 }
 
-func (d *Door) call(c net.Conn) {
+func (s *Server) answerCall(c net.Conn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(callWait))
-	word, err := bufio.NewReader(io.LimitReader(c, mostWord)).ReadString('\n')
+	_ = c.SetDeadline(time.Now().Add(callTimeout))
+	line, err := bufio.NewReader(io.LimitReader(c, maxNameBytes)).ReadString('\n')
 	if err != nil {
 		return
 	}
-	var a answer
-	word = strings.TrimSpace(word)
-	if cmd := d.commands[word]; cmd == nil {
-		a.Error = fmt.Sprintf("unknown command %q; there are %s", word, strings.Join(d.words(), ", "))
-	} else if v, err := cmd(); err != nil {
-		a.Error = err.Error()
-	} else if a.Value, err = json.Marshal(v); err != nil {
-		a.Error = err.Error()
-	}
-	_ = json.NewEncoder(c).Encode(a)
+	_ = json.NewEncoder(c).Encode(s.run(strings.TrimSpace(line)))
 }
 
-func (d *Door) words() []string {
-	var words []string
-	for w := range d.commands {
-		words = append(words, w)
+// run answers a request for the command of a name.
+func (s *Server) run(name string) answer {
+	command := s.commands[name]
+	if command == nil {
+		known := strings.Join(slices.Sorted(maps.Keys(s.commands)), ", ")
+		return answer{Error: fmt.Sprintf("unknown command %q; there are %s", name, known)}
+	}
+	value, err := command()
+	if err != nil {
+		return answer{Error: err.Error()}
+	}
+	document, err := json.Marshal(value)
+	if err != nil {
+		return answer{Error: err.Error()}
 	}
-	sort.Strings(words)
-	return words
+	return answer{Value: document}
 }
 
-// Call asks the program at path, and returns its answer as JSON.
-func Call(path, word string) (json.RawMessage, error) {
-	c, err := net.DialTimeout("unix", path, callWait)
+// Call runs a command of the program that listens at path, and returns its answer.
+func Call(path, name string) (json.RawMessage, error) {
+	c, err := net.DialTimeout("unix", path, callTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket %s: %w", path, err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(callWait))
-	if _, err := io.WriteString(c, word+"\n"); err != nil {
+	_ = c.SetDeadline(time.Now().Add(callTimeout))
+	if _, err := io.WriteString(c, name+"\n"); err != nil {
 		return nil, fmt.Errorf("admin socket %s: %w", path, err)
 	}
 	var a answer
-	if err := json.NewDecoder(io.LimitReader(c, mostText)).Decode(&a); err != nil {
+	if err := json.NewDecoder(io.LimitReader(c, maxAnswerBytes)).Decode(&a); err != nil {
 		return nil, fmt.Errorf("admin socket %s: %w", path, err)
 	}
 	if a.Error != "" {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,7 +13,7 @@
 func TestDoor(t *testing.T) {
 	dir, err := os.MkdirTemp("", "bc") // short: the path of a socket has a bound
 	require.NoError(t, err)
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "s")
 	commands := map[string]Command{
 		"n":   func() (any, error) { return map[string]int{"x": 1}, nil },
@@ -28,18 +28,18 @@
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"x":1}`, string(v))
 	_, err = Call(path, "bad")
-	assert.EqualError(t, err, "no such thing")
+	require.EqualError(t, err, "no such thing")
 	_, err = Call(path, "what")
-	assert.EqualError(t, err, `unknown command "what"; there are bad, n`)
+	require.EqualError(t, err, `unknown command "what"; there are bad, n`)
 	_, err = Listen(path, commands)
-	assert.ErrorContains(t, err, "another program listens")
+	require.ErrorContains(t, err, "another program listens")
 	d.Close()
 	_, err = Call(path, "n")
-	assert.ErrorContains(t, err, path)
+	require.ErrorContains(t, err, path)
 
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err = Listen(path, commands)
-	assert.ErrorContains(t, err, "no socket")
+	require.ErrorContains(t, err, "no socket")
 	_, err = os.Stat(path)
 	assert.NoError(t, err, "what is there is not touched")
 }
--- a/internal/bench/list.go
+++ b/internal/bench/list.go
@@ -102,7 +102,7 @@
 	for i := range o.Changes {
 		on := i%2 == 0
 		wrote := time.Now()
-		cat.Maintain("n0", id(0), on, "bench")
+		cat.SetMaintenance("n0", id(0), consul.Maintenance{Enabled: on, Reason: "bench"})
 		for {
 			select {
 			case l := <-lines:
--- a/internal/bench/path.go
+++ b/internal/bench/path.go
@@ -113,7 +113,7 @@
 	defer t.close()
 	c := &client{scenario: s, address: t.front.Addr}
 	defer c.close()
-	before, err := t.door.Ask()
+	before, err := t.door.Stats()
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	if err := c.repeat(ctx, n); err != nil {
 		return err
 	}
-	after, err := t.door.Ask()
+	after, err := t.door.Stats()
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 type heapCost struct{ allocations, bytes float64 }
 
 // allocated returns what was allocated between two answers of the door.
-func allocated(from, to processstats.Figures) heapCost {
+func allocated(from, to processstats.Stats) heapCost {
 	return heapCost{float64(to.Mallocs - from.Mallocs), float64(to.Bytes - from.Bytes)}
 }
 
@@ -165,14 +165,14 @@
 
 // measureHeap measures what the front end allocates during run.
 func (t *testbed) measureHeap(ctx context.Context, run func() error) (costs heapCosts, err error) {
-	if _, err := t.door.Ask(); err != nil { // the first answer costs more than the others
+	if _, err := t.door.Stats(); err != nil { // the first answer costs more than the others
 		return costs, err
 	}
-	first, err := t.door.Ask()
+	first, err := t.door.Stats()
 	if err != nil {
 		return costs, err
 	}
-	second, err := t.door.Ask()
+	second, err := t.door.Stats()
 	if err != nil {
 		return costs, err
 	}
@@ -180,7 +180,7 @@
 	if err := wait(ctx, idleTime); err != nil {
 		return costs, err
 	}
-	idle, err := t.door.Ask()
+	idle, err := t.door.Stats()
 	if err != nil {
 		return costs, err
 	}
@@ -190,7 +190,7 @@
 		return costs, err
 	}
 	took := time.Since(began).Seconds()
-	end, err := t.door.Ask()
+	end, err := t.door.Stats()
 	if err != nil {
 		return costs, err
 	}
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -85,14 +85,14 @@
 func (t *testbed) startEngines(n int) error {
 	var endpoints []changelog.Endpoint
 	for i := range n {
-		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: engineName(i), Cores: 64, Sessions: 10_000, Classes: results})
+		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: engineName(i), Cores: 64, MaxQueries: 10_000, Classes: results})
 		if err != nil {
 			return err
 		}
 		t.engines = append(t.engines, e)
 		endpoints = append(endpoints, changelog.Endpoint{Name: fmt.Sprintf("s-%08x", i+1), Address: e.Addr, Zone: "room-a", Type: "std-4", Status: "ready"})
 	}
-	t.log.Tell(true, endpoints...)
+	t.log.Publish(true, endpoints...)
 	return nil
 }
 
@@ -120,7 +120,7 @@
 			return err
 		}
 		defer theirs.Close()
-		options.Files, options.Env = []*os.File{theirs}, []string{processstats.Env + "=3"}
+		options.Files, options.Env = []*os.File{theirs}, []string{processstats.DescriptorEnv + "=3"}
 	}
 	var err error
 	if t.front, err = faulttest.StartFront(options); err != nil {
--- a/internal/copycount/off.go
+++ b/internal/copycount/disabled.go
@@ -3,7 +3,7 @@
 package copycount
 
 // Add counts nothing in this build.
-func Add(Place, int) {}
+func Add(Site, int) {}
 
 // Counts is nil in this build.
 func Counts() map[string]int64 { return nil }
--- a/internal/decimal/figure.go
+++ b/internal/decimal/decimal.go
@@ -1,4 +1,4 @@
-// Package decimal reads the figures that peers send, on either side.
+// Package decimal reads the numbers that peers send, on either side.
 package decimal
 
 import (
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Parse reads a decimal number that is not negative; false for anything else. Guards against what strconv takes
-// beyond that: signs, NaN, infinity, numbers in hex.
+// Parse reads a decimal number that is not negative; false for anything else. It rejects what strconv takes beyond
+// that: signs, NaN, infinity and numbers in hex.
 func Parse(text []byte) (float64, bool) {
 	if len(text) == 0 || text[0] < '0' || text[0] > '9' || bytes.ContainsAny(text, "xX_pP") {
 		return 0, false
--- a/internal/fake/changelog/changelog.go
+++ b/internal/fake/changelog/changelog.go
@@ -1,4 +1,4 @@
-// Package changelog is a stand-in for the platform's change log, on a loopback address.
+// Package changelog is a fake of the platform's change log, on a loopback address.
 package changelog
 
 import (
@@ -12,10 +12,13 @@
 	"beechcart/internal/fake/loopback"
 )
 
+// maxWait bounds how long a poll waits for an event.
+const maxWait = 5 * time.Second
+
 // Endpoint is one engine of an event.
 type Endpoint struct {
 	Name, Address, Zone, Type, Status string
-	SinceMS                           int64
+	SinceMS                           int64 // Unix time since when the engine runs
 }
 
 // Log is one change log. It is safe for concurrent use.
@@ -23,8 +26,8 @@
 	Addr string
 
 	mu      sync.Mutex
-	events  []string
-	changed chan struct{}
+	events  []string      // as JSON
+	changed chan struct{} // closed and replaced at each event
 	http    *http.Server
 }
 
@@ -42,11 +45,12 @@
 // Close ends the log and every connection.
 func (c *Log) Close() { _ = c.http.Close() }
 
-// Tell adds an event; complete lists replace all that was told.
-func (c *Log) Tell(complete bool, list ...Endpoint) {
+// Publish adds an event. A complete list replaces all that was published before.
+func (c *Log) Publish(complete bool, list ...Endpoint) {
 	var items []string
 	for _, e := range list {
-		items = append(items, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":0,"status":%q,"weight":1,"since_ms":%d}`,
+		items = append(items, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":0,"status":%q,`+
+			`"weight":1,"since_ms":%d}`,
 			e.Name, e.Address, e.Zone, e.Type, e.Status, e.SinceMS))
 	}
 	c.mu.Lock()
@@ -57,23 +61,24 @@
 	c.changed = make(chan struct{})
 }
 
+// changes answers a poll with the events after a number, as soon as there is one or the poll's time is over.
 func (c *Log) changes(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
-	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
-	timer := time.NewTimer(time.Duration(min(ms, 5000)) * time.Millisecond)
+	timeoutMS, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
+	timer := time.NewTimer(min(time.Duration(timeoutMS)*time.Millisecond, maxWait))
 	defer timer.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		c.mu.Lock()
 		events, changed := c.events, c.changed
 		c.mu.Unlock()
-		if len(events) > since || over {
+		if len(events) > since || timedOut {
 			fmt.Fprintf(w, `{"seq":%d,"results":[%s]}`, len(events), strings.Join(events[min(since, len(events)):], ","))
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -84,12 +84,14 @@
 
 // maintenance answers PUT /v1/agent/maintenance and /v1/agent/service/maintenance/ID.
 func (s *Server) maintenance(w http.ResponseWriter, r *http.Request, id string) {
-	on, err := strconv.ParseBool(r.URL.Query().Get("enable"))
+	enabled, err := strconv.ParseBool(r.URL.Query().Get("enable"))
 	if err != nil {
 		http.Error(w, "Missing value for enable", http.StatusBadRequest)
 		return
 	}
-	replyKnown(w, s.Maintain(AgentNode, id, on, r.URL.Query().Get("reason")))
+	if !s.SetMaintenance(AgentNode, id, Maintenance{Enabled: enabled, Reason: r.URL.Query().Get("reason")}) {
+		replyUnknown(w)
+	}
 }
 
 // updateCheck answers PUT /v1/agent/check/update/ID.
@@ -99,5 +101,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	replyKnown(w, s.SetStatus(AgentNode, r.PathValue("id"), body.Status, body.Output))
+	if !s.SetStatus(AgentNode, r.PathValue("id"), body.Status, body.Output) {
+		replyUnknown(w)
+	}
 }
--- a/internal/fake/consul/catalog.go
+++ b/internal/fake/consul/catalog.go
@@ -39,7 +39,8 @@
 }
 
 func (c *catalogService) service() Service {
-	v := Service{ID: c.ID, Service: c.Service, Tags: c.Tags, Address: c.Address, Port: c.Port, Meta: c.Meta, Weights: c.Weights}
+	v := Service{ID: c.ID, Service: c.Service, Tags: c.Tags, Address: c.Address, Port: c.Port, Meta: c.Meta,
+		Weights: c.Weights}
 	if v.ID == "" {
 		v.ID = c.Service
 	}
@@ -69,7 +70,7 @@
 		ServiceWeights                         Weights
 		CreateIndex, ModifyIndex               uint64
 	}
-	snap, _, ok := s.block(r, r.PathValue("name"))
+	snap, _, ok := s.awaitChange(r, r.PathValue("name"))
 	if !ok {
 		return
 	}
@@ -79,5 +80,5 @@
 			in.Service.Service, in.Service.Address, in.Service.Port, in.Service.Tags, in.Service.Meta, in.Service.Weights,
 			in.Service.CreateIndex, in.Service.ModifyIndex})
 	}
-	s.write(w, snap.index, Faults{}, rows, nil)
+	s.writeList(w, snap.index, Faults{}, rows, nil)
 }
--- a/internal/fake/consul/consul_test.go
+++ b/internal/fake/consul/consul_test.go
@@ -10,14 +10,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The published client drives the stand-in, so that what the front end meets here is what it meets elsewhere.
+// The published client drives the fake, so that what the front end meets here is what it meets elsewhere.
 func client(t *testing.T, s *Server, token string) *api.Client {
+	t.Helper()
 	c, err := api.NewClient(&api.Config{Address: s.Addr, Token: token})
 	require.NoError(t, err)
 	return c
 }
 
-func standIn(t *testing.T) *Server {
+func startServer(t *testing.T) *Server {
+	t.Helper()
 	s, err := Start("127.0.0.1:0", nil)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
@@ -25,10 +27,11 @@
 }
 
 func TestSpeaksToThePublishedClient(t *testing.T) {
-	s := standIn(t)
+	s := startServer(t)
 	c := client(t, s, "")
 	require.NoError(t, c.Agent().ServiceRegister(&api.AgentServiceRegistration{
-		ID: "e1", Name: "engine", Tags: []string{"blue"}, Port: 7001, Address: "127.0.0.9", Meta: map[string]string{"zone": "a"},
+		ID: "e1", Name: "engine", Tags: []string{"blue"}, Port: 7001, Address: "127.0.0.9",
+		Meta:    map[string]string{"zone": "a"},
 		Weights: &api.AgentWeights{Passing: 10, Warning: 2}, Check: &api.AgentServiceCheck{TTL: "50ms"},
 	}))
 	list, meta, err := c.Health().Service("engine", "", false, nil)
@@ -45,7 +48,8 @@
 	list, meta, err = c.Health().Service("engine", "blue", true, nil)
 	require.NoError(t, err)
 	require.Len(t, list, 1)
-	list, meta2, err := c.Health().Service("engine", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex, WaitTime: 10 * time.Second})
+	list, meta2, err := c.Health().Service("engine", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex,
+		WaitTime: 10 * time.Second})
 	require.NoError(t, err)
 	assert.Greater(t, meta2.LastIndex, meta.LastIndex)
 	assert.Equal(t, api.HealthCritical, list[0].Checks.AggregatedStatus())
@@ -64,6 +68,15 @@
 	require.NoError(t, err)
 	assert.Len(t, checks, 1)
 
+	assertCatalogWorks(t, c)
+	leader, err := c.Status().Leader()
+	require.NoError(t, err)
+	assert.Equal(t, s.Addr, leader)
+}
+
+// assertCatalogWorks registers an instance in the catalogue and deregisters the agent's e1.
+func assertCatalogWorks(t *testing.T, c *api.Client) {
+	t.Helper()
 	rows, _, err := c.Catalog().Service("engine", "", nil)
 	require.NoError(t, err)
 	assert.Equal(t, 7001, rows[0].ServicePort)
@@ -71,18 +84,15 @@
 		Service: &api.AgentService{ID: "e2", Service: "engine", Port: 1}}, nil)
 	require.NoError(t, err)
 	require.NoError(t, c.Agent().ServiceDeregister("e1"))
-	list, _, err = c.Health().Service("engine", "", false, nil)
+	list, _, err := c.Health().Service("engine", "", false, nil)
 	require.NoError(t, err)
 	require.Len(t, list, 1)
 	assert.Equal(t, "n2", list[0].Node.Node)
 	assert.Equal(t, api.HealthPassing, list[0].Checks.AggregatedStatus(), "no checks, none failing")
-	leader, err := c.Status().Leader()
-	require.NoError(t, err)
-	assert.Equal(t, s.Addr, leader)
 }
 
 func TestTokens(t *testing.T) {
-	s := standIn(t)
+	s := startServer(t)
 	s.SetTokens("good")
 	_, _, err := client(t, s, "bad").Health().Service("engine", "", false, nil)
 	var status api.StatusError
@@ -93,7 +103,7 @@
 }
 
 func TestFaultsShow(t *testing.T) {
-	s := standIn(t)
+	s := startServer(t)
 	c := client(t, s, "")
 	for i := range 3 {
 		s.Register(Node{Node: "n", Address: "127.0.0.1"}, Service{ID: string(rune('a' + i)), Service: "engine", Port: 1})
@@ -109,19 +119,19 @@
 	n, _, err = read(Faults{Empty: true})
 	require.NoError(t, err)
 	assert.Zero(t, n)
-	n, _, err = read(Faults{Partial: 2})
+	n, _, err = read(Faults{MaxInstances: 2})
 	require.NoError(t, err)
 	assert.Equal(t, 2, n)
-	_, meta, err := read(Faults{Back: 5})
+	_, meta, err := read(Faults{IndexRollback: 5})
 	require.NoError(t, err)
 	assert.Less(t, meta.LastIndex, was.LastIndex)
-	_, meta, err = read(Faults{NoLeader: true, Lag: 3 * time.Second})
+	_, meta, err = read(Faults{NoLeader: true, LastContact: 3 * time.Second})
 	require.NoError(t, err)
 	assert.False(t, meta.KnownLeader)
 	assert.Equal(t, 3*time.Second, meta.LastContact)
-	for _, f := range []Faults{{Status: 500}, {Status: 429}, {Half: true}, {Malformed: true}} {
+	for _, f := range []Faults{{Status: 500}, {Status: 429}, {Truncated: true}, {Malformed: true}} {
 		_, _, err := read(f)
-		assert.Error(t, err, f)
+		require.Error(t, err, f)
 	}
 	s.SetFaults(Faults{Stale: true})
 	s.Deregister("n", "a")
--- a/internal/fake/consul/reads.go
+++ b/internal/fake/consul/reads.go
@@ -21,7 +21,7 @@
 	s.mu.Lock()
 	s.reads++
 	s.mu.Unlock()
-	snap, f, ok := s.block(r, name)
+	snap, f, ok := s.awaitChange(r, name)
 	if !ok {
 		return
 	}
@@ -40,10 +40,10 @@
 	switch {
 	case f.Empty:
 		list = []Instance{}
-	case f.Partial > 0:
-		list = list[:min(f.Partial, len(list))]
+	case f.MaxInstances > 0:
+		list = list[:min(f.MaxInstances, len(list))]
 	}
-	s.write(w, snap.index, f, list, func() {
+	s.writeList(w, snap.index, f, list, func() {
 		s.mu.Lock()
 		onAnswer := s.onAnswer
 		s.mu.Unlock()
@@ -74,8 +74,8 @@
 	return list
 }
 
-// block waits as a blocking query does, and returns the state to answer with.
-func (s *Server) block(r *http.Request, name string) (snapshot, Faults, bool) {
+// awaitChange waits as a blocking query does, and returns the state to answer with.
+func (s *Server) awaitChange(r *http.Request, name string) (snapshot, Faults, bool) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	wait := defaultWait
@@ -87,12 +87,12 @@
 	for over := false; ; {
 		s.mu.Lock()
 		f, changed := s.faults, s.changed
-		snap := snapshot{max(s.byName[name], 1), s.instances(name)}
+		snap := snapshot{max(s.serviceIndex[name], 1), s.instances(name)}
 		if old, ok := s.stale[name]; ok && f.Stale {
 			snap = old
 		}
-		if f.Back > 0 {
-			snap.index -= min(f.Back, snap.index-1)
+		if f.IndexRollback > 0 {
+			snap.index -= min(f.IndexRollback, snap.index-1)
 		}
 		allowed := s.allowed(r)
 		s.mu.Unlock()
@@ -125,8 +125,8 @@
 	}
 }
 
-// write sends a list, and calls done once all of it has gone out.
-func (s *Server) write(w http.ResponseWriter, index uint64, f Faults, v any, done func()) {
+// writeList sends a list, and calls done once all of it has gone out.
+func (s *Server) writeList(w http.ResponseWriter, index uint64, f Faults, v any, done func()) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -136,11 +136,11 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	h.Set("X-Consul-KnownLeader", strconv.FormatBool(!f.NoLeader))
-	h.Set("X-Consul-LastContact", strconv.FormatInt(f.Lag.Milliseconds(), 10))
+	h.Set("X-Consul-LastContact", strconv.FormatInt(f.LastContact.Milliseconds(), 10))
 	switch {
 	case f.Malformed:
 		body = []byte("<html>502 somewhere between</html>")
-	case f.Half:
+	case f.Truncated:
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:len(body)/2])
 		panic(http.ErrAbortHandler)
@@ -153,8 +153,8 @@
 	}
 }
 
-// state answers GET /v1/health/state/STATE.
-func (s *Server) state(w http.ResponseWriter, r *http.Request) {
+// checksInState answers GET /v1/health/state/STATE.
+func (s *Server) checksInState(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	index := s.index
 	list := []Check{}
@@ -166,5 +166,5 @@
 		}
 	}
 	s.mu.Unlock()
-	s.write(w, index, Faults{}, list, nil)
+	s.writeList(w, index, Faults{}, list, nil)
 }
--- a/internal/fake/consul/registry.go
+++ b/internal/fake/consul/registry.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// touch counts a write of services, and returns its index. The caller must hold mu.
-func (s *Server) touch(names ...string) uint64 {
+// recordWrite counts a write of services, and returns its index. The caller must hold mu.
+func (s *Server) recordWrite(names ...string) uint64 {
 	s.index++
 	for _, n := range names {
-		s.byName[n] = s.index
+		s.serviceIndex[n] = s.index
 	}
-	s.wake()
+	s.notifyWaiters()
 	return s.index
 }
 
@@ -53,7 +53,7 @@
 	if v.Weights == (Weights{}) {
 		v.Weights = Weights{1, 1}
 	}
-	index := s.touch(v.Service)
+	index := s.recordWrite(v.Service)
 	old, ok := s.services[node][v.ID]
 	v.CreateIndex, v.ModifyIndex = index, index
 	if ok {
@@ -68,7 +68,7 @@
 	if c.ServiceID == "" {
 		names = s.serviceNames(node)
 	}
-	index := s.touch(names...)
+	index := s.recordWrite(names...)
 	c.Node, c.CreateIndex, c.ModifyIndex = node, index, index
 	if old, ok := s.checks[node][c.CheckID]; ok {
 		c.CreateIndex = old.CreateIndex
@@ -89,7 +89,7 @@
 	}
 	delete(s.services[node], id)
 	maps.DeleteFunc(s.checks[node], func(_ string, c Check) bool { return c.ServiceID == id })
-	s.touch(v.Service)
+	s.recordWrite(v.Service)
 	return true
 }
 
@@ -113,8 +113,14 @@
 	return true
 }
 
-// Maintain sets or ends the maintenance of an instance, or of a node where id is empty; false when there is none.
-func (s *Server) Maintain(node, id string, on bool, reason string) bool {
+// Maintenance is the state of maintenance of an instance or a node.
+type Maintenance struct {
+	Enabled bool
+	Reason  string
+}
+
+// SetMaintenance sets the maintenance of an instance, or of a node where id is empty; false when there is none.
+func (s *Server) SetMaintenance(node, id string, m Maintenance) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, ok := s.services[node][id]
@@ -122,15 +128,15 @@
 	if id == "" && !isNode || id != "" && !ok {
 		return false
 	}
-	check := maintenanceCheck(id, v.Service, reason)
-	if on {
+	check := maintenanceCheck(id, v.Service, m.Reason)
+	if m.Enabled {
 		s.putCheck(node, check)
 	} else if _, ok := s.checks[node][check.CheckID]; ok {
 		delete(s.checks[node], check.CheckID)
 		if id != "" {
-			s.touch(v.Service)
+			s.recordWrite(v.Service)
 		} else {
-			s.touch(s.serviceNames(node)...)
+			s.recordWrite(s.serviceNames(node)...)
 		}
 	}
 	return true
@@ -145,8 +151,8 @@
 		Output: reason, ServiceID: id, ServiceName: service}
 }
 
-// expire fails TTL checks that were not updated in time, until the server is closed.
-func (s *Server) expire() {
+// expireChecks fails TTL checks that were not updated in time, until the server is closed.
+func (s *Server) expireChecks() {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
--- a/internal/fake/consul/routes.go
+++ b/internal/fake/consul/routes.go
@@ -10,14 +10,16 @@
 func (s *Server) routes() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/health/service/{name}", s.health)
-	m.HandleFunc("GET /v1/health/state/{state}", s.state)
+	m.HandleFunc("GET /v1/health/state/{state}", s.checksInState)
 	m.HandleFunc("GET /v1/catalog/service/{name}", s.catalog)
 	m.HandleFunc("GET /v1/status/leader", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintf(w, "%q", s.Addr) })
 	m.HandleFunc("PUT /v1/catalog/register", s.catalogRegister)
 	m.HandleFunc("PUT /v1/catalog/deregister", s.catalogDeregister)
 	m.HandleFunc("PUT /v1/agent/service/register", s.agentRegister)
 	m.HandleFunc("PUT /v1/agent/service/deregister/{id}", func(w http.ResponseWriter, r *http.Request) {
-		replyKnown(w, s.Deregister(AgentNode, r.PathValue("id")))
+		if !s.Deregister(AgentNode, r.PathValue("id")) {
+			replyUnknown(w)
+		}
 	})
 	m.HandleFunc("PUT /v1/agent/service/maintenance/{id}", func(w http.ResponseWriter, r *http.Request) {
 		s.maintenance(w, r, r.PathValue("id"))
@@ -25,7 +27,9 @@
 	m.HandleFunc("PUT /v1/agent/maintenance", func(w http.ResponseWriter, r *http.Request) { s.maintenance(w, r, "") })
 	for verb, status := range map[string]string{"pass": passing, "warn": warning, "fail": critical} {
 		m.HandleFunc("PUT /v1/agent/check/"+verb+"/{id}", func(w http.ResponseWriter, r *http.Request) {
-			replyKnown(w, s.SetStatus(AgentNode, r.PathValue("id"), status, r.URL.Query().Get("note")))
+			if !s.SetStatus(AgentNode, r.PathValue("id"), status, r.URL.Query().Get("note")) {
+				replyUnknown(w)
+			}
 		})
 	}
 	m.HandleFunc("PUT /v1/agent/check/update/{id}", s.updateCheck)
@@ -50,9 +54,7 @@
 	return s.tokens == nil || s.tokens[token]
 }
 
-// replyKnown answers that a service or check is unknown, unless it was found.
-func replyKnown(w http.ResponseWriter, found bool) {
-	if !found {
-		http.Error(w, "Unknown service or check", http.StatusNotFound)
-	}
+// replyUnknown answers that there is no such service or check.
+func replyUnknown(w http.ResponseWriter) {
+	http.Error(w, "Unknown service or check", http.StatusNotFound)
 }
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for a query engine: the platform's HTTP protocol on a loopback address, with work that
-// takes time and no computing. It remembers every execution, so that a checker can tell what ran, where and when.
+// Package engine is a fake of a query engine: the platform's HTTP protocol on a loopback address, with work that takes
+// time and no computing. It records every execution, so that a checker can tell what ran, where and when.
 package engine
 
 import (
@@ -20,11 +20,14 @@
 
 // Times of the platform's protocol.
 const (
-	newsWait   = 250 * time.Millisecond // how long a call waits for the end
-	forgetWait = 2 * time.Second        // a query that nobody asks for is given up
-	keepWait   = 15 * time.Second       // an ended query is remembered for
+	pollTimeout    = 250 * time.Millisecond // how long a poll waits for the end of the query
+	abandonTimeout = 2 * time.Second        // a query that is not polled for so long is given up
+	retention      = 15 * time.Second       // how long an ended query can be polled
 )
 
+// maxStatement bounds the body of a query, in bytes.
+const maxStatement = 1 << 20
+
 // Class is how the queries of a class run here.
 type Class struct {
 	Work    time.Duration // mean, on one core
@@ -33,45 +36,45 @@
 	Rows    int // of each page, 0 is 1
 }
 
-// Options are what an engine is like.
+// Options configure an engine.
 type Options struct {
-	Name     string
-	Cores    int
-	Sessions int // most queries at once
-	Classes  map[string]Class
-	Errs     float64       // share of queries that are answered with an error and not run
-	Lag      time.Duration // that each query takes beside its work
+	Name       string
+	Cores      int
+	MaxQueries int // at once
+	Classes    map[string]Class
+	ErrorShare float64       // of queries that are answered with an error and not run
+	Latency    time.Duration // added to the work of each query
 }
 
-// Execution is one query that was taken in.
+// Execution is one query that was accepted.
 type Execution struct {
 	Engine, ID, Class string
-	Sent              time.Time // when the head of its POST had come
-	Ended             time.Time // zero: it runs still
-	Good              bool      // it ended well, as against given up or lost
+	ReceivedAt        time.Time // when the head of its POST had come
+	EndedAt           time.Time // zero: it runs still
+	Succeeded         bool      // as against given up or lost
 }
 
-// Engine is one process of a stand-in. It is safe for concurrent use.
+// Engine is one fake engine process. It is safe for concurrent use.
 type Engine struct {
-	Addr string
-	opt  Options
+	Addr    string
+	options Options
 
 	mu      sync.Mutex
 	queries map[string]*query
 	threads int
-	done    []Execution
-	halted  chan struct{} // not nil while the engine stands still; closed as it goes on
+	ended   []Execution
+	resumed chan struct{} // not nil while the engine is paused; closed as it resumes
 
 	http *http.Server
 	ctx  context.Context
-	end  context.CancelFunc
+	stop context.CancelFunc
 }
 
 type query struct {
 	Execution
-	body  []byte
-	over  chan struct{} // closed at the end
-	asked time.Time
+	body     []byte
+	ended    chan struct{} // closed at the end
+	polledAt time.Time
 }
 
 // Start runs an engine at an address of 127.0.0.0/8; port 0 takes any.
@@ -80,23 +83,23 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{Addr: l.Addr().String(), opt: opt, queries: map[string]*query{}}
-	e.ctx, e.end = context.WithCancel(context.Background())
+	e := &Engine{Addr: l.Addr().String(), options: opt, queries: map[string]*query{}}
+	e.ctx, e.stop = context.WithCancel(context.Background())
 	m := http.NewServeMux()
-	m.HandleFunc("POST /v2/q", e.post)
-	m.HandleFunc("GET /v2/q/{id}/{page}", e.get)
+	m.HandleFunc("POST /v2/q", e.submit)
+	m.HandleFunc("GET /v2/q/{id}/{page}", e.poll)
 	m.HandleFunc("PUT /v2/q/{id}", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	m.HandleFunc("DELETE /v2/q/{id}", e.del)
+	m.HandleFunc("DELETE /v2/q/{id}", e.cancel)
 	m.HandleFunc("GET /-/ok", func(http.ResponseWriter, *http.Request) {})
-	m.HandleFunc("GET /-/gauges", e.gauges)
-	e.http = loopback.Serve(l, e.still(m))
-	go e.forget()
+	m.HandleFunc("GET /-/gauges", e.reportLoad)
+	e.http = loopback.Serve(l, e.pausable(m))
+	go e.expireQueries()
 	return e, nil
 }
 
 // Kill ends the process: its connections are reset, what ran is lost, and new connections are refused.
 func (e *Engine) Kill() {
-	e.end()
+	e.stop()
 	_ = e.http.Close()
 	now := time.Now()
 	e.mu.Lock()
@@ -106,42 +109,43 @@
 	}
 }
 
-// Halt lets the engine stand still until the returned function is called: calls come in and nothing goes out.
-func (e *Engine) Halt() (goOn func()) {
+// Pause lets calls come in and no answer go out, until the returned function is called.
+func (e *Engine) Pause() (resume func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.halted != nil {
+	if e.resumed != nil {
 		return func() {}
 	}
 	c := make(chan struct{})
-	e.halted = c
+	e.resumed = c
 	return sync.OnceFunc(func() {
 		e.mu.Lock()
-		e.halted = nil
+		e.resumed = nil
 		e.mu.Unlock()
 		close(c)
 	})
 }
 
-// Executions lists all queries that were taken in so far.
+// Executions lists all queries that were accepted so far.
 func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := append([]Execution(nil), e.done...)
+	out := append([]Execution(nil), e.ended...)
 	for _, q := range e.queries {
-		if q.Ended.IsZero() {
+		if q.EndedAt.IsZero() {
 			out = append(out, q.Execution)
 		}
 	}
 	return out
 }
 
-func (e *Engine) still(h http.Handler) http.Handler {
+// pausable holds calls up while the engine is paused.
+func (e *Engine) pausable(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		halted := e.halted
+		halted := e.resumed
 		if id, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v2/q/"), "/"); e.queries[id] != nil {
-			e.queries[id].asked = time.Now() // a call counts from its arrival, though it is answered later
+			e.queries[id].polledAt = time.Now() // a poll counts from its arrival, though it is answered later
 		}
 		e.mu.Unlock()
 		if halted != nil {
@@ -154,93 +158,108 @@
 	})
 }
 
-func (e *Engine) gauges(w http.ResponseWriter, _ *http.Request) {
+// reportLoad answers a health check with a load report.
+func (e *Engine) reportLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	util := min(1, float64(e.threads)/float64(e.opt.Cores))
+	util := min(1, float64(e.threads)/float64(e.options.Cores))
 	e.mu.Unlock()
 	w.Header().Set("X-Gauges", fmt.Sprintf("util:%.2f", util))
 }
 
-func (e *Engine) post(w http.ResponseWriter, r *http.Request) {
-	sent := time.Now()
-	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
+// submit answers the POST of a query.
+func (e *Engine) submit(w http.ResponseWriter, r *http.Request) {
+	receivedAt := time.Now()
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxStatement))
 	id, class := r.Header.Get("X-Txn"), r.Header.Get("X-Lane")
-	kind, known := e.opt.Classes[class]
-	limit, err2 := strconv.Atoi(r.Header.Get("X-Limit-Ms"))
-	if err != nil || err2 != nil || !known || id == "" || len(body) == 0 {
+	kind, known := e.options.Classes[class]
+	limitMS, limitErr := strconv.Atoi(r.Header.Get("X-Limit-Ms"))
+	if err != nil || limitErr != nil || !known || id == "" || len(body) == 0 {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if limit <= 0 {
-		unrun(w, http.StatusGatewayTimeout)
+	if limitMS <= 0 {
+		writeNotExecuted(w, http.StatusGatewayTimeout)
 		return
 	}
-	if h := xxh3.HashString(id + strconv.FormatInt(sent.UnixNano(), 36)); float64(h>>40)/float64(1<<24) < e.opt.Errs {
+	if draw(id+strconv.FormatInt(receivedAt.UnixNano(), 36)) < e.options.ErrorShare {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	e.mu.Lock()
-	if open := e.queries[id]; open != nil && open.Ended.IsZero() {
+	if open := e.queries[id]; open != nil && open.EndedAt.IsZero() {
 		e.mu.Unlock()
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if running := e.running(); running >= e.opt.Sessions {
+	if e.running() >= e.options.MaxQueries {
 		e.mu.Unlock()
-		unrun(w, http.StatusServiceUnavailable)
+		writeNotExecuted(w, http.StatusServiceUnavailable)
 		return
 	}
-	q := &query{Execution: Execution{Engine: e.opt.Name, ID: id, Class: class, Sent: sent}, over: make(chan struct{}), asked: sent}
-	e.queries[id] = q
-	e.threads += kind.Threads
-	took := e.takes(id, kind)
+	q := e.execute(Execution{Engine: e.options.Name, ID: id, Class: class, ReceivedAt: receivedAt}, kind)
 	e.mu.Unlock()
-	time.AfterFunc(took, func() {
+	e.awaitEnd(w, r, q)
+}
+
+// execute begins a query, which ends after its execution time. The caller must hold mu.
+func (e *Engine) execute(execution Execution, kind Class) *query {
+	q := &query{Execution: execution, ended: make(chan struct{}), polledAt: execution.ReceivedAt}
+	e.queries[q.ID] = q
+	e.threads += kind.Threads
+	time.AfterFunc(e.executionTime(q.ID, kind), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if q.Ended.IsZero() {
-			q.body = result(id, e.opt.Name, kind)
+		if q.EndedAt.IsZero() {
+			q.body = resultRows(q.ID, e.options.Name, kind)
 			e.finish(q, time.Now(), true)
 		}
 	})
-	e.news(w, r, q)
+	return q
+}
+
+// draw returns a number from 0 to 1, not included, that hangs on a key only.
+func draw(key string) float64 {
+	const bits = 24
+	return float64(xxh3.HashString(key)>>(64-bits)) / (1 << bits)
 }
 
-// takes is how long a query runs: its work, which its id draws, over its threads, stretched where cores are short.
-func (e *Engine) takes(id string, kind Class) time.Duration {
-	h := xxh3.HashString(id)
-	spread := 0.25 + 1.5*float64(h>>40)/float64(1<<24) // mean 1
-	crowd := max(1, float64(e.threads)/float64(e.opt.Cores))
-	return e.opt.Lag + time.Duration(float64(kind.Work)*spread*crowd/float64(max(1, kind.Threads)))
+// executionTime is how long a query runs: its work, which its id draws, over its threads, stretched where cores are
+// short. The caller must hold mu.
+func (e *Engine) executionTime(id string, kind Class) time.Duration {
+	spread := 0.25 + 1.5*draw(id) // mean 1
+	crowd := max(1, float64(e.threads)/float64(e.options.Cores))
+	return e.options.Latency + time.Duration(float64(kind.Work)*spread*crowd/float64(max(1, kind.Threads)))
 }
 
+// running counts the queries that run. The caller must hold mu.
 func (e *Engine) running() (n int) {
 	for _, q := range e.queries {
-		if q.Ended.IsZero() {
+		if q.EndedAt.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// finish ends a query; under the lock.
+// finish ends a query. The caller must hold mu.
 func (e *Engine) finish(q *query, at time.Time, good bool) {
-	if !q.Ended.IsZero() {
+	if !q.EndedAt.IsZero() {
 		return
 	}
-	q.Ended, q.Good = at, good
-	e.threads -= e.opt.Classes[q.Class].Threads
-	e.done = append(e.done, q.Execution)
-	close(q.over)
+	q.EndedAt, q.Succeeded = at, good
+	e.threads -= e.options.Classes[q.Class].Threads
+	e.ended = append(e.ended, q.Execution)
+	close(q.ended)
 }
 
-func unrun(w http.ResponseWriter, code int) {
+// writeNotExecuted answers that a query was not executed, which proves that a retry is safe.
+func writeNotExecuted(w http.ResponseWriter, code int) {
 	w.Header().Set("X-Unrun", "1")
 	w.WriteHeader(code)
 }
 
-// result is the rows of a query: its id, the engine that made them, and their number.
-func result(id, engine string, kind Class) []byte {
+// resultRows is the rows of a query: its id, the engine that made them, and their number.
+func resultRows(id, engine string, kind Class) []byte {
 	var b bytes.Buffer
 	for i := range max(1, kind.Pages) * max(1, kind.Rows) {
 		fmt.Fprintf(&b, "%s\t%s\t%d\n", id, engine, i)
@@ -248,12 +267,12 @@
 	return b.Bytes()
 }
 
-// news answers with the end of a query, or after a while that it runs.
-func (e *Engine) news(w http.ResponseWriter, r *http.Request, q *query) {
-	timer := time.NewTimer(newsWait)
+// awaitEnd answers with the end of a query, or after pollTimeout that it runs.
+func (e *Engine) awaitEnd(w http.ResponseWriter, r *http.Request, q *query) {
+	timer := time.NewTimer(pollTimeout)
 	defer timer.Stop()
 	select {
-	case <-q.over:
+	case <-q.ended:
 	case <-timer.C:
 		w.WriteHeader(http.StatusAccepted)
 		return
@@ -262,14 +281,15 @@
 	case <-e.ctx.Done():
 		panic(http.ErrAbortHandler)
 	}
-	e.page(w, q, 0)
+	e.writePage(w, q, 0)
 }
 
-func (e *Engine) page(w http.ResponseWriter, q *query, n int) {
+// writePage answers with one page of the result of a query that has ended.
+func (e *Engine) writePage(w http.ResponseWriter, q *query, n int) {
 	e.mu.Lock()
-	good, body := q.Good, q.body
+	good, body := q.Succeeded, q.body
 	e.mu.Unlock()
-	kind := e.opt.Classes[q.Class]
+	kind := e.options.Classes[q.Class]
 	pages, rows := max(1, kind.Pages), max(1, kind.Rows)
 	if !good || n < 0 || n >= pages {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -286,28 +306,30 @@
 	_, _ = w.Write(bytes.Join(lines[n*rows:(n+1)*rows], nil))
 }
 
-// find looks a query up.
-func (e *Engine) find(id string) *query {
+// query returns the query of an id; nil where there is none.
+func (e *Engine) query(id string) *query {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.queries[id]
 }
 
-func (e *Engine) get(w http.ResponseWriter, r *http.Request) {
-	q := e.find(r.PathValue("id"))
+// poll answers the GET of a page; page 0 waits for the end of the query.
+func (e *Engine) poll(w http.ResponseWriter, r *http.Request) {
+	q := e.query(r.PathValue("id"))
 	n, err := strconv.Atoi(r.PathValue("page"))
 	switch {
 	case q == nil || err != nil:
 		w.WriteHeader(http.StatusInternalServerError)
 	case n == 0:
-		e.news(w, r, q)
+		e.awaitEnd(w, r, q)
 	default:
-		e.page(w, q, n)
+		e.writePage(w, q, n)
 	}
 }
 
-func (e *Engine) del(w http.ResponseWriter, r *http.Request) {
-	if q := e.find(r.PathValue("id")); q != nil {
+// cancel answers the DELETE of a query.
+func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
+	if q := e.query(r.PathValue("id")); q != nil {
 		e.mu.Lock()
 		e.finish(q, time.Now(), false)
 		e.mu.Unlock()
@@ -315,8 +337,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// forget gives up queries that nobody asks for, and forgets those that ended long ago.
-func (e *Engine) forget() {
+// expireQueries gives up queries that are not polled, and forgets those that ended long ago, until the engine is
+// killed.
+func (e *Engine) expireQueries() {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -327,11 +350,11 @@
 			e.mu.Lock()
 			for id, q := range e.queries {
 				switch {
-				case q.Ended.IsZero() && now.Sub(q.asked) > forgetWait:
+				case q.EndedAt.IsZero() && now.Sub(q.polledAt) > abandonTimeout:
 					// The time that counts is the protocol's, not that of this look: on a busy machine a late look would make
 					// an attempt that was over appear to overlap the next.
-					e.finish(q, q.asked.Add(forgetWait), false)
-				case !q.Ended.IsZero() && now.Sub(q.Ended) > keepWait:
+					e.finish(q, q.polledAt.Add(abandonTimeout), false)
+				case !q.EndedAt.IsZero() && now.Sub(q.EndedAt) > retention:
 					delete(e.queries, id)
 				}
 			}
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback is how every stand-in listens: on an address of this machine's loopback range, and on no other.
+// Package loopback lets fake servers listen on addresses of this machine's loopback range, and on no others.
 package loopback
 
 import (
@@ -17,13 +17,13 @@
 	}
 	if !l.Addr().(*net.TCPAddr).IP.IsLoopback() {
 		l.Close()
-		return nil, fmt.Errorf("stand-in: %s is not a loopback address", addr)
+		return nil, fmt.Errorf("fake server: %s is not a loopback address", addr)
 	}
 	return l, nil
 }
 
-// Serve answers on a listener until the server is closed. What goes wrong on a connection is said to nobody: stand-ins
-// break connections on purpose.
+// Serve answers on a listener from a goroutine that ends with the server. Errors on connections are not logged: fake
+// servers break connections on purpose.
 func Serve(l net.Listener, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = s.Serve(l) }()
--- a/internal/faulttest/catalogue.go
+++ b/internal/faulttest/catalogue.go
@@ -69,7 +69,7 @@
 }
 
 func (w *ward) start(u *unit) error {
-	e, err := engine.Start("127.0.0.1:0", engine.Options{Name: u.name, Cores: 4, Sessions: 64, Classes: stock})
+	e, err := engine.Start("127.0.0.1:0", engine.Options{Name: u.name, Cores: 4, MaxQueries: 64, Classes: stock})
 	if err != nil {
 		return fmt.Errorf("drill: %w", err)
 	}
@@ -119,7 +119,7 @@
 		w.drains.Lifted(u.name, time.Now())
 	}
 	w.write(u)
-	w.cat.Maintain("n-"+u.name, u.name, on, "drill")
+	w.cat.SetMaintenance("n-"+u.name, u.name, consul.Maintenance{Enabled: on, Reason: "drill"})
 }
 
 // take picks a unit that no other fault has in hand; nil where too few would be left.
@@ -196,7 +196,7 @@
 	}},
 	{"stall", true, func(ctx context.Context, w *player, u *unit) {
 		for range 3 {
-			goOn := u.e.Halt()
+			goOn := u.e.Pause()
 			ok := pause(ctx, w.draw(100*time.Millisecond, 350*time.Millisecond))
 			goOn()
 			if !ok || !pause(ctx, w.draw(500*time.Millisecond, 2*time.Second)) {
@@ -222,16 +222,18 @@
 		}
 	}},
 	{"empty", false, faulty(func(w *player) consul.Faults { return consul.Faults{Empty: true} }, time.Second, 10*time.Second)},
-	{"partial", false, faulty(func(w *player) consul.Faults { return consul.Faults{Partial: 1 + int(w.draw(0, 2))} }, 500*time.Millisecond, 6*time.Second)},
+	{"partial", false, faulty(func(w *player) consul.Faults { return consul.Faults{MaxInstances: 1 + int(w.draw(0, 2))} }, 500*time.Millisecond, 6*time.Second)},
 	{"slow", false, faulty(func(w *player) consul.Faults {
 		return consul.Faults{Delay: w.draw(200*time.Millisecond, 4*time.Second)}
 	}, time.Second, 6*time.Second)},
 	{"hang", false, faulty(func(w *player) consul.Faults { return consul.Faults{Hang: true} }, time.Second, 8*time.Second)},
 	{"no-leader", false, faulty(func(w *player) consul.Faults { return consul.Faults{Status: 500} }, time.Second, 5*time.Second)},
 	{"too-many", false, faulty(func(w *player) consul.Faults { return consul.Faults{Status: 429} }, 500*time.Millisecond, 3*time.Second)},
-	{"stale", false, faulty(func(w *player) consul.Faults { return consul.Faults{Stale: true, Lag: w.draw(0, 5*time.Second)} }, time.Second, 6*time.Second)},
-	{"back", false, faulty(func(w *player) consul.Faults { return consul.Faults{Back: 1 + uint64(w.draw(0, 500))} }, 500*time.Millisecond, 4*time.Second)},
-	{"half", false, faulty(func(w *player) consul.Faults { return consul.Faults{Half: true} }, 500*time.Millisecond, 3*time.Second)},
+	{"stale", false, faulty(func(w *player) consul.Faults {
+		return consul.Faults{Stale: true, LastContact: w.draw(0, 5*time.Second)}
+	}, time.Second, 6*time.Second)},
+	{"back", false, faulty(func(w *player) consul.Faults { return consul.Faults{IndexRollback: 1 + uint64(w.draw(0, 500))} }, 500*time.Millisecond, 4*time.Second)},
+	{"half", false, faulty(func(w *player) consul.Faults { return consul.Faults{Truncated: true} }, 500*time.Millisecond, 3*time.Second)},
 	{"garbage", false, faulty(func(w *player) consul.Faults { return consul.Faults{Malformed: true} }, 500*time.Millisecond, 3*time.Second)},
 	{"denied", false, func(ctx context.Context, w *player, _ *unit) {
 		w.cat.SetTokens("another")
--- a/internal/faulttest/checker.go
+++ b/internal/faulttest/checker.go
@@ -103,21 +103,21 @@
 	byID := map[string][]engine.Execution{}
 	for _, x := range runs {
 		byID[x.ID] = append(byID[x.ID], x)
-		if by, late := drains(x.ID).late(x.Engine, x.Sent); late {
-			violate(LateSends, x.Sent, x.ID, "%s got it %v after the grace", x.Engine, by.Round(time.Millisecond))
+		if by, late := drains(x.ID).late(x.Engine, x.ReceivedAt); late {
+			violate(LateSends, x.ReceivedAt, x.ID, "%s got it %v after the grace", x.Engine, by.Round(time.Millisecond))
 		}
 	}
 	for _, r := range requests {
 		c := classes[r.Class]
 		list := byID[r.ID]
-		slices.SortFunc(list, func(a, b engine.Execution) int { return cmp.Compare(a.Sent.UnixNano(), b.Sent.UnixNano()) })
+		slices.SortFunc(list, func(a, b engine.Execution) int { return cmp.Compare(a.ReceivedAt.UnixNano(), b.ReceivedAt.UnixNano()) })
 		for i := 1; i < len(list); i++ {
-			if prev := list[i-1]; prev.Ended.IsZero() || prev.Ended.After(list[i].Sent) {
-				violate(TwoOut, list[i].Sent, r.ID, "on %s while it ran on %s", list[i].Engine, prev.Engine)
+			if prev := list[i-1]; prev.EndedAt.IsZero() || prev.EndedAt.After(list[i].ReceivedAt) {
+				violate(TwoOut, list[i].ReceivedAt, r.ID, "on %s while it ran on %s", list[i].Engine, prev.Engine)
 			}
 		}
 		if c.Unsafe && len(list) > 1 {
-			violate(DoubleRuns, list[1].Sent, r.ID, "%s was executed %d times", c.Name, len(list))
+			violate(DoubleRuns, list[1].ReceivedAt, r.ID, "%s was executed %d times", c.Name, len(list))
 		}
 		switch {
 		case r.Outcome == Unanswered:
@@ -126,7 +126,7 @@
 			violate(UnansweredOne, r.Due, r.ID, "%s %s after %v of %v", c.Name, r.Outcome, r.Latency.Round(time.Millisecond), c.Wait)
 		case r.Outcome == Wrong:
 			violate(WrongAnswers, r.Due, r.ID, "%s", r.Detail)
-		case r.Outcome == Served && !slices.ContainsFunc(list, func(x engine.Execution) bool { return x.Good }):
+		case r.Outcome == Served && !slices.ContainsFunc(list, func(x engine.Execution) bool { return x.Succeeded }):
 			violate(WrongAnswers, r.Due, r.ID, "served, and no engine has ended it well")
 		case r.Outcome == Refused && c.Unsafe && len(list) > 0:
 			violate(FalsePromises, r.Due, r.ID, "%s was refused and had been executed on %s", c.Name, list[0].Engine)
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/drill_test.go
@@ -56,7 +56,7 @@
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	run := func(on, id string, from, to int) engine.Execution {
-		return engine.Execution{Engine: on, ID: id, Class: "x", Sent: at(from), Ended: at(to), Good: true}
+		return engine.Execution{Engine: on, ID: id, Class: "x", ReceivedAt: at(from), EndedAt: at(to), Succeeded: true}
 	}
 	const lookup, load = 0, 2
 	ask := func(class int, o Outcome, latency int) Request {
--- a/internal/faulttest/naive.go
+++ b/internal/faulttest/naive.go
@@ -71,7 +71,7 @@
 				delete(starts, name)
 			}
 		}
-		n.log.Tell(false, told...)
+		n.log.Publish(false, told...)
 	}
 }
 
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -95,8 +95,8 @@
 	for _, x := range executions {
 		for _, empty := range c.emptyPeriods {
 			if empty.engine == x.Engine && empty.overlaps(x) {
-				c.violate(NotEmpty, x.Sent, "%s ran %s until %v, and was said to be empty at %s",
-					empty.engine, x.ID, x.Ended.Sub(empty.from), empty.from.Format("15:04:05.000"))
+				c.violate(NotEmpty, x.ReceivedAt, "%s ran %s until %v, and was said to be empty at %s",
+					empty.engine, x.ID, x.EndedAt.Sub(empty.from), empty.from.Format("15:04:05.000"))
 			}
 		}
 	}
@@ -105,12 +105,12 @@
 // overlaps tells whether an execution began in the period, or before it and went on into it.
 func (p period) overlaps(x engine.Execution) bool {
 	switch {
-	case !x.Sent.Before(p.to):
+	case !x.ReceivedAt.Before(p.to):
 		return false
-	case x.Sent.After(p.from):
+	case x.ReceivedAt.After(p.from):
 		return true
 	}
-	return x.Sent.Before(p.from) && (x.Ended.IsZero() || x.Ended.After(p.from.Add(emptyGrace)))
+	return x.ReceivedAt.Before(p.from) && (x.EndedAt.IsZero() || x.EndedAt.After(p.from.Add(emptyGrace)))
 }
 
 // checkProcesses checks the exit of each process, and each shutdown that the fleet has granted.
--- a/internal/faulttest/rollout_checks_test.go
+++ b/internal/faulttest/rollout_checks_test.go
@@ -28,7 +28,7 @@
 		"on another engine":      {"e2", at(1), at(2), false},
 	} {
 		c.violations = nil
-		c.checkEmptiness([]engine.Execution{{Engine: k.engine, ID: "a", Sent: k.sent, Ended: k.end}})
+		c.checkEmptiness([]engine.Execution{{Engine: k.engine, ID: "a", ReceivedAt: k.sent, EndedAt: k.end}})
 		if !k.want {
 			assert.Empty(t, c.violations, name)
 		} else if assert.Len(t, c.violations, 1, name) {
--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -56,15 +56,15 @@
 
 // startEngine starts new processes of an engine.
 func (r *rolloutRun) startEngine(e *managedEngine) error {
-	options := engine.Options{Name: e.name, Cores: 4, Sessions: 64, Classes: stock}
+	options := engine.Options{Name: e.name, Cores: 4, MaxQueries: 64, Classes: stock}
 	good, err := engine.Start("127.0.0.1:0", options)
 	if err != nil {
 		return fmt.Errorf("drill: %w", err)
 	}
 	if r.options.Bad == badSlow {
-		options.Lag = badDelay
+		options.Latency = badDelay
 	} else {
-		options.Errs = badErrorShare
+		options.ErrorShare = badErrorShare
 	}
 	bad, err := engine.Start("127.0.0.1:0", options)
 	if err != nil {
@@ -85,8 +85,8 @@
 		endpoint.Address = e.bad.Addr
 		bad = append(bad, endpoint)
 	}
-	r.goodLog.Tell(complete, good...)
-	r.badLog.Tell(complete, bad...)
+	r.goodLog.Publish(complete, good...)
+	r.badLog.Publish(complete, bad...)
 }
 
 // drainEngine drains an engine, stops it once the fleet permits that, and starts it again as a new process.
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -51,7 +51,7 @@
 	f := &rolloutRun{drains: map[string]*Drains{}}
 	knew, other := &cluster.Member{Name: "n0", Addr: "127.0.1.1:7001"}, &cluster.Member{Name: "n1", Addr: "127.0.1.2:7001"}
 	f.followLog(knew, "time="+t0.Format("2006-01-02T15:04:05.000Z")+` level=INFO msg="engine listed" node=n0 engine=e1 id=7 state=draining address=127.0.0.1:9 reason=vetoed`)
-	runs := []engine.Execution{{Engine: "e1", ID: "a", Class: "lookup", Sent: t0.Add(600 * time.Millisecond), Ended: t0.Add(610 * time.Millisecond), Good: true}}
+	runs := []engine.Execution{{Engine: "e1", ID: "a", Class: "lookup", ReceivedAt: t0.Add(600 * time.Millisecond), EndedAt: t0.Add(610 * time.Millisecond), Succeeded: true}}
 	for m, want := range map[*cluster.Member]int{knew: 1, other: 0} {
 		r := []Request{{ID: "a", Due: t0.Add(590 * time.Millisecond), Sent: t0.Add(590 * time.Millisecond), Latency: 30 * time.Millisecond, Outcome: Served, Addr: m.Addr}}
 		got := Check(Classes, r, runs, f.drainsByRequest(r), nil)
@@ -213,7 +213,7 @@
 	for i := range all {
 		all[i].Class, all[i].Due, all[i].Sent, all[i].Addr = 2, due, due, "a"
 	}
-	run := []engine.Execution{{Engine: "e1", ID: "served", Class: "load", Sent: due, Ended: due.Add(time.Second), Good: true}}
+	run := []engine.Execution{{Engine: "e1", ID: "served", Class: "load", ReceivedAt: due, EndedAt: due.Add(time.Second), Succeeded: true}}
 	for stood, want := range map[bool][]string{true: {"none"}, false: {"failed", "served", "none"}} {
 		var got []string
 		for _, b := range Check(Classes, judgedRequests(all, func(string, time.Time, time.Time) bool { return stood }), run, func(string) *Drains { return nil }, nil) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -40,7 +40,7 @@
 	return maps.Clone(c.n)
 }
 
-// Hold asserts that a statement holds. A breach ends a debug build and is counted as broken_NAME in a release
+// Hold asserts that a statement holds. A violation ends a debug build and is counted as broken_NAME in a release
 // build. It returns ok, so that a caller can step aside.
 func (c *Counters) Hold(ok bool, name string) bool {
 	if !ok {
--- a/internal/scale/parts/fixture.go
+++ b/internal/scale/parts/fixture.go
@@ -70,14 +70,14 @@
 		if !o.answer {
 			continue
 		}
-		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: "s-00000001", Cores: 4, Sessions: 10_000, Classes: standinClasses})
+		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: "s-00000001", Cores: 4, MaxQueries: 10_000, Classes: standinClasses})
 		if err != nil {
 			return f, err
 		}
 		f.engines = append(f.engines, e)
 		list[i].Address = e.Addr
 	}
-	f.log.Tell(true, list...)
+	f.log.Publish(true, list...)
 	facts := strings.Replace(faulttest.Facts, `"replicas_of_me":1`, fmt.Sprintf(`"replicas_of_me":%d`, o.members), 1)
 	facts = strings.Replace(facts, `"allowance_per_s":100000`, fmt.Sprintf(`"allowance_per_s":%d`, 2*PlannedRate*o.members), 1)
 	f.began = time.Now()
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -93,8 +93,8 @@
 		return err
 	}
 	defer log.Close()
-	log.Tell(true, endpointsOf(p.size.Engines)...)
-	log.Tell(false, endpointOf(0, "draining"))
+	log.Publish(true, endpointsOf(p.size.Engines)...)
+	log.Publish(false, endpointOf(0, "draining"))
 	poll := func(since int) (float64, error) {
 		_, moved, err := read(ctx, fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", log.Addr, since, pollWait.Milliseconds()))
 		return moved, err
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	defer log.Close()
-	log.Tell(true, endpointsOf(engines)...)
+	log.Publish(true, endpointsOf(engines)...)
 	text, _, err := read(context.Background(), "http://"+log.Addr+"/changes?since=0&timeout=0")
 	return text, err
 }
--- a/internal/scale/parts/reload.go
+++ b/internal/scale/parts/reload.go
@@ -65,9 +65,9 @@
 	if err != nil {
 		return r, err
 	}
-	next.Tell(true, endpointsOf(engines)...)
+	next.Publish(true, endpointsOf(engines)...)
 	for i := range events { // numbered on from the events that the front end holds
-		next.Tell(false, endpointOf(0, []string{"draining", "ready"}[i%2]))
+		next.Publish(false, endpointOf(0, []string{"draining", "ready"}[i%2]))
 	}
 	path := filepath.Join(f.dir, "n0.json")
 	text, err := os.ReadFile(path)
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -30,7 +30,7 @@
 	}
 	var list []changelog.Endpoint
 	for _, e := range engines {
-		stand, err := engine.Start("127.0.0.1:0", engine.Options{Name: e.Name, Cores: int(e.Cores), Sessions: 64})
+		stand, err := engine.Start("127.0.0.1:0", engine.Options{Name: e.Name, Cores: int(e.Cores), MaxQueries: 64})
 		if err != nil {
 			s.close()
 			return nil, fmt.Errorf("scale: %w", err)
@@ -38,7 +38,7 @@
 		s.engines = append(s.engines, stand)
 		list = append(list, changelog.Endpoint{Name: e.Name, Address: stand.Addr, Zone: e.Zone, Type: "std-4", Status: "ready"})
 	}
-	s.log.Tell(true, list...)
+	s.log.Publish(true, list...)
 	return s, nil
 }
 
--- a/internal/testbinary/testprogram.go
+++ b/internal/testbinary/testbinary.go
@@ -9,19 +9,22 @@
 	"testing"
 )
 
+const gatewayPackage = "beechcart/cmd/gateway"
+
 // Build builds the front end as dir/name, with further arguments of 'go build', and returns its path.
 func Build(dir, name string, args ...string) (string, error) {
-	out := filepath.Join(dir, name)
-	args = append(append([]string{"build", "-buildvcs=false", "-o", out}, args...), "beechcart/cmd/gateway")
-	if msg, err := exec.Command("go", args...).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%s%w", msg, err)
+	path := filepath.Join(dir, name)
+	args = append(append([]string{"build", "-buildvcs=false", "-o", path}, args...), gatewayPackage)
+	if output, err := exec.Command("go", args...).CombinedOutput(); err != nil {
+		return "", fmt.Errorf("%s%w", output, err)
 	}
-	return out, nil
+	return path, nil
 }
 
-// Main builds the front end, lets the tests of a package run with its path in program, and ends the process.
+// Main builds the front end, runs the tests of a package with its path in program, and ends the process. It is to be
+// called from TestMain.
 func Main(m *testing.M, program *string, args ...string) {
-	dir, err := os.MkdirTemp("", "beechcart")
+	dir, err := os.MkdirTemp("", "gateway")
 	if err != nil {
 		panic(err)
 	}
@@ -30,6 +33,6 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	os.RemoveAll(dir)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
