--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -56,15 +56,15 @@
 
 // startEngine starts new processes of an engine.
 func (r *rolloutRun) startEngine(e *managedEngine) error {
-	options := engine.Options{Name: e.name, Cores: 4, Sessions: 64, Classes: stock}
+	options := engine.Options{Name: e.name, Cores: 4, MaxQueries: 64, Classes: stock}
 	good, err := engine.Start("127.0.0.1:0", options)
 	if err != nil {
 		return fmt.Errorf("drill: %w", err)
 	}
 	if r.options.Bad == badSlow {
-		options.Lag = badDelay
+		options.Latency = badDelay
 	} else {
-		options.Errs = badErrorShare
+		options.ErrorShare = badErrorShare
 	}
 	bad, err := engine.Start("127.0.0.1:0", options)
 	if err != nil {
@@ -85,8 +85,8 @@
 		endpoint.Address = e.bad.Addr
 		bad = append(bad, endpoint)
 	}
-	r.goodLog.Tell(complete, good...)
-	r.badLog.Tell(complete, bad...)
+	r.goodLog.Publish(complete, good...)
+	r.badLog.Publish(complete, bad...)
 }
 
 // drainEngine drains an engine, stops it once the fleet permits that, and starts it again as a new process.
@@ -112,14 +112,14 @@
 // grantDrain asks for the drain of an engine until it is granted, and returns its permit; false if ctx ended before.
 func (r *rolloutRun) grantDrain(ctx context.Context, name string) (permit uint64, granted bool) {
 	for {
-		result, err := r.apply(ctx, rollout.Command{Drain: &rollout.Holder{Name: name, Engine: true}})
+		result, err := r.apply(ctx, rollout.Command{Drain: &rollout.Subject{Name: name, Engine: true}})
 		if err != nil {
 			return 0, false
 		}
-		if result.Refusal == nil {
+		if result.Rejected == nil {
 			return result.Permit, true
 		}
-		r.options.note("drain of %s refused: %v", name, result.Refusal)
+		r.options.note("drain of %s refused: %v", name, result.Rejected)
 		if !pause(ctx, time.Second) {
 			return 0, false
 		}
@@ -130,7 +130,7 @@
 func (r *rolloutRun) waitMayStop(ctx context.Context, number uint64) bool {
 	for {
 		if status := r.leaderStatus(); status != nil {
-			if permit := status.State.Permits[number]; permit != nil && permit.MayStop > 0 {
+			if permit := status.State.Permits[number]; permit != nil && permit.DrainedAt > 0 {
 				return true
 			}
 		}
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"crypto/sha256"
 	"fmt"
 	"math"
@@ -15,7 +16,7 @@
 
 	"beechcart/admission"
 	"beechcart/internal/platformconfig"
-	"beechcart/internal/recording"
+	"beechcart/internal/recorded"
 )
 
 // every is a configuration that has each field, and no two alike where they could be mixed up.
@@ -45,33 +46,35 @@
 // encoder writes values in a fixed order, without their names.
 type encoder struct{ bytes.Buffer }
 
+func (e *encoder) printf(format string, values ...any) { e.Write(fmt.Appendf(nil, format, values...)) }
+
 func (e *encoder) ints(values ...int) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", v)
+		e.printf("%d ", v)
 	}
 }
 
 func (e *encoder) durations(values ...time.Duration) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%d ", int64(v))
+		e.printf("%d ", int64(v))
 	}
 }
 
 func (e *encoder) floats(values ...float64) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%016x ", math.Float64bits(v))
+		e.printf("%016x ", math.Float64bits(v))
 	}
 }
 
 func (e *encoder) bools(values ...bool) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%t ", v)
+		e.printf("%t ", v)
 	}
 }
 
 func (e *encoder) texts(values ...string) {
 	for _, v := range values {
-		fmt.Fprintf(e, "%q ", v)
+		e.printf("%q ", v)
 	}
 }
 
@@ -79,9 +82,10 @@
 
 func (e *encoder) settings(s *admission.Settings) {
 	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.LoadReporting), int(s.Shortage))
-	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.ColdFrom, s.FallMultiple, s.SpareTries, s.TryRatio)
-	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.Cold, s.FallWindow, s.KeyCooldown, s.TrySpan)
-	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.Budgeted)
+	budget := cmp.Or(s.RetryBudget, &admission.RetryBudget{})
+	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.SlowStart.InitialCapacity, s.SlowStart.OverloadMultiple, budget.MinRetries, budget.Ratio)
+	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.SlowStart.Duration, s.SlowStart.OverloadWindow, s.KeyCooldown, budget.Window)
+	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.RetryBudget != nil)
 	e.line()
 	for _, k := range s.Kinds {
 		e.ints(k.Cores)
@@ -120,7 +124,7 @@
 
 func (e *encoder) config(c *platformconfig.Config) {
 	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
-	fmt.Fprintf(e, "%d ", c.Seed)
+	e.printf("%d ", c.Seed)
 	e.floats(c.Cores, c.HandshakePrice)
 	e.ints(c.MemoryMB, c.Sockets)
 	e.durations(c.ConnectTimeout)
@@ -161,7 +165,7 @@
 		require.NoError(t, err)
 		var one encoder
 		one.config(c)
-		fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
+		out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
 		if out.Len() < 100 {
 			out.Write(one.Bytes()) // the first in full
 		}
@@ -171,8 +175,8 @@
 	var one encoder
 	one.settings(&set)
 	one.names(&names)
-	fmt.Fprintf(&out, "%x\n", sha256.Sum256(one.Bytes()))
-	recording.Compare(t, "configuration", out.Bytes())
+	out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
+	recorded.Compare(t, "configuration", out.Bytes())
 }
 
 // What is said of a bad configuration is as it was recorded.
@@ -202,7 +206,7 @@
 	_, err := platformconfig.Load("", os.Getenv)
 	require.Error(t, err)
 	fmt.Fprintf(&out, "%v\n", err)
-	recording.Compare(t, "load-errors", out.Bytes())
+	recorded.Compare(t, "load-errors", out.Bytes())
 }
 
 // What a check says of a configuration that reads, and that a front end can't serve with, is as it was recorded.
@@ -218,5 +222,5 @@
 		require.NoError(t, err, text)
 		fmt.Fprintf(&out, "%v\n", c.Check())
 	}
-	recording.Compare(t, "check-errors", out.Bytes())
+	recorded.Compare(t, "check-errors", out.Bytes())
 }
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -93,8 +93,8 @@
 		return err
 	}
 	defer log.Close()
-	log.Tell(true, endpointsOf(p.size.Engines)...)
-	log.Tell(false, endpointOf(0, "draining"))
+	log.Publish(true, endpointsOf(p.size.Engines)...)
+	log.Publish(false, endpointOf(0, "draining"))
 	poll := func(since int) (float64, error) {
 		_, moved, err := read(ctx, fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", log.Addr, since, pollWait.Milliseconds()))
 		return moved, err
@@ -169,22 +169,22 @@
 		return err
 	}
 	now := time.Duration(startedMillis) * time.Millisecond
-	take := func(changes *endpoints.Log, text []byte) error {
+	take := func(changes *endpoints.ChangeLog, text []byte) error {
 		lists, err := changes.Read(text)
 		if err != nil {
 			return err
 		}
 		for _, list := range lists {
 			now += time.Millisecond
-			controller.Step(now, []admission.Event{list.Members()})
+			controller.Step(now, []admission.Event{list.Event()})
 		}
 		return nil
 	}
-	whole, err := cpuEach(func() error { return take(endpoints.NewLog(names), text) })
+	whole, err := cpuEach(func() error { return take(endpoints.NewChangeLog(names), text) })
 	if err != nil {
 		return err
 	}
-	changes := endpoints.NewLog(names)
+	changes := endpoints.NewChangeLog(names)
 	event, err := cpuEach(func() error {
 		seq := changes.Seq() + 2 // the first event is a whole list
 		status := []string{"draining", "ready"}[seq%2]
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	defer log.Close()
-	log.Tell(true, endpointsOf(engines)...)
+	log.Publish(true, endpointsOf(engines)...)
 	text, _, err := read(context.Background(), "http://"+log.Addr+"/changes?since=0&timeout=0")
 	return text, err
 }
