--- a/decision/watchtimeout/recorded_test.go
+++ b/decision/watchtimeout/recorded_test.go
@@ -13,9 +13,10 @@
 func TestRecordedRun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	trace := recorded.NewTrace()
-	for _, grace := range []time.Duration{-1, 0, time.Millisecond, 150 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, time.Minute} {
-		for _, connect := range []time.Duration{20 * time.Millisecond, 250 * time.Millisecond, 3 * time.Second} {
-			w := watchtimeout.New(grace, connect)
+	const ms = time.Millisecond
+	for _, grace := range []time.Duration{-1, 0, ms, 150 * ms, 500 * ms, 2000 * ms, time.Minute} {
+		for _, connect := range []time.Duration{20 * ms, 250 * ms, 3000 * ms} {
+			timeouts := watchtimeout.New(grace, connect)
 			for range 300 {
 				took := time.Duration(rng.Int64N(int64(3 * time.Second)))
 				if rng.IntN(2) == 0 {
@@ -23,15 +24,15 @@
 				}
 				switch rng.IntN(6) {
 				case 0:
-					w.ResponseReceived(took)
+					timeouts.ResponseReceived(took)
 				case 1, 2:
-					w.ResponseTimedOut()
+					timeouts.ResponseTimedOut()
 				case 3:
-					w.DialSucceeded(took)
+					timeouts.DialSucceeded(took)
 				default:
-					w.DialFailed()
+					timeouts.DialFailed()
 				}
-				trace.Time(w.PollWait(), w.RetryDelay(), w.Response(), w.Dial(), w.MaxDelay())
+				trace.Time(timeouts.PollWait(), timeouts.RetryDelay(), timeouts.Response(), timeouts.Dial(), timeouts.MaxDelay())
 			}
 			trace.Mark()
 		}
