--- a/decision/poll/recorded_test.go
+++ b/decision/poll/recorded_test.go
@@ -10,7 +10,7 @@
 	"beechcart/internal/recorded"
 )
 
-// The calls that a seeded run of endings, renewals and switches leads to are the recorded ones.
+// The calls that a seeded run of results, retries and resets leads to are the recorded ones.
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for seed := range uint64(20) {
@@ -36,7 +36,11 @@
 				p.Reset(now, addresses)
 				trace.Count("switch")
 			default:
-				r := poll.Result{Outcome: poll.Outcome(rng.IntN(4)), AwaitsConfirmation: rng.IntN(3) == 0, TimedOut: rng.IntN(2) == 0}
+				r := poll.Result{
+					Outcome:            poll.Outcome(rng.IntN(4)),
+					AwaitsConfirmation: rng.IntN(3) == 0,
+					TimedOut:           rng.IntN(2) == 0,
+				}
 				if r.Outcome == poll.Denied && rng.IntN(3) > 0 {
 					r.Outcome = poll.Failed
 				}
