--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
 export GOFLAGS = -buildvcs=false
 
-.PHONY: demo build test check lint fuzz run drill drill-seeds cheap cheap-record sites
+.PHONY: demo build test check lint fuzz run faulttest faulttest-seeds drill drill-seeds cheap cheap-record sites
 
-# A front end with stand-in engines and a stand-in Consul on loopback, until Ctrl-C.
+# A front end with fake engines and a fake Consul on loopback, until Ctrl-C.
 demo: build
 	bin/gatewayctl demo
 
@@ -41,15 +41,19 @@
 	go build -tags count -o bin/gateway-count ./cmd/gateway
 	bin/gatewayctl bench path --counting bin/gateway-count --record bench/baseline.json
 
-# make drill SEED=7 SECONDS=60
+# make faulttest SEED=7 SECONDS=60
 SECONDS ?= 30
-drill: build
-	bin/gatewayctl drill catalogue --seconds $(SECONDS) $(if $(SEED),--seed $(SEED))
+faulttest: build
+	bin/gatewayctl faulttest catalogue --seconds $(SECONDS) $(if $(SEED),--seed $(SEED))
 
 # The seeds that failed once, with all faults: about four minutes.
-drill-seeds:
+faulttest-seeds:
 	DRILL_SEEDS=1 go test -count=1 -run SeedsThatFailedOnce ./internal/faulttest
 
+# The old names, for one release.
+drill: faulttest
+drill-seeds: faulttest-seeds
+
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s ./internal/engine
 	go test -run '^$$' -fuzz '^FuzzParseQuery$$' -fuzztime 20s ./internal/mysql
--- a/cmd/gatewayctl/config.go
+++ b/cmd/gatewayctl/config.go
@@ -33,7 +33,8 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "check [FILE]", Short: "Tell all that is wrong with a settings file", Args: cobra.MaximumNArgs(1),
-		Long: "check reads a CUE file (" + defaultSettingsFile + " without FILE) and tells each error with file, line, field,\n" +
+		Long: "check reads a CUE file (" + defaultSettingsFile + " without FILE) and tells each error with file, line, " +
+			"field,\n" +
 			"what was found and what is allowed. Exit code 1 where there is any.",
 		Example: "  gatewayctl config check\n  gatewayctl config check --json mine.cue",
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/gatewayctl/demo.go
+++ b/cmd/gatewayctl/demo.go
@@ -11,8 +11,10 @@
 func demoCommand() *cobra.Command {
 	var o faulttest.DemoOptions
 	c := &cobra.Command{
-		Use: "demo", Short: "Start a front end with stand-in engines and a stand-in Consul, and run a few queries", Args: cobra.NoArgs,
-		Long: "demo starts all on loopback addresses, runs queries of each class, drains an engine and brings it back, prints the\n" +
+		Use: "demo", Short: "Start a front end with fake engines and a fake Consul, and run a few queries",
+		Args: cobra.NoArgs,
+		Long: "demo starts all on loopback addresses, runs queries of each class, drains an engine and brings it back, " +
+			"prints the\n" +
 			"address for any MySQL client, and goes on until Ctrl-C.",
 		Example: "  gatewayctl demo\n  gatewayctl demo --once",
 		RunE: func(c *cobra.Command, _ []string) error {
--- /dev/null
+++ b/cmd/gatewayctl/faulttest.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/schollz/progressbar/v3"
+	"github.com/spf13/cobra"
+	"golang.org/x/term"
+
+	"beechcart/internal/faulttest"
+)
+
+func faulttestCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use: "faulttest", Aliases: []string{"drill"},
+		Short: "Inject faults into the real front end and check the rules",
+		Long: "A fault test starts the real front end and fake servers on loopback addresses, injects faults that the " +
+			"seed\n" +
+			"draws, under load, and checks the rules. Exit code 0: every rule kept; 1: a rule violated; 2: could not run.",
+	}
+	for _, test := range faulttest.All {
+		root.AddCommand((&faulttestRun{test: test}).command())
+	}
+	return root
+}
+
+// faulttestRun is one command line that runs a fault test.
+type faulttestRun struct {
+	test    faulttest.Drill
+	options faulttest.Options
+	json    bool
+	verbose bool
+}
+
+func (r *faulttestRun) command() *cobra.Command {
+	test, o := r.test, &r.options
+	c := &cobra.Command{
+		Use: test.Name, Short: test.Short, Args: cobra.NoArgs,
+		Example: "  gatewayctl faulttest " + test.Name + " --seconds 30 --seed 7\n  gatewayctl faulttest " + test.Name +
+			" --json --faults " + test.Kinds[0],
+		RunE: func(c *cobra.Command, _ []string) error { return r.run(c) },
+	}
+	flags := c.Flags()
+	flags.Uint64Var(&o.Seed, "seed", 0, "seed of the faults and the load; none: drawn now")
+	flags.IntVar(&o.Seconds, "seconds", 30, "how long the load goes on")
+	flags.Float64Var(&o.Rate, "rate", 300, "requests a second")
+	flags.IntVar(&o.Engines, "engines", 8, "fake engines")
+	flags.StringVar(&o.Faults, "faults", "all", "all, none, or one of "+strings.Join(test.Kinds, ", "))
+	if test.Fronts > 0 {
+		flags.IntVar(&o.Fronts, "fronts", test.Fronts, "front ends, in three zones")
+	}
+	programFlag(c, &o.Program)
+	flags.BoolVar(&r.json, "json", false, "print one JSON object")
+	flags.BoolVarP(&r.verbose, "verbose", "v", false, "tell each fault as it is injected")
+	if len(test.Policies) > 0 {
+		flags.StringVar(&o.Policy, "policy", "",
+			"a baseline in place of the program's own: "+strings.Join(test.Policies, ", "))
+	}
+	if len(test.Bads) > 0 {
+		flags.StringVar(&o.Bad, "bad", test.Bads[0],
+			"what is wrong with the bad release: "+strings.Join(test.Bads, ", "))
+	}
+	return c
+}
+
+func (r *faulttestRun) run(c *cobra.Command) error {
+	if !c.Flags().Changed("seed") {
+		r.options.Seed = uint64(time.Now().UnixNano()) % 1_000_000
+	}
+	if err := r.options.Check(r.test); err != nil {
+		return err
+	}
+	var err error
+	if r.options.Program, err = faulttest.Program(r.options.Program); err != nil {
+		return err
+	}
+	r.showProgress(c)
+	report, err := r.test.Run(c.Context(), r.options)
+	if err != nil {
+		return err
+	}
+	if r.json {
+		err = report.WriteJSON(c.OutOrStdout())
+	} else {
+		err = report.WriteTable(c.OutOrStdout())
+	}
+	if err == nil && !report.Passed {
+		report.WriteViolations(c.ErrOrStderr())
+		err = noError{fmt.Errorf("%d violations", len(report.Violations))}
+	}
+	return err
+}
+
+// showProgress lets the run tell its faults, or move a bar where a person looks on.
+func (r *faulttestRun) showProgress(c *cobra.Command) {
+	if r.verbose {
+		r.options.Note = func(format string, a ...any) {
+			printProgress(c, "%s %s", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, a...))
+		}
+		return
+	}
+	if r.json || !term.IsTerminal(int(os.Stderr.Fd())) {
+		return
+	}
+	bar := progressbar.NewOptions(r.options.Seconds,
+		progressbar.OptionSetWriter(c.ErrOrStderr()),
+		progressbar.OptionSetDescription("faulttest "+r.test.Name),
+		progressbar.OptionClearOnFinish(),
+		progressbar.OptionSetPredictTime(true))
+	r.options.Step = func(done, _ int) { _ = bar.Set(done) }
+}
--- a/cmd/gatewayctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -16,66 +16,102 @@
 )
 
 func listCommand() *cobra.Command {
-	root := &cobra.Command{Use: "list", Short: "What a front end believes of each engine"}
-	var socket, file string
-	var asJSON bool
-	show := &cobra.Command{
+	root := &cobra.Command{Use: "list", Short: "What a front end knows of each engine"}
+	root.AddCommand((&listShow{}).command())
+	return root
+}
+
+// listShow is one command line that shows an engine list.
+type listShow struct {
+	socket string // of a running front end
+	file   string // cached list, where no socket is named
+	json   bool
+}
+
+func (l *listShow) command() *cobra.Command {
+	c := &cobra.Command{
 		Use: "show", Short: "Show each engine with its state and the reason", Args: cobra.NoArgs,
-		Long: "show asks a running front end by its admin socket (setting admin_socket), or reads a last good list.",
+		Long: "show asks a running front end by its admin socket (setting admin_socket), or reads a cached list.",
 		Example: "  gatewayctl list show --socket /run/beechcart/admin.sock\n" +
 			"  gatewayctl list show --file /var/lib/beechcart/engines.list --json",
-		RunE: func(c *cobra.Command, _ []string) error {
-			var list []source.EngineStatus
-			switch {
-			case (socket == "") == (file == ""):
-				return errors.New("one of --socket and --file is needed")
-			case socket != "":
-				text, err := admin.Call(socket, "list")
-				if err != nil {
-					return err
-				}
-				if err := json.Unmarshal(text, &list); err != nil {
-					return fmt.Errorf("list: %w", err)
-				}
-			default:
-				entries, kept, err := endpointcache.ReadFile(file)
-				if err != nil {
-					return noError{fmt.Errorf("%s: %w", file, err)}
-				}
-				list = stored(entries)
-				if !asJSON {
-					fmt.Fprintf(c.OutOrStdout(), "kept %s, %s ago\n", kept.Format(time.RFC3339), time.Since(kept).Round(time.Second))
-				}
-			}
-			if asJSON {
-				if list == nil {
-					list = []source.EngineStatus{}
-				}
-				return printJSON(c.OutOrStdout(), list)
-			}
-			return writeList(c.OutOrStdout(), list)
-		},
+		RunE: func(c *cobra.Command, _ []string) error { return l.run(c.OutOrStdout()) },
 	}
-	show.Flags().StringVar(&socket, "socket", "", "admin socket of a running front end")
-	show.Flags().StringVar(&file, "file", "", "file of a last good list")
-	show.Flags().BoolVar(&asJSON, "json", false, "print a JSON list")
-	_ = show.MarkFlagFilename("file")
-	root.AddCommand(show)
-	return root
+	c.Flags().StringVar(&l.socket, "socket", "", "admin socket of a running front end")
+	c.Flags().StringVar(&l.file, "file", "", "file of a cached list")
+	c.Flags().BoolVar(&l.json, "json", false, "print a JSON list")
+	_ = c.MarkFlagFilename("file")
+	return c
 }
 
-// stored shows the entries of a file as a front end would that starts with them.
-func stored(entries []discovery.Endpoint) (list []source.EngineStatus) {
-	for _, e := range entries {
-		b := source.EngineStatus{Name: e.Key, ID: discovery.EndpointID(e.Key), Address: e.Addr, State: discovery.Ready.String(),
-			Reason: string(discovery.ReasonCached), Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, SinceMS: e.StartedAt.Milliseconds()}
+func (l *listShow) run(out io.Writer) error {
+	if (l.socket == "") == (l.file == "") {
+		return errors.New("one of --socket and --file is needed")
+	}
+	list, err := l.read(out)
+	if err != nil {
+		return err
+	}
+	if l.json {
+		if list == nil {
+			list = []source.EngineStatus{} // printed as [], not as null
+		}
+		return printJSON(out, list)
+	}
+	return writeList(out, list)
+}
+
+// read returns the list of the front end or of the file. For people, it tells first how old a file is.
+func (l *listShow) read(out io.Writer) ([]source.EngineStatus, error) {
+	if l.socket != "" {
+		var list []source.EngineStatus
+		err := callJSON(l.socket, "list", &list)
+		return list, err
+	}
+	endpoints, writtenAt, err := endpointcache.ReadFile(l.file)
+	if err != nil {
+		return nil, noError{fmt.Errorf("%s: %w", l.file, err)}
+	}
+	if !l.json {
+		age := time.Since(writtenAt).Round(time.Second)
+		_, err = fmt.Fprintf(out, "kept %s, %s ago\n", writtenAt.Format(time.RFC3339), age)
+	}
+	return cachedStatuses(endpoints), err
+}
+
+// callJSON asks a running front end and decodes its answer.
+func callJSON(socket, command string, answer any) error {
+	text, err := admin.Call(socket, command)
+	if err != nil {
+		return err
+	}
+	if err := json.Unmarshal(text, answer); err != nil {
+		return fmt.Errorf("%s: %w", command, err)
+	}
+	return nil
+}
+
+// cachedStatuses shows the endpoints of a cached list as a front end would that starts with them.
+func cachedStatuses(endpoints []discovery.Endpoint) (list []source.EngineStatus) {
+	for _, e := range endpoints {
+		status := source.EngineStatus{
+			Name:    e.Key,
+			ID:      discovery.EndpointID(e.Key),
+			Address: e.Addr,
+			State:   discovery.Ready.String(),
+			Reason:  string(discovery.ReasonCached),
+			Zone:    e.Zone,
+			Kind:    e.Kind,
+			Cell:    e.Cell,
+			Weight:  e.Weight,
+			SinceMS: e.StartedAt.Milliseconds(),
+		}
 		switch {
 		case e.Drain:
-			b.State, b.Reason = discovery.Draining.String(), string(discovery.ReasonDrainRequested)
+			status.State, status.Reason = discovery.Draining.String(), string(discovery.ReasonDrainRequested)
 		case !e.Passing:
-			b.Reason = "check failed when it was kept"
+			status.Reason = "check failed when it was kept"
 		}
-		list = append(list, b)
+		list = append(list, status)
 	}
 	return list
 }
@@ -83,12 +119,13 @@
 func writeList(w io.Writer, list []source.EngineStatus) error {
 	t := newTable(w)
 	fmt.Fprintln(t, "ENGINE\tID\tADDRESS\tSTATE\tREASON\tZONE\tKIND\tWEIGHT\tSINCE")
-	for _, b := range list {
+	for _, e := range list {
 		since := "long ago"
-		if b.SinceMS > 0 {
-			since = time.UnixMilli(b.SinceMS).Format("15:04:05.000")
+		if e.SinceMS > 0 {
+			since = time.UnixMilli(e.SinceMS).Format("15:04:05.000")
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%g\t%s\n", b.Name, b.ID, b.Address, b.State, b.Reason, b.Zone, b.Kind, b.Weight, since)
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%g\t%s\n",
+			e.Name, e.ID, e.Address, e.State, e.Reason, e.Zone, e.Kind, e.Weight, since)
 	}
 	return t.Flush()
 }
@@ -100,18 +137,14 @@
 		Use: "counters", Short: "Show the counters of a running front end", Args: cobra.NoArgs,
 		Example: "  gatewayctl counters --socket /run/beechcart/admin.sock",
 		RunE: func(c *cobra.Command, _ []string) error {
-			text, err := admin.Call(socket, "counters")
-			if err != nil {
+			var counters map[string]int64
+			if err := callJSON(socket, "counters", &counters); err != nil {
 				return err
 			}
-			var n map[string]int64
-			if err := json.Unmarshal(text, &n); err != nil {
-				return fmt.Errorf("counters: %w", err)
-			}
 			if asJSON {
-				return printJSON(c.OutOrStdout(), n)
+				return printJSON(c.OutOrStdout(), counters)
 			}
-			return printTable(c.OutOrStdout(), "%d", n)
+			return printTable(c.OutOrStdout(), "%d", counters)
 		},
 	}
 	c.Flags().StringVar(&socket, "socket", "", "admin socket of a running front end")
--- a/cmd/gatewayctl/main_test.go
+++ b/cmd/gatewayctl/main_test.go
@@ -69,7 +69,7 @@
 func TestList(t *testing.T) {
 	dir, err := os.MkdirTemp("", "bc")
 	require.NoError(t, err)
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "s")
 	d, err := admin.Listen(path, map[string]admin.Command{
 		"list": func() (any, error) {
@@ -90,7 +90,8 @@
 	assert.Regexp(t, `served +7`, out)
 
 	file := filepath.Join(dir, "list")
-	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Endpoint{{Key: "n/e2", Addr: "10.0.0.1:1", Drain: true}}, time.Now()), 0o600))
+	require.NoError(t, os.WriteFile(file, endpointcache.Encode([]discovery.Endpoint{{Key: "n/e2", Addr: "10.0.0.1:1",
+		Drain: true}}, time.Now()), 0o600))
 	code, out, _ = ctl("list", "show", "--file", file)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "n/e2")
@@ -107,7 +108,8 @@
 
 func TestDrillCommandLine(t *testing.T) {
 	for _, k := range [][]string{
-		{"found 1, allowed is 2 to 3600", "--seconds", "1"}, {"faults: found", "--faults", "nope"}, {"unknown flag", "--nope"},
+		{"found 1, allowed is 2 to 3600", "--seconds", "1"}, {"faults: found", "--faults", "nope"}, {"unknown flag",
+			"--nope"},
 		{"no front end to start", "--beechcart", "/nonexistent"}, {"policy: found", "--policy", "wise"},
 	} {
 		code, _, errs := ctl(append([]string{"drill", "catalogue"}, k[1:]...)...)
--- a/cmd/gatewayctl/recorded_commands_test.go
+++ b/cmd/gatewayctl/recorded_commands_test.go
@@ -18,8 +18,9 @@
 
 // flagValues are values of each kind of flag, by the kind's name in the help.
 var flagValues = map[string]string{
-	"": "true", "string": "x", "int": "7", "uint": "7", "float": "0.5", "duration": "2s", "ints": "1,2", "stringArray": "x",
-	"strings": "x", "uint32": "7", "uint16": "7",
+	"": "true", "string": "x", "int": "7", "uint": "7", "float": "0.5", "duration": "2s", "ints": "1,2",
+	"stringArray": "x",
+	"strings":     "x", "uint32": "7", "uint16": "7",
 }
 
 // commandLines lists the command lines that the help tells of: one for each command, and for each flag of a command.
--- a/cmd/gatewayctl/recorded_test.go
+++ b/cmd/gatewayctl/recorded_test.go
@@ -96,7 +96,8 @@
 	require.NoError(t, err)
 	t.Chdir(t.TempDir())
 	require.NoError(t, os.WriteFile("every_field.cue", settings, 0o600))
-	require.NoError(t, os.WriteFile("bad.cue", []byte("membership: max_out: 2\nconsul: {\n\tnope: 1\n\twait_ms: 1\n}"), 0o600))
+	require.NoError(t, os.WriteFile("bad.cue", []byte("membership: max_out: 2\nconsul: {\n\tnope: 1\n\twait_ms: 1\n}"),
+		0o600))
 	type call struct {
 		file string
 		args []string
@@ -156,6 +157,7 @@
 }
 
 func TestRecordedScalePage(t *testing.T) {
-	code, out, errs := ctl("scale", "page", "--check", "--page", "../../docs/CAPACITY.md", "--recordings", "../../bench/scale")
+	code, out, errs := ctl("scale", "page", "--check", "--page", "../../docs/CAPACITY.md", "--recordings",
+		"../../bench/scale")
 	recorded.Compare(t, "scale_page_check.txt", fmt.Appendf(nil, "exit code %d\n%s%s", code, out, errs))
 }
--- a/cmd/gatewayctl/scale_page.go
+++ b/cmd/gatewayctl/scale_page.go
@@ -24,7 +24,8 @@
 	var check bool
 	c := &cobra.Command{
 		Use: "page", Short: "Render the tables of docs/CAPACITY.md from the recordings", Args: cobra.NoArgs,
-		Long: "page rewrites what stands between the markers <!-- table: NAME --> and <!-- end table --> from the recordings under\n" +
+		Long: "page rewrites what stands between the markers <!-- table: NAME --> and <!-- end table --> from the " +
+			"recordings under\n" +
 			"bench/scale, and leaves all other text alone. With --check it writes nothing; exit code 1 where the page differs.",
 		Example: "  gatewayctl scale page\n  gatewayctl scale page --check",
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/gatewayctl/scale_parts.go
+++ b/cmd/gatewayctl/scale_parts.go
@@ -35,19 +35,25 @@
 		names = append(names, p.Name)
 	}
 	c := &cobra.Command{
-		Use: "parts [flags] NAME...", Short: "Measure what single parts cost as the fleet grows", Args: cobra.MinimumNArgs(1), ValidArgs: names,
-		Long:    "parts measures, at each size and several times, what can be seen in one process, at one control replica or at one front end:\n" + partList(),
-		Example: "  gatewayctl scale parts state --record bench/scale\n  gatewayctl scale parts lists --members 50,100 --repeats 1",
-		RunE:    func(c *cobra.Command, args []string) error { return f.run(c, args) },
+		Use: "parts [flags] NAME...", Short: "Measure what single parts cost as the fleet grows",
+		Args: cobra.MinimumNArgs(1), ValidArgs: names,
+		Long: "parts measures, at each size and several times, what can be seen in one process, at one control " +
+			"replica or at one front end:\n" + partList(),
+		Example: "  gatewayctl scale parts state --record bench/scale\n  gatewayctl scale parts lists --members 50,100 " +
+			"--repeats 1",
+		RunE: func(c *cobra.Command, args []string) error { return f.run(c, args) },
 	}
 	flags := c.Flags()
-	flags.IntSliceVar(&f.members, "members", parts.DefaultMembers, "front ends of each size; databases come in the planned proportion, 810 to 710")
+	flags.IntSliceVar(&f.members, "members", parts.DefaultMembers,
+		"front ends of each size; databases come in the planned proportion, 810 to 710")
 	flags.IntVar(&f.options.Repeats, "repeats", f.options.Repeats, "how often each size is measured")
 	flags.IntSliceVar(&f.options.Sessions, "sessions", f.options.Sessions, "client connections of one front end, rising")
 	flags.IntSliceVar(&f.options.Rates, "rates", f.options.Rates, "statements a second to one front end")
-	flags.DurationVar(&f.options.Window, "window", f.options.Window, "how long each measurement goes on that goes on for a time")
+	flags.DurationVar(&f.options.Window, "window", f.options.Window,
+		"how long each measurement goes on that goes on for a time")
 	flags.IntVar(&f.options.Starts, "starts", f.options.Starts, "starts of a front end at each size and repeat")
-	flags.IntVar(&f.options.TrafficFronts, "traffic-fronts", f.options.TrafficFronts, "most front ends that are simulated at each size")
+	flags.IntVar(&f.options.TrafficFronts, "traffic-fronts", f.options.TrafficFronts,
+		"most front ends that are simulated at each size")
 	flags.DurationVar(&f.options.TrafficTime, "traffic-time", f.options.TrafficTime, "simulated time of those")
 	flags.DurationVar(&f.options.FleetTime, "fleet-time", f.options.FleetTime, "simulated time of whole fleets")
 	flags.StringVar(&f.record, "record", "", "directory to write parts-NAME.json to; none: only print")
@@ -70,8 +76,9 @@
 // scalePartsReplicaCommand is the process that the part replica measures.
 func scalePartsReplicaCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "serve-replica", Short: "Run the control replica that the part replica measures", Args: cobra.NoArgs, Hidden: true,
-		RunE: func(c *cobra.Command, _ []string) error { return parts.ServeReplica(os.Stdin, c.OutOrStdout()) },
+		Use: "serve-replica", Short: "Run the control replica that the part replica measures", Args: cobra.NoArgs,
+		Hidden: true,
+		RunE:   func(c *cobra.Command, _ []string) error { return parts.ServeReplica(os.Stdin, c.OutOrStdout()) },
 	}
 }
 
@@ -81,7 +88,7 @@
 		return err
 	}
 	f.options.ReplicaArgs = []string{self, "scale", "parts", "serve-replica"}
-	f.options.Progress = func(text string) { fmt.Fprintln(c.ErrOrStderr(), text) }
+	f.options.Progress = func(text string) { printProgress(c, "%s", text) }
 	f.options.Sizes = nil
 	for _, members := range f.members {
 		f.options.Sizes = append(f.options.Sizes, parts.SizeOf(members))
@@ -98,7 +105,8 @@
 	return nil
 }
 
-// measure measures one part, prints it and keeps it where a directory is named. What was measured before a failure is printed, and not kept.
+// measure measures one part, prints it and keeps it where a directory is named. What was measured before a failure is
+// printed, and not kept.
 func (f *scalePartsFlags) measure(c *cobra.Command, part parts.Part) error {
 	if part.StartsFrontEnd {
 		var err error
@@ -114,7 +122,8 @@
 	if f.record == "" {
 		return nil
 	}
-	r := record.Recording{Name: "parts-" + part.Name, Command: f.commandLine(c, part.Name), At: began.UTC().Truncate(time.Second), Commit: commit,
+	r := record.Recording{Name: "parts-" + part.Name, Command: f.commandLine(c, part.Name),
+		At: began.UTC().Truncate(time.Second), Commit: commit,
 		Cores: runtime.NumCPU(), Notes: append(result.Notes, f.notes...), Samples: result.Samples}
 	if err := r.Save(f.record); err != nil {
 		return err
@@ -126,7 +135,8 @@
 // commandLine is the command that measures the part again, with the flags that were set.
 func (f *scalePartsFlags) commandLine(c *cobra.Command, name string) string {
 	words := []string{"gatewayctl", "scale", "parts", name}
-	for _, flag := range []string{"members", "repeats", "sessions", "rates", "window", "starts", "traffic-fronts", "traffic-time", "fleet-time"} {
+	for _, flag := range []string{"members", "repeats", "sessions", "rates", "window", "starts", "traffic-fronts",
+		"traffic-time", "fleet-time"} {
 		if set := c.Flags().Lookup(flag); set.Changed {
 			words = append(words, "--"+flag, strings.Trim(set.Value.String(), "[]"))
 		}
@@ -134,7 +144,8 @@
 	return strings.Join(append(words, "--record", f.record), " ")
 }
 
-// commitOfTree is the commit of the tree that the command runs in, with "+" where files differ from it; empty where that is not known.
+// commitOfTree is the commit of the tree that the command runs in, with "+" where files differ from it; empty where
+// that is not known.
 func commitOfTree(ctx context.Context) string {
 	head, err := exec.CommandContext(ctx, "git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
@@ -152,7 +163,8 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ROLE\tQUANTITY\tFRONT ENDS\tDATABASES\tSESSIONS\tRATE\tREPEAT\tVALUE")
 	for _, s := range samples {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.6g\n", s.Role, s.Quantity, s.Size.Members, s.Size.Engines, s.Size.Sessions, s.Size.Rate, s.Repeat, s.Value)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%.6g\n", s.Role, s.Quantity, s.Size.Members, s.Size.Engines,
+			s.Size.Sessions, s.Size.Rate, s.Repeat, s.Value)
 	}
 	return t.Flush()
 }
--- a/cmd/gatewayctl/scale_record.go
+++ b/cmd/gatewayctl/scale_record.go
@@ -21,10 +21,13 @@
 	if s.record == "" {
 		return samples, nil
 	}
-	notes := slices.Concat([]string{"per member: hollow members that are no control replicas; the share of a host process without members is taken off",
+	notes := slices.Concat([]string{"per member: hollow members that are no control replicas; the share of a host " +
+		"process without members is taken off",
 		"in force is measured on drains of databases: nothing carries a configuration yet"}, s.notes)
-	r := &record.Recording{Name: s.record, Command: "gatewayctl " + strings.Join(os.Args[1:], " "), At: began.UTC().Truncate(time.Second),
-		Commit: headCommit(), Settings: fmt.Sprintf("%d hollow members to a host process, with GOMAXPROCS=%d", s.options.PerHost, scale.HostProcessors), Cores: runtime.NumCPU(), Notes: notes, Samples: samples}
+	r := &record.Recording{Name: s.record, Command: "gatewayctl " + strings.Join(os.Args[1:], " "),
+		At:     began.UTC().Truncate(time.Second),
+		Commit: headCommit(), Settings: fmt.Sprintf("%d hollow members to a host process, with GOMAXPROCS=%d",
+			s.options.PerHost, scale.HostProcessors), Cores: runtime.NumCPU(), Notes: notes, Samples: samples}
 	if s.add {
 		if err := addSaved(r); err != nil {
 			return nil, err
--- a/cmd/gatewayctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"strings"
@@ -29,16 +28,21 @@
 // scaleCommand runs a fleet at one size.
 func scaleCommand() *cobra.Command {
 	s := &scaleRun{options: scale.Defaults()}
-	c := &cobra.Command{Use: "scale", Short: "Run a fleet at planning size on this machine and hold it against the budgets", Args: cobra.NoArgs, RunE: s.run}
-	c.Long = "Control replicas and some front ends are real processes; the other members are hollow: all of a front end's part in the fleet, with\n" +
+	c := &cobra.Command{Use: "scale", Short: "Run a fleet at planning size on this machine and hold it against the " +
+		"budgets", Args: cobra.NoArgs, RunE: s.run}
+	c.Long = "Control replicas and some front ends are real processes; the other members are hollow: all of a front " +
+		"end's part in the fleet, with\n" +
 		"no client traffic behind it, many to a process. Everything is on loopback addresses.\n" +
 		"Exit code 0: in the budgets; 1: one missed, which is named on standard error; 2: could not run."
-	c.Example = "  gatewayctl scale --members 710 --engines 810 --real 4 --control 5 --zones 7 --regions 2 --seconds 60 --seed 7 --json"
+	c.Example = "  gatewayctl scale --members 710 --engines 810 --real 4 --control 5 --zones 7 --regions 2 --seconds " +
+		"60 --seed 7 --json"
 	f := c.Flags()
-	f.IntVar(&s.options.Members, "members", s.options.Members, "front ends in all: real, hollow, and the control replicas among the hollow ones")
+	f.IntVar(&s.options.Members, "members", s.options.Members,
+		"front ends in all: real, hollow, and the control replicas among the hollow ones")
 	f.IntVar(&s.options.Engines, "engines", s.options.Engines, "databases")
 	f.StringVar(&s.faults, "faults", "none", "none, all, or a list of "+strings.Join(scale.FaultNames(), ", "))
-	f.Float64Var(&s.options.PauseShare, "pause-share", s.options.PauseShare, "share of the members that the pause fault stops together")
+	f.Float64Var(&s.options.PauseShare, "pause-share", s.options.PauseShare,
+		"share of the members that the pause fault stops together")
 	f.IntVar(&s.options.PauseMillis, "pause-millis", s.options.PauseMillis, "for how long")
 	f.BoolVar(&s.json, "json", false, "print one JSON object")
 	s.flags(c)
@@ -58,9 +62,12 @@
 	f.IntVar(&o.PrimaryChanges, "primary-changes", o.PrimaryChanges, "kills of the leading replica that are measured")
 	f.DurationVar(&o.FormWithin, "form-within", o.FormWithin, "how long the fleet may take to come together")
 	f.DurationVar(&o.StartPace, "start-pace", o.StartPace, "time between the starts of host processes")
-	f.DurationVar(&o.ChangeWithin, "change-within", o.ChangeWithin, "a drain that is not in force everywhere by then is lost")
-	f.BoolVar(&s.notice, "notice", false, "measure also how long until a dead and a stopped member are suspected: adds the faults dead and stop")
-	f.DurationVar(&o.NoticeWithin, "notice-within", o.NoticeWithin, "members that are not suspected by then are not noticed")
+	f.DurationVar(&o.ChangeWithin, "change-within", o.ChangeWithin,
+		"a drain that is not in force everywhere by then is lost")
+	f.BoolVar(&s.notice, "notice", false, "measure also how long until a dead and a stopped member are suspected: "+
+		"adds the faults dead and stop")
+	f.DurationVar(&o.NoticeWithin, "notice-within", o.NoticeWithin,
+		"members that are not suspected by then are not noticed")
 	f.Uint64Var(&o.Seed, "seed", 0, "seed of the faults; none: drawn now")
 	f.StringVar(&s.record, "record", "", "save the measurements to "+recordDir+"/NAME.json")
 	f.BoolVar(&s.add, "append", false, "add to the samples of a recording that is there, in place of replacing it")
@@ -96,7 +103,7 @@
 		}
 	}
 	if s.verbose {
-		o.Note = func(format string, a ...any) { fmt.Fprintf(c.ErrOrStderr(), format+"\n", a...) }
+		o.Note = func(format string, a ...any) { printProgress(c, format, a...) }
 	}
 	return nil
 }
@@ -154,8 +161,10 @@
 			}
 			began := time.Now()
 			samples, failed := scale.Sweep(c.Context(), s.options, sizes, repeats, func(r *scale.Result) {
-				fmt.Fprintf(c.ErrOrStderr(), "%d members: %.0f B/s sent, %.0f B/s received, %.4f of a core a member; formed in %.1f s, %d unknown\n",
-					r.Scale.Members, r.PerMember.SentBytesPerSecond, r.PerMember.ReceivedBytesPerSecond, r.PerMember.CPUShare, r.Formation.Seconds, r.Formation.Unknown)
+				printProgress(c, "%d members: %.0f B/s sent, %.0f B/s received, %.4f of a core a member; "+
+					"formed in %.1f s, %d unknown",
+					r.Scale.Members, r.PerMember.SentBytesPerSecond, r.PerMember.ReceivedBytesPerSecond, r.PerMember.CPUShare,
+					r.Formation.Seconds, r.Formation.Unknown)
 			})
 			if len(samples) == 0 || failed != nil && c.Context().Err() != nil {
 				return failed
@@ -175,8 +184,10 @@
 		},
 	}
 	s.flags(c)
-	c.Flags().IntSliceVar(&sizes, "sizes", []int{50, 100, 200, 400, 710}, "front ends; databases are scaled from 810 to 710 front ends")
+	c.Flags().IntSliceVar(&sizes, "sizes", []int{50, 100, 200, 400, 710},
+		"front ends; databases are scaled from 810 to 710 front ends")
 	c.Flags().IntVar(&repeats.Last, "repeats", 3, "runs of each size")
-	c.Flags().IntVar(&repeats.First, "first-repeat", 1, "the number of the first run of each size; with --append for a sweep in parts")
+	c.Flags().IntVar(&repeats.First, "first-repeat", 1,
+		"the number of the first run of each size; with --append for a sweep in parts")
 	return c
 }
