--- a/admission/engine.go
+++ b/admission/engine.go
@@ -49,7 +49,7 @@
 	warmingSince     time.Duration
 	warmingAssumedAt time.Duration // when warming was assumed without word from discovery; 0: it wasn't
 	slowStartSends   []slowStartSend
-	slowStartShare   slowstart.Held
+	slowStartQuota   slowstart.DelayedQuota
 	randomDraw       float64 // for a request heavier than its part of the budget
 	randomDrawUntil  time.Duration
 
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -91,7 +91,7 @@
 	if c.warmth(engine) >= 1 || c.settings.SlowStart.OverloadMultiple <= 0 {
 		return true
 	}
-	if c.now < c.startedAt+window || engine.slowStartShare.PartAt(c.now, window) == 0 {
+	if c.now < c.startedAt+window || engine.slowStartQuota.FractionAt(c.now, window) == 0 {
 		return false
 	}
 	budget := c.warmingBudget(engine)
@@ -108,7 +108,7 @@
 // heavier than the turn's part goes by chance, with a draw that holds for the slot.
 func (c *Controller) turnAllows(engine *engineState, work, budget float64) bool {
 	slot := time.Duration(slotFraction * float64(c.settings.SlowStart.OverloadWindow))
-	if !engine.slowStartShare.Turn(c.now, slot) {
+	if !engine.slowStartQuota.HasTurn(c.now, slot) {
 		return false
 	}
 	if c.now >= engine.randomDrawUntil {
@@ -118,10 +118,10 @@
 	if spent+work <= budget*turnFraction {
 		return true
 	}
-	window := slowstart.Window{
-		Budget: budget, Mean: c.meanRequestWork(), Fine: fineWorkFraction, Turn: turnFraction,
+	window := slowstart.WindowBudget{
+		Total: budget, MeanWork: c.meanRequestWork(), FineFraction: fineWorkFraction, TurnFraction: turnFraction,
 	}
-	return spent == 0 && engine.randomDraw < window.HeavyChance(work, c.now, slot)
+	return spent == 0 && engine.randomDraw < window.HeavyProbability(work, c.now, slot)
 }
 
 // warmingBudget is reckoned with the mean of what the engine can do now and at its start.
@@ -131,7 +131,7 @@
 		slowStart.OverloadWindow.Seconds()
 	return warmingBudget{
 		total: total,
-		fine:  total * fineWorkFraction * engine.slowStartShare.PartAt(c.now, slowStart.OverloadWindow),
+		fine:  total * fineWorkFraction * engine.slowStartQuota.FractionAt(c.now, slowStart.OverloadWindow),
 	}
 }
 
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -54,18 +54,18 @@
 	all := math.IsInf(subset.equalSize, 1)
 	subset.first = 0
 	if !all {
-		subset.first = slowstart.First(subset.capacities, me, replicas)
+		subset.first = slowstart.FirstEngine(subset.capacities, me, replicas)
 	}
 	if !subset.listChanged {
 		return
 	}
 	subset.listChanged = false
-	for i, share := range slowstart.Shares(subset.capacities, me, replicas, subset.equalSize) {
+	for i, share := range slowstart.Quotas(subset.capacities, me, replicas, subset.equalSize) {
 		engine := c.engines[i]
 		if all {
-			engine.slowStartShare = slowstart.Fixed(share)
+			engine.slowStartQuota = slowstart.FixedQuota(share)
 		} else {
-			engine.slowStartShare = engine.slowStartShare.Change(share, c.now, c.settings.SlowStart.OverloadWindow)
+			engine.slowStartQuota = engine.slowStartQuota.Update(share, c.now, c.settings.SlowStart.OverloadWindow)
 		}
 	}
 }
--- a/decision/slowstart/recorded_test.go
+++ b/decision/slowstart/recorded_test.go
@@ -5,14 +5,11 @@
 	"encoding/binary"
 	"fmt"
 	"math"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
-	"github.com/stretchr/testify/require"
-
 	"beechcart/decision/slowstart"
+	"beechcart/internal/recorded"
 )
 
 // randomSource is SplitMix64.
@@ -56,12 +53,12 @@
 		replicas := 1 + random.below(40)
 		length := 150 * random.float()
 		capacity := make([]float64, random.below(24))
-		held := make([]slowstart.Held, len(capacity))
+		held := make([]slowstart.DelayedQuota, len(capacity))
 		now := time.Duration(random.below(1000)) * time.Millisecond
 		me := random.below(replicas)
 		for i := range held {
 			if random.float() < 0.2 {
-				held[i] = slowstart.Fixed(slowstart.Share{Senders: 1 + i, Rank: random.below(1 + i)})
+				held[i] = slowstart.FixedQuota(slowstart.Quota{Senders: 1 + i, Rank: random.below(1 + i)})
 			}
 		}
 		for range 8 {
@@ -70,47 +67,34 @@
 					capacity[i] = capacities[random.below(len(capacities))]
 				}
 			}
-			got.number(uint64(slowstart.First(capacity, me, replicas)))
-			for i, share := range slowstart.Shares(capacity, me, replicas, length) {
+			got.number(uint64(slowstart.FirstEngine(capacity, me, replicas)))
+			for i, share := range slowstart.Quotas(capacity, me, replicas, length) {
 				got.number(uint64(share.Senders))
 				got.number(uint64(share.Rank))
 				got.yes(share.Sends())
-				got.float(share.Part())
-				held[i] = held[i].Change(share, now, window)
+				got.float(share.Fraction())
+				held[i] = held[i].Update(share, now, window)
 			}
 			for range 6 {
 				for _, h := range held {
-					got.float(h.PartAt(now, window))
-					got.yes(h.Turn(now, slot))
+					got.float(h.FractionAt(now, window))
+					got.yes(h.HasTurn(now, slot))
 				}
 				recordWindow(got, &random, now, slot)
 				now += time.Duration(random.float() * 0.6 * float64(window))
 			}
 		}
 	}
-	requireRecorded(t, "answers.txt", got.String())
+	recorded.Compare(t, "answers.txt", []byte(got.String()))
 }
 
 func recordWindow(got *recording, random *randomSource, now, slot time.Duration) {
-	window := slowstart.Window{
-		Budget: 40 * random.float(), Mean: random.float(), Fine: 0.6 * random.float(), Turn: 0.4 * random.float(),
+	window := slowstart.WindowBudget{
+		Total: 40 * random.float(), MeanWork: random.float(), FineFraction: 0.6 * random.float(),
+		TurnFraction: 0.4 * random.float(),
 	}
-	got.float(window.Bears())
+	got.float(window.OverloadWork())
 	for _, work := range []float64{0.1, 1, 3, 12} {
-		got.float(window.HeavyChance(work, now, slot))
-	}
-}
-
-// requireRecorded holds a text to the recorded one. A file that is missing is written only where RECORD=1 asks for it.
-func requireRecorded(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(got), 0o644))
-		return
+		got.float(window.HeavyProbability(work, now, slot))
 	}
-	require.NoError(t, err)
-	require.Equal(t, string(want), got)
 }
