--- a/admission/actions.go
+++ b/admission/actions.go
@@ -7,11 +7,11 @@
 type Action interface{ action() }
 
 type (
-	// Send starts an attempt. Cap is its timeout; 0: until the client gives up.
+	// Send starts an attempt. A Timeout of 0 lasts until the client gives up.
 	Send struct {
-		ID     string
-		Engine uint32
-		Cap    time.Duration
+		ID      string
+		Engine  uint32
+		Timeout time.Duration
 	}
 	// Terms sets priority (0 to 2, 1 unless set) and memory (0: no grant) for the next attempts of the request.
 	Terms struct {
--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -57,7 +57,7 @@
 		engine.recoveryInFlight++
 	}
 	engine.classRests[request.Class].extend(c.now)
-	c.emit(Send{ID: request.ID, Engine: engine.ID, Cap: request.deadline - c.now})
+	c.emit(Send{ID: request.ID, Engine: engine.ID, Timeout: request.deadline - c.now})
 }
 
 func (c *Controller) newAttempt(request *requestState, engine *engineState) attemptState {
@@ -78,10 +78,10 @@
 func (c *Controller) setTerms(request *requestState, attempt *attemptState) (memory float64) {
 	priority, grant := c.priorityOf(request), 0.0
 	memory = attempt.memory
-	if c.settings.Grants && memory > 0 {
+	if c.settings.GrantsSupported && memory > 0 {
 		grant = math.Ceil(memory)
-		if attempt.engine.memoryMB > 0 && c.settings.MostGrant > 0 {
-			grant = math.Min(grant, math.Floor(attempt.engine.memoryMB*c.settings.MostGrant))
+		if attempt.engine.memoryMB > 0 && c.settings.MaxGrantFraction > 0 {
+			grant = math.Min(grant, math.Floor(attempt.engine.memoryMB*c.settings.MaxGrantFraction))
 		}
 		memory = grant
 	}
@@ -94,7 +94,7 @@
 // priorityOf prefers what is small, and what holds locks: if that is slow, all that wait for the locks are.
 func (c *Controller) priorityOf(request *requestState) int {
 	switch {
-	case !c.settings.Priorities:
+	case !c.settings.PrioritiesSupported:
 		return normalPriority
 	case request.classSettings.LocksTables && c.anyClassWaitsForLocks():
 		return highPriority
--- a/admission/attempt_test.go
+++ b/admission/attempt_test.go
@@ -49,17 +49,17 @@
 	b := startController(t, s, newEngines(2))
 	heavy := newRequest("h", 1)
 	heavy.Timeout = 20 * sec
-	if s := oneAction[Send](t, b.step(heavy)); s.Cap != 20*sec {
-		t.Fatalf("a heavy request is capped at %v", s.Cap)
+	if s := oneAction[Send](t, b.step(heavy)); s.Timeout != 20*sec {
+		t.Fatalf("a heavy request is capped at %v", s.Timeout)
 	}
-	if s := oneAction[Send](t, b.step(newRequest("a", 0))); s.Cap != 4*sec {
-		t.Fatalf("a small request is capped at %v", s.Cap)
+	if s := oneAction[Send](t, b.step(newRequest("a", 0))); s.Timeout != 4*sec {
+		t.Fatalf("a small request is capped at %v", s.Timeout)
 	}
 }
 
 func TestRequestsThatLockTablesGetHighPriority(t *testing.T) {
 	s := baseSettings()
-	s.Priorities = true
+	s.PrioritiesSupported = true
 	for _, waits := range []bool{false, true} {
 		s.Classes[0].WaitsForLocks, s.Classes[1].LocksTables = waits, true
 		b := startController(t, s, newEngines(4))
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -50,7 +50,7 @@
 func TestMemoryLimitOfATenant(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
 	r := newRequest("a", 1)
-	r.Timeout, r.MemMB = 20*sec, 6000
+	r.Timeout, r.MemoryMB = 20*sec, 6000
 	b.step(r)
 	held := b.controller.tenants[0].memory
 	b.controller.tenants[0].memory = 2*16384 - 100 // the tenant holds nearly all of the fleet's memory
@@ -101,7 +101,7 @@
 // nearer to their work, took 3.4 times theirs (kumamoto-head-later, big-1).
 func TestSmallClassesLeaveCapacityToHeavyOnes(t *testing.T) {
 	s := baseSettings()
-	s.Priorities = true
+	s.PrioritiesSupported = true
 	b := startController(t, s, newEngines(2))
 	lane := map[int]int{}
 	for class := range 2 {
@@ -150,12 +150,12 @@
 		e.loadReport, e.reportedAt = Report{Held: -1, Queue: 0, Util: 1, Memory: -1, Disks: -1}, b.now
 	}
 	b.controller.randomDrawUntil, b.controller.randomDraw = b.now+20*sec, 0.1
-	b.step(Request{ID: "heavy", Class: 1, Timeout: 20 * sec, Group: -1, Work: 8 * sec, MemMB: 4000})
+	b.step(Request{ID: "heavy", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 8 * sec, MemoryMB: 4000})
 	if b.controller.threads < b.controller.fleet.threadLimit {
 		t.Fatal("the heavy request is within our part: the test shows nothing")
 	}
 	small := newRequest("small", 0)
-	small.MemMB = 100
+	small.MemoryMB = 100
 	oneAction[Send](t, b.step(small))
 }
 
@@ -185,7 +185,7 @@
 	e := b.controller.engines[b.controller.subset.first]
 	r := &requestState{Request: newRequest("s", 0), classSettings: &b.controller.settings.Classes[0],
 		tenant: b.controller.tenants[0]}
-	r.MemMB = 100
+	r.MemoryMB = 100
 	part := e.memoryMB * b.controller.engineShare
 	b.controller.estimates[1].work = 4
 	e.threads, e.memory = 2, 2*part
--- a/admission/deadline_test.go
+++ b/admission/deadline_test.go
@@ -77,7 +77,7 @@
 func TestShortTimeoutIsNotAge(t *testing.T) {
 	for _, c := range []struct{ marks, retry, old bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
 		s := baseSettings()
-		s.MarksRetry = c.marks
+		s.RetriesMarked = c.marks
 		b := startController(t, s, nil)
 		r := newRequest("a", 0)
 		r.Work, r.Timeout, r.Retry = 100*ms, sec, c.retry
--- a/admission/engine_test.go
+++ b/admission/engine_test.go
@@ -45,7 +45,8 @@
 	id := ""
 	for i := 0; id == ""; i++ { // one that is out on the engine that goes
 		id = fmt.Sprint("r", i)
-		if oneAction[Send](t, b.step(Request{ID: id, Timeout: 1000 * sec, Group: -1, Work: 50 * ms})).Engine != list[1].ID {
+		if oneAction[Send](t, b.step(Request{ID: id, Timeout: 1000 * sec, TableGroup: -1,
+			Work: 50 * ms})).Engine != list[1].ID {
 			id = ""
 		}
 	}
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -109,12 +109,12 @@
 func (c *Controller) expectedMemory(request *requestState) float64 {
 	estimate := &c.estimates[request.Class]
 	switch {
-	case request.MemMB <= 0:
+	case request.MemoryMB <= 0:
 		return estimate.memory * reservationMargin
-	case c.settings.Grants:
-		return request.MemMB * estimate.memoryCorrection * reservationMargin
+	case c.settings.GrantsSupported:
+		return request.MemoryMB * estimate.memoryCorrection * reservationMargin
 	}
-	return request.MemMB * engineGrantMargin
+	return request.MemoryMB * engineGrantMargin
 }
 
 // expectedLatency is the expected time from sending to answer, on an engine of that slowdown.
@@ -156,8 +156,8 @@
 	}
 	e.memoryAnswers++
 	e.memory += (event.NeedMB - e.memory) * math.Max(minMeanRate, 1/e.memoryAnswers)
-	if request.MemMB > 0 {
-		e.memoryCorrection = e.memorySamples.observe(event.NeedMB, request.MemMB)
+	if request.MemoryMB > 0 {
+		e.memoryCorrection = e.memorySamples.observe(event.NeedMB, request.MemoryMB)
 	}
 }
 
--- a/admission/events.go
+++ b/admission/events.go
@@ -98,8 +98,8 @@
 		Key           string        // for Ordered classes; may be empty
 		Timeout       time.Duration // after which the client gives up
 		Work          time.Duration // estimate over all threads; 0: none
-		MemMB         float64       // estimate; 0: none
-		Group         int           // table group; -1: none
+		MemoryMB      float64       // estimate; 0: none
+		TableGroup    int           // table group; -1: none
 		Retry, Write  bool
 	}
 	// FirstByte tells that a streamed answer has begun.
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -25,7 +25,7 @@
 	now := 10 * time.Second
 	actions := ctl.Step(now, []admission.Event{
 		admission.EndpointsChanged{Engines: []admission.Engine{{ID: 7}}},
-		admission.Request{ID: "q1", Timeout: 5 * time.Second, Group: -1},
+		admission.Request{ID: "q1", Timeout: 5 * time.Second, TableGroup: -1},
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -96,8 +96,9 @@
 			class = 1
 		}
 		f.step(int(rendezvousHash(f.next, 0)%uint64(len(f.ctls))),
-			Request{ID: fmt.Sprint("c", f.next), Class: class, Timeout: f.ctls[0].settings.Classes[class].Deadline, Group: -1,
-				Work: f.work[class]})
+			Request{ID: fmt.Sprint("c", f.next), Class: class, Timeout: f.ctls[0].settings.Classes[class].Deadline,
+				TableGroup: -1,
+				Work:       f.work[class]})
 	}
 }
 
--- a/admission/harness_test.go
+++ b/admission/harness_test.go
@@ -66,7 +66,7 @@
 }
 
 func newRequest(id string, class int) Request {
-	return Request{ID: id, Class: class, Timeout: 4 * sec, Group: -1, Work: 100 * ms}
+	return Request{ID: id, Class: class, Timeout: 4 * sec, TableGroup: -1, Work: 100 * ms}
 }
 
 func actionsOf[T Action](acts []Action) (out []T) {
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -250,10 +250,10 @@
 func (c *Controller) recordOverdue(ref *attemptRef, sinceAnswer *overdueAttempts) {
 	request, attempt := ref.request, ref.attempt()
 	if attempt.sentAt > attempt.engine.classRests[request.Class].answeredAt {
-		c.estimates[request.Class].overdue.add(request.Group, attempt.sentAt)
+		c.estimates[request.Class].overdue.add(request.TableGroup, attempt.sentAt)
 	}
 	if attempt.sentAt > attempt.engine.lastAnswerAt {
-		sinceAnswer.add(request.Group, attempt.sentAt)
+		sinceAnswer.add(request.TableGroup, attempt.sentAt)
 	} else if c.isSmall(request.Class) && !attempt.countedAsLost {
 		attempt.countedAsLost = true
 		c.raiseLostAnswerRate()
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -109,7 +109,7 @@
 		b := startController(t, baseSettings(), newEngines(1))
 		for i := range ejectAfterResets {
 			id := fmt.Sprint("r", i)
-			b.step(Request{ID: id, Timeout: 4 * sec, Group: -1, Work: 50 * ms})
+			b.step(Request{ID: id, Timeout: 4 * sec, TableGroup: -1, Work: 50 * ms})
 			b.step(Outcome{ID: id, Engine: 1, Status: Reset, Alive: alive})
 			b.step(ClientDisconnected{ID: id})
 		}
@@ -148,7 +148,7 @@
 			if n%10 == 0 {
 				class = 1
 			}
-			ev = append(ev, Request{ID: strconv.Itoa(n), Class: class, Tenant: n % 2, Timeout: 4 * sec, Group: n % 7,
+			ev = append(ev, Request{ID: strconv.Itoa(n), Class: class, Tenant: n % 2, Timeout: 4 * sec, TableGroup: n % 7,
 				Work: time.Duration(1+2*class) * 20 * ms})
 		}
 		for _, snd := range actionsOf[Send](b.step(ev...)) {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -95,7 +95,7 @@
 	s.Classes[1].Ordered = true
 	b := startController(t, s, nil)
 	keyed := func(id string) Request {
-		return Request{ID: id, Class: 1, Key: "k", Timeout: 20 * sec, Group: -1, Work: 100 * ms}
+		return Request{ID: id, Class: 1, Key: "k", Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
 	b.step(keyed("head"))
 	b.advance(3 * sec)
@@ -116,7 +116,7 @@
 	s.Classes[1].Ordered = true
 	b := startController(t, s, newEngines(4))
 	keyed := func(id, key string) Request {
-		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, Group: -1, Work: 100 * ms}
+		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
 	head := oneAction[Send](t, b.step(keyed("head", "k")))
 	for i := range 2 * maxQueueLookahead {
@@ -137,7 +137,7 @@
 	s.Classes[1].Ordered, s.Classes[1].LateWeight = true, 0.5
 	b := startController(t, s, nil)
 	keyed := func(id, key string) Request {
-		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, Group: -1, Work: 100 * ms}
+		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
 	b.step(keyed("head", "k"), keyed("alone", "l"))
 	b.advance(3 * sec)
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -90,7 +90,7 @@
 		r.begin(actionSend)
 		r.text(a.ID)
 		r.number(uint64(a.Engine))
-		r.duration(a.Cap)
+		r.duration(a.Timeout)
 	case admission.Terms:
 		r.begin(actionTerms)
 		r.text(a.ID)
@@ -363,14 +363,14 @@
 	described := &w.settings.Classes[class]
 	request := admission.Request{
 		ID: fmt.Sprint(g.number, ".", w.requests), Class: class, Tenant: w.random.below(len(w.settings.Tenants)+1) - 1,
-		Timeout: described.Deadline, Group: w.random.below(4) - 1, Write: w.random.float() < 0.2,
+		Timeout: described.Deadline, TableGroup: w.random.below(4) - 1, Write: w.random.float() < 0.2,
 	}
 	if w.random.float() < 0.6 {
 		request.Key = fmt.Sprint("key", w.random.below(6))
 	}
 	if w.random.float() < 0.7 {
 		request.Work = w.work(class)
-		request.MemMB = 100 + 900*w.random.float()
+		request.MemoryMB = 100 + 900*w.random.float()
 	}
 	if w.random.float() < 0.1 {
 		request.Timeout = time.Duration(float64(request.Timeout) * w.random.float())
@@ -439,7 +439,7 @@
 	if w.tellsWork {
 		ok.Work, ok.NeedMB = work, attempt.memory
 	}
-	w.settle(attempt, request, a.Cap, latency, ok)
+	w.settle(attempt, request, a.Timeout, latency, ok)
 }
 
 // settle plans how an attempt goes on and ends.
@@ -662,8 +662,10 @@
 		Classes: recordedClasses(),
 		Tenants: []admission.Tenant{{Quota: 0.5, RequestsPerSecond: 60}, {Quota: 0.3, RequestsPerSecond: 25}, {Quota: 0.2}},
 
-		OverQuotaWeight: 0.2, LoadReporting: admission.InBandReports, Grants: true, Priorities: true, TellsCost: true,
-		ProgressInterval: 60 * time.Millisecond, Shortage: admission.LineUp, MostGrant: 0.5, CancellationAllowed: true,
+		OverQuotaWeight: 0.2, LoadReporting: admission.InBandReports, GrantsSupported: true, PrioritiesSupported: true,
+		CostReported:     true,
+		ProgressInterval: 60 * time.Millisecond, MemoryShortage: admission.WaitForMemory, MaxGrantFraction: 0.5,
+		CancellationAllowed: true,
 		HealthChecksAllowed: true,
 		MaxAttempts:         3, MaxRetryAfter: time.Second,
 		DeadlineSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
@@ -677,14 +679,14 @@
 // recordedRuns together use each field of the settings.
 func recordedRuns() map[string]recordedRun {
 	alone := recordedSettings()
-	alone.MarksRetry = true
+	alone.RetriesMarked = true
 
 	gossiping := recordedSettings()
 	gossiping.Replicas, gossiping.Zone = 12, 1
 	gossiping.LoadReporting, gossiping.GossipAllowed, gossiping.HealthCheckCost = admission.HealthCheckReports, true, 0.05
 	gossiping.RetryBudget = &admission.RetryBudget{MinRetries: 3, Ratio: 0.1, Window: 5 * time.Second}
 	gossiping.Classes = gossiping.Classes[:4] // no locks on tables
-	gossiping.Grants, gossiping.Shortage, gossiping.ProgressInterval = false, admission.Cut, 0
+	gossiping.GrantsSupported, gossiping.MemoryShortage, gossiping.ProgressInterval = false, admission.SpillToDisk, 0
 
 	ring := recordedSettings()
 	ring.Replicas, ring.Zone = 14, -1
@@ -694,8 +696,9 @@
 
 	unheard := recordedSettings()
 	unheard.Replicas, unheard.LoadReporting, unheard.Tenants = 2, admission.NoLoadReports, nil
-	unheard.Priorities, unheard.CancellationAllowed, unheard.HedgingAllowed, unheard.MaxAttempts = false, false, true, 2
-	unheard.Shortage, unheard.MaxRetryAfter, unheard.SlowStart.OverloadMultiple = admission.Overcommit, 0, 0
+	unheard.PrioritiesSupported, unheard.CancellationAllowed, unheard.HedgingAllowed, unheard.MaxAttempts = false, false,
+		true, 2
+	unheard.MemoryShortage, unheard.MaxRetryAfter, unheard.SlowStart.OverloadMultiple = admission.Overcommit, 0, 0
 	unheard.ProgressInterval = 0
 
 	return map[string]recordedRun{
--- a/admission/request.go
+++ b/admission/request.go
@@ -60,7 +60,7 @@
 		request.Tenant = 0
 	}
 	request.tenant = c.tenants[request.Tenant]
-	request.MemMB = math.Max(request.MemMB, 0)
+	request.MemoryMB = math.Max(request.MemoryMB, 0)
 	return request
 }
 
@@ -69,7 +69,7 @@
 func (c *Controller) objectiveOf(request *requestState) time.Duration {
 	class := request.classSettings
 	spent := max(0, class.Deadline*3/4-request.Timeout)
-	if c.settings.MarksRetry && !request.Retry {
+	if c.settings.RetriesMarked && !request.Retry {
 		spent = 0
 	}
 	forWork := class.ObjectivePerWork * c.expectedWork(request) / float64(class.Threads) * float64(time.Second)
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -83,7 +83,7 @@
 	var stuck []Send
 	for i := 0; len(stuck) < 3; i++ {
 		r := newRequest(fmt.Sprint("a", i), 0)
-		r.Group = i
+		r.TableGroup = i
 		for _, snd := range actionsOf[Send](b.step(r)) {
 			if snd.Engine == 1 {
 				stuck = append(stuck, snd)
@@ -162,7 +162,7 @@
 	s.CancellationAllowed, s.RetryBudget = true, &RetryBudget{MinRetries: 2, Window: 5 * sec}
 	b := startController(t, s, newEngines(4))
 	for i := range 12 {
-		b.step(Request{ID: fmt.Sprint("r", i), Class: 1, Timeout: 20 * sec, Group: -1, Work: 50 * ms})
+		b.step(Request{ID: fmt.Sprint("r", i), Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 50 * ms})
 	}
 	b.advance(200 * ms)
 	b.now += 6 * sec // the arrivals leave the window: two further attempts are all there is
@@ -194,6 +194,6 @@
 	if acts := b.step(outcomeOf(cheap, 0, ConnectFailed)); len(actionsOf[Send](acts)) != 0 {
 		t.Fatal("the last repeat went to the cheap class")
 	}
-	dear := oneAction[Send](t, b.step(Request{ID: "dear", Class: 1, Timeout: 20 * sec, Group: -1, Work: 100 * ms}))
+	dear := oneAction[Send](t, b.step(Request{ID: "dear", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}))
 	oneAction[Send](t, b.step(outcomeOf(dear, 0, ConnectFailed)))
 }
--- a/admission/selection.go
+++ b/admission/selection.go
@@ -61,7 +61,7 @@
 	candidates.groupHashes, candidates.someReliable = candidates.groupHashes[:0], false
 	for _, engine := range candidates.engines {
 		candidates.someReliable = candidates.someReliable || engine.errorRate <= highErrorRate
-		candidates.groupHashes = append(candidates.groupHashes, rendezvousHash(request.Group, engine.ID))
+		candidates.groupHashes = append(candidates.groupHashes, rendezvousHash(request.TableGroup, engine.ID))
 	}
 	slices.Sort(candidates.groupHashes)
 }
@@ -148,12 +148,12 @@
 // tableGroupBias is the factor of an engine's weight for the request's table group. All front ends rank the engines
 // for a group alike, by rendezvous hashing.
 func (c *Controller) tableGroupBias(engine *engineState, request *requestState) float64 {
-	if request.Group < 0 {
+	if request.TableGroup < 0 {
 		return 1
 	}
 	bias := c.tableRankBias(engine, request)
 	for _, ref := range engine.attempts {
-		if ref.request.Group == request.Group && locksOut(ref.request.classSettings, request.classSettings) {
+		if ref.request.TableGroup == request.TableGroup && locksOut(ref.request.classSettings, request.classSettings) {
 			bias *= lockConflictBias
 		}
 	}
@@ -165,7 +165,7 @@
 // odd number is open to both, at less weight.
 func (c *Controller) tableRankBias(engine *engineState, request *requestState) float64 {
 	class, hashes := request.classSettings, c.candidates.groupHashes
-	at, _ := slices.BinarySearch(hashes, rendezvousHash(request.Group, engine.ID))
+	at, _ := slices.BinarySearch(hashes, rendezvousHash(request.TableGroup, engine.ID))
 	before := len(hashes) - 1 - at // engines that come first
 	if c.anyClassWaitsForLocks() && (class.LocksTables || class.WaitsForLocks) && len(hashes) >= minEnginesToSplit {
 		if 2*before == len(hashes)-1 {
--- a/admission/selection_test.go
+++ b/admission/selection_test.go
@@ -52,7 +52,7 @@
 		b := startController(t, s, newEngines(8))
 		b.controller.random = splitMix64(seed)
 		load, look := newRequest("load", 1), newRequest("look", 0)
-		load.Group, look.Group, load.Timeout = 5, 5, 20*sec
+		load.TableGroup, look.TableGroup, load.Timeout = 5, 5, 20*sec
 		l := oneAction[Send](t, b.step(load))
 		if w := oneAction[Send](t, b.step(look)); w.Engine == l.Engine {
 			met++
@@ -116,7 +116,7 @@
 	s.Replicas = 2 * subsetMinReplicas
 	b := startController(t, s, newEngines(12))
 	b.controller.collectCandidates(&requestState{classSettings: &b.controller.settings.Classes[0],
-		Request: Request{Group: -1}})
+		Request: Request{TableGroup: -1}})
 	bad, before := b.controller.candidates.engines[0].ID, len(b.controller.candidates.engines)
 	sent, late := 0, 0
 	for i := range 300 {
@@ -137,7 +137,7 @@
 		b.now += 50 * ms
 	}
 	b.controller.collectCandidates(&requestState{classSettings: &b.controller.settings.Classes[0],
-		Request: Request{Group: -1}})
+		Request: Request{TableGroup: -1}})
 	if sent == 0 || late*8 > sent || len(b.controller.candidates.engines) <= before {
 		t.Fatalf("%d of %d sends to an engine of errors, subset of %d, was %d", late, sent,
 			len(b.controller.candidates.engines), before)
@@ -154,7 +154,7 @@
 		used := [2]map[uint32]bool{{}, {}}
 		for i := range 400 {
 			id, class := fmt.Sprint("r", i), i%2
-			snd := oneAction[Send](t, b.step(Request{ID: id, Class: class, Timeout: 4 * sec, Group: 7, Work: 50 * ms}))
+			snd := oneAction[Send](t, b.step(Request{ID: id, Class: class, Timeout: 4 * sec, TableGroup: 7, Work: 50 * ms}))
 			used[class][snd.Engine] = true
 			b.step(Outcome{ID: id, Engine: snd.Engine, Status: OK, Closed: true})
 		}
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -25,14 +25,14 @@
 	ScopeCell
 )
 
-// Shortage says what an engine does when the memory that was granted exceeds what it has.
-type Shortage int
+// MemoryShortage says what an engine does when the memory that was granted exceeds what it has.
+type MemoryShortage int
 
 // The ways in which an engine handles a shortage of memory.
 const (
-	LineUp     Shortage = iota // the request waits in the engine's queue
-	Cut                        // it gets what is left, and spills to disk
-	Overcommit                 // it is admitted, and all slow down
+	WaitForMemory MemoryShortage = iota // the request waits in the engine's queue
+	SpillToDisk                         // it gets what is left, and spills to disk
+	Overcommit                          // it is admitted, and all slow down
 )
 
 // LoadReporting says how load reports reach the front end.
@@ -111,12 +111,12 @@
 	PollDiscovery       bool // the engine list is not sent unasked
 	PollInterval        time.Duration
 	LoadReporting       LoadReporting
-	Grants              bool // engines take memory grants
-	Priorities          bool // engines take priorities
-	TellsCost           bool // engines tell work and memory with the outcome
+	GrantsSupported     bool // engines take memory grants
+	PrioritiesSupported bool // engines take priorities
+	CostReported        bool // engines tell work and memory with the outcome
 	ProgressInterval    time.Duration
-	Shortage            Shortage
-	MostGrant           float64 // the largest grant, as a fraction of an engine's memory; 0: not known
+	MemoryShortage      MemoryShortage
+	MaxGrantFraction    float64 // the largest grant, as a fraction of an engine's memory; 0: not known
 	CancellationAllowed bool
 	HealthChecksAllowed bool
 	HealthCheckCost     float64 // points of service that one health check for each request costs; 0: not known
@@ -124,7 +124,7 @@
 	HedgingAllowed      bool // two attempts of a request may be in flight at once
 	MaxAttempts         int
 	MaxRetryAfter       time.Duration // 0: clients are not told when to come back
-	MarksRetry          bool          // clients mark a request that they have tried before
+	RetriesMarked       bool          // clients mark a request that they have tried before
 
 	DeadlineSlack time.Duration // how late a final answer may be
 	DrainGrace    time.Duration
--- a/admission/shutdown_test.go
+++ b/admission/shutdown_test.go
@@ -13,7 +13,7 @@
 		Idempotency: NonIdempotent})
 	b := startController(t, s, newEngines(2))
 	ask := func(id string, class int, work time.Duration) Request {
-		return Request{ID: id, Class: class, Timeout: 20 * sec, Group: -1, Work: work}
+		return Request{ID: id, Class: class, Timeout: 20 * sec, TableGroup: -1, Work: work}
 	}
 	oneAction[Send](t, b.step(ask("out", 1, sec)))
 	oneAction[Send](t, b.step(ask("non-idempotent", 2, sec)))
--- a/admission/slowplan_test.go
+++ b/admission/slowplan_test.go
@@ -13,8 +13,8 @@
 		change(&s)
 	}
 	b := startController(t, s, newEngines(4))
-	return b, oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, Group: -1, Work: 2 * sec,
-		MemMB: 64}))
+	return b, oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
+		MemoryMB: 64}))
 }
 
 func (b *harness) reportProgress(attempt int, s Send, done float64) []Action {
@@ -95,7 +95,8 @@
 		}
 		b.step(Outcome{ID: "a", Engine: snd.Engine, Status: OK, Closed: true, Latency: work / 2, Work: work})
 		b.now += sec
-		snd = oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, Group: -1, Work: 2 * sec, MemMB: 64}))
+		snd = oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
+			MemoryMB: 64}))
 	}
 	if fix := b.controller.estimates[1].workCorrection; fix > 1.6 {
 		t.Fatalf("estimates are corrected by %.2f", fix)
--- a/admission/slowstart_fleet_test.go
+++ b/admission/slowstart_fleet_test.go
@@ -259,7 +259,7 @@
 	if d.mix.heavyEvery > 0 && d.rng.IntN(d.mix.heavyEvery) == 0 {
 		class = 1
 	}
-	r := Request{ID: fmt.Sprint("r", d.next), Class: class, Timeout: d.set.Classes[class].Deadline, Group: -1,
+	r := Request{ID: fmt.Sprint("r", d.next), Class: class, Timeout: d.set.Classes[class].Deadline, TableGroup: -1,
 		Work: d.mix.work[class]}
 	if d.faults.scatter {
 		r.Work = time.Duration((0.4 + 1.2*d.rng.Float64()) * float64(r.Work))
--- a/admission/storm_test.go
+++ b/admission/storm_test.go
@@ -44,7 +44,7 @@
 			Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: sec},
 		Class{LatencyObjective: sec, Deadline: 3 * sec, PriorityWeight: 2, Threads: 1,
 			Idempotency: NonIdempotent, OnlyZones: []int{1}, LocksTables: true})
-	s.CancellationAllowed, s.Grants, s.Priorities = true, true, true
+	s.CancellationAllowed, s.GrantsSupported, s.PrioritiesSupported = true, true, true
 	s.RetryBudget = &RetryBudget{MinRetries: 5, Ratio: 0.2, Window: 5 * sec}
 	w := &storm{
 		T: t, harness: startController(t, s, newEngines(6)), seed: seed, settings: s, random: splitMix64(seed),
@@ -68,7 +68,7 @@
 
 func (w *storm) arrive(i int) Event {
 	r := &stormRequest{Request: newRequest(fmt.Sprint("s", i), int(w.random.float64()*4)), attempt: -1}
-	r.Timeout, r.Tenant, r.Group = 3*sec, int(w.random.float64()*2), int(w.random.float64()*4)
+	r.Timeout, r.Tenant, r.TableGroup = 3*sec, int(w.random.float64()*2), int(w.random.float64()*4)
 	r.deadline = w.now + r.Timeout
 	w.requests[r.ID] = r
 	w.order = append(w.order, r)
--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -54,7 +54,7 @@
 		notAfter = r.mayHaveRun.Add(class.DeduplicationWindow)
 	}
 	d.counters.Add("sent", 1)
-	d.engines.Start(r.exchange, attempt, a.Engine, r.terms, a.Cap, notAfter)
+	d.engines.Start(r.exchange, attempt, a.Engine, r.terms, a.Timeout, notAfter)
 }
 
 var failedInDoubt = exchange.Answer{Kind: exchange.Failed, Reason: "the query failed and may have run"}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -50,8 +50,8 @@
 	r.deadline = time.AfterFunc(timeout, func() { d.expire(x) })
 	d.open[x.ID] = r
 	return admission.Request{
-		ID: x.ID, Class: x.Class, Tenant: x.Tenant, Timeout: timeout, Work: x.WorkEstimate, MemMB: x.MemoryMB,
-		Group: x.TableGroup, Retry: x.Retry,
+		ID: x.ID, Class: x.Class, Tenant: x.Tenant, Timeout: timeout, Work: x.WorkEstimate, MemoryMB: x.MemoryMB,
+		TableGroup: x.TableGroup, Retry: x.Retry,
 	}
 }
 
--- a/internal/platformconfig/facts.go
+++ b/internal/platformconfig/facts.go
@@ -58,15 +58,15 @@
 		LoadReporting: pick(f, "reporting.via", map[string]admission.LoadReporting{
 			"": admission.NoLoadReports, "silent": admission.NoLoadReports, "piggyback": admission.InBandReports, "pull": admission.HealthCheckReports,
 		}),
-		Grants: f.yes("family_info.takes_grants"), Priorities: f.yes("family_info.lanes_count"),
-		TellsCost: f.yes("family_info.says_cost"), ProgressInterval: f.dur("family_info.tells_every"),
-		Shortage: pick(f, "family_info.overbooked", map[string]admission.Shortage{
-			"": admission.LineUp, "line_up": admission.LineUp, "cut": admission.Cut, "overcommit": admission.Overcommit,
+		GrantsSupported: f.yes("family_info.takes_grants"), PrioritiesSupported: f.yes("family_info.lanes_count"),
+		CostReported: f.yes("family_info.says_cost"), ProgressInterval: f.dur("family_info.tells_every"),
+		MemoryShortage: pick(f, "family_info.overbooked", map[string]admission.MemoryShortage{
+			"": admission.WaitForMemory, "line_up": admission.WaitForMemory, "cut": admission.SpillToDisk, "overcommit": admission.Overcommit,
 		}),
-		MostGrant: f.number("family_info.most_grant"), CancellationAllowed: f.yes("permissions.cancel"),
+		MaxGrantFraction: f.number("family_info.most_grant"), CancellationAllowed: f.yes("permissions.cancel"),
 		HealthChecksAllowed: f.yes("permissions.probes"), HealthCheckCost: f.number("prices.probe"), GossipAllowed: f.yes("permissions.may_tell"),
 		HedgingAllowed: f.yes("permissions.may_duplicate"), MaxAttempts: f.integer("permissions.attempts_cap"),
-		MarksRetry: f.yes("callers.marks_retry"), DeadlineSlack: f.dur("rules.answer_slack"),
+		RetriesMarked: f.yes("callers.marks_retry"), DeadlineSlack: f.dur("rules.answer_slack"),
 		DrainGrace: f.dur("rules.drain_grace"),
 		SlowStart: admission.SlowStart{
 			InitialCapacity: f.number("rules.cold_from"), Duration: f.dur("rules.cold"),
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -81,11 +81,11 @@
 func (e *encoder) line() { e.WriteByte('\n') }
 
 func (e *encoder) settings(s *admission.Settings) {
-	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.LoadReporting), int(s.Shortage))
+	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.LoadReporting), int(s.MemoryShortage))
 	budget := cmp.Or(s.RetryBudget, &admission.RetryBudget{})
-	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.SlowStart.InitialCapacity, s.SlowStart.OverloadMultiple, budget.MinRetries, budget.Ratio)
+	e.floats(s.OverQuotaWeight, s.MaxGrantFraction, s.HealthCheckCost, s.SlowStart.InitialCapacity, s.SlowStart.OverloadMultiple, budget.MinRetries, budget.Ratio)
 	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.SlowStart.Duration, s.SlowStart.OverloadWindow, s.KeyCooldown, budget.Window)
-	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.RetryBudget != nil)
+	e.bools(s.PollDiscovery, s.GrantsSupported, s.PrioritiesSupported, s.CostReported, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.RetriesMarked, s.RetryBudget != nil)
 	e.line()
 	for _, k := range s.Kinds {
 		e.ints(k.Cores)
--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -144,8 +144,8 @@
 	s.asked++
 	id := fmt.Sprintf("%016x", s.asked)
 	f.open[id] = &simulatedStatement{class: class}
-	s.step(f, admission.Request{ID: id, Class: class, Timeout: f.classes[class].Deadline, Work: s.stretch * simulatedWork[class], MemMB: 16,
-		Group: f.random.IntN(tableGroups)})
+	s.step(f, admission.Request{ID: id, Class: class, Timeout: f.classes[class].Deadline, Work: s.stretch * simulatedWork[class], MemoryMB: 16,
+		TableGroup: f.random.IntN(tableGroups)})
 }
 
 // step hands an event to a controller and carries its answer out.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -231,11 +231,11 @@
 	ev := admission.Request{
 		ID: r.str("ticket"), Class: class, Tenant: platformconfig.Find(in.names.Tenants, r.get("org")),
 		Key: r.get("order_key"), Timeout: time.Duration(r.num("patience_left")),
-		Work: time.Duration(r.opt("est_cost")), MemMB: r.real("mem_mb"), Group: -1,
+		Work: time.Duration(r.opt("est_cost")), MemoryMB: r.real("mem_mb"), TableGroup: -1,
 		Retry: r.opt("repeat") == 1, Write: r.opt("update") == 1,
 	}
 	if r.get("source_set") != "" {
-		ev.Group = int(r.real("source_set"))
+		ev.TableGroup = int(r.real("source_set"))
 	}
 	return ev
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -232,8 +232,8 @@
 	switch a := a.(type) {
 	case admission.Send:
 		fmt.Fprintf(w, "transmit who=%d ticket=%s engine=%d", who, a.ID, a.Engine)
-		if a.Cap > 0 {
-			fmt.Fprintf(w, " cap=%d", int64(a.Cap))
+		if a.Timeout > 0 {
+			fmt.Fprintf(w, " cap=%d", int64(a.Timeout))
 		}
 		w.WriteByte('\n')
 	case admission.Terms:
