--- a/internal/bench/gate_test.go
+++ b/internal/bench/gate_test.go
@@ -41,8 +41,9 @@
 
 // Guards against a gate that holds nothing: one allocation or one copy more must fail it.
 func TestGateFindsOneOfEach(t *testing.T) {
-	const file = "internal/mysql/server.go"
+	const file = "internal/mysql/answer.go"
 	const answered = "	case exchange.Served:\n"
+	const answerFunc = "func (s *session) answer("
 	dir := t.TempDir()
 	base := PathOptions{Program: built(t, dir, "base", "", nil), Counting: built(t, dir, "counting", "", nil, "count"), Lookups: 200, Engines: 1, Only: "lookup"}
 	quiet := func(string) {}
@@ -60,9 +61,9 @@
 		want    string
 		tags    []string
 	}{
-		"alloc": {[]string{answered, answered + "\t\textra = new([64]byte)\n", "type sessionKey struct{}", "type sessionKey struct{}\n\nvar extra *[64]byte\n"},
+		"alloc": {[]string{answered, answered + "\t\textra = new([64]byte)\n", answerFunc, "var extra *[64]byte\n\n" + answerFunc},
 			"lookup allocs:", nil},
-		"copy": {[]string{answered, answered + "\t\tcopies.Add(copies.Output, len(a.Rows))\n"}, "lookup copied:", []string{"count"}},
+		"copy": {[]string{answered, answered + "\t\tcopycount.Add(copycount.Output, len(a.Rows))\n"}, "lookup copied:", []string{"count"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := base
--- a/internal/copycount/copies.go
+++ b/internal/copycount/copies.go
@@ -9,8 +9,8 @@
 const (
 	Pages     Place = iota // engine/attempt.go: out of the connection's buffer, into the rows of the answer
 	Chunks                 // engine/http.go: chunks of an answer moved together
-	Encode                 // mysql/packet.go: rows into packets
-	Output                 // mysql/server.go: packets into the connection's output
+	Encode                 // mysql/answer.go: rows into packets
+	Output                 // mysql/answer.go: packets into the connection's output
 	Statement              // mysql/statement.go: out of the session's buffer, into the request
 	Call                   // engine/conn.go: the statement into the call
 	places                 // how many there are
--- /dev/null
+++ b/internal/mysql/field.go
@@ -0,0 +1,142 @@
+package mysql
+
+import (
+	"time"
+
+	"beechcart/internal/decimal"
+	"beechcart/internal/exchange"
+	"beechcart/internal/platformconfig"
+)
+
+// Names of the fields of a request, as the platform spells them.
+const (
+	fieldClass        = "c"
+	fieldID           = "i"
+	fieldTimeout      = "d" // milliseconds
+	fieldTenant       = "t"
+	fieldWorkEstimate = "h" // milliseconds
+	fieldMemory       = "need_mb"
+	fieldRetry        = "r"
+)
+
+var fieldNames = [...]string{
+	fieldClass, fieldID, fieldTimeout, fieldTenant, fieldWorkEstimate, fieldMemory, fieldRetry,
+}
+
+// Upper bounds of the numbers of a request.
+const (
+	maxTimeoutMs = 3600 * 1000
+	maxEstimate  = 1e9 // milliseconds of work, or megabytes
+)
+
+// idSize is the number of hexadecimal digits of a request's id.
+const idSize = 16
+
+// fieldSet holds the names of the fields that a comment has had.
+type fieldSet struct {
+	known   uint8 // one bit for each of fieldNames
+	unknown map[string]bool
+}
+
+// add adds a name; false where it was there.
+func (s *fieldSet) add(name []byte) bool {
+	for i, n := range fieldNames {
+		if string(name) == n {
+			bit := uint8(1) << i
+			added := s.known&bit == 0
+			s.known |= bit
+			return added
+		}
+	}
+	if s.unknown[string(name)] {
+		return false
+	}
+	if s.unknown == nil {
+		s.unknown = map[string]bool{}
+	}
+	s.unknown[string(name)] = true
+	return true
+}
+
+// setField sets one field of a request; false where its value can't be used. Values are checked here, before the
+// request is passed on: neither an engine nor the controller must see one that is out of bounds. Unknown fields are
+// skipped.
+func setField(r *exchange.Request, name, value []byte, names *platformconfig.Names) (ok bool) {
+	switch string(name) {
+	case fieldClass:
+		return setClass(r, value, names)
+	case fieldID:
+		return setID(r, value)
+	case fieldTimeout:
+		return setTimeout(r, value)
+	case fieldTenant:
+		return setTenant(r, value, names)
+	case fieldWorkEstimate:
+		return setWorkEstimate(r, value)
+	case fieldMemory:
+		r.MemoryMB, ok = parseNumber(value, maxEstimate)
+		return ok
+	case fieldRetry:
+		r.Retry = string(value) == "1"
+		return r.Retry
+	}
+	return true
+}
+
+func setClass(r *exchange.Request, value []byte, names *platformconfig.Names) bool {
+	class, ok := names.Classes[string(value)]
+	if !ok {
+		return false
+	}
+	r.Class, r.ClassName = class, names.Class(class, value)
+	return true
+}
+
+func setID(r *exchange.Request, value []byte) bool {
+	if len(value) != idSize {
+		return false
+	}
+	for _, c := range value {
+		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
+			return false
+		}
+	}
+	r.ID = string(value)
+	return true
+}
+
+// setTenant sets the tenant. An unknown tenant has no quota, so its request is malformed, unless no tenants are
+// configured.
+func setTenant(r *exchange.Request, value []byte, names *platformconfig.Names) bool {
+	if tenant, ok := names.Tenants[string(value)]; ok {
+		r.Tenant = tenant
+		return true
+	}
+	r.Tenant = unknownIndex
+	return len(names.Tenants) == 0
+}
+
+func setTimeout(r *exchange.Request, value []byte) bool {
+	ms, ok := parseNumber(value, maxTimeoutMs)
+	if !ok || ms == 0 {
+		return false
+	}
+	r.Timeout = milliseconds(ms)
+	return true
+}
+
+func setWorkEstimate(r *exchange.Request, value []byte) bool {
+	ms, ok := parseNumber(value, maxEstimate)
+	if !ok {
+		return false
+	}
+	r.WorkEstimate = milliseconds(ms)
+	return true
+}
+
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+func parseNumber(value []byte, most float64) (float64, bool) {
+	n, ok := decimal.Parse(value)
+	return n, ok && n <= most
+}
--- a/internal/mysql/recorded_test.go
+++ b/internal/mysql/recorded_test.go
@@ -29,8 +29,9 @@
 	"SELECT one":                      {Kind: exchange.Served, Rows: []byte("a\tb\tc\n")},
 	"SELECT one FROM sales_17.orders": {Kind: exchange.Served, Rows: []byte("17\tb\tc\n")},
 	"SELECT empty":                    {Kind: exchange.Served, Rows: []byte("\t\t\n\t\t\n")},
-	"SELECT widths": {Kind: exchange.Served, Rows: []byte(strings.Repeat("x", 250) + "\t" + strings.Repeat("y", 251) + "\t\n" +
-		"p\t" + strings.Repeat("z", 65535) + "\t" + strings.Repeat("w", 65536) + "\n")},
+	"SELECT widths": {Kind: exchange.Served, Rows: []byte(
+		strings.Repeat("x", 250) + "\t" + strings.Repeat("y", 251) + "\t\n" +
+			"p\t" + strings.Repeat("z", 65535) + "\t" + strings.Repeat("w", 65536) + "\n")},
 	"SELECT many":        {Kind: exchange.Served, Rows: []byte(strings.Repeat("1\t22\t333\n", 300))},
 	"SELECT rejected":    {Kind: exchange.Rejected, Reason: "too busy"},
 	"SELECT retry after": {Kind: exchange.Rejected, Reason: "too busy", RetryAfter: 1250 * time.Millisecond},
@@ -44,8 +45,8 @@
 }
 
 func (s *scripted) Accept(x *exchange.Exchange) {
-	s.read <- fmt.Sprintf("id=%s class=%d %s tenant=%d left=%d work=%d memory=%g group=%d retry=%t %q", x.ID, x.Class, x.ClassName,
-		x.Tenant, x.Timeout, x.WorkEstimate, x.MemoryMB, x.TableGroup, x.Retry, x.Statement)
+	s.read <- fmt.Sprintf("id=%s class=%d %s tenant=%d left=%d work=%d memory=%g group=%d retry=%t %q",
+		x.ID, x.Class, x.ClassName, x.Tenant, x.Timeout, x.WorkEstimate, x.MemoryMB, x.TableGroup, x.Retry, x.Statement)
 	if a, ok := answers[string(x.Statement)]; ok {
 		x.Settle(a)
 	}
@@ -65,6 +66,7 @@
 
 // serveRecorded runs a server and returns its address.
 func serveRecorded(t *testing.T, requests *scripted) string {
+	t.Helper()
 	_, names, err := platformconfig.Parse([]byte(`{"services":[{"name":"lookup","semantics":"read_like"},
 		{"name":"load","semantics":"non_idempotent"}],"tenants":[{"name":"north"},{"name":"south"}]}`))
 	require.NoError(t, err)
@@ -86,6 +88,7 @@
 }
 
 func dialRecorded(t *testing.T, address string) net.Conn {
+	t.Helper()
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
@@ -125,7 +128,8 @@
 	return login(protocol41|withDB|secure|pluginAuth, "app\x00\x00bi\x00mysql_native_password\x00")
 }
 
-// Each answer on the wire is as it was recorded, byte for byte, but for the id of the session in the greeting, which is random.
+// Each answer on the wire is as it was recorded, byte for byte, but for the id of the session in the greeting, which
+// is random.
 func TestRecordedAnswers(t *testing.T) {
 	commands := func(payloads ...string) string {
 		var out strings.Builder
@@ -150,7 +154,8 @@
 		{"login-short-auth", login(protocol41|secure, "app\x00\x09abc")},
 		{"ping-and-use", commands(ping, use+"bi", use+"other", ping)},
 		{"unknown-command", commands("\x04table", "\x16SELECT 1", ping)},
-		{"sequence-number", usual() + packet(7, ping) + packet(255, ping) + packet(254, query("", "SELECT one")) + packet(0, quit)},
+		{"sequence-number", usual() + packet(7, ping) + packet(255, ping) + packet(254, query("", "SELECT one")) +
+			packet(0, quit)},
 		{"results", commands(query("", "SELECT nothing"), query("", "SELECT one"), query("", "SELECT empty"))},
 		{"result-widths", commands(query("", "SELECT widths"))},
 		{"result-many", commands(query("", "SELECT many"))},
@@ -159,7 +164,8 @@
 		{"fields", commands(query(",t=south,h=20.5,need_mb=96,r=1,new=1", "SELECT one FROM sales_17.orders"),
 			query("", "  SELECT left"), "\x03 /* c=load,i=9B1F03AA5C7E2D41,d=0.5 */ SELECT one")},
 		{"malformed-queries", commands("\x03SELECT 1", "\x03/* c=lookup", "\x03/* c */ SELECT 1", query(",d=2", "SELECT 1"),
-			query(",t=west", "SELECT 1"), query(",h=-1", "SELECT 1"), query(",need_mb=x", "SELECT 1"), query(",r=yes", "SELECT 1"),
+			query(",t=west", "SELECT 1"), query(",h=-1", "SELECT 1"),
+			query(",need_mb=x", "SELECT 1"), query(",r=yes", "SELECT 1"),
 			query(",z=1,z=1", "SELECT 1"), query("", ""), "\x03/* c=other,i=9b1f03aa5c7e2d41,d=1 */ SELECT 1",
 			"\x03/* c=lookup,i=xb1f03aa5c7e2d41,d=1 */ SELECT 1", "\x03/* c=lookup,d=1 */ SELECT 1",
 			"\x03/* c=lookup,i=9b1f03aa5c7e2d41 */ SELECT 1", "\x03/* i=9b1f03aa5c7e2d41,d=1 */ SELECT 1",
@@ -200,7 +206,8 @@
 	require.NoError(t, err)
 
 	killer := dialRecorded(t, address)
-	_, err = io.WriteString(killer, usual()+packet(0, fmt.Sprintf("\x03KILL QUERY %d", sessionID(greeting)))+packet(0, quit))
+	kill := fmt.Sprintf("\x03KILL QUERY %d", sessionID(greeting))
+	_, err = io.WriteString(killer, usual()+packet(0, kill)+packet(0, quit))
 	require.NoError(t, err)
 	out, err := io.ReadAll(killer)
 	require.NoError(t, err)
@@ -213,7 +220,8 @@
 	recorded.Compare(t, "kill-query-receiver", dump(maskGreeting(t, append(greeting, out...))))
 }
 
-// idAt is where the greeting has the session's id: behind the header, the version of the protocol and that of the server.
+// idAt is where the greeting has the session's id: behind the header, the version of the protocol and that of the
+// server.
 func idAt(out []byte) int { return 5 + bytes.IndexByte(out[5:], 0) + 1 }
 
 func sessionID(greeting []byte) uint32 { return binary.LittleEndian.Uint32(greeting[idAt(greeting):]) }
--- /dev/null
+++ b/internal/mysql/shutdown.go
@@ -0,0 +1,76 @@
+package mysql
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// quietChecks is how many checks in a row have to find no work before the listener is closed: a connection is for a
+// moment neither in the kernel's accept queue nor registered.
+const quietChecks = 2
+
+// Shutdown closes each session as soon as it has no open request, and then the listener. It returns at the end of ctx,
+// whatever is open then. The listener is closed last, once the accept queue is empty: clients cancel queries on new
+// connections, and a request that was written to a connection in the accept queue counts as accepted.
+func (s *Server) Shutdown(ctx context.Context) error {
+	tick := time.NewTicker(expiryInterval)
+	defer tick.Stop()
+	for quiet := 0; quiet < quietChecks; quiet++ {
+		if s.acceptPending() || s.closeIdle() > 0 {
+			quiet = -1
+		}
+		select {
+		case <-ctx.Done():
+			return errors.Join(ctx.Err(), s.closeAll(ctx))
+		case <-tick.C:
+		}
+	}
+	return s.closeAll(ctx)
+}
+
+// closeAll closes the listener and the remaining sessions. No request of theirs is accepted any more.
+func (s *Server) closeAll(ctx context.Context) error {
+	s.mu.Lock()
+	for _, ses := range s.sessions.byID {
+		s.sessions.remove(ses)
+	}
+	s.mu.Unlock()
+	return s.eventLoop.Shutdown(ctx)
+}
+
+// acceptPending reports whether a connection is in the kernel's accept queue.
+func (s *Server) acceptPending() bool {
+	s.mu.Lock()
+	l := s.listener
+	s.mu.Unlock()
+	if l == nil {
+		return false
+	}
+	fds := []unix.PollFd{{Fd: int32(l.Fd()), Events: unix.POLLIN}}
+	n, err := unix.Poll(fds, 0)
+	return err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
+}
+
+// closeIdle closes the sessions that have neither an open request nor unread input, and returns the number of the
+// others. A session that has just connected stays open: it may be about to cancel another session's query.
+func (s *Server) closeIdle() (busy int) {
+	var idleSessions []*session
+	s.mu.Lock()
+	for _, ses := range s.sessions.byID {
+		switch {
+		case ses.phase == serving || ses.phase == closing || ses.readingPacket || ses.hasUnread():
+			busy++
+		case ses.phase != greeted || time.Since(ses.phaseSince) >= drainTimeout:
+			idleSessions = append(idleSessions, ses)
+			s.sessions.remove(ses)
+		}
+	}
+	s.mu.Unlock()
+	for _, ses := range idleSessions {
+		_ = ses.conn.Close()
+	}
+	return busy
+}
--- a/internal/mysql/parse_test.go
+++ b/internal/mysql/statement_test.go
@@ -17,11 +17,13 @@
 }
 
 func TestParseQuery(t *testing.T) {
-	r, err := parseQuery([]byte("/* c=report,i=9b1f03aa5c7e2d41,d=1500,t=acme,h=820.5,need_mb=96,r=1,new=1 */ SELECT x FROM sales_17.orders"), names())
+	fields := "c=report,i=9b1f03aa5c7e2d41,d=1500,t=acme,h=820.5,need_mb=96,r=1,new=1"
+	r, err := parseQuery([]byte("/* "+fields+" */ SELECT x FROM sales_17.orders"), names())
 	require.NoError(t, err)
 	assert.Equal(t, exchange.Request{
 		ID: "9b1f03aa5c7e2d41", ClassName: "report", Class: 1, Tenant: 0, Timeout: 1500 * time.Millisecond,
-		WorkEstimate: 820500 * time.Microsecond, MemoryMB: 96, TableGroup: 17, Retry: true, Statement: []byte("SELECT x FROM sales_17.orders"),
+		WorkEstimate: 820500 * time.Microsecond, MemoryMB: 96, TableGroup: 17, Retry: true,
+		Statement: []byte("SELECT x FROM sales_17.orders"),
 	}, r)
 	for in, want := range map[string]string{
 		"SELECT 1":         "missing",
@@ -51,12 +53,13 @@
 	}
 }
 
-func TestParseKill(t *testing.T) {
+func TestParseKillQuery(t *testing.T) {
 	for q, want := range map[string]bool{
 		"KILL QUERY 17": true, " kill  query 17 ; ": true, "KILL 17": false, "KILL QUERY": false, "KILL QUERY x": false,
-		"KILL QUERY 4294967296": false, "/* KILL QUERY 17 */": false, "": false, "KILL QUERY 17" + strings.Repeat(" ", 64): false,
+		"KILL QUERY 4294967296": false, "/* KILL QUERY 17 */": false, "": false,
+		"KILL QUERY 17" + strings.Repeat(" ", 64): false,
 	} {
-		id, ok := parseKill([]byte(q))
+		id, ok := parseKillQuery([]byte(q))
 		assert.Equal(t, want, ok, q)
 		if ok {
 			assert.EqualValues(t, 17, id, q)
@@ -107,47 +110,3 @@
 		require.Contains(t, in, string(r.Statement))
 	})
 }
-
-const hello = "\x08\x82\x08\x00\x00\x00\x00\x01\x2d\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
-	"app\x00\x00bi\x00mysql_native_password\x00"
-
-func TestParseLogin(t *testing.T) {
-	l, err := parseLogin([]byte(hello))
-	require.NoError(t, err)
-	assert.Equal(t, []string{"app", "", "bi"}, []string{string(l.user), string(l.auth), string(l.db)})
-	l, err = parseLogin([]byte(hello[:36] + "\x04abcdbi"))
-	require.NoError(t, err)
-	assert.Equal(t, []string{"abcd", "bi"}, []string{string(l.auth), string(l.db)})
-	for name, in := range map[string]string{
-		"empty": "", "short": hello[:20], "no end of the user": hello[:34], "password cut": hello[:36] + "\x14abc",
-		"old protocol": "\x08\x80\x08\x00" + hello[4:], "encryption": "\x08\x8a\x08\x00" + hello[4:],
-	} {
-		_, err := parseLogin([]byte(in))
-		assert.Error(t, err, name)
-	}
-}
-
-func FuzzParseLogin(f *testing.F) {
-	f.Add([]byte(hello))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		l, err := parseLogin(in)
-		if err == nil {
-			require.LessOrEqual(t, len(l.user)+len(l.auth)+len(l.db), len(in))
-		}
-	})
-}
-
-func TestAppendResult(t *testing.T) {
-	long := strings.Repeat("x", 70000)
-	seq := byte(1)
-	b := appendResult(nil, &seq, []byte(long+"\tb\t\n"))
-	var rows []string
-	for n := byte(1); len(b) > 0; n++ {
-		size := int(b[0]) | int(b[1])<<8 | int(b[2])<<16
-		require.Equal(t, n, b[3], "sequence")
-		rows, b = append(rows, string(b[4:4+size])), b[4+size:]
-	}
-	require.Len(t, rows, 1+3+1+1+1)
-	assert.Equal(t, "\xfd\x70\x11\x01"+long+"\x01b\x00", rows[5])
-	assert.Equal(t, "\xfe", rows[6][:1])
-}
