--- a/cmd/gateway/server.go
+++ b/cmd/gateway/server.go
@@ -127,14 +127,14 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	s.dispatcher = dispatch.New(controller, platform.Admission.Classes, counters, log)
-	reuse, err := operators.ReusePolicy(platform.HandshakePrice, platform.Sockets)
+	reuse, err := operators.ReusePolicy(platform.HandshakePrice, platform.Descriptors)
 	if err != nil {
 		return nil, err
 	}
 	s.engines = engine.New(engine.Options{
 		ConnectTimeout: platform.ConnectTimeout,
 		DrainGrace:     platform.Admission.DrainGrace,
-		Sockets:        platform.Sockets / 2,
+		Sockets:        platform.Descriptors / 2,
 		Counters:       counters,
 		Classes:        platform.Admission.Classes,
 		MayDelete:      platform.Admission.CancellationAllowed,
@@ -142,7 +142,7 @@
 	}, s.dispatcher)
 	s.listener, err = mysql.New(mysql.Options{
 		Names:       platform.Names,
-		MaxSessions: operators.Clients.SessionLimit(platform.Sockets),
+		MaxSessions: operators.Clients.SessionLimit(platform.Descriptors),
 		IdleTimeout: operators.Clients.IdleTimeout,
 		Counters:    counters,
 		Log:         log,
@@ -166,9 +166,9 @@
 	platform, operators := s.config.platform, s.config.operators
 	changeLog := endpoints.NewChangeLog(platform.Names)
 	var known []endpoints.List
-	if len(platform.Known) > 0 && operators.Source == operatorconfig.SourceChangeLog {
+	if len(platform.KnownEvents) > 0 && operators.Source == operatorconfig.SourceChangeLog {
 		var err error
-		if known, err = changeLog.Read(platform.Known); err != nil {
+		if known, err = changeLog.Read(platform.KnownEvents); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/endpoints/roster.go
+++ b/internal/endpoints/roster.go
@@ -113,7 +113,7 @@
 		e.State = admission.Draining
 	}
 	e.ID = id(e.Name)
-	e.Kind, e.Zone = platformconfig.Find(l.names.Kinds, str("type")), platformconfig.Find(l.names.Zones, str("zone"))
+	e.Kind, e.Zone = platformconfig.IndexOf(l.names.Kinds, str("type")), platformconfig.IndexOf(l.names.Zones, str("zone"))
 	e.Cell, e.Units = v.GetInt("group"), v.GetFloat64("weight")
 	e.Started = time.Duration(v.GetInt64("since_ms")) * time.Millisecond
 	return e, nil
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -121,7 +121,7 @@
 			r.Class = -1
 			return bad()
 		}
-		r.ClassName = names.Class(r.Class, value)
+		r.ClassName = names.ClassName(r.Class, value)
 	case "i":
 		if len(value) != 16 {
 			return bad()
--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -1,5 +1,8 @@
-// Package platformconfig turns the configuration, and the settings object that it shares with the bench, into the
-// controller's terms and the names that clients and the change log use.
+// Package platformconfig decodes the platform's configuration of a front end, and the settings object that it shares
+// with the simulator, into the controller's terms and the names that clients and the change log use.
+//
+// docs/terms.md lists the platform's keys beside the names of the fields; settings.go maps those of the settings
+// object, config.go those around it.
 package platformconfig
 
 import (
@@ -15,20 +18,33 @@
 	"beechcart/admission"
 )
 
-// Config is what a front end is told at its start.
+// Config is what the platform tells a front end at its start.
 type Config struct {
-	Name, Listen      string
-	ChangeLog         string // may be empty where the engine list comes from elsewhere
-	Seed              uint64
-	Cores             float64
-	MemoryMB, Sockets int
-	Known             []byte // the change log's events so far, as JSON
-	Admission         admission.Settings
-	Names             Names
-	ConnectTimeout    time.Duration
-	HandshakePrice    float64 // points of service for one new connection to an engine for each request
+	Name           string
+	Listen         string // host:port for clients
+	ChangeLog      string // host:port; may be empty where the engine list comes from elsewhere
+	Seed           uint64
+	Cores          float64 // of the machine, for this front end
+	MemoryMB       int
+	Descriptors    int    // that it may open at once
+	KnownEvents    []byte // the change log's events so far, as JSON
+	Admission      admission.Settings
+	Names          Names
+	ConnectTimeout time.Duration // to engines
+	HandshakePrice float64       // points of service for one new connection to an engine for each request
 }
 
+// The values of keys that are absent or zero.
+const (
+	defaultCores          = 1
+	defaultMemoryMB       = 192
+	defaultDescriptors    = 1024
+	defaultConnectTimeout = 250 * time.Millisecond
+)
+
+// minDescriptors is what the listener, the change log, a few clients and a few engines take.
+const minDescriptors = 16
+
 // Load reads the configuration file and applies the environment's name and address over it.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
@@ -38,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := read(text)
+	c, err := decodeConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
@@ -54,85 +70,102 @@
 	return c, nil
 }
 
-func read(text []byte) (*Config, error) {
+func decodeConfig(text []byte) (*Config, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return nil, err
 	}
-	top := newFacts(v)
+	top := newDecoder(v)
 	c := &Config{
-		Name: top.word("name"), Listen: top.word("listen"), ChangeLog: top.word("changelog"),
-		Cores: top.number("limits.cores"), MemoryMB: top.integer("limits.memory_mb"), Sockets: top.integer("limits.sockets"),
-		ConnectTimeout: 250 * time.Millisecond,
+		Name:           top.text("name"),
+		Listen:         top.text("listen"),
+		ChangeLog:      top.text("changelog"),
+		Cores:          top.number("limits.cores"),
+		MemoryMB:       top.integer("limits.memory_mb"),
+		Descriptors:    top.integer("limits.sockets"),
+		ConnectTimeout: defaultConnectTimeout,
 	}
 	if *top.err != nil {
 		return nil, *top.err
 	}
-	if seed := strings.TrimSpace(top.word("seed")); seed != "" {
-		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: %q is not a hex number", seed)
-		}
-	}
-	if c.Cores <= 0 {
-		c.Cores = 1
-	}
-	if c.MemoryMB <= 0 {
-		c.MemoryMB = 192
-	}
-	if c.Sockets <= 0 {
-		c.Sockets = 1024
+	if c.Seed, err = parseSeed(top.text("seed")); err != nil {
+		return nil, err
 	}
-	if k := v.Get("known"); k != nil {
-		c.Known = k.MarshalTo(nil)
+	c.fillDefaults()
+	if known := v.Get("known"); known != nil {
+		c.KnownEvents = known.MarshalTo(nil)
 	}
-	set := newFacts(v.Get("settings"))
-	if set.v == nil {
+	settings := newDecoder(v.Get("settings"))
+	if settings.value == nil {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Admission, c.Names, err = parse(set.v); err != nil {
+	if c.Admission, c.Names, err = decodeSettings(settings.value); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// The MySQL front carries the pause in the error's message, so it is asked of the module also where the
-	// settings know no field for it.
-	c.Admission.MaxRetryAfter = set.dur("permissions.max_retry_after")
-	c.HandshakePrice = set.number("prices.handshake")
-	if d := set.dur("permissions.connect_timeout"); d > 0 {
-		c.ConnectTimeout = d
+	// The MySQL server carries Retry-After in the error's message, so the controller computes it also where the settings
+	// have no field for it.
+	c.Admission.MaxRetryAfter = settings.duration("permissions.max_retry_after")
+	c.HandshakePrice = settings.number("prices.handshake")
+	if timeout := settings.duration("permissions.connect_timeout"); timeout > 0 {
+		c.ConnectTimeout = timeout
+	}
+	return c, *settings.err
+}
+
+// parseSeed reads a hex number; an empty text is zero.
+func parseSeed(text string) (uint64, error) {
+	text = strings.TrimSpace(text)
+	if text == "" {
+		return 0, nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("seed: %q is not a hex number", text)
 	}
-	return c, *set.err
+	return seed, nil
 }
 
-// leastSockets is what the listener, the change log, a few clients and a few engines take.
-const leastSockets = 16
+func (c *Config) fillDefaults() {
+	if c.Cores <= 0 {
+		c.Cores = defaultCores
+	}
+	if c.MemoryMB <= 0 {
+		c.MemoryMB = defaultMemoryMB
+	}
+	if c.Descriptors <= 0 {
+		c.Descriptors = defaultDescriptors
+	}
+}
 
-// Check holds what was read against what a front end can serve with.
+// Check returns a FieldError for the first value that a front end can't serve with.
 func (c *Config) Check() error {
 	a := &c.Admission
-	wrong := func(field string, value any, allowed string) error {
-		return fmt.Errorf("%s: %v is not allowed: it must be %s", field, value, allowed)
-	}
 	switch {
-	case c.Sockets < leastSockets:
-		return wrong("limits.sockets", c.Sockets, fmt.Sprintf("%d at least", leastSockets))
+	case c.Descriptors < minDescriptors:
+		return notAllowed("limits.sockets", c.Descriptors, fmt.Sprintf("%d at least", minDescriptors))
 	case a.Replicas < 1:
-		return wrong("settings.replicas_of_me", a.Replicas, "1 at least")
+		return notAllowed("settings.replicas_of_me", a.Replicas, "1 at least")
 	case a.Me >= a.Replicas:
-		return wrong("settings.me", a.Me, fmt.Sprintf("under settings.replicas_of_me, which is %d", a.Replicas))
+		return notAllowed("settings.me", a.Me, fmt.Sprintf("under settings.replicas_of_me, which is %d", a.Replicas))
 	case len(a.Classes) == 0:
-		return wrong("settings.services", "[]", "a list of one class at least")
+		return notAllowed("settings.services", "[]", "a list of one class at least")
 	case a.SlowStart.InitialCapacity > 1:
-		return wrong("settings.rules.cold_from", a.SlowStart.InitialCapacity, "from 0 to 1")
+		return notAllowed("settings.rules.cold_from", a.SlowStart.InitialCapacity, "from 0 to 1")
 	}
-	for i, cl := range a.Classes {
+	for i, class := range a.Classes {
 		field := fmt.Sprintf("settings.services[%d]", i)
 		switch name := c.Names.classes[i]; {
 		case name == "":
-			return wrong(field+".name", `""`, "a name")
+			return notAllowed(field+".name", `""`, "a name")
 		case c.Names.Classes[name] != i:
-			return wrong(field+".name", strconv.Quote(name), "no other class's name")
-		case cl.Deadline <= 0:
-			return wrong(field+".deadline", int64(cl.Deadline), "over 0")
+			return notAllowed(field+".name", strconv.Quote(name), "no other class's name")
+		case class.Deadline <= 0:
+			return notAllowed(field+".deadline", int64(class.Deadline), "over 0")
 		}
 	}
 	return nil
 }
+
+func notAllowed(field string, found any, allowed string) error {
+	return &FieldError{Field: field, Found: fmt.Sprint(found), Allowed: allowed}
+}
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -20,14 +20,17 @@
 )
 
 // every is a configuration that has each field, and no two alike where they could be mixed up.
-const every = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.5,"memory_mb":128,"sockets":512},
-"changelog":"10.2.0.1:2379","known":{"seq":2,"results":[{"seq":1}]},"settings":{"discovery":"ask","me":3,"replicas_of_me":7,
+const every = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.5,"memory_mb":128,
+"sockets":512},
+"changelog":"10.2.0.1:2379","known":{"seq":2,"results":[{"seq":1}]},"settings":{"discovery":"ask","me":3,
+"replicas_of_me":7,
 "locality":"c","zones":["a","b","c"],"skus":["std-12","std-8"],"over_share_worth":0.375,
 "rules":{"ask_every":1000000001,"answer_slack":1000000002,"drain_grace":1000000003,"cold_from":0.25,"cold":1000000004,
 "fall_multiple":4.5,"overload_for":1000000005,"settle_after_doubt":1000000006,"spare_attempts":5.5,"repeat_ratio":0.125,
 "ratio_span":1000000007},
 "reporting":{"via":"pull","columns":["utilization"]},
-"family_info":{"takes_grants":true,"lanes_count":true,"says_cost":true,"tells_every":1000000008,"overbooked":"overcommit",
+"family_info":{"takes_grants":true,"lanes_count":true,"says_cost":true,"tells_every":1000000008,
+"overbooked":"overcommit",
 "most_grant":0.625,"size_cores":[12,8],"kind_memory_mb":[24576.5,16384],"threads_by_class":[4,2,1],
 "holds_tables":[true,false,false],"waits_for_loads":[false,true,false]},
 "permissions":{"cancel":true,"probes":true,"may_tell":true,"may_duplicate":true,"attempts_cap":6,"retry_after":true,
@@ -37,8 +40,10 @@
 "semantics":"non_idempotent","stays_in":["b","x"],"runs_on":["std-8","none"]},
 {"name":"put","on_time":1000000012,"deadline":1000000013,"points":3,"semantics":"idempotency_key","group":"cell",
 "memory_span":1000000014,"in_order":true},
-{"name":"lookup","on_time":1000000015,"deadline":1000000016,"points":1,"semantics":"read_like","group":"zone","stream":true}],
-"tenants":[{"name":"acme","fraction":0.6,"allowance_per_s":117.5},{"name":"north","fraction":0.4}],"unheard_of":{"x":1}}}`
+{"name":"lookup","on_time":1000000015,"deadline":1000000016,"points":1,"semantics":"read_like","group":"zone",
+"stream":true}],
+"tenants":[{"name":"acme","fraction":0.6,"allowance_per_s":117.5},{"name":"north","fraction":0.4}],
+"unheard_of":{"x":1}}}`
 
 // least is a configuration that leaves out all that it may.
 const least = `{"listen":"10.0.0.4:7001","settings":{"replicas_of_me":1}}`
@@ -83,9 +88,12 @@
 func (e *encoder) settings(s *admission.Settings) {
 	e.ints(s.Me, s.Replicas, s.Zone, s.Zones, s.MaxAttempts, int(s.LoadReporting), int(s.Shortage))
 	budget := cmp.Or(s.RetryBudget, &admission.RetryBudget{})
-	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.SlowStart.InitialCapacity, s.SlowStart.OverloadMultiple, budget.MinRetries, budget.Ratio)
-	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace, s.SlowStart.Duration, s.SlowStart.OverloadWindow, s.KeyCooldown, budget.Window)
-	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed, s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.RetryBudget != nil)
+	e.floats(s.OverQuotaWeight, s.MostGrant, s.HealthCheckCost, s.SlowStart.InitialCapacity,
+		s.SlowStart.OverloadMultiple, budget.MinRetries, budget.Ratio)
+	e.durations(s.PollInterval, s.ProgressInterval, s.MaxRetryAfter, s.DeadlineSlack, s.DrainGrace,
+		s.SlowStart.Duration, s.SlowStart.OverloadWindow, s.KeyCooldown, budget.Window)
+	e.bools(s.PollDiscovery, s.Grants, s.Priorities, s.TellsCost, s.CancellationAllowed, s.HealthChecksAllowed,
+		s.GossipAllowed, s.HedgingAllowed, s.MarksRetry, s.RetryBudget != nil)
 	e.line()
 	for _, k := range s.Kinds {
 		e.ints(k.Cores)
@@ -111,22 +119,22 @@
 func (e *encoder) names(n *platformconfig.Names) {
 	for _, m := range []map[string]int{n.Classes, n.Tenants, n.Zones, n.Kinds} {
 		for _, name := range []string{"load", "put", "lookup", "acme", "north", "a", "b", "c", "std-12", "std-8", "none"} {
-			e.ints(platformconfig.Find(m, name))
+			e.ints(platformconfig.IndexOf(m, name))
 		}
 		e.ints(len(m))
 		e.line()
 	}
 	for i := range 4 {
-		e.texts(n.Class(i, []byte("as asked")))
+		e.texts(n.ClassName(i, []byte("as asked")))
 	}
 	e.line()
 }
 
 func (e *encoder) config(c *platformconfig.Config) {
-	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.Known))
+	e.texts(c.Name, c.Listen, c.ChangeLog, string(c.KnownEvents))
 	e.printf("%d ", c.Seed)
 	e.floats(c.Cores, c.HandshakePrice)
-	e.ints(c.MemoryMB, c.Sockets)
+	e.ints(c.MemoryMB, c.Descriptors)
 	e.durations(c.ConnectTimeout)
 	e.line()
 	e.settings(&c.Admission)
@@ -183,7 +191,8 @@
 func TestRecordedErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{
-		``, `[]`, `{"settings":`, `{"settings":{}}`, `{"listen":"b:1"}`, `{"listen":7,"settings":{}}`, `{"listen":"b:1","seed":"x","settings":{}}`,
+		``, `[]`, `{"settings":`, `{"settings":{}}`, `{"listen":"b:1"}`, `{"listen":7,"settings":{}}`,
+		`{"listen":"b:1","seed":"x","settings":{}}`,
 		`{"listen":"b:1","limits":{"cores":-1},"settings":{}}`, `{"listen":"b:1","limits":{"memory_mb":1.5},"settings":{}}`,
 		`{"listen":"b:1","limits":{"sockets":1e12},"settings":{}}`, `{"listen":"b:1","settings":{"me":"x"}}`,
 		`{"listen":"b:1","settings":{"rules":{"cold":"x"}}}`, `{"listen":"b:1","settings":{"rules":{"cold":1e300}}}`,
@@ -195,9 +204,12 @@
 		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","group":"room"}]}}`,
 		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","stays_in":[1]}]}}`,
 		`{"listen":"b:1","settings":{"services":[{"semantics":"read_like","in_order":"yes"}]}}`,
-		`{"listen":"b:1","settings":{"reporting":{"via":"x"}}}`, `{"listen":"b:1","settings":{"family_info":{"overbooked":"x"}}}`,
-		`{"listen":"b:1","settings":{"tenants":[{"fraction":-1}]}}`, `{"listen":"b:1","settings":{"permissions":{"cancel":1}}}`,
-		`{"listen":"b:1","settings":{"prices":{"handshake":"x"}}}`, `{"listen":"b:1","settings":{"permissions":{"connect_timeout":-1}}}`,
+		`{"listen":"b:1","settings":{"reporting":{"via":"x"}}}`,
+		`{"listen":"b:1","settings":{"family_info":{"overbooked":"x"}}}`,
+		`{"listen":"b:1","settings":{"tenants":[{"fraction":-1}]}}`,
+		`{"listen":"b:1","settings":{"permissions":{"cancel":1}}}`,
+		`{"listen":"b:1","settings":{"prices":{"handshake":"x"}}}`,
+		`{"listen":"b:1","settings":{"permissions":{"connect_timeout":-1}}}`,
 	} {
 		_, err := loadText(t, text, nil)
 		require.Error(t, err, text)
@@ -213,7 +225,8 @@
 func TestRecordedChecks(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{
-		every, least, strings.Replace(every, `"sockets":512`, `"sockets":15`, 1), strings.Replace(every, `"replicas_of_me":7`, `"replicas_of_me":0`, 1),
+		every, least, strings.Replace(every, `"sockets":512`, `"sockets":15`, 1), strings.Replace(every,
+			`"replicas_of_me":7`, `"replicas_of_me":0`, 1),
 		strings.Replace(every, `"me":3`, `"me":7`, 1), strings.Replace(every, `"cold_from":0.25`, `"cold_from":1.5`, 1),
 		strings.Replace(every, `"name":"put"`, `"name":""`, 1), strings.Replace(every, `"name":"put"`, `"name":"load"`, 1),
 		strings.Replace(every, `"deadline":1000000016`, `"deadline":0`, 1),
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -300,7 +300,7 @@
 	s.started = true
 	for _, c := range a.Changes {
 		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{
-			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.Find(s.names.Kinds, c.Kind), Zone: platformconfig.Find(s.names.Zones, c.Zone),
+			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.IndexOf(s.names.Kinds, c.Kind), Zone: platformconfig.IndexOf(s.names.Zones, c.Zone),
 				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.StartedAt},
 			Name: c.Key, Address: c.Addr, Reason: string(c.Reason),
 		})
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -12,271 +12,203 @@
 	"beechcart/internal/platformconfig"
 )
 
-// line is one parsed line: a message name and its pairs.
-type line struct {
-	op string
-	kv map[string]string
-}
+// The field stats holds the work of an attempt in milliseconds, times statsScale, plus the memory that it needed in
+// units of memoryUnitMB.
+const (
+	statsScale   = 4096
+	memoryUnitMB = 4
+)
 
-// textFields run on to the end of their line.
-var textFields = map[string]bool{"facts": true, "message": true}
+// unknown marks a value that a message does not tell.
+const unknown = -1
 
-func parseLine(text string) (line, error) {
-	op, rest, _ := strings.Cut(text, " ")
-	l := line{op: op, kv: make(map[string]string, 8)}
-	for rest != "" {
-		name, tail, ok := strings.Cut(rest, "=")
-		if !ok || strings.Contains(name, " ") {
-			return l, fmt.Errorf("%s: want name=value, got %q", op, clip(rest))
-		}
-		if textFields[name] {
-			l.kv[name] = tail
-			break
+// decode turns a message into an event; nil for a message of no known name.
+func (s *server) decode(g *gateway, m message) (admission.Event, error) {
+	r := &fieldReader{message: m}
+	var event admission.Event
+	switch m.name {
+	case "endpoints":
+		event = s.endpointsChanged(g, r)
+	case "work_item":
+		event = request(g, r)
+	case "established":
+		event = admission.FirstByte{ID: r.text("ticket"), Attempt: r.attempt(), Engine: r.engine()}
+	case "response":
+		event = outcome(r)
+	case "cancelled_by_client":
+		event = admission.ClientDisconnected{ID: r.text("ticket")}
+	case "deadline_hit":
+		event = admission.Timer{Token: uint64(r.number("nonce"))}
+	case "ping_result":
+		event = admission.HealthCheckResult{
+			Engine: r.engine(), Status: r.status(), Latency: r.latency(), Report: r.loadReport(),
 		}
-		l.kv[name], rest, _ = strings.Cut(tail, " ")
-	}
-	return l, nil
-}
-
-func clip(s string) string {
-	if len(s) > 40 {
-		return s[:40] + "..."
-	}
-	return s
-}
-
-func (l line) get(name string) string { return l.kv[name] }
-
-func (l line) text(name string) (string, error) {
-	if v, ok := l.kv[name]; ok && v != "" {
-		return v, nil
-	}
-	return "", fmt.Errorf("%s: field %s is missing", l.op, name)
-}
-
-// number reads an integer field; an absent one is an error when required.
-func (l line) number(name string, required bool) (int64, error) {
-	v, ok := l.kv[name]
-	if !ok || v == "" {
-		if required {
-			return 0, fmt.Errorf("%s: field %s is missing", l.op, name)
+	case "memo":
+		event = gossip(r)
+	case "heartbeat":
+		event = admission.Progress{
+			ID: r.text("ticket"), Attempt: r.attempt(), Engine: r.engine(),
+			Kind: admission.ProgressKind(r.number("topic")), Value: r.float("level"),
 		}
-		return 0, nil
-	}
-	n, err := strconv.ParseInt(v, 10, 64)
-	if err != nil {
-		return 0, fmt.Errorf("%s: field %s: %q is not a whole number", l.op, name, clip(v))
 	}
-	return n, nil
-}
-
-func (l line) integer(name string) (int, error) {
-	n, err := l.number(name, true)
-	return int(n), err
+	return event, r.err
 }
 
-func (l line) dur(name string) (time.Duration, error) {
-	n, err := l.number(name, true)
-	return time.Duration(n), err
-}
-
-func (l line) float(name string) (float64, error) {
-	v, ok := l.kv[name]
-	if !ok || v == "" {
-		return 0, nil
-	}
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		return 0, fmt.Errorf("%s: field %s: %q is not a number", l.op, name, clip(v))
-	}
-	return f, nil
-}
+func (r *fieldReader) attempt() int { return int(r.number("go")) }
 
-// reader collects the first error while several fields are read.
-type reader struct {
-	line
-	err error
-}
+func (r *fieldReader) latency() time.Duration { return time.Duration(r.optionalNumber("wait_time")) }
 
-func (r *reader) keep(err error) {
-	if r.err == nil {
-		r.err = err
-	}
-}
-
-func (r *reader) str(name string) string {
-	v, err := r.text(name)
-	r.keep(err)
-	return v
-}
-
-func (r *reader) num(name string) int64 {
-	v, err := r.number(name, true)
-	r.keep(err)
-	return v
-}
-
-func (r *reader) opt(name string) int64 {
-	v, err := r.number(name, false)
-	r.keep(err)
-	return v
-}
-
-func (r *reader) real(name string) float64 {
-	v, err := r.float(name)
-	r.keep(err)
-	return v
-}
-
-func (r *reader) engine() uint32 {
-	n := r.num("engine")
+func (r *fieldReader) engine() uint32 {
+	n := r.number("engine")
 	if n < 0 || n > math.MaxUint32 {
-		r.keep(fmt.Errorf("%s: field engine: %d is out of range", r.op, n))
+		r.fail(fmt.Errorf("%s: field engine: %d is out of range", r.name, n))
 	}
 	return uint32(n)
 }
 
-func (r *reader) status() admission.Status {
-	n := r.num("ending")
+func (r *fieldReader) status() admission.Status {
+	n := r.number("ending")
 	if n < 0 || n > int64(admission.NotSent) {
-		r.keep(fmt.Errorf("%s: field ending: %d is not an outcome", r.op, n))
+		r.fail(fmt.Errorf("%s: field ending: %d is not an outcome", r.name, n))
 	}
 	return admission.Status(n)
 }
 
-// report reads a load report; nil when none came.
-func (r *reader) report() *admission.Report {
+// loadReport reads a load report; nil when none came.
+func (r *fieldReader) loadReport() *admission.Report {
 	v := r.get("gauge")
-	if v == "" || v == "-" {
+	if v == "" || v == noValue {
 		return nil
 	}
-	rep := &admission.Report{Held: -1, Queue: -1, Util: -1, Memory: -1, Disks: -1}
+	report := &admission.Report{Held: unknown, Queue: unknown, Util: unknown, Memory: unknown, Disks: unknown}
 	for _, pair := range strings.Split(v, ",") {
-		name, val, ok := strings.Cut(pair, ":")
-		f, err := strconv.ParseFloat(val, 64)
+		name, value, ok := strings.Cut(pair, ":")
+		f, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
-			r.keep(fmt.Errorf("%s: field gauge: bad pair %q", r.op, clip(pair)))
+			r.fail(fmt.Errorf("%s: field gauge: bad pair %q", r.name, clip(pair)))
 			return nil
 		}
 		switch name {
 		case "outstanding":
-			rep.Held = f
+			report.Held = f
 		case "backlog":
-			rep.Queue = f
+			report.Queue = f
 		case "utilization":
-			rep.Util = f
+			report.Util = f
 		case "x0":
-			rep.Memory = f
+			report.Memory = f
 		case "x1":
-			rep.Disks = f
+			report.Disks = f
 		}
 	}
-	return rep
+	return report
 }
 
-// decode turns a line into an event; an event of no known name is passed over.
-func (s *server) decode(in *instance, l line) (admission.Event, error) {
-	r := &reader{line: l}
-	var ev admission.Event
-	switch l.op {
-	case "endpoints":
-		ev = s.members(in, r)
-	case "work_item":
-		ev = workItem(in, r)
-	case "established":
-		ev = admission.FirstByte{ID: r.str("ticket"), Attempt: int(r.num("go")), Engine: r.engine()}
-	case "response":
-		o := admission.Outcome{
-			ID: r.str("ticket"), Attempt: int(r.num("go")), Engine: r.engine(), Status: r.status(),
-			Latency: time.Duration(r.opt("wait_time")), Closed: r.opt("terminal") == 1, Report: r.report(),
-		}
-		if note := r.opt("stats"); note > 0 {
-			o.Work = time.Duration(note/4096) * time.Millisecond
-			o.NeedMB = float64(note%4096) * 4
-		}
-		ev = o
-	case "cancelled_by_client":
-		ev = admission.ClientDisconnected{ID: r.str("ticket")}
-	case "deadline_hit":
-		ev = admission.Timer{Token: uint64(r.num("nonce"))}
-	case "ping_result":
-		ev = admission.HealthCheckResult{
-			Engine: r.engine(), Status: r.status(),
-			Latency: time.Duration(r.opt("wait_time")), Report: r.report(),
-		}
-	case "memo":
-		p := admission.GossipReceived{From: int(r.num("src_peer"))}
-		if d := r.get("data"); d != "-" {
-			var err error
-			if p.Data, err = hex.DecodeString(d); err != nil {
-				r.keep(fmt.Errorf("memo: field data: %w", err))
-			}
-		}
-		ev = p
-	case "heartbeat":
-		ev = admission.Progress{
-			ID: r.str("ticket"), Attempt: int(r.num("go")), Engine: r.engine(),
-			Kind: admission.ProgressKind(r.num("topic")), Value: r.real("level"),
+// outcome reads the end of an attempt.
+func outcome(r *fieldReader) admission.Outcome {
+	o := admission.Outcome{
+		ID:      r.text("ticket"),
+		Attempt: r.attempt(),
+		Engine:  r.engine(),
+		Status:  r.status(),
+		Latency: r.latency(),
+		Closed:  r.optionalNumber("terminal") == 1,
+		Report:  r.loadReport(),
+	}
+	if stats := r.optionalNumber("stats"); stats > 0 {
+		o.Work = time.Duration(stats/statsScale) * time.Millisecond
+		o.NeedMB = float64(stats%statsScale) * memoryUnitMB
+	}
+	return o
+}
+
+func gossip(r *fieldReader) admission.GossipReceived {
+	g := admission.GossipReceived{From: int(r.number("src_peer"))}
+	if data := r.get("data"); data != noValue {
+		var err error
+		if g.Data, err = hex.DecodeString(data); err != nil {
+			r.fail(fmt.Errorf("memo: field data: %w", err))
 		}
 	}
-	return ev, r.err
+	return g
 }
 
-func workItem(in *instance, r *reader) admission.Event {
-	band := r.str("band")
-	class, ok := in.names.Classes[band]
-	if !ok {
-		r.keep(fmt.Errorf("work_item: field band: %q is not in the settings", clip(band)))
+func request(g *gateway, r *fieldReader) admission.Request {
+	name := r.text("band")
+	class, known := g.names.Classes[name]
+	if !known {
+		r.fail(fmt.Errorf("work_item: field band: %q is not in the settings", clip(name)))
 	}
-	ev := admission.Request{
-		ID: r.str("ticket"), Class: class, Tenant: platformconfig.Find(in.names.Tenants, r.get("org")),
-		Key: r.get("order_key"), Timeout: time.Duration(r.num("patience_left")),
-		Work: time.Duration(r.opt("est_cost")), MemMB: r.real("mem_mb"), Group: -1,
-		Retry: r.opt("repeat") == 1, Write: r.opt("update") == 1,
+	read := admission.Request{
+		ID:      r.text("ticket"),
+		Class:   class,
+		Tenant:  platformconfig.IndexOf(g.names.Tenants, r.get("org")),
+		Key:     r.get("order_key"),
+		Timeout: time.Duration(r.number("patience_left")),
+		Work:    time.Duration(r.optionalNumber("est_cost")),
+		MemMB:   r.float("mem_mb"),
+		Group:   unknown,
+		Retry:   r.optionalNumber("repeat") == 1,
+		Write:   r.optionalNumber("update") == 1,
 	}
 	if r.get("source_set") != "" {
-		ev.Group = int(r.real("source_set"))
+		read.Group = int(r.float("source_set"))
 	}
-	return ev
+	return read
 }
 
-func (s *server) members(in *instance, r *reader) admission.Event {
-	m := admission.EndpointsChanged{}
-	switch scope := r.str("scope"); scope {
-	case "Complete":
-		m.Kind = admission.Complete
-	case "Partial":
-		m.Kind = admission.Partial
-	case "Persisted":
-		m.Kind = admission.Persisted
-	case "Error":
-		return admission.EndpointsChanged{Kind: admission.ListError}
-	default:
-		r.keep(fmt.Errorf("endpoints: field scope: %q is not known", clip(scope)))
+var listKinds = map[string]admission.ListKind{
+	"Complete":  admission.Complete,
+	"Partial":   admission.Partial,
+	"Persisted": admission.Persisted,
+	"Error":     admission.ListError,
+}
+
+// endpointsChanged reads a change of the engine list, which refers to a catalog.
+func (s *server) endpointsChanged(g *gateway, r *fieldReader) admission.Event {
+	scope := r.text("scope")
+	kind, known := listKinds[scope]
+	if !known {
+		r.fail(fmt.Errorf("endpoints: field scope: %q is not known", clip(scope)))
 		return nil
 	}
-	id := int(r.num("roster_id"))
-	list, ok := s.lists[id]
-	if !ok {
-		r.keep(fmt.Errorf("endpoints: field roster_id: no catalog %d", id))
+	changed := admission.EndpointsChanged{Kind: kind}
+	if kind == admission.ListError {
+		return changed
+	}
+	id := int(r.number("roster_id"))
+	list, known := s.catalogs[id]
+	if !known {
+		r.fail(fmt.Errorf("endpoints: field roster_id: no catalog %d", id))
+	}
+	for _, fields := range list {
+		changed.Engines = append(changed.Engines, engine(g, r, fields))
+	}
+	return changed
+}
+
+// engine reads one engine of a catalog. Its errors are kept by the reader of the message that refers to the catalog.
+func engine(g *gateway, changed *fieldReader, fields map[string]string) admission.Engine {
+	r := &fieldReader{message: message{name: "engine", fields: fields}}
+	e := admission.Engine{
+		ID:      r.engine(),
+		Kind:    platformconfig.IndexOf(g.names.Kinds, fields["shape"]),
+		Zone:    platformconfig.IndexOf(g.names.Zones, fields["rack_zone"]),
+		Cell:    int(r.optionalNumber("cell")),
+		Units:   r.float("units"),
+		Started: time.Duration(r.optionalNumber("last_start")),
+	}
+	switch fields["state"] {
+	case "in_service":
+	case "terminating":
+		e.State = admission.Draining
+	case "terminated":
+		e.State = admission.Removed
+	default:
+		r.fail(fmt.Errorf("engine: field state: %q is not known", clip(fields["state"])))
 	}
-	for _, kv := range list {
-		e := &reader{line: line{op: "engine", kv: kv}}
-		ent := admission.Engine{
-			ID: e.engine(), Kind: platformconfig.Find(in.names.Kinds, kv["shape"]), Zone: platformconfig.Find(in.names.Zones, kv["rack_zone"]),
-			Cell: int(e.opt("cell")), Units: e.real("units"), Started: time.Duration(e.opt("last_start")),
-		}
-		switch kv["state"] {
-		case "in_service":
-		case "terminating":
-			ent.State = admission.Draining
-		case "terminated":
-			ent.State = admission.Removed
-		default:
-			e.keep(fmt.Errorf("engine: field state: %q is not known", clip(kv["state"])))
-		}
-		r.keep(e.err)
-		m.Engines = append(m.Engines, ent)
+	if r.err != nil {
+		changed.fail(r.err)
 	}
-	return m
+	return e
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/server_test.go
@@ -38,7 +38,8 @@
 func TestServesARequest(t *testing.T) {
 	out, err := serve(batch(1e9, "") + batch(2e9, begin(3)) +
 		batch(21e8, "work_item who=3 ticket=q1 band=big org=t patience_left=20000000000 extra=9 source_set=4\n") +
-		batch(22e8, "response who=3 ticket=q1 go=0 engine=22 ending=1 wait_time=1000 terminal=1 stats=69728 gauge=utilization:0.5\n"+
+		batch(22e8, "response who=3 ticket=q1 go=0 engine=22 ending=1 wait_time=1000 terminal=1 stats=69728 "+
+			"gauge=utilization:0.5\n"+
 			"cancelled_by_client who=3 ticket=q1\nresponse who=3 ticket=gone go=4 engine=99 ending=3\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -134,10 +135,12 @@
 
 func TestPanicBecomesFatal(t *testing.T) {
 	var out strings.Builder
-	s := &server{out: bufio.NewWriter(&out), insts: map[int]*instance{4: {live: true}}}
+	s := &server{out: bufio.NewWriter(&out), gateways: map[int]*gateway{4: {running: true}}}
 	s.step(4) // no controller: the step panics
 	s.step(4) // and the instance is not stepped again
-	s.out.Flush()
+	if err := s.out.Flush(); err != nil {
+		t.Fatal(err)
+	}
 	if got := out.String(); !strings.HasPrefix(got, "fatal who=4 message=") || strings.Count(got, "\n") != 1 {
 		t.Errorf("got %q", got)
 	}
