--- a/cmd/gateway-sim/main.go
+++ b/cmd/gateway-sim/main.go
@@ -1,4 +1,4 @@
-// Command gateway-sim puts the controller on the bench's wire.
+// Command gateway-sim connects the controller to the simulator, over standard input and output (internal/wire).
 package main
 
 import (
