--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -20,7 +20,7 @@
 )
 
 // pages are those whose references are checked, from the root of the project.
-var pages = []string{"docs/ARCHITECTURE.md", "docs/terms.md"}
+var pages = []string{"docs/ARCHITECTURE.md", "docs/terms.md", "CONTRIBUTING.md"}
 
 var (
 	// goReference is `file.go` or `file.go#Name`, `file.go#Type.Member`, in backquotes.
