--- /dev/null
+++ b/decision/rollout/oracle_test.go
@@ -0,0 +1,383 @@
+package rollout
+
+import (
+	"fmt"
+	"time"
+)
+
+// stateBefore is what the oracle needs of the state before a step.
+type stateBefore struct {
+	lastPermit, release, window uint64
+	releaseState                ReleaseState
+	permits                     map[uint64]Permit
+	available                   map[Subject]bool
+	reports                     map[string]lastReport
+	newRequests                 int64
+	firstResult                 *Result // of the command, where it was executed before
+}
+
+// lastReport is a member's last report.
+type lastReport struct{ incarnation, sequence uint64 }
+
+func (f *randomFleet) before(command Command) stateBefore {
+	b := stateBefore{
+		lastPermit: f.machine.LastPermit, permits: map[uint64]Permit{}, available: map[Subject]bool{},
+		reports: map[string]lastReport{},
+	}
+	for number, permit := range f.machine.Permits {
+		b.permits[number] = *permit
+	}
+	for name, member := range f.machine.Members {
+		b.available[Subject{Name: name}] = f.memberAvailable(name)
+		b.reports[name] = lastReport{member.Incarnation, member.StatusSequence}
+	}
+	for name := range f.machine.Engines {
+		b.available[Subject{name, true}] = f.engineAvailable(name)
+	}
+	if release := f.machine.Release; release != nil {
+		b.release, b.window, b.releaseState = release.Number, release.Window, release.State
+		b.newRequests = release.New.Requests
+	}
+	for _, earlier := range f.machine.Results {
+		if earlier.ID == command.ID && command.ID != "" {
+			b.firstResult = &earlier.Result
+		}
+	}
+	return b
+}
+
+// The oracle counts anew, from the state alone, who is available and what budgets are used.
+
+func (f *randomFleet) hasPermit(subject Subject) bool {
+	for _, permit := range f.machine.Permits {
+		if permit.Subject == subject.Name && permit.Engine == subject.Engine {
+			return true
+		}
+	}
+	return false
+}
+
+func (f *randomFleet) memberAvailable(name string) bool {
+	member := f.machine.Members[name]
+	return member.Phase == Serving && !member.Suspected && !f.hasPermit(Subject{Name: name})
+}
+
+func (f *randomFleet) engineAvailable(name string) bool {
+	engine := f.machine.Engines[name]
+	return engine.Listed && engine.Ready && !f.hasPermit(Subject{name, true})
+}
+
+// usageCount counts units by zone; the empty zone is all of them.
+type usageCount struct {
+	total, unavailable map[string]int
+	weight, largest    float64 // of available front ends
+}
+
+func (u *usageCount) count(counted unit) {
+	for _, scope := range []string{"", counted.zone} {
+		u.total[scope]++
+		if !counted.available {
+			u.unavailable[scope]++
+		}
+	}
+}
+
+// overBudget tells which budget is exceeded in all or in a permit's zone; empty for none. Crashes may exceed that of
+// another zone.
+func (f *randomFleet) overBudget(permit *Permit) string {
+	usage := usageCount{total: map[string]int{}, unavailable: map[string]int{}}
+	budget, zone := f.machine.Settings.FrontEnds, ""
+	if permit.Engine {
+		budget, zone = f.machine.Settings.Engines, f.machine.Engines[permit.Subject].Zone
+		for name, engine := range f.machine.Engines {
+			usage.count(unit{zone: engine.Zone, available: f.engineAvailable(name)})
+		}
+	} else {
+		if permit.Release != 0 && f.rollingBack() {
+			budget = f.machine.Settings.Rollback
+		}
+		zone = f.machine.Members[permit.Subject].Zone
+		for name, member := range f.machine.Members {
+			available := f.memberAvailable(name)
+			usage.count(unit{zone: member.Zone, available: available})
+			if available {
+				usage.weight, usage.largest = usage.weight+member.Weight, max(usage.largest, member.Weight)
+			}
+		}
+	}
+	if over := usage.over("", budget.Max, budget.MaxShare); over != "" {
+		return over
+	}
+	if over := usage.over(zone, budget.ZoneMax, budget.ZoneMaxShare); over != "" {
+		return over
+	}
+	left, load := usage.weight-usage.largest, f.machine.Load.FrontEnds
+	if need := load * (1 + budget.Headroom); !permit.Engine && load > 0 && left < need-1e-6 {
+		return fmt.Sprintf("%v would be left after one more loss, and %v are needed", left, need)
+	}
+	return ""
+}
+
+func (u *usageCount) over(zone string, maxCount int, maxShare float64) string {
+	limit := u.total[zone]
+	if maxCount > 0 {
+		limit = min(limit, maxCount)
+	}
+	if maxShare > 0 {
+		limit = min(limit, max(1, int(maxShare*float64(u.total[zone])+1e-9)))
+	}
+	if u.unavailable[zone] > limit {
+		return fmt.Sprintf("%d of %d are unavailable in %q, and %d may be",
+			u.unavailable[zone], u.total[zone], zone, limit)
+	}
+	return ""
+}
+
+// step applies a command and tells the first invariant that does not hold; empty where all do.
+func (f *randomFleet) step(command Command) string {
+	f.now += time.Duration(f.rng.IntN(400)) * time.Millisecond
+	command.At = f.now
+	b := f.before(command)
+	result := f.machine.Apply(command)
+	if f.sent = append(f.sent, command); len(f.sent) > 40 {
+		f.sent = f.sent[1:]
+	}
+	for _, check := range []func(stateBefore, Command, Result) string{
+		f.checkRepeat, f.checkPermits, f.checkEnded, f.checkReports, f.checkRelease, f.checkSize,
+	} {
+		if violation := check(b, command, result); violation != "" {
+			return violation
+		}
+	}
+	return ""
+}
+
+func (f *randomFleet) checkRepeat(b stateBefore, command Command, result Result) string {
+	first := b.firstResult
+	if first == nil {
+		return ""
+	}
+	if fmt.Sprint(*first) != fmt.Sprint(result) && fmt.Sprint(first.Rejected) != fmt.Sprint(result.Rejected) {
+		return fmt.Sprintf("8: %s was answered %v and then %v", command.ID, *first, result)
+	}
+	for number, permit := range f.machine.Permits {
+		if _, had := b.permits[number]; !had && permit.Release == 0 {
+			return "8: a repeat was executed again"
+		}
+	}
+	return ""
+}
+
+// checkPermits checks what was granted, activated and drained.
+func (f *randomFleet) checkPermits(b stateBefore, command Command, result Result) string {
+	release := f.machine.Release
+	if command.ActivatePermit != nil && result.Shutdown && release != nil &&
+		f.machine.Permits[result.Permit].Release == release.Number && b.releaseState != Running {
+		return "4: told to shut down while the release is " + string(b.releaseState)
+	}
+	for number, permit := range f.machine.Permits {
+		for _, check := range []func(stateBefore, Command, *Permit) string{
+			f.checkGranted, f.checkActivated, f.checkReleasePermit, f.checkDrained,
+		} {
+			if violation := check(b, command, permit); violation != "" {
+				return violation
+			}
+		}
+		if permit.Engine && command.ReportDrained != nil && command.ReportDrained.Permit == number &&
+			result.Rejected == nil {
+			member := f.machine.Members[command.ReportDrained.Name]
+			if member != nil && command.ReportDrained.Incarnation != member.Incarnation {
+				return "6: a report of an older process was applied"
+			}
+		}
+	}
+	return ""
+}
+
+func (f *randomFleet) rollingBack() bool {
+	release := f.machine.Release
+	return release != nil && release.RollingBack && release.State != Done
+}
+
+func (f *randomFleet) checkGranted(b stateBefore, _ Command, permit *Permit) string {
+	if _, had := b.permits[permit.Number]; had {
+		return ""
+	}
+	if permit.Number <= b.lastPermit {
+		return fmt.Sprintf("2: permit %d was granted after %d", permit.Number, b.lastPermit)
+	}
+	if !b.available[permit.subject()] {
+		return ""
+	}
+	f.steps["granted"]++
+	if over := f.overBudget(permit); over != "" {
+		return "1: granted, and " + over
+	}
+	return ""
+}
+
+func (f *randomFleet) checkActivated(b stateBefore, command Command, permit *Permit) string {
+	was, had := b.permits[permit.Number]
+	if !had || was.ActivatedAt > 0 || permit.ActivatedAt == 0 {
+		return ""
+	}
+	f.steps["activated"]++
+	member := f.machine.Members[permit.Subject]
+	if command.ActivatePermit == nil || command.ActivatePermit.Incarnation != member.Incarnation ||
+		permit.Incarnation != member.Incarnation {
+		return fmt.Sprintf("2: permit %d was activated by another process", permit.Number)
+	}
+	if over := f.overBudget(permit); over != "" {
+		return "1: activated, and " + over
+	}
+	if permit.Release != 0 && (f.machine.Release.Number != permit.Release || b.releaseState != Running) {
+		return fmt.Sprintf("4: permit %d was activated while its release was %s", permit.Number, b.releaseState)
+	}
+	return ""
+}
+
+// checkReleasePermit checks a permit that is not active against the state of its release.
+func (f *randomFleet) checkReleasePermit(_ stateBefore, _ Command, permit *Permit) string {
+	release := f.machine.Release
+	if release == nil || permit.Release != release.Number || permit.ActivatedAt > 0 {
+		return ""
+	}
+	if release.State == Halted || release.State == Halting {
+		return fmt.Sprintf("4: permit %d stands while the release is %s", permit.Number, release.State)
+	}
+	revision, previous := f.machine.Members[permit.Subject].Revision, release.PreviousRevision
+	if f.rollingBack() && (permit.Revision != previous || revision == previous) {
+		return fmt.Sprintf("9: permit %d brings %s from %s to %s",
+			permit.Number, permit.Subject, revision, permit.Revision)
+	}
+	return ""
+}
+
+// checkDrained checks an engine that may be stopped since this step.
+func (f *randomFleet) checkDrained(b stateBefore, _ Command, permit *Permit) string {
+	if !permit.Engine || permit.DrainedAt == 0 || b.permits[permit.Number].DrainedAt > 0 {
+		return ""
+	}
+	f.steps["drained"]++
+	m := f.machine
+	for _, member := range m.Members {
+		ended := member.Phase == Terminated && m.Now-member.ChangedAt >= m.Settings.AbandonedQueryTimeout
+		if !ended && permit.DrainedBy[member.Name] != member.Incarnation {
+			return fmt.Sprintf("6: %s may be stopped without a report of %s", permit.Subject, member.Name)
+		}
+		if member.PreviousEndedAt > 0 && m.Now-member.PreviousEndedAt < m.Settings.AbandonedQueryTimeout {
+			return fmt.Sprintf("6: %s may be stopped while queries of the last process of %s may run",
+				permit.Subject, member.Name)
+		}
+	}
+	return ""
+}
+
+// checkEnded checks that active permits end by proof only.
+func (f *randomFleet) checkEnded(b stateBefore, command Command, _ Result) string {
+	for number, permit := range b.permits {
+		if f.machine.Permits[number] != nil || permit.ActivatedAt == 0 {
+			continue
+		}
+		if !f.isProof(command, permit) {
+			return fmt.Sprintf("3: permit %d of %s, active, ended by %+v", number, permit.Subject, command)
+		}
+		f.steps["proved"]++
+	}
+	return ""
+}
+
+// isProof tells whether a command may end an active permit.
+func (f *randomFleet) isProof(command Command, permit Permit) bool {
+	switch {
+	case command.RemoveMember != nil:
+		return *command.RemoveMember == permit.subject()
+	case command.Undrain != nil:
+		return permit.Engine && command.Undrain.Name == permit.Subject
+	case command.ReturnPermit != nil:
+		return !permit.Engine && command.ReturnPermit.Permit == permit.Number &&
+			f.machine.Members[permit.Subject].Incarnation == command.ReturnPermit.Incarnation
+	case command.ReportStatus != nil:
+		report := command.ReportStatus
+		return !permit.Engine && report.Name == permit.Subject && report.Phase == Serving &&
+			report.Incarnation > permit.Incarnation
+	case command.Engine != nil:
+		engine := command.Engine
+		return permit.Engine && engine.Name == permit.Subject && engine.Process > permit.Incarnation &&
+			engine.Ready && engine.Listed
+	}
+	return false
+}
+
+// checkReports checks that reports of members only go forward.
+func (f *randomFleet) checkReports(b stateBefore, _ Command, _ Result) string {
+	for name, was := range b.reports {
+		member := f.machine.Members[name]
+		if member != nil && (member.Incarnation < was.incarnation ||
+			(member.Incarnation == was.incarnation && member.StatusSequence < was.sequence)) {
+			return fmt.Sprintf("5: %s went from report %v to %d %d",
+				name, was, member.Incarnation, member.StatusSequence)
+		}
+	}
+	for name, member := range f.machine.Members {
+		if last, removed := f.machine.Removed[name]; removed && member.Incarnation <= last {
+			return "5: " + name + " is back as the process that was removed"
+		}
+	}
+	return ""
+}
+
+func (f *randomFleet) checkRelease(b stateBefore, command Command, _ Result) string {
+	release := f.machine.Release
+	if release == nil {
+		return ""
+	}
+	if release.Number != b.release {
+		f.steps["started"]++
+		if b.releaseState != Done && b.release != 0 {
+			return fmt.Sprintf("7: release %d started while %d was %s", release.Number, b.release, b.releaseState)
+		}
+	} else if release.Window < b.window {
+		return "5: the windows of health went back"
+	} else if command.Health != nil && command.Health.Window <= b.window && release.New.Requests != b.newRequests {
+		return "5: a window was counted twice"
+	}
+	if release.State == Halted && b.releaseState != Halted {
+		if pending := f.mayShutDown(release); pending != "" {
+			return "4: halted, and " + pending + " may yet shut down"
+		}
+	}
+	if release.State == Done && b.releaseState != Done && b.release == release.Number {
+		f.steps["done"]++
+		for _, member := range f.machine.Members {
+			if f.memberAvailable(member.Name) && member.Revision != release.target() {
+				return "9: release done, and " + member.Name + " serves on " + member.Revision
+			}
+		}
+	}
+	return ""
+}
+
+// mayShutDown names a member that holds a permit of the release and has not shut down; empty for none. It is asked only
+// as a halt is acknowledged: later reports are those of processes that act once on an activation.
+func (f *randomFleet) mayShutDown(release *Release) string {
+	for _, permit := range f.machine.Permits {
+		if permit.Engine || permit.Release != release.Number {
+			continue
+		}
+		member := f.machine.Members[permit.Subject]
+		if member.Incarnation == permit.Incarnation && member.Phase == Serving {
+			return permit.Subject
+		}
+	}
+	return ""
+}
+
+func (f *randomFleet) checkSize(stateBefore, Command, Result) string {
+	m := f.machine
+	if len(m.Results) > 2*m.Settings.KeepResults || len(m.Audit) > m.Settings.KeepAudit ||
+		len(m.RemovedOrder) > m.Settings.KeepRemoved || len(m.Removed) > m.Settings.KeepRemoved {
+		return "10: the state has grown"
+	}
+	return ""
+}
--- a/decision/rollout/recorded_test.go
+++ b/decision/rollout/recorded_test.go
@@ -4,10 +4,9 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"hash"
 	"hash/fnv"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
@@ -16,25 +15,9 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/decision/rollout"
+	"beechcart/internal/recorded"
 )
 
-// checkRecorded compares bytes with those that a file of testdata/recorded holds. A missing file is written where
-// RECORD=1 is set, and fails the test elsewhere; one that exists is never written.
-func checkRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, got, 0o644))
-		return
-	}
-	require.NoError(t, err)
-	require.True(t, bytes.Equal(want, got), "%s: recorded\n%s\nfound\n%s", path, clip(want), clip(got))
-}
-
-func clip(text []byte) []byte { return text[:min(len(text), 4000)] }
-
 // fill sets every exported field that v reaches, in the order of their declaration, to a value of its own.
 func fill(v reflect.Value, n *int) {
 	*n++
@@ -106,7 +89,7 @@
 		assert.Equal(t, string(text), string(rewrite[rollout.Command](t, text)))
 		lines.Write(append(text, '\n'))
 	}
-	checkRecorded(t, "commands.jsonl", lines.Bytes())
+	recorded.Compare(t, "commands.jsonl", lines.Bytes())
 }
 
 // An answer with every field set, as the HTTP interface of replicas sends it.
@@ -117,7 +100,7 @@
 	text, err := json.Marshal(result)
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(rewrite[rollout.Result](t, text)))
-	checkRecorded(t, "result.json", text)
+	recorded.Compare(t, "result.json", text)
 }
 
 // A snapshot with every field set is read and written as it was.
@@ -133,7 +116,7 @@
 	written, err := machine.Snapshot()
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(written))
-	checkRecorded(t, "snapshot.json", text)
+	recorded.Compare(t, "snapshot.json", text)
 }
 
 // newMachine returns an empty fleet's state machine whose settings are the defaults with a JSON text over them.
@@ -174,7 +157,7 @@
 	rng     *rand.Rand
 	now     time.Duration
 	view    view
-	hash    interface{ Write([]byte) (int, error) }
+	hash    hash.Hash64
 	counts  map[string]int
 	ids     int
 	sent    []string
@@ -183,7 +166,7 @@
 func (r *seededRun) refresh() {
 	text, err := r.machine.Snapshot()
 	require.NoError(r.t, err)
-	r.hash.Write(text)
+	_, _ = r.hash.Write(text)
 	r.view = view{}
 	require.NoError(r.t, json.Unmarshal(text, &r.view))
 	for _, permit := range r.view.Permits {
@@ -201,7 +184,7 @@
 	command.At = r.now
 	result, err := json.Marshal(r.machine.Apply(command))
 	require.NoError(r.t, err)
-	r.hash.Write(result)
+	_, _ = r.hash.Write(result)
 	var kind map[string]json.RawMessage
 	require.NoError(r.t, json.Unmarshal([]byte(text), &kind))
 	var answer struct {
@@ -452,7 +435,7 @@
 	}
 	text, err := json.Marshal(seen)
 	require.NoError(r.t, err)
-	r.hash.Write(text)
+	_, _ = r.hash.Write(text)
 }
 
 // A seeded run of commands of every type: the hash over all answers and snapshots, and how often each was answered how.
@@ -464,9 +447,9 @@
 	}
 	var outcomes []outcome
 	for seed := range uint64(3) {
-		hash := fnv.New64a()
+		sum := fnv.New64a()
 		r := &seededRun{t: t, machine: newMachine(t, recordedSettings), rng: rand.New(rand.NewPCG(seed, 32)),
-			now: time.Hour, hash: hash, counts: map[string]int{}}
+			now: time.Hour, hash: sum, counts: map[string]int{}}
 		for i := range 12 {
 			r.apply(r.say(fmt.Sprint("n", i), 1, 1, "r0", "serving"))
 		}
@@ -483,9 +466,9 @@
 			r.apply(r.draw())
 		}
 		r.refresh()
-		outcomes = append(outcomes, outcome{seed, fmt.Sprintf("%016x", hash.Sum64()), r.counts})
+		outcomes = append(outcomes, outcome{seed, fmt.Sprintf("%016x", sum.Sum64()), r.counts})
 	}
 	text, err := json.MarshalIndent(outcomes, "", "  ")
 	require.NoError(t, err)
-	checkRecorded(t, "run.json", append(text, '\n'))
+	recorded.Compare(t, "run.json", append(text, '\n'))
 }
--- a/decision/rollout/release.go
+++ b/decision/rollout/release.go
@@ -98,7 +98,7 @@
 func (m *StateMachine) releaseOrder(release uint64) []string {
 	hash := func(name string) uint64 {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%d %s", release, name)
+		_, _ = fmt.Fprintf(h, "%d %s", release, name)
 		return h.Sum64()
 	}
 	byHash := func(a, b string) int { return cmp.Compare(hash(a), hash(b)) }
--- a/decision/rollout/search_test.go
+++ b/decision/rollout/search_test.go
@@ -1,343 +1,418 @@
 package rollout
 
 import (
+	"encoding/binary"
 	"fmt"
 	"maps"
 	"slices"
-	"strconv"
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
-// The search walks every order in which words between three front ends and the agreed log may be lost, repeated or late,
-// with a budget of one, one release, one halt, one way back, one crash and one doubt, each at any moment.
+// The search walks every order in which messages between two or three front ends and the log may be lost, repeated or
+// late, with a budget of one, one release, one halt, one rollback, one crash and one suspicion, each at any moment.
 
-// member is a front end's process, by the rules that internal/fleet keeps: it asks at the last moment, acts only on a go
-// for the process that it is, and hands back only what it will not act on.
+// process is a front end's process, by the rules that internal/fleet keeps: it activates a permit immediately before it
+// shuts down, obeys only an answer for the process that it is, and returns only permits that it won't act on.
 type process struct {
-	inc, seq uint64
-	rev      string
-	out      bool   // takes nothing more
-	gave     uint64 // the greatest permit that it has handed back
-	why      uint64 // out on this permit
+	incarnation, sequence uint64
+	revision              string
+	down                  bool   // it accepts no more requests
+	returned              uint64 // the greatest permit that it has returned
+	permit                uint64 // on which it shut down
 }
 
-type word struct {
-	kind    byte // 's'ay, 'b'egin, 'r'eturn
-	who     int
-	inc, n  uint64 // n: seq or permit
-	out     bool
-	rev     string
-	answers bool // a go on its way back: 'b' only
+type messageKind byte
+
+const (
+	statusMessage     messageKind = iota + 1 // number is the status sequence
+	activationMessage                        // number is the permit
+	returnMessage                            // number is the permit
+	shutdownAnswer                           // to an activation
+)
+
+// message is one that a process has sent, or the answer to one.
+type message struct {
+	kind                messageKind
+	process             int
+	incarnation, number uint64
+	down                bool // of statusMessage
+	revision            string
 }
 
-type world struct {
-	m            *StateMachine
-	p            []process
-	words        map[word]bool // whatever was sent may arrive, at any time, any number of times
-	halted       bool          // an operator was told so, and has not gone on
-	halt, back   bool          // the operator's steps that are left
-	crash, doubt int           // that are left
-	mind         int           // times that a process may yet change its mind
-	wrong        string
+// model is the state machine, the processes, and the messages between them.
+type model struct {
+	machine          *StateMachine
+	processes        []process
+	messages         map[message]bool // each may arrive at any time, any number of times
+	haltAcknowledged bool             // an operator was told so, and has not resumed or rolled back
+	violation        string
+
+	// What may yet happen.
+	haltLeft, rollbackLeft                   bool
+	crashesLeft, suspicionsLeft, returnsLeft int
 }
 
-func (w *world) clone() *world {
-	c := *w
-	c.p, c.words, c.m = slices.Clone(w.p), maps.Clone(w.words), w.m.clone()
+func processName(i int) string { return string(rune('a' + i)) }
+
+func (m *model) clone() *model {
+	c := *m
+	c.processes, c.messages, c.machine = slices.Clone(m.processes), maps.Clone(m.messages), m.machine.clone()
 	return &c
 }
 
 func (m *StateMachine) clone() *StateMachine {
 	c := *m
 	c.Members, c.Engines, c.Permits = map[string]*Member{}, map[string]*Engine{}, map[uint64]*Permit{}
-	for k, v := range m.Members {
-		o := *v
-		o.Crashes = slices.Clone(v.Crashes)
-		c.Members[k] = &o
+	for name, member := range m.Members {
+		copied := *member
+		copied.Crashes = slices.Clone(member.Crashes)
+		c.Members[name] = &copied
 	}
-	for k, v := range m.Engines {
-		o := *v
-		c.Engines[k] = &o
+	for name, engine := range m.Engines {
+		copied := *engine
+		c.Engines[name] = &copied
 	}
-	for k, v := range m.Permits {
-		o := *v
-		o.DrainedBy = maps.Clone(v.DrainedBy)
-		c.Permits[k] = &o
+	for number, permit := range m.Permits {
+		copied := *permit
+		copied.DrainedBy = maps.Clone(permit.DrainedBy)
+		c.Permits[number] = &copied
 	}
 	if m.Release != nil {
-		r := *m.Release
-		r.Order = slices.Clone(r.Order)
-		c.Release = &r
+		copied := *m.Release
+		copied.Order = slices.Clone(m.Release.Order)
+		c.Release = &copied
 	}
 	c.permitBySubject, c.Audit, c.Results = maps.Clone(m.permitBySubject), nil, nil
 	return &c
 }
 
-func (w *world) key() string {
-	b := make([]byte, 0, 256)
-	num := func(n uint64) { b = append(strconv.AppendUint(b, n, 36), ' ') }
-	yes := func(y bool) {
-		if y {
-			b = append(b, '+')
+// stateKey encodes a state, so that states that differ in nothing that matters have one key.
+type stateKey []byte
+
+func (k *stateKey) number(numbers ...uint64) {
+	for _, n := range numbers {
+		*k = binary.AppendUvarint(*k, n)
+	}
+}
+
+func (k *stateKey) flag(flags ...bool) {
+	for _, set := range flags {
+		if set {
+			*k = append(*k, '+')
 		} else {
-			b = append(b, '-')
+			*k = append(*k, '-')
 		}
 	}
-	for _, name := range w.m.memberNames() {
-		o := w.m.Members[name]
-		num(o.Incarnation)
-		num(o.StatusSequence)
-		yes(o.Suspected)
-		b = append(b, o.Phase...)
-		b = append(append(b, o.Revision...), o.TargetRevision...)
+}
+
+func (k *stateKey) text(texts ...string) {
+	for _, text := range texts {
+		*k = append(append(*k, text...), ' ')
 	}
-	for _, n := range w.m.PermitNumbers() {
-		p := w.m.Permits[n]
-		num(n)
-		b = append(append(b, p.Subject...), p.Revision...)
-		num(p.Incarnation)
-		yes(p.ActivatedAt > 0)
+}
+
+func (m *model) key() string {
+	k := make(stateKey, 0, 256)
+	m.machine.addTo(&k)
+	for _, p := range m.processes {
+		k.number(p.incarnation, p.sequence, p.returned, p.permit)
+		k.flag(p.down)
+		k.text(p.revision)
 	}
-	num(w.m.LastPermit)
-	if r := w.m.Release; r != nil {
-		b = append(b, r.State...)
-		yes(r.RollingBack)
+	codes := make([]uint64, 0, len(m.messages))
+	for message := range m.messages {
+		codes = append(codes, message.code())
 	}
-	for _, p := range w.p {
-		num(p.inc)
-		num(p.seq)
-		yes(p.out)
-		num(p.gave)
-		num(p.why)
-		b = append(b, p.rev...)
+	slices.Sort(codes)
+	k.number(codes...)
+	k.flag(m.haltAcknowledged, m.haltLeft, m.rollbackLeft)
+	k.number(uint64(m.crashesLeft), uint64(m.suspicionsLeft), uint64(m.returnsLeft))
+	return string(k)
+}
+
+func (m *StateMachine) addTo(k *stateKey) {
+	for _, name := range m.memberNames() {
+		member := m.Members[name]
+		k.number(member.Incarnation, member.StatusSequence)
+		k.flag(member.Suspected)
+		k.text(string(member.Phase), member.Revision, member.TargetRevision)
 	}
-	var codes [64]uint64
-	words := codes[:0]
-	for x := range w.words {
-		words = append(words, x.code())
+	for _, number := range m.PermitNumbers() {
+		permit := m.Permits[number]
+		k.number(number, permit.Incarnation)
+		k.text(permit.Subject, permit.Revision)
+		k.flag(permit.ActivatedAt > 0)
 	}
-	slices.Sort(words)
-	for _, x := range words {
-		num(x)
+	k.number(m.LastPermit)
+	if release := m.Release; release != nil {
+		k.text(string(release.State))
+		k.flag(release.RollingBack)
 	}
-	yes(w.halted)
-	yes(w.halt)
-	yes(w.back)
-	num(uint64(w.crash))
-	num(uint64(w.doubt))
-	num(uint64(w.mind))
-	return string(b)
 }
 
-// code orders words.
-func (x word) code() uint64 {
-	c := uint64(x.kind)<<40 | uint64(x.who)<<36 | x.inc<<24 | x.n<<8
-	for i, y := range []bool{x.out, x.answers, x.rev == "new"} {
-		if y {
-			c |= 1 << i
+// code numbers the message, no other of the search has the same.
+func (m message) code() uint64 {
+	code := uint64(m.kind)<<40 | uint64(m.process)<<36 | m.incarnation<<24 | m.number<<8
+	for i, flag := range []bool{m.down, m.revision == "new"} {
+		if flag {
+			code |= 1 << i
 		}
 	}
-	return c
+	return code
 }
 
-// prune forgets words that can change nothing any more, whatever comes.
-func (w *world) prune() {
-	maps.DeleteFunc(w.words, func(x word, _ bool) bool {
-		o, p := w.m.Members[name(x.who)], w.p[x.who]
-		switch {
-		case x.answers:
-			return p.inc > x.inc || p.out || x.n <= p.gave
-		case x.kind == 's':
-			return x.inc < o.Incarnation || (x.inc == o.Incarnation && x.n <= o.StatusSequence)
+// prune drops messages that can change nothing any more, whatever comes.
+func (m *model) prune() {
+	maps.DeleteFunc(m.messages, func(sent message, _ bool) bool {
+		member, p := m.machine.Members[processName(sent.process)], m.processes[sent.process]
+		switch sent.kind {
+		case shutdownAnswer:
+			return p.incarnation > sent.incarnation || p.down || sent.number <= p.returned
+		case statusMessage:
+			return sent.incarnation < member.Incarnation ||
+				(sent.incarnation == member.Incarnation && sent.number <= member.StatusSequence)
+		default:
+			return sent.incarnation < member.Incarnation || m.machine.Permits[sent.number] == nil
 		}
-		return x.inc < o.Incarnation || w.m.Permits[x.n] == nil
 	})
 }
 
-func name(i int) string { return string(rune('a' + i)) }
-
-func (w *world) apply(c Command) Result {
-	c.At = time.Second
-	r := w.m.Apply(c)
-	if rel := w.m.Release; rel != nil {
-		switch rel.State {
+func (m *model) apply(command Command) Result {
+	command.At = time.Second
+	result := m.machine.Apply(command)
+	if release := m.machine.Release; release != nil {
+		switch release.State {
 		case Halted:
-			w.halted = true
+			m.haltAcknowledged = true
 		case Running:
-			w.halted = false
+			m.haltAcknowledged = false
+		case Halting, Done:
 		}
 	}
-	return r
+	return result
 }
 
-// send is a word on its way; what is told next to nobody is not sent again.
-func (w *world) send(x word) { w.words[x] = true }
+func (m *model) send(sent message) { m.messages[sent] = true }
 
-// phase is the state of a process as a word.
-func (w *world) phase(i int) word {
-	p := w.p[i]
-	return word{kind: 's', who: i, inc: p.inc, n: p.seq, out: p.out, rev: p.rev}
+func (m *model) sendStatus(i int) {
+	p := m.processes[i]
+	m.send(message{
+		kind: statusMessage, process: i, incarnation: p.incarnation, number: p.sequence, down: p.down,
+		revision: p.revision,
+	})
 }
 
-// arrive hands a word to the machine, or its answer to the process.
-func (w *world) arrive(x word) {
-	p := &w.p[x.who]
-	switch {
-	case x.answers: // the go
-		if p.inc == x.inc && !p.out && x.n > p.gave {
-			w.goOut(x.who, x.n)
+// deliver hands a message to the state machine, or an answer to its process.
+func (m *model) deliver(sent message) {
+	p, name := &m.processes[sent.process], processName(sent.process)
+	reference := &PermitReference{name, sent.incarnation, sent.number}
+	switch sent.kind {
+	case shutdownAnswer:
+		if p.incarnation == sent.incarnation && !p.down && sent.number > p.returned {
+			m.shutDown(sent.process, sent.number)
 		}
-	case x.kind == 's':
+	case statusMessage:
 		phase := Serving
-		if x.out {
+		if sent.down {
 			phase = Draining
 		}
-		w.apply(Command{ReportStatus: &ReportStatus{Name: name(x.who), Zone: "r", Incarnation: x.inc, StatusSequence: x.n, Revision: x.rev, Phase: phase}})
-	case x.kind == 'b':
-		if w.apply(Command{ActivatePermit: &PermitReference{name(x.who), x.inc, x.n}}).Shutdown {
-			y := x
-			y.answers = true
-			w.send(y)
+		m.apply(Command{ReportStatus: &ReportStatus{
+			Name: name, Zone: "z", Incarnation: sent.incarnation, StatusSequence: sent.number,
+			Revision: sent.revision, Phase: phase,
+		}})
+	case activationMessage:
+		if m.apply(Command{ActivatePermit: reference}).Shutdown {
+			answer := sent
+			answer.kind = shutdownAnswer
+			m.send(answer)
 		}
-	case x.kind == 'r':
-		w.apply(Command{ReturnPermit: &PermitReference{name(x.who), x.inc, x.n}})
+	case returnMessage:
+		m.apply(Command{ReturnPermit: reference})
 	}
 }
 
-// goOut is what all is about: a process goes out by choice.
-func (w *world) goOut(i int, permit uint64) {
-	for k, o := range w.p {
-		if k != i && o.out {
-			w.wrong = fmt.Sprintf("%s goes out while %s is out", name(i), name(k))
+// shutDown lets a process shut down by choice, which must hold to the budget of one and to an acknowledged halt.
+func (m *model) shutDown(i int, permit uint64) {
+	for other, p := range m.processes {
+		if other != i && p.down {
+			m.violation = fmt.Sprintf("%s shuts down while %s is down", processName(i), processName(other))
 		}
 	}
-	if w.halted {
-		w.wrong = name(i) + " goes out after a halt was acknowledged"
+	if m.haltAcknowledged {
+		m.violation = processName(i) + " shuts down after a halt was acknowledged"
 	}
-	p := &w.p[i]
-	p.out, p.why = true, permit
-	p.seq++
-	w.send(w.phase(i))
+	p := &m.processes[i]
+	p.down, p.permit = true, permit
+	p.sequence++
+	m.sendStatus(i)
 }
 
-// start lets a process of that name start on the revision that the log names.
-func (w *world) start(i int) {
-	p := &w.p[i]
-	p.inc, p.seq, p.out, p.gave, p.why = p.inc+1, 1, false, 0, 0
-	p.rev = w.m.Members[name(i)].TargetRevision
-	w.send(w.phase(i))
+// start lets the next process start, on the revision that the log names.
+func (m *model) start(i int) {
+	p := &m.processes[i]
+	*p = process{
+		incarnation: p.incarnation + 1, sequence: 1,
+		revision: m.machine.Members[processName(i)].TargetRevision,
+	}
+	m.sendStatus(i)
 }
 
-// steps lists all that may happen next.
-func (w *world) steps() (all []func(*world)) {
-	add := func(f func(*world)) { all = append(all, f) }
-	for x := range w.words {
-		add(func(n *world) { n.arrive(x) })
+// steps returns all that may happen next.
+func (m *model) steps() []func(*model) {
+	var steps []func(*model)
+	add := func(step func(*model)) { steps = append(steps, step) }
+	for sent := range m.messages {
+		add(func(next *model) { next.deliver(sent) })
 	}
-	for i, p := range w.p {
-		for _, number := range w.m.PermitNumbers() {
-			g := w.m.Permits[number]
-			if g.Subject == name(i) && g.Incarnation == p.inc && !p.out && number > p.gave {
-				add(func(n *world) { n.send(word{kind: 'b', who: i, inc: p.inc, n: number}) })
-				if w.mind > 0 { // it may also change its mind, asked or not
-					add(func(n *world) {
-						n.mind--
-						n.p[i].gave = number
-						n.send(word{kind: 'r', who: i, inc: p.inc, n: number})
-					})
-				}
-			}
-		}
-		if p.out {
-			add(func(n *world) { n.start(i) })
-		}
-		if w.crash > 0 {
-			add(func(n *world) { n.crash--; n.start(i) })
-		}
-		if o := w.m.Members[name(i)]; w.doubt > 0 && !o.Suspected {
-			add(func(n *world) { n.doubt--; n.apply(Command{Suspect: &Suspect{name(i), o.Incarnation}}) })
+	for i := range m.processes {
+		steps = append(steps, m.permitSteps(i)...)
+		steps = append(steps, m.processSteps(i)...)
+	}
+	if m.haltLeft {
+		add(func(next *model) {
+			next.haltLeft = false
+			next.apply(Command{Halt: &Halt{"operator"}})
+		})
+	}
+	if m.rollbackLeft && !m.haltLeft {
+		add(func(next *model) {
+			next.rollbackLeft = false
+			next.apply(Command{Rollback: &struct{}{}})
+		})
+	}
+	return steps
+}
+
+// permitSteps returns what a process may do on permits: activate them, or return them, activated or not.
+func (m *model) permitSteps(i int) []func(*model) {
+	var steps []func(*model)
+	p := m.processes[i]
+	for _, number := range m.machine.PermitNumbers() {
+		permit := m.machine.Permits[number]
+		if permit.Subject != processName(i) || permit.Incarnation != p.incarnation || p.down || number <= p.returned {
+			continue
 		}
-		if o := w.m.Members[name(i)]; o.Suspected && o.Incarnation == p.inc && o.StatusSequence == p.seq { // it learns that it is doubted, and says more
-			add(func(n *world) { n.p[i].seq++; n.send(n.phase(i)) })
+		reference := message{process: i, incarnation: p.incarnation, number: number}
+		steps = append(steps, func(next *model) {
+			reference.kind = activationMessage
+			next.send(reference)
+		})
+		if m.returnsLeft > 0 {
+			steps = append(steps, func(next *model) {
+				next.returnsLeft--
+				next.processes[i].returned = number
+				reference.kind = returnMessage
+				next.send(reference)
+			})
 		}
 	}
-	if w.halt {
-		add(func(n *world) { n.halt = false; n.apply(Command{Halt: &Halt{"operator"}}) })
+	return steps
+}
+
+// processSteps returns what may happen to a process: a start, a crash, a suspicion, and the report that withdraws it.
+func (m *model) processSteps(i int) []func(*model) {
+	var steps []func(*model)
+	p, member := m.processes[i], m.machine.Members[processName(i)]
+	if p.down {
+		steps = append(steps, func(next *model) { next.start(i) })
+	}
+	if m.crashesLeft > 0 {
+		steps = append(steps, func(next *model) {
+			next.crashesLeft--
+			next.start(i)
+		})
+	}
+	if m.suspicionsLeft > 0 && !member.Suspected {
+		steps = append(steps, func(next *model) {
+			next.suspicionsLeft--
+			next.apply(Command{Suspect: &Suspect{processName(i), member.Incarnation}})
+		})
 	}
-	if w.back && !w.halt {
-		add(func(n *world) { n.back = false; n.apply(Command{Rollback: &struct{}{}}) })
+	if member.Suspected && member.Incarnation == p.incarnation && member.StatusSequence == p.sequence {
+		steps = append(steps, func(next *model) {
+			next.processes[i].sequence++
+			next.sendStatus(i)
+		})
 	}
-	return all
+	return steps
 }
 
-func small(t testing.TB, members int) *world {
+// newModel returns a fleet whose release has just started, with a report of each member still on its way.
+func newModel(t *testing.T, members int) *model {
 	t.Helper()
-	set := Defaults()
-	set.FrontEnds, set.Rollback = Budget{Max: 1}, Budget{Max: 1}
-	set.CrashLoop, set.Analyzer.MinRequests = 5, 0
-	m, err := New(set)
-	if err != nil {
-		t.Fatal(err)
+	settings := Defaults()
+	settings.FrontEnds, settings.Rollback = Budget{Max: 1}, Budget{Max: 1}
+	settings.CrashLoop, settings.Analyzer.MinRequests = 5, 0
+	machine, err := New(settings)
+	require.NoError(t, err)
+	m := &model{
+		machine: machine, messages: map[message]bool{}, haltLeft: true, rollbackLeft: true, returnsLeft: 1,
 	}
-	w := &world{m: m, words: map[word]bool{}, halt: true, back: true, mind: 1}
 	for i := range members {
-		w.p = append(w.p, process{inc: 1, seq: 1, rev: "old"})
-		w.apply(Command{ReportStatus: &ReportStatus{Name: name(i), Zone: "r", Incarnation: 1, StatusSequence: 1, Revision: "old", Phase: Serving}})
-		// A word from before the release that is still on its way.
-		w.send(w.phase(i))
+		m.processes = append(m.processes, process{incarnation: 1, sequence: 1, revision: "old"})
+		m.sendStatus(i)
+		for sent := range m.messages {
+			m.deliver(sent)
+		}
 	}
-	w.apply(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.3, 1}}})
-	return w
+	m.apply(Command{StartRelease: &StartRelease{Revision: "new", Waves: []float64{0.3, 1}}})
+	return m
 }
 
-// explore walks all states within so many, and tells the first that is wrong.
-func explore(w *world, most int) (states int, wrong string, whole bool) {
-	seen := map[string]bool{w.key(): true}
-	next := []*world{w}
-	for len(next) > 0 {
-		now := next[0]
-		next = next[1:]
+// explore walks the states that can be reached, up to a limit. It returns how many it has seen, the first violation,
+// and whether it has seen all.
+func explore(start *model, limit int) (states int, violation string, complete bool) {
+	seen := map[string]bool{start.key(): true}
+	queue := []*model{start}
+	for len(queue) > 0 {
+		now := queue[0]
+		queue = queue[1:]
 		for _, step := range now.steps() {
-			n := now.clone()
-			step(n)
-			n.prune()
-			if n.wrong != "" {
-				return len(seen), n.wrong, false
+			next := now.clone()
+			step(next)
+			next.prune()
+			if next.violation != "" {
+				return len(seen), next.violation, false
 			}
-			if k := n.key(); !seen[k] {
-				seen[k] = true
-				if len(seen) >= most {
+			if key := next.key(); !seen[key] {
+				seen[key] = true
+				if len(seen) >= limit {
 					return len(seen), "", false
 				}
-				next = append(next, n)
+				queue = append(queue, next)
 			}
 		}
 	}
 	return len(seen), "", true
 }
 
-// Every order of words between three front ends, with a crash, a doubt, a halt and a way back at each moment.
+// Every order of messages, with a crash, a suspicion, a halt and a rollback at each moment.
 func TestSearchEveryOrder(t *testing.T) {
 	for _, c := range []struct {
-		members, crash, doubt int
-		halt, back            bool
-		least                 int // states, so that a search that sees nothing does not pass for one that finds nothing
+		name                        string
+		members, crashes, suspicion int
+		minStates                   int // so that a search that sees nothing does not pass for one that finds nothing
 	}{
-		{2, 1, 1, true, true, 2000},
-		{3, 0, 0, true, true, 500},
-		{3, 1, 0, true, true, 5000},
-		{3, 1, 1, true, true, 50_000},
+		{"two members", 2, 1, 1, 2000},
+		{"three members without failures", 3, 0, 0, 500},
+		{"three members with a crash", 3, 1, 0, 5000},
+		{"three members with a crash and a suspicion", 3, 1, 1, 50_000},
 	} {
-		if raceDetector && c.least > 10_000 {
-			continue // the plain run of 'make check' has it
-		}
-		w := small(t, c.members)
-		w.crash, w.doubt, w.halt, w.back = c.crash, c.doubt, c.halt, c.back
-		n, wrong, whole := explore(w, 1_000_000)
-		t.Logf("%+v: %d states", c, n)
-		if wrong != "" || !whole || n < c.least {
-			t.Errorf("%+v: %q after %d states, all of them: %v", c, wrong, n, whole)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if raceDetector && c.minStates > 10_000 {
+				t.Skip("too many states for the race detector: 'make check' has a run without it")
+			}
+			m := newModel(t, c.members)
+			m.crashesLeft, m.suspicionsLeft = c.crashes, c.suspicion
+			states, violation, complete := explore(m, 1_000_000)
+			t.Logf("%d states", states)
+			assert.Empty(t, violation)
+			assert.True(t, complete)
+			assert.GreaterOrEqual(t, states, c.minStates)
+		})
 	}
 }
