--- /dev/null
+++ b/decision/diskrecovery/policy.go
@@ -0,0 +1,163 @@
+package diskrecovery
+
+import (
+	"fmt"
+	"time"
+)
+
+// Failure is how a disk failed.
+type Failure int
+
+// The kinds of failure.
+const (
+	NoSpace           Failure = iota // the disk rejected a write
+	DurabilityUnknown                // what was written may be there or not
+	OpenFailed                       // the log can't be opened
+)
+
+// Action is what to do now.
+type Action int
+
+// The actions.
+const (
+	None         Action = iota // the log is open
+	Wait                       // ask again later
+	Reopen                     // open the log under its identity
+	Reinitialize               // set the log aside and begin as a new replica, with an empty one
+)
+
+// Quorum tells whether the other replicas have a quorum without this one.
+type Quorum bool
+
+// The values of Quorum.
+const (
+	NoQuorum        Quorum = false
+	QuorumAvailable Quorum = true
+)
+
+// Settings are the time limits of the decisions.
+type Settings struct {
+	MinBackoff, MaxBackoff time.Duration // between attempts to open the log
+	StableAfter            time.Duration // how long the log is open before the next failure counts as the first
+}
+
+// Defaults returns the settings of a control replica.
+func Defaults() Settings {
+	return Settings{
+		MinBackoff:  time.Second,      // as long as an election takes
+		MaxBackoff:  30 * time.Second, // each attempt makes the others contact a replica that is behind
+		StableAfter: time.Minute,      // several times what an attempt and an election take
+	}
+}
+
+// Check returns an error that names the first setting that can't be used.
+func (s Settings) Check() error {
+	switch {
+	case s.MinBackoff <= 0:
+		return &SettingError{Name: "MinBackoff", Found: s.MinBackoff}
+	case s.MaxBackoff < s.MinBackoff:
+		return &SettingError{Name: "MaxBackoff", Found: s.MaxBackoff, Min: s.MinBackoff}
+	case s.StableAfter <= 0:
+		return &SettingError{Name: "StableAfter", Found: s.StableAfter}
+	}
+	return nil
+}
+
+// SettingError tells of a setting that can't be used.
+type SettingError struct {
+	Name       string
+	Found, Min time.Duration // Min is 0 where any positive value is allowed
+}
+
+func (e *SettingError) Error() string {
+	if e.Min > 0 {
+		return fmt.Sprintf("diskrecovery: %s: found %v, allowed is %v or more", e.Name, e.Found, e.Min)
+	}
+	return fmt.Sprintf("diskrecovery: %s: found %v, allowed is more than 0", e.Name, e.Found)
+}
+
+// Policy is what a control replica knows of its own disk.
+type Policy struct {
+	settings          Settings
+	failed            bool // the log is not open
+	durabilityUnknown bool // the log must not be opened under its identity
+	openSince         time.Duration
+	nextAttempt       time.Duration // no attempt before
+	backoff           time.Duration // before the attempt after the next
+	quorum            Quorum        // as told last
+}
+
+// New returns the policy of a replica whose log has just been opened.
+func New(settings Settings, now time.Duration) (*Policy, error) {
+	if err := settings.Check(); err != nil {
+		return nil, err
+	}
+	return &Policy{settings: settings, openSince: now, nextAttempt: now, backoff: settings.MinBackoff}, nil
+}
+
+// NewMarked returns the policy of a replica whose log was not opened, because an earlier process has marked it as of
+// unknown durability.
+func NewMarked(settings Settings, now time.Duration) (*Policy, error) {
+	p, err := New(settings, now)
+	if err != nil {
+		return nil, err
+	}
+	p.failed, p.durabilityUnknown = true, true
+	return p, nil
+}
+
+// Failed tells that the disk has failed. The log is not open from then on. Several writes often tell of one failure.
+func (p *Policy) Failed(now time.Duration, failure Failure) {
+	p.durabilityUnknown = p.durabilityUnknown || failure == DurabilityUnknown
+	if p.failed && failure != OpenFailed {
+		return
+	}
+	if !p.failed && now-p.openSince >= p.settings.StableAfter {
+		p.backoff = p.settings.MinBackoff
+	}
+	p.failed = true
+	p.nextAttempt = now + p.backoff
+	p.backoff = min(2*p.backoff, p.settings.MaxBackoff)
+}
+
+// Reopened tells that the log is open under its identity. A log of unknown durability stays so, as it was not to be
+// opened.
+func (p *Policy) Reopened(now time.Duration) {
+	if !p.durabilityUnknown {
+		p.failed, p.openSince = false, now
+	}
+}
+
+// Reinitialized tells that an empty log is open under a new identity.
+func (p *Policy) Reinitialized(now time.Duration) {
+	p.failed, p.durabilityUnknown, p.openSince = false, false, now
+}
+
+// Next returns what to do now. The quorum must have been observed after the failure.
+func (p *Policy) Next(now time.Duration, quorum Quorum) Action {
+	p.quorum = quorum
+	switch {
+	case !p.failed:
+		return None
+	case now < p.nextAttempt:
+		return Wait
+	case !p.durabilityUnknown:
+		return Reopen
+	case quorum == QuorumAvailable:
+		return Reinitialize
+	}
+	return Wait
+}
+
+// Reason tells operators why the log is not open; empty where it is.
+func (p *Policy) Reason() string {
+	switch {
+	case !p.failed:
+		return ""
+	case p.durabilityUnknown && p.quorum == NoQuorum:
+		return "durability unknown, and no quorum without this replica"
+	case p.durabilityUnknown:
+		return "durability unknown, to be reinitialized"
+	}
+	return "disk failed, to be reopened"
+}
--- a/decision/diskrecovery/recorded_test.go
+++ b/decision/diskrecovery/recorded_test.go
@@ -1,36 +1,19 @@
 package diskrecovery_test
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 
 	"beechcart/decision/diskrecovery"
+	"beechcart/internal/recorded"
 )
 
-// checkRecorded compares bytes with those that a file of testdata/recorded holds. A missing file is written where
-// RECORD=1 is set, and fails the test elsewhere; one that exists is never written.
-func checkRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, got, 0o644))
-		return
-	}
-	require.NoError(t, err)
-	require.True(t, bytes.Equal(want, got), "%s: recorded\n%s\nfound\n%s", path, want, got)
-}
-
 const (
 	failures = 3                // kinds of failure
 	events   = failures + 2 + 2 // failures, openings, questions
@@ -50,26 +33,30 @@
 	Hash      string         `json:"hash"`
 }
 
-// play tells a new decider of events, each an event and the pause before it, and hands what it answers to note.
-func play(t *testing.T, marked bool, sequence []int, note func(answer int, reason string)) {
-	t.Helper()
-	k, err := diskrecovery.New(diskrecovery.Defaults(), 0, marked)
-	require.NoError(t, err)
+// starts are the policies of a disk that is well and of one that is marked.
+var starts = []func(diskrecovery.Settings, time.Duration) (*diskrecovery.Policy, error){
+	diskrecovery.New, diskrecovery.NewMarked,
+}
+
+// play tells a policy of events, each an event and the pause before it, and hands what it answers to note.
+func play(policy *diskrecovery.Policy, sequence []int, note func(answer int, reason string)) {
 	now := time.Duration(0)
+	ask := func(quorum diskrecovery.Quorum) { note(int(policy.Next(now, quorum)), policy.Reason()) }
 	for _, choice := range sequence {
 		now += pauses[choice/events]
 		switch event := choice % events; {
 		case event < failures:
-			k.Failed(now, diskrecovery.Kind(event))
-		case event < failures+2:
-			k.Opened(now, event == failures+1)
+			policy.Failed(now, diskrecovery.Failure(event))
+		case event == failures:
+			policy.Reopened(now)
+		case event == failures+1:
+			policy.Reinitialized(now)
 		default:
-			note(int(k.Next(now, event == events-1)), k.Why())
+			ask(event == events-1)
 		}
 	}
-	for _, agreed := range []bool{false, true} {
-		note(int(k.Next(now, agreed)), k.Why())
-	}
+	ask(diskrecovery.NoQuorum)
+	ask(diskrecovery.QuorumAvailable)
 }
 
 // sequences calls f with every sequence of depth choices, then with longer ones that are drawn.
@@ -100,15 +87,17 @@
 // answers to both questions, and how often each answer was given. A reason counts by the order in which it first came.
 func TestRecordedSequences(t *testing.T) {
 	var outcomes []outcome
-	for _, marked := range []bool{false, true} {
-		hash, o, reasons := fnv.New64a(), outcome{Marked: marked, Answers: map[string]int{}}, map[string]int{}
+	for i, start := range starts {
+		hash, o, reasons := fnv.New64a(), outcome{Marked: i == 1, Answers: map[string]int{}}, map[string]int{}
 		sequences(func(sequence []int) {
 			o.Sequences++
-			play(t, marked, sequence, func(answer int, reason string) {
+			policy, err := start(diskrecovery.Defaults(), 0)
+			require.NoError(t, err)
+			play(policy, sequence, func(answer int, reason string) {
 				if _, known := reasons[reason]; !known {
 					reasons[reason] = len(reasons)
 				}
-				hash.Write([]byte{byte(answer), byte(reasons[reason])})
+				_, _ = hash.Write([]byte{byte(answer), byte(reasons[reason])})
 				o.Answers[fmt.Sprintf("%d, reason %d", answer, reasons[reason])]++
 			})
 		})
@@ -117,5 +106,5 @@
 	}
 	text, err := json.MarshalIndent(outcomes, "", "  ")
 	require.NoError(t, err)
-	checkRecorded(t, "sequences.json", append(text, '\n'))
+	recorded.Compare(t, "sequences.json", append(text, '\n'))
 }
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -94,11 +94,11 @@
 func (e *diskError) Unwrap() error { return e.why }
 
 // kindOf is what a failure says of the disk. Only want of room proves that what is there holds.
-func kindOf(err error) diskrecovery.Kind {
+func kindOf(err error) diskrecovery.Failure {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
-		return diskrecovery.Full
+		return diskrecovery.NoSpace
 	}
-	return diskrecovery.Doubt
+	return diskrecovery.DurabilityUnknown
 }
 
 // StoreLog implements raft.LogStore.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -153,7 +153,7 @@
 	_, err = k.Apply(rollout.Command{Tick: &struct{}{}})
 	require.Error(t, err)
 	<-k.disk.failed
-	assert.Equal(t, diskrecovery.Full, kindOf(k.disk.reason()))
+	assert.Equal(t, diskrecovery.NoSpace, kindOf(k.disk.reason()))
 	assert.Error(t, k.disk.Set([]byte("a"), []byte("b")), "nothing more is written after a failure")
 	require.Eventually(t, func() bool { return k.raft.State() == raft.Candidate }, 10*time.Second, 10*time.Millisecond, "it stands for election")
 	ended := make(chan bool, 1)
@@ -204,16 +204,16 @@
 }
 
 func TestOnlyWantOfRoomProvesWhatIsThere(t *testing.T) {
-	for word, want := range map[string]diskrecovery.Kind{"full": diskrecovery.Full, "sync": diskrecovery.Doubt} {
+	for word, want := range map[string]diskrecovery.Failure{"full": diskrecovery.NoSpace, "sync": diskrecovery.DurabilityUnknown} {
 		path := filepath.Join(t.TempDir(), "fault")
 		require.NoError(t, os.WriteFile(path, []byte(word), 0o600))
 		wrote := false
 		err := spoil(path, func() error { wrote = true; return nil })
 		require.Error(t, err)
 		assert.Equal(t, want, kindOf(err))
-		assert.Equal(t, want == diskrecovery.Doubt, wrote)
+		assert.Equal(t, want == diskrecovery.DurabilityUnknown, wrote)
 	}
-	assert.Equal(t, diskrecovery.Doubt, kindOf(io.ErrUnexpectedEOF), "what is not known is a doubt")
+	assert.Equal(t, diskrecovery.DurabilityUnknown, kindOf(io.ErrUnexpectedEOF), "what is not known is a doubt")
 }
 
 func TestCallsNeedTheKey(t *testing.T) {
--- a/internal/fleet/keeping.go
+++ b/internal/fleet/keeping.go
@@ -13,7 +13,11 @@
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
 	doubt := marked(m.opt.Dir)
-	decide, err := diskrecovery.New(diskrecovery.Defaults(), now(), doubt)
+	newPolicy := diskrecovery.New
+	if doubt {
+		newPolicy = diskrecovery.NewMarked
+	}
+	decide, err := newPolicy(diskrecovery.Defaults(), now())
 	if err != nil {
 		return err
 	}
@@ -35,7 +39,7 @@
 const lookAgain = 200 * time.Millisecond
 
 // keep keeps the log, and goes out and comes back as decide tells, until the member ends. The front end serves on meanwhile.
-func (m *Member) keep(k *Keeper, decide *diskrecovery.Keeper, now func() time.Duration) {
+func (m *Member) keep(k *Keeper, decide *diskrecovery.Policy, now func() time.Duration) {
 	defer m.done.Done()
 	for told := ""; ; {
 		if k != nil {
@@ -46,19 +50,19 @@
 			m.failed(decide, now(), k.disk.reason())
 			k = nil
 		}
-		step := decide.Next(now(), m.agreed())
-		if why := decide.Why(); why != told && why != "" {
+		step := decide.Next(now(), diskrecovery.Quorum(m.agreed()))
+		if why := decide.Reason(); why != told && why != "" {
 			told = why
 			m.log.Warn("the log is not kept here", "why", why)
 		}
-		if step == diskrecovery.Rest {
+		if step == diskrecovery.Wait {
 			if !m.rest(lookAgain) {
 				return
 			}
 			continue
 		}
 		var err error
-		if step == diskrecovery.Anew {
+		if step == diskrecovery.Reinitialize {
 			err = setAside(m.opt.Dir)
 		}
 		if err == nil {
@@ -71,18 +75,22 @@
 			if errors.As(err, &bad) {
 				m.failed(decide, now(), err)
 			}
-			decide.Failed(now(), diskrecovery.Closed)
+			decide.Failed(now(), diskrecovery.OpenFailed)
 			continue
 		}
-		decide.Opened(now(), step == diskrecovery.Anew)
-		m.log.Info("the log is kept again", "identity", k.id, "anew", step == diskrecovery.Anew)
+		if step == diskrecovery.Reinitialize {
+			decide.Reinitialized(now())
+		} else {
+			decide.Reopened(now())
+		}
+		m.log.Info("the log is kept again", "identity", k.id, "anew", step == diskrecovery.Reinitialize)
 	}
 }
 
 // failed tells of a failure of the disk, and marks a doubt for whatever process comes after.
-func (m *Member) failed(decide *diskrecovery.Keeper, now time.Duration, why error) {
+func (m *Member) failed(decide *diskrecovery.Policy, now time.Duration, why error) {
 	kind := kindOf(why)
-	if kind == diskrecovery.Doubt {
+	if kind == diskrecovery.DurabilityUnknown {
 		if err := setMark(m.opt.Dir, why); err != nil {
 			m.log.Error("a doubt can't be marked on the disk", "error", err)
 		}
