--- a/admission/ramp_greedy_test.go
+++ b/admission/slowstart_greedy_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// greedyFleet is front ends that send a cold engine all that its budget lets through, from queues that never run dry:
-// the most that the sum of the parts can come to, whatever the traffic.
+// greedyFleet is front ends that send a warming engine all that its budget lets through, from queues that never run
+// dry: the most that the sum of the parts can come to, whatever the traffic.
 type greedyFleet struct {
 	set   Settings
 	ctls  []*greedyController
@@ -16,7 +16,7 @@
 	heavy float64   // part of the requests that are of the second class
 	mean  float64   // of a request, in seconds
 	list  []Engine
-	got   map[uint32][]rampSend
+	got   map[uint32][]observedSend
 	seed  uint64
 	rng   *rand.Rand
 }
@@ -28,8 +28,8 @@
 	ends  time.Duration            // when its process ends; 0: not for now
 }
 
-// greedyTroubles are what differs between the front ends of a greedy fleet.
-type greedyTroubles struct {
+// greedyFaults are what differs between the front ends of a greedy fleet.
+type greedyFaults struct {
 	staggered bool // engines start over 4 s
 	lateLists bool // ... and a third of the front ends hear of each start up to 2.5 s late
 	restarts  bool // two front ends a second are replaced by fresh ones
@@ -39,40 +39,44 @@
 }
 
 // newGreedyFleet draws the list, the settings and the mix from the seed.
-func newGreedyFleet(t *testing.T, seed uint64, troubles greedyTroubles) *greedyFleet {
+func newGreedyFleet(t *testing.T, seed uint64, faults greedyFaults) *greedyFleet {
+	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 11))
-	set := base()
+	set := baseSettings()
 	set.Replicas = 20 + r.IntN(11)
-	set.FallWindow, set.Cold, set.ColdFrom = sec, rampCold, rampFrom
-	set.FallMultiple = float64(2 + r.IntN(3))
+	set.SlowStart = SlowStart{
+		Duration: slowStartDuration, InitialCapacity: slowStartCapacity,
+		OverloadMultiple: float64(2 + r.IntN(3)), OverloadWindow: sec,
+	}
 	cores := 4 + 4*r.IntN(3)
 	set.Kinds = []Kind{{Cores: cores, MemoryMB: 24576}, {Cores: cores * (1 + 2*r.IntN(2)), MemoryMB: 24576}}
-	f := &greedyFleet{set: set, seed: seed, rng: r, list: engines(4 + r.IntN(27)), got: map[uint32][]rampSend{}}
+	f := &greedyFleet{set: set, seed: seed, rng: r, list: newEngines(4 + r.IntN(27)), got: map[uint32][]observedSend{}}
 	light := 0.02 * math.Pow(50, r.Float64())
 	f.works = []float64{light, light * math.Pow(20, r.Float64())}
 	f.heavy = 0.05 + 0.3*r.Float64()
-	if troubles.fewHeavy {
-		f.set.FallMultiple, f.set.Kinds = 2, []Kind{{Cores: 4, MemoryMB: 24576}, {Cores: 4, MemoryMB: 24576}}
+	if faults.fewHeavy {
+		f.set.SlowStart.OverloadMultiple, f.set.Kinds = 2, []Kind{{Cores: 4, MemoryMB: 24576}, {Cores: 4, MemoryMB: 24576}}
 		f.works, f.heavy = []float64{light / 4, light * 5}, 0.1
 	}
 	f.mean = f.works[0]*(1-f.heavy) + f.works[1]*f.heavy
 	for i := range f.list {
 		f.list[i].ID = r.Uint32()
 		if r.IntN(3) > 0 {
-			f.list[i].Started = rampBegin
-			if troubles.staggered {
+			f.list[i].Started = slowStartBegin
+			if faults.staggered {
 				f.list[i].Started += time.Duration(r.IntN(4000)) * ms
 			}
 		}
 	}
 	for me := range set.Replicas {
-		f.join(t, me, rampBegin-2*sec, troubles)
+		f.join(t, me, slowStartBegin-2*sec, faults)
 	}
 	return f
 }
 
 // join starts a front end that knows the classes, and of the engines what the list says.
-func (f *greedyFleet) join(t *testing.T, me int, at time.Duration, troubles greedyTroubles) {
+func (f *greedyFleet) join(t *testing.T, me int, at time.Duration, faults greedyFaults) {
+	t.Helper()
 	one := f.set
 	one.Me = me
 	c, err := New(one, f.seed*1000+uint64(len(f.ctls)))
@@ -86,7 +90,7 @@
 		switch lag := time.Duration(f.rng.IntN(100)) * ms; {
 		case en.Started <= at:
 			list = append(list, en)
-		case troubles.lateLists && f.rng.IntN(3) == 0:
+		case faults.lateLists && f.rng.IntN(3) == 0:
 			lag = time.Duration(f.rng.IntN(2500)) * ms
 			fallthrough
 		default:
@@ -94,10 +98,10 @@
 		}
 	}
 	c.Step(at, []Event{EndpointsChanged{Kind: Persisted, Engines: list}})
-	for i := range c.classes {
-		c.classes[i].work = f.works[i]
+	for i := range c.estimates {
+		c.estimates[i].work = f.works[i]
 	}
-	c.classes[0].estN, c.classes[1].estN = 100*(1-f.heavy), 100*f.heavy
+	c.estimates[0].requests, c.estimates[1].requests = 100*(1-f.heavy), 100*f.heavy
 }
 
 // news is what a front end hears of the list by that time.
@@ -132,43 +136,45 @@
 }
 
 // send lets as many requests of that work go as the budget lets through, and books them as Controller.send does.
-func (f *greedyFleet) send(c *Controller, e *engine, work float64) {
-	for c.ready(e) < 1 && c.coldRoom(e, work) {
-		_, _, heavy := c.coldBudget(e, work)
-		e.spend(spend{c.now, work, heavy}, c.set.FallWindow)
-		f.got[e.ID] = append(f.got[e.ID], rampSend{at: c.now, work: work, informed: true})
+func (f *greedyFleet) send(c *Controller, e *engineState, work float64) {
+	for c.warmth(e) < 1 && c.slowStartAllows(e, work) {
+		c.recordSlowStartSend(e, work)
+		f.got[e.ID] = append(f.got[e.ID], observedSend{at: c.now, work: work, informed: true})
 	}
 }
 
-// restart replaces two front ends, or all, by fresh ones. With overlap the old ones are told that they end, and do so 3 s later.
-func (f *greedyFleet) restart(t *testing.T, at time.Duration, round int, troubles greedyTroubles) {
+// restart replaces two front ends, or all, by fresh ones. With overlap the old ones are told that they end, and do so 3
+// s later.
+func (f *greedyFleet) restart(t *testing.T, at time.Duration, round int, faults greedyFaults) {
+	t.Helper()
 	replaced := []int{2 * round % f.set.Replicas, (2*round + 1) % f.set.Replicas}
-	if troubles.allAnew {
+	if faults.allAnew {
 		replaced = f.rng.Perm(f.set.Replicas)
 	}
 	for _, me := range replaced {
 		old := f.ctls[me]
-		if old.ends = at; troubles.overlap {
+		if old.ends = at; faults.overlap {
 			old.ends = at + 3*sec
 			old.Step(at, []Event{ShutdownRequested{Timeout: 3 * sec}})
 		}
-		f.join(t, me, at, troubles)
+		f.join(t, me, at, faults)
 	}
 }
 
 // play lets all send for the whole ramp of all engines.
-func (f *greedyFleet) play(t *testing.T, troubles greedyTroubles) {
-	for at := rampBegin; at < rampBegin+rampCold+4*sec; at += wake {
-		age := at - rampBegin
-		if (troubles.restarts && age%sec == 0 && age < 8*sec) || (troubles.allAnew && age == 2*sec) {
-			f.restart(t, at, int(age/sec), troubles)
+func (f *greedyFleet) play(t *testing.T, faults greedyFaults) {
+	t.Helper()
+	for at := slowStartBegin; at < slowStartBegin+slowStartDuration+4*sec; at += housekeepingInterval {
+		age := at - slowStartBegin
+		if (faults.restarts && age%sec == 0 && age < 8*sec) || (faults.allAnew && age == 2*sec) {
+			f.restart(t, at, int(age/sec), faults)
 		}
 		f.step(at)
 	}
 }
 
-// judge is the fullest window, as for a ramp day.
-func (f *greedyFleet) judge() (w rampWorst) {
+// judge is the fullest window, as for a run.
+func (f *greedyFleet) judge() (w worstWindow) {
 	for _, en := range f.list {
 		w = w.fuller(fullest(f.set, en, f.mean, f.got[en.ID]))
 	}
@@ -176,8 +182,8 @@
 }
 
 // However the queues are filled, what the budgets of all front ends let through stays within what the engine bears.
-func TestRampHoldsWhenAllFrontEndsAreGreedy(t *testing.T) {
-	for name, troubles := range map[string]greedyTroubles{
+func TestSlowStartBudgetHoldsForGreedyFrontEnds(t *testing.T) {
+	for name, faults := range map[string]greedyFaults{
 		"all at once":       {},
 		"staggered":         {staggered: true},
 		"late lists":        {staggered: true, lateLists: true},
@@ -188,11 +194,11 @@
 		"late, overlapping": {staggered: true, lateLists: true, restarts: true, overlap: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var worst rampWorst
+			var worst worstWindow
 			falls := 0
-			for seed := range rampSeeds(t) {
-				f := newGreedyFleet(t, seed, troubles)
-				f.play(t, troubles)
+			for seed := range slowStartSeeds(t) {
+				f := newGreedyFleet(t, seed, faults)
+				f.play(t, faults)
 				w := f.judge()
 				if w.falls > 0 {
 					falls++
@@ -201,20 +207,20 @@
 				}
 				worst = worst.fuller(w)
 			}
-			t.Logf("%d of %d fleets with a fall; used %.2f, worst %+v", falls, rampSeeds(t), worst.used(), worst)
+			t.Logf("%d of %d fleets with a fall; used %.2f, worst %+v", falls, slowStartSeeds(t), worst.used(), worst)
 		})
 	}
 }
 
 // The same fleets with twice the budget fall: the test sees a sum of parts that is twice the whole.
-func TestRampGreedySeesTwiceTheBudget(t *testing.T) {
+func TestGreedyFleetDetectsTwiceTheBudget(t *testing.T) {
 	falls := 0
 	for seed := range uint64(3) {
-		f := newGreedyFleet(t, seed, greedyTroubles{})
+		f := newGreedyFleet(t, seed, greedyFaults{})
 		for _, g := range f.ctls {
-			g.set.FallMultiple *= 2
+			g.settings.SlowStart.OverloadMultiple *= 2
 		}
-		f.play(t, greedyTroubles{})
+		f.play(t, greedyFaults{})
 		w := f.judge()
 		t.Logf("seed %d: %+v", seed, w)
 		falls += w.falls
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -93,8 +93,8 @@
 		return err
 	}
 	defer log.Close()
-	log.Tell(true, endpointsOf(p.size.Engines)...)
-	log.Tell(false, endpointOf(0, "draining"))
+	log.Publish(true, endpointsOf(p.size.Engines)...)
+	log.Publish(false, endpointOf(0, "draining"))
 	poll := func(since int) (float64, error) {
 		_, moved, err := read(ctx, fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", log.Addr, since, pollWait.Milliseconds()))
 		return moved, err
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).Wait()
+	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).PollWait()
 	p.as(record.FrontEnd).add("change_log_idle_polls_per_second", 1/wait.Seconds())
 	p.as(record.FrontEnd).add("change_log_idle_bytes_per_second", nothing/wait.Seconds())
 	return nil
@@ -205,7 +205,7 @@
 		return nil, err
 	}
 	defer log.Close()
-	log.Tell(true, endpointsOf(engines)...)
+	log.Publish(true, endpointsOf(engines)...)
 	text, _, err := read(context.Background(), "http://"+log.Addr+"/changes?since=0&timeout=0")
 	return text, err
 }
