--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -58,7 +58,7 @@
 	}
 	go m.awaitShutdownGrant() // ends with the process
 	select {
-	case <-m.member.Known():
+	case <-m.member.Registered():
 	case <-time.After(registrationTimeout):
 		log.Warn("fleet not reached, serving without its drains")
 	}
@@ -67,23 +67,23 @@
 
 func fleetOptions(name string, settings operatorconfig.Fleet, log *slog.Logger) fleet.Options {
 	o := fleet.Options{
-		Name:       name,
-		Room:       settings.Zone,
-		Kind:       settings.Kind,
-		Revision:   settings.Revision,
-		Weight:     settings.CapacityPerSecond,
-		Gossip:     settings.GossipAddress,
-		Dir:        settings.LogDirectory,
-		Key:        settings.Key,
-		Routes:     settings.DialOverrides,
-		Settings:   rollout.Defaults(),
-		DiskFaults: settings.DiskFaultFile,
-		Skew:       settings.ClockSkew,
-		Log:        log,
+		Name:              name,
+		Zone:              settings.Zone,
+		Kind:              settings.Kind,
+		Revision:          settings.Revision,
+		CapacityPerSecond: settings.CapacityPerSecond,
+		GossipAddress:     settings.GossipAddress,
+		LogDirectory:      settings.LogDirectory,
+		Key:               settings.Key,
+		DialOverrides:     settings.DialOverrides,
+		Settings:          rollout.Defaults(),
+		DiskFaultFile:     settings.DiskFaultFile,
+		ClockSkew:         settings.ClockSkew,
+		Log:               log,
 	}
 	for _, replica := range settings.ControlReplicas {
-		o.Keepers = append(o.Keepers, fleet.Address{
-			Name: replica.Name, Log: replica.LogAddress, Ask: replica.APIAddress, Gossip: replica.GossipAddress,
+		o.ControlReplicas = append(o.ControlReplicas, fleet.ReplicaAddress{
+			Name: replica.Name, LogAddress: replica.LogAddress, APIAddress: replica.APIAddress, GossipAddress: replica.GossipAddress,
 		})
 	}
 	return o
@@ -91,7 +91,7 @@
 
 func (m *fleetMember) awaitShutdownGrant() {
 	code := exitRestart
-	if grant := <-m.member.Goes(); grant.For == rollout.Drain {
+	if grant := <-m.member.Shutdowns(); grant.Purpose == rollout.Drain {
 		code = exitDrained
 	}
 	m.shutdownGrants <- code
@@ -101,19 +101,19 @@
 func (m *fleetMember) ShutdownGrants() <-chan int { return m.shutdownGrants }
 
 // ReportServing implements membership.
-func (m *fleetMember) ReportServing() { m.member.Say(rollout.Serving) }
+func (m *fleetMember) ReportServing() { m.member.SetPhase(rollout.Serving) }
 
 // ReportDraining implements membership.
-func (m *fleetMember) ReportDraining() { m.member.Say(rollout.Draining) }
+func (m *fleetMember) ReportDraining() { m.member.SetPhase(rollout.Draining) }
 
 // Close implements membership.
 func (m *fleetMember) Close() { m.member.Close(fleetCloseTimeout) }
 
-// Veto implements fleet.Front.
-func (m *fleetMember) Veto(engines map[string]bool) { m.feed.Exclude(engines) }
+// Exclude implements fleet.Front.
+func (m *fleetMember) Exclude(engines map[string]bool) { m.feed.Exclude(engines) }
 
-// Idle implements fleet.Front.
-func (m *fleetMember) Idle(name string) bool {
+// Drained implements fleet.Front.
+func (m *fleetMember) Drained(name string) bool {
 	for _, e := range m.feed.Endpoints() {
 		if e.Name == name {
 			return m.engines.Drained(e.ID)
@@ -141,8 +141,8 @@
 	return engines
 }
 
-// Counted implements fleet.Front.
-func (m *fleetMember) Counted() rollout.RequestCounts { return requestCounts(m.counters.Map()) }
+// RequestCounts implements fleet.Front.
+func (m *fleetMember) RequestCounts() rollout.RequestCounts { return requestCounts(m.counters.Map()) }
 
 // requestCounts counts requests by their answers, each once it has ended. Requests are not counted as they begin: a
 // window in which more end than begin would have impossible counts, and a control replica discards such a window.
--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -59,10 +59,10 @@
 	if len(settings.Fleet.ControlReplicas) == 0 {
 		return nil, errors.New("settings: fleet.keepers: none is named")
 	}
-	options := &fleet.Options{Key: settings.Fleet.Key, Routes: settings.Fleet.DialOverrides}
+	options := &fleet.Options{Key: settings.Fleet.Key, DialOverrides: settings.Fleet.DialOverrides}
 	for _, replica := range settings.Fleet.ControlReplicas {
-		options.Keepers = append(options.Keepers, fleet.Address{
-			Name: replica.Name, Log: replica.LogAddress, Ask: replica.APIAddress, Gossip: replica.GossipAddress,
+		options.ControlReplicas = append(options.ControlReplicas, fleet.ReplicaAddress{
+			Name: replica.Name, LogAddress: replica.LogAddress, APIAddress: replica.APIAddress, GossipAddress: replica.GossipAddress,
 		})
 	}
 	return fleet.NewClient(options), nil
@@ -115,7 +115,7 @@
 
 // isRefused tells whether a control replica was asked and refused.
 func isRefused(err error) bool {
-	var refused *fleet.RefusedError
+	var refused *fleet.RejectedError
 	return errors.As(err, &refused)
 }
 
--- a/cmd/gatewayctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -61,7 +61,7 @@
 		return progress{}, noError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number, holder.Name)}
 	}
 	if holder.Engine {
-		return progress{permit.DrainedAt > 0, status.Blocks[holder.Name]}, nil
+		return progress{permit.DrainedAt > 0, status.DrainBlockers[holder.Name]}, nil
 	}
 	member := status.State.Members[holder.Name]
 	return progress{member != nil && member.Phase == rollout.Terminated, []string{holder.Name + " to end"}}, nil
--- a/cmd/gatewayctl/fleet_release.go
+++ b/cmd/gatewayctl/fleet_release.go
@@ -125,9 +125,9 @@
 	case release == nil || release.Number != number:
 		return progress{done: true}, nil
 	case release.State == rollout.Halted || release.State == rollout.Halting:
-		return progress{waitFor: status.Waiting}, noError{fmt.Errorf("halted: %s", release.HaltCause)}
+		return progress{waitFor: status.ReleaseBlockers}, noError{fmt.Errorf("halted: %s", release.HaltCause)}
 	}
-	return progress{release.State == rollout.Done, status.Waiting}, nil
+	return progress{release.State == rollout.Done, status.ReleaseBlockers}, nil
 }
 
 func (f *fleetCommands) releaseStatusCommand() *cobra.Command {
@@ -142,7 +142,7 @@
 				return printJSON(c.OutOrStdout(), struct {
 					Release *rollout.Release `json:"release"`
 					Waiting []string         `json:"waiting"`
-				}{status.State.Release, status.Waiting})
+				}{status.State.Release, status.ReleaseBlockers})
 			}
 			writeRelease(c.OutOrStdout(), status)
 			return nil
@@ -160,7 +160,7 @@
 			}
 			return f.waitUntil(c, func(status fleet.Status) (progress, error) {
 				release := status.State.Release
-				return progress{release == nil || release.State == done, status.Waiting}, nil
+				return progress{release == nil || release.State == done, status.ReleaseBlockers}, nil
 			})
 		},
 	}
--- a/cmd/gatewayctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -89,10 +89,10 @@
 func writeStatus(w io.Writer, status fleet.Status) error {
 	t := newTable(w)
 	agreed := "agreed"
-	if status.Leader == "" {
+	if status.LeaderAddress == "" {
 		agreed = "NO AGREEMENT: nobody goes out, and all serve on"
 	}
-	fmt.Fprintf(t, "log of %s: entry %d, %d keepers, %s\n\n", status.Keeper, status.Index, len(status.Servers), agreed)
+	fmt.Fprintf(t, "log of %s: entry %d, %d keepers, %s\n\n", status.Replica, status.AppliedIndex, len(status.Servers), agreed)
 	permits := permitsByHolder(&status.State)
 	writeMembers(t, status, permits)
 	writeEngines(t, status, permits)
@@ -133,7 +133,7 @@
 		held, waits := "", ""
 		if permit := permits[rollout.Subject{Name: name, Engine: true}]; permit != nil {
 			held = fmt.Sprintf("%d drain", permit.Number)
-			if waits = strings.Join(status.Blocks[name], "; "); permit.DrainedAt > 0 {
+			if waits = strings.Join(status.DrainBlockers[name], "; "); permit.DrainedAt > 0 {
 				waits = "may be stopped"
 			}
 		}
@@ -189,7 +189,7 @@
 	if release.HaltCause != "" {
 		fmt.Fprintf(w, "  halted: %s\n", release.HaltCause)
 	}
-	for _, line := range status.Waiting {
+	for _, line := range status.ReleaseBlockers {
 		fmt.Fprintf(w, "  waits for %s\n", line)
 	}
 }
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestDrainProgress(t *testing.T) {
-	status := fleet.Status{Blocks: map[string][]string{"e0": {"n0 has a query on it"}}}
+	status := fleet.Status{DrainBlockers: map[string][]string{"e0": {"n0 has a query on it"}}}
 	status.State.Permits = map[uint64]*rollout.Permit{1: {Subject: "e0", Engine: true}, 2: {Subject: "e1", Engine: true, DrainedAt: 1}, 3: {Subject: "n0"}, 4: {Subject: "n1"}}
 	status.State.Members = map[string]*rollout.Member{"n0": {Phase: rollout.Serving}, "n1": {Phase: rollout.Terminated}}
 	for _, k := range []struct {
@@ -54,14 +54,14 @@
 }
 
 func TestReleaseProgress(t *testing.T) {
-	status := fleet.Status{Waiting: []string{"n2 to serve"}}
+	status := fleet.Status{ReleaseBlockers: []string{"n2 to serve"}}
 	at := func(state rollout.ReleaseState) (progress, error) {
 		status.State.Release = &rollout.Release{Number: 3, State: state, HaltCause: "errors"}
 		return releaseProgress(status, 3)
 	}
 	got, err := at(rollout.Running)
 	require.NoError(t, err)
-	assert.Equal(t, progress{false, status.Waiting}, got)
+	assert.Equal(t, progress{false, status.ReleaseBlockers}, got)
 	got, err = at(rollout.Done)
 	require.NoError(t, err)
 	assert.True(t, got.done)
--- a/internal/faulttest/cluster/fleet.go
+++ b/internal/faulttest/cluster/fleet.go
@@ -135,17 +135,17 @@
 	if err != nil {
 		return nil, err
 	}
-	var keepers []fleet.Address
+	var keepers []fleet.ReplicaAddress
 	for i := range o.Members {
 		m := &Member{Name: fmt.Sprintf("n%d", i), Room: o.Rooms[i%len(o.Rooms)], Keeps: i < o.Keepers, Number: i, f: f,
 			base: fmt.Sprintf("%s.%d", base, i+1)}
 		m.Addr, m.dir, m.faults = m.base+":7001", filepath.Join(o.Dir, m.Name+".log"), filepath.Join(o.Dir, m.Name+".disk")
 		f.Members = append(f.Members, m)
 		if m.Keeps {
-			keepers = append(keepers, fleet.Address{Name: m.Name, Log: m.base + ":7002", Ask: m.base + ":7003", Gossip: m.base + ":7004"})
+			keepers = append(keepers, fleet.ReplicaAddress{Name: m.Name, LogAddress: m.base + ":7002", APIAddress: m.base + ":7003", GossipAddress: m.base + ":7004"})
 		}
 	}
-	f.Client = fleet.NewClient(&fleet.Options{Keepers: keepers, Key: k})
+	f.Client = fleet.NewClient(&fleet.Options{ControlReplicas: keepers, Key: k})
 	for _, m := range f.Members {
 		var routes []string
 		lead := func(to, addr string, udp bool) error {
@@ -162,7 +162,7 @@
 			}
 		}
 		for _, kp := range keepers {
-			if err := errors.Join(lead(kp.Name, kp.Log, false), lead(kp.Name, kp.Ask, false)); err != nil {
+			if err := errors.Join(lead(kp.Name, kp.LogAddress, false), lead(kp.Name, kp.APIAddress, false)); err != nil {
 				return nil, err
 			}
 		}
@@ -176,7 +176,7 @@
 			"routes": routes, "ahead_ms": m.Number % 3 * apart}
 		var list []keeper
 		for _, kp := range keepers {
-			list = append(list, keeper(kp))
+			list = append(list, keeper{kp.Name, kp.LogAddress, kp.APIAddress, kp.GossipAddress})
 		}
 		part["keepers"] = list
 		if m.Keeps {
@@ -286,7 +286,7 @@
 	}
 	for range 10 {
 		s, err := m.f.Client.Status()
-		if err == nil && s.Leader != "" && s.State.Members[m.Name] != nil {
+		if err == nil && s.LeaderAddress != "" && s.State.Members[m.Name] != nil {
 			for _, p := range s.State.Permits {
 				if p.Subject == m.Name && !p.Engine && p.Purpose == rollout.Drain && !p.Cancelled && code == 76 {
 					sleep(ctx, 200*time.Millisecond)
--- a/internal/faulttest/rollout_disk_faults.go
+++ b/internal/faulttest/rollout_disk_faults.go
@@ -67,5 +67,5 @@
 		return false
 	}
 	replica, err := r.cluster.Client.StatusOf(m.Name)
-	return err == nil && replica.Index+caughtUpWithin >= leader.Index
+	return err == nil && replica.AppliedIndex+caughtUpWithin >= leader.AppliedIndex
 }
--- a/internal/faulttest/rollout_load.go
+++ b/internal/faulttest/rollout_load.go
@@ -99,7 +99,7 @@
 		processes := m.Processes()
 		current := processes[len(processes)-1]
 		share := CPUSeconds(m.Pid()) / time.Since(current.Started).Seconds()
-		if m.Name == status.Keeper {
+		if m.Name == status.Replica {
 			r.count("cpu_leader", share)
 		} else if !m.Keeps {
 			others = append(others, share)
--- a/internal/faulttest/rollout_release.go
+++ b/internal/faulttest/rollout_release.go
@@ -37,7 +37,7 @@
 
 // leaderStatus returns the status of the leader; nil if there is none.
 func (r *rolloutRun) leaderStatus() *fleet.Status {
-	if status, err := r.cluster.Client.Status(); err == nil && status.Leads {
+	if status, err := r.cluster.Client.Status(); err == nil && status.IsLeader {
 		return &status
 	}
 	return nil
--- a/internal/faulttest/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -168,7 +168,7 @@
 func (r *rolloutRun) initLog(ctx context.Context) (last error) {
 	for range 200 {
 		last = r.cluster.Client.Init()
-		if last == nil || errors.As(last, new(*fleet.RefusedError)) {
+		if last == nil || errors.As(last, new(*fleet.RejectedError)) {
 			return last
 		}
 		if !pause(ctx, 50*time.Millisecond) {
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -126,7 +126,7 @@
 	one, err := f.cluster.Client.StatusOf("n0")
 	require.NoError(t, err)
 	assert.NotNil(t, one.State.Permits[permit], "a keeper whose disk was lost has it from the others")
-	assert.True(t, errors.As(f.cluster.Client.Init(), new(*fleet.RefusedError)), "no second fleet is begun")
+	assert.True(t, errors.As(f.cluster.Client.Init(), new(*fleet.RejectedError)), "no second fleet is begun")
 }
 
 // The disk of a keeper is full while another one is killed, so that it would have to vote; then a sync fails; then two. Its front end
@@ -136,7 +136,7 @@
 	n0 := f.cluster.Members[0]
 	leader := func() string {
 		if s := f.leaderStatus(); s != nil && len(s.Servers) == 3 {
-			return s.Keeper
+			return s.Replica
 		}
 		return ""
 	}
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -16,11 +16,11 @@
 	"beechcart/decision/rollout"
 )
 
-// mostCall bounds the body of a call, and of its answer.
-const mostCall = 16 << 20
+// maxBody bounds the body of a call, and of its answer.
+const maxBody = 16 << 20
 
-// answer is what a keeper answers a call with.
-type answer struct {
+// response is what a keeper answers a call with.
+type response struct {
 	Error  string          `json:"error,omitempty"`
 	Leader string          `json:"leader,omitempty"` // where to ask instead
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -28,47 +28,47 @@
 
 // Status is what a keeper knows of the fleet.
 type Status struct {
-	Keeper  string                 `json:"keeper"`
-	Leads   bool                   `json:"leads"`
-	Leader  string                 `json:"leader,omitempty"` // where it is asked; empty: no agreement
-	Index   uint64                 `json:"index"`            // of the log, as far as this keeper has applied it
-	Servers []string               `json:"servers"`
-	State   rollout.State          `json:"state"`
-	Budgets []rollout.BudgetStatus `json:"budgets"`
-	Waiting []string               `json:"waiting,omitempty"` // what a release waits for
-	Blocks  map[string][]string    `json:"blocks,omitempty"`  // what keeps an engine from being stopped
+	Replica         string                 `json:"keeper"`
+	IsLeader        bool                   `json:"leads"`
+	LeaderAddress   string                 `json:"leader,omitempty"` // where it is asked; empty: no agreement
+	AppliedIndex    uint64                 `json:"index"`            // of the log, as far as this keeper has applied it
+	Servers         []string               `json:"servers"`
+	State           rollout.State          `json:"state"`
+	Budgets         []rollout.BudgetStatus `json:"budgets"`
+	ReleaseBlockers []string               `json:"waiting,omitempty"` // what a release waits for
+	DrainBlockers   map[string][]string    `json:"blocks,omitempty"`  // what keeps an engine from being stopped
 }
 
-// View is what concerns one member.
-type View struct {
-	Known       bool            `json:"known"`
-	Incarnation uint64          `json:"incarnation"`
-	Seq         uint64          `json:"seq"`
-	Phase       rollout.Phase   `json:"phase"`
-	Doubted     bool            `json:"doubted"`
-	Wanted      string          `json:"wanted"`
-	Permit      *rollout.Permit `json:"permit,omitempty"`
-	Drains      []Drained       `json:"drains,omitempty"`
-	Release     uint64          `json:"release,omitempty"` // under way, forward
-	Target      string          `json:"target,omitempty"`
+// MemberView is what concerns one member.
+type MemberView struct {
+	Registered     bool            `json:"known"`
+	Incarnation    uint64          `json:"incarnation"`
+	StatusSequence uint64          `json:"seq"`
+	Phase          rollout.Phase   `json:"phase"`
+	Suspected      bool            `json:"doubted"`
+	TargetRevision string          `json:"wanted"`
+	Permit         *rollout.Permit `json:"permit,omitempty"`
+	Drains         []EngineDrain   `json:"drains,omitempty"`
+	Release        uint64          `json:"release,omitempty"` // under way, forward
+	Target         string          `json:"target,omitempty"`
 }
 
-// Drained is an engine that gets nothing more.
-type Drained struct {
-	Engine string `json:"engine"`
-	Permit uint64 `json:"permit"`
-	Said   bool   `json:"said"` // this member, as the process that it is, has said that nothing of its own is there
+// EngineDrain is an engine that gets nothing more.
+type EngineDrain struct {
+	Engine       string `json:"engine"`
+	Permit       uint64 `json:"permit"`
+	Acknowledged bool   `json:"said"` // this member, as the process that it is, has said that nothing of its own is there
 }
 
-func viewOf(m *rollout.StateMachine, name string) View {
-	v := View{}
+func memberView(m *rollout.StateMachine, name string) MemberView {
+	v := MemberView{}
 	if o := m.Members[name]; o != nil {
-		v = View{Known: true, Incarnation: o.Incarnation, Seq: o.StatusSequence, Phase: o.Phase, Doubted: o.Suspected, Wanted: o.TargetRevision}
+		v = MemberView{Registered: true, Incarnation: o.Incarnation, StatusSequence: o.StatusSequence, Phase: o.Phase, Suspected: o.Suspected, TargetRevision: o.TargetRevision}
 	}
 	for _, n := range m.PermitNumbers() {
 		p := *m.Permits[n]
 		if p.Engine {
-			v.Drains = append(v.Drains, Drained{p.Subject, n, p.DrainedBy[name] == v.Incarnation && v.Known})
+			v.Drains = append(v.Drains, EngineDrain{p.Subject, n, p.DrainedBy[name] == v.Incarnation && v.Registered})
 		} else if p.Subject == name {
 			v.Permit = &p
 		}
@@ -79,7 +79,7 @@
 	return v
 }
 
-func (k *Keeper) handler() http.Handler {
+func (k *ControlReplica) handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("POST /apply", k.serve(func(r *http.Request) (any, error) {
 		var c rollout.Command
@@ -89,24 +89,24 @@
 		return k.Apply(c)
 	}))
 	m.HandleFunc("POST /join", k.serve(func(r *http.Request) (any, error) {
-		var w joinWord
+		var w joinRequest
 		if err := read(r, &w); err != nil {
 			return nil, err
 		}
-		if !k.leads() {
-			return nil, errNoLeader
+		if !k.isLeader() {
+			return nil, errNotLeader
 		}
-		return nil, k.admit(w)
+		return nil, k.addReplica(w)
 	}))
 	m.HandleFunc("POST /counts", k.serve(func(r *http.Request) (any, error) {
-		var w Counts
+		var w WindowCounts
 		if err := read(r, &w); err != nil {
 			return nil, err
 		}
-		if !k.leads() {
-			return nil, errNoLeader
+		if !k.isLeader() {
+			return nil, errNotLeader
 		}
-		k.counts.take(w)
+		k.counts.add(w)
 		return nil, nil
 	}))
 	m.HandleFunc("POST /init", k.serve(func(*http.Request) (any, error) { return nil, k.Init() }))
@@ -117,7 +117,7 @@
 		}
 		var waves []rollout.Wave
 		var err error
-		k.look(func(m *rollout.StateMachine) { waves, err = m.Plan(s) })
+		k.readState(func(m *rollout.StateMachine) { waves, err = m.Plan(s) })
 		return waves, err
 	}))
 	m.HandleFunc("GET /status", k.serve(func(*http.Request) (any, error) { return k.Status() }))
@@ -126,27 +126,27 @@
 }
 
 func read(r *http.Request, into any) error {
-	d := json.NewDecoder(io.LimitReader(r.Body, mostCall))
+	d := json.NewDecoder(io.LimitReader(r.Body, maxBody))
 	d.DisallowUnknownFields()
 	return d.Decode(into)
 }
 
 // serve checks the key and answers with what f returns. A call that this keeper can't carry out names the leader.
-func (k *Keeper) serve(f func(*http.Request) (any, error)) http.HandlerFunc {
+func (k *ControlReplica) serve(f func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if subtle.ConstantTimeCompare([]byte(r.Header.Get("X-Key")), []byte(k.opt.Key)) != 1 {
+		if subtle.ConstantTimeCompare([]byte(r.Header.Get("X-Key")), []byte(k.options.Key)) != 1 {
 			w.WriteHeader(http.StatusForbidden)
 			return
 		}
-		var a answer
+		var a response
 		v, err := f(r)
 		if err == nil {
 			a.Value, err = json.Marshal(v)
 		}
 		if err != nil {
 			a.Error = err.Error()
-			if errors.Is(err, errNoLeader) {
-				a.Leader = k.leader()
+			if errors.Is(err, errNotLeader) {
+				a.Leader = k.leaderAddress()
 				w.WriteHeader(http.StatusServiceUnavailable)
 			} else {
 				w.WriteHeader(http.StatusBadRequest)
@@ -157,52 +157,52 @@
 }
 
 // Status tells what this keeper knows.
-func (k *Keeper) Status() (Status, error) {
-	s := Status{Keeper: k.me.Name, Leads: k.leads(), Leader: k.leader(), Index: k.raft.AppliedIndex(), Servers: []string{}, Blocks: map[string][]string{}}
+func (k *ControlReplica) Status() (Status, error) {
+	s := Status{Replica: k.address.Name, IsLeader: k.isLeader(), LeaderAddress: k.leaderAddress(), AppliedIndex: k.raft.AppliedIndex(), Servers: []string{}, DrainBlockers: map[string][]string{}}
 	if f := k.raft.GetConfiguration(); f.Error() == nil {
 		for _, o := range f.Configuration().Servers {
 			s.Servers = append(s.Servers, string(o.ID))
 		}
 	}
 	var err error
-	k.look(func(m *rollout.StateMachine) {
+	k.readState(func(m *rollout.StateMachine) {
 		var text []byte
 		if text, err = m.Snapshot(); err == nil { // a copy: the machine goes on
 			err = json.Unmarshal(text, &s.State)
 		}
-		s.Budgets, s.Waiting = m.Budgets(), m.ReleaseBlockers()
+		s.Budgets, s.ReleaseBlockers = m.Budgets(), m.ReleaseBlockers()
 		for _, n := range m.PermitNumbers() {
 			if b := m.DrainBlockers(n); len(b) > 0 {
-				s.Blocks[m.Permits[n].Subject] = b
+				s.DrainBlockers[m.Permits[n].Subject] = b
 			}
 		}
 	})
 	return s, err
 }
 
-// watched is a member's view, and what to have when the next is asked for.
-type watched struct {
-	View    View   `json:"view"`
-	Have    string `json:"have"`
-	Applied uint64 `json:"applied"` // how far this keeper knows the log
+// watchAnswer is a member's view, and what to have when the next is asked for.
+type watchAnswer struct {
+	View         MemberView `json:"view"`
+	Version      string     `json:"have"`
+	AppliedIndex uint64     `json:"applied"` // how far this keeper knows the log
 }
 
 // watch answers with a member's view once it is another than the one it has, or after a while.
-func (k *Keeper) watch(r *http.Request) (any, error) {
+func (k *ControlReplica) watch(r *http.Request) (any, error) {
 	name, have := r.URL.Query().Get("name"), r.URL.Query().Get("have")
-	timer := time.NewTimer(watchWait)
+	timer := time.NewTimer(watchTimeout)
 	defer timer.Stop()
 	for {
-		next := k.next()
-		var w watched
-		k.look(func(m *rollout.StateMachine) { w.View, w.Applied = viewOf(m, name), m.Applied })
+		next := k.nextChange()
+		var w watchAnswer
+		k.readState(func(m *rollout.StateMachine) { w.View, w.AppliedIndex = memberView(m, name), m.Applied })
 		text, err := json.Marshal(w.View)
 		if err != nil {
 			return nil, err
 		}
 		h := fnv.New64a()
 		h.Write(text)
-		if w.Have = strconv.FormatUint(h.Sum64(), 36); w.Have != have {
+		if w.Version = strconv.FormatUint(h.Sum64(), 36); w.Version != have {
 			return w, nil
 		}
 		select {
@@ -210,24 +210,24 @@
 		case <-timer.C:
 			return w, nil
 		case <-k.stop:
-			return nil, errNoLeader
+			return nil, errNotLeader
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
 	}
 }
 
-// RefusedError is a keeper's word that a call is wrong, as against one that can't be carried out now.
-type RefusedError struct{ Text string }
+// RejectedError is a keeper's word that a call is wrong, as against one that can't be carried out now.
+type RejectedError struct{ Text string }
 
-func (e *RefusedError) Error() string { return e.Text }
+func (e *RejectedError) Error() string { return e.Text }
 
 // client calls replicas for members without a [Wire]; connections are kept.
 var client = &http.Client{}
 
 // call makes one call to a keeper. An error of another kind than RefusedError tells that another one may be asked.
 func call(o *Options, at, path string, in, out any) error {
-	wait := askWait + agreeWait
+	wait := callTimeout + commitTimeout
 	method, body := http.MethodGet, []byte(nil)
 	if in != nil {
 		var err error
@@ -238,7 +238,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+o.route(at)+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+o.dialAddress(at)+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -248,28 +248,28 @@
 		return err
 	}
 	defer res.Body.Close()
-	var a answer
+	var a response
 	if res.StatusCode == http.StatusForbidden {
-		return &RefusedError{at + ": the key is not the fleet's"}
+		return &RejectedError{at + ": the key is not the fleet's"}
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, mostCall)).Decode(&a); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxBody)).Decode(&a); err != nil {
 		return fmt.Errorf("%s: %w", at, err)
 	}
 	switch {
 	case res.StatusCode == http.StatusServiceUnavailable:
-		return &elsewhere{a.Leader, a.Error}
+		return &notLeaderError{a.Leader, a.Error}
 	case a.Error != "":
-		return &RefusedError{a.Error}
+		return &RejectedError{a.Error}
 	case out != nil && len(a.Value) > 0:
 		return json.Unmarshal(a.Value, out)
 	}
 	return nil
 }
 
-// elsewhere is a keeper's word that another one may know better.
-type elsewhere struct{ leader, text string }
+// notLeaderError is a keeper's word that another one may know better.
+type notLeaderError struct{ leader, message string }
 
-func (e *elsewhere) Error() string { return e.text }
+func (e *notLeaderError) Error() string { return e.message }
 
 // Client asks the keepers of a fleet, one after the other. It is safe for concurrent use.
 type Client struct{ opt *Options }
@@ -277,8 +277,8 @@
 // NewClient returns a client of the keepers that o names; nothing but Keepers, Key and Routes is needed.
 func NewClient(o *Options) *Client { return &Client{o} }
 
-// ask makes a call at each keeper in turn until one answers, the leader that they name first.
-func (c *Client) ask(first int, path string, in, out any) error {
+// call makes a call at each keeper in turn until one answers, the leader that they name first.
+func (c *Client) call(first int, path string, in, out any) error {
 	var last error
 	tried := map[string]bool{}
 	try := func(at string) (done bool) {
@@ -287,14 +287,14 @@
 		}
 		tried[at] = true
 		last = call(c.opt, at, path, in, out)
-		var no *RefusedError
+		var no *RejectedError
 		return last == nil || errors.As(last, &no)
 	}
-	for i := range c.opt.Keepers {
-		if try(c.opt.Keepers[(first+i)%len(c.opt.Keepers)].Ask) {
+	for i := range c.opt.ControlReplicas {
+		if try(c.opt.ControlReplicas[(first+i)%len(c.opt.ControlReplicas)].APIAddress) {
 			return last
 		}
-		var e *elsewhere
+		var e *notLeaderError
 		if errors.As(last, &e) && e.leader != "" && try(e.leader) {
 			return last
 		}
@@ -304,13 +304,13 @@
 
 // Apply enters a command. An error leaves open whether it was taken: repeat it under the same id.
 func (c *Client) Apply(cmd rollout.Command) (r rollout.Result, err error) {
-	err = c.ask(int(time.Now().UnixNano()/1000)%len(c.opt.Keepers), "/apply", cmd, &r)
+	err = c.call(int(time.Now().UnixNano()/1000)%len(c.opt.ControlReplicas), "/apply", cmd, &r)
 	return r, err
 }
 
 // Plan tells what a release would do.
 func (c *Client) Plan(s rollout.StartRelease) (waves []rollout.Wave, err error) {
-	err = c.ask(0, "/plan", s, &waves)
+	err = c.call(0, "/plan", s, &waves)
 	return waves, err
 }
 
@@ -318,16 +318,16 @@
 func (c *Client) Status() (s Status, err error) {
 	var any error
 	found := false
-	for _, k := range c.opt.Keepers {
+	for _, k := range c.opt.ControlReplicas {
 		var one Status
-		if err := call(c.opt, k.Ask, "/status", nil, &one); err != nil {
+		if err := call(c.opt, k.APIAddress, "/status", nil, &one); err != nil {
 			any = err
 			continue
 		}
-		if one.Leads {
+		if one.IsLeader {
 			return one, nil
 		}
-		if !found || one.Index > s.Index {
+		if !found || one.AppliedIndex > s.AppliedIndex {
 			s, found = one, true
 		}
 	}
@@ -339,9 +339,9 @@
 
 // StatusOf asks one keeper, by its name.
 func (c *Client) StatusOf(name string) (s Status, err error) {
-	for _, k := range c.opt.Keepers {
+	for _, k := range c.opt.ControlReplicas {
 		if k.Name == name {
-			err = call(c.opt, k.Ask, "/status", nil, &s)
+			err = call(c.opt, k.APIAddress, "/status", nil, &s)
 			return s, err
 		}
 	}
@@ -350,13 +350,13 @@
 
 // Init begins a fleet at the first of its keepers; once, when none of them has a log yet.
 func (c *Client) Init() error {
-	for _, k := range c.opt.Keepers {
+	for _, k := range c.opt.ControlReplicas {
 		var s Status
-		if err := call(c.opt, k.Ask, "/status", nil, &s); err == nil && len(s.Servers) > 0 {
-			return &RefusedError{fmt.Sprintf("%s is in a fleet of %d keepers already", k.Name, len(s.Servers))}
+		if err := call(c.opt, k.APIAddress, "/status", nil, &s); err == nil && len(s.Servers) > 0 {
+			return &RejectedError{fmt.Sprintf("%s is in a fleet of %d keepers already", k.Name, len(s.Servers))}
 		} else if err != nil {
 			return fmt.Errorf("fleet: all keepers must be up to begin: %s: %w", k.Name, err)
 		}
 	}
-	return call(c.opt, c.opt.Keepers[0].Ask, "/init", struct{}{}, nil)
+	return call(c.opt, c.opt.ControlReplicas[0].APIAddress, "/init", struct{}{}, nil)
 }
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -17,58 +17,58 @@
 	"beechcart/decision/diskrecovery"
 )
 
-// disk is what the log is kept in. The first write that fails is the last: from then on all fail, and whoever keeps the log is told, and
+// logStore is what the log is kept in. The first write that fails is the last: from then on all fail, and whoever keeps the log is told, and
 // closes it. It is safe for concurrent use.
-type disk struct {
+type logStore struct {
 	*raftboltdb.BoltStore
-	faults string // a file that names a fault, for drills; empty: none
+	faultFile string // a file that names a fault, for drills; empty: none
 
-	mu     sync.Mutex
-	why    error
-	failed chan struct{}
+	mu      sync.Mutex
+	failure error
+	failed  chan struct{}
 }
 
 // currentTerm is the one write that the library takes no failure of: it panics, and the front end would end, which serves on.
 const currentTerm = "CurrentTerm"
 
-func openDisk(dir, faults string) (*disk, error) {
+func openLogStore(dir, faults string) (*logStore, error) {
 	s, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, "log.db")})
 	if err != nil {
 		return nil, err
 	}
-	return &disk{BoltStore: s, faults: faults, failed: make(chan struct{})}, nil
+	return &logStore{BoltStore: s, faultFile: faults, failed: make(chan struct{})}, nil
 }
 
 // write makes one write, unless one has failed before.
-func (d *disk) write(f func() error) error {
+func (d *logStore) write(f func() error) error {
 	d.mu.Lock()
-	why := d.why
+	why := d.failure
 	d.mu.Unlock()
 	if why != nil {
 		return why
 	}
-	err := spoil(d.faults, f)
+	err := withInjectedFault(d.faultFile, f)
 	if err == nil {
 		return nil
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.why == nil {
-		d.why = err
+	if d.failure == nil {
+		d.failure = err
 		close(d.failed)
 	}
 	return err
 }
 
 // reason is the failure; nil where there was none.
-func (d *disk) reason() error {
+func (d *logStore) reason() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.why
+	return d.failure
 }
 
-// spoil carries a write out, with the fault that a drill asks for: the file holds "full", "sync" or "slow".
-func spoil(faults string, f func() error) error {
+// withInjectedFault carries a write out, with the fault that a drill asks for: the file holds "full", "sync" or "slow".
+func withInjectedFault(faults string, f func() error) error {
 	if faults == "" {
 		return f()
 	}
@@ -87,14 +87,14 @@
 	return f()
 }
 
-// diskError tells that a log can't be kept as its disk takes no write.
-type diskError struct{ why error }
+// DiskError tells that a log can't be kept as its disk takes no write.
+type DiskError struct{ Err error }
 
-func (e *diskError) Error() string { return "the log can't be written: " + e.why.Error() }
-func (e *diskError) Unwrap() error { return e.why }
+func (e *DiskError) Error() string { return "the log can't be written: " + e.Err.Error() }
+func (e *DiskError) Unwrap() error { return e.Err }
 
-// kindOf is what a failure says of the disk. Only want of room proves that what is there holds.
-func kindOf(err error) diskrecovery.Failure {
+// classifyFailure is what a failure says of the disk. Only want of room proves that what is there holds.
+func classifyFailure(err error) diskrecovery.Failure {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return diskrecovery.NoSpace
 	}
@@ -102,29 +102,29 @@
 }
 
 // StoreLog implements raft.LogStore.
-func (d *disk) StoreLog(l *raft.Log) error {
+func (d *logStore) StoreLog(l *raft.Log) error {
 	return d.write(func() error { return d.BoltStore.StoreLog(l) })
 }
 
 // StoreLogs implements raft.LogStore.
-func (d *disk) StoreLogs(l []*raft.Log) error {
+func (d *logStore) StoreLogs(l []*raft.Log) error {
 	return d.write(func() error { return d.BoltStore.StoreLogs(l) })
 }
 
 // DeleteRange implements raft.LogStore.
-func (d *disk) DeleteRange(low, high uint64) error {
+func (d *logStore) DeleteRange(low, high uint64) error {
 	return d.write(func() error { return d.BoltStore.DeleteRange(low, high) })
 }
 
 // Set implements raft.StableStore.
-func (d *disk) Set(key, value []byte) error {
+func (d *logStore) Set(key, value []byte) error {
 	return d.write(func() error { return d.BoltStore.Set(key, value) })
 }
 
 // SetUint64 implements raft.StableStore. Guards against the end of the front end on a full disk: where the term can't be written the
 // goroutine that writes it ends in place of a panic: the library's own, or the one that OpenKeeper starts it in. It has promised nothing under
 // that term yet, and whoever keeps the log closes it now.
-func (d *disk) SetUint64(key []byte, value uint64) error {
+func (d *logStore) SetUint64(key []byte, value uint64) error {
 	err := d.write(func() error { return d.BoltStore.SetUint64(key, value) })
 	if err != nil && string(key) == currentTerm {
 		runtime.Goexit()
@@ -132,16 +132,16 @@
 	return err
 }
 
-// The mark of a doubt outlives the process, where it can be written at all.
-const mark = "doubtful"
+// The durabilityMark of a doubt outlives the process, where it can be written at all.
+const durabilityMark = "doubtful"
 
-func marked(dir string) bool {
-	_, err := os.Stat(filepath.Join(dir, mark))
+func isMarked(dir string) bool {
+	_, err := os.Stat(filepath.Join(dir, durabilityMark))
 	return err == nil
 }
 
 func setMark(dir string, why error) error {
-	if err := os.WriteFile(filepath.Join(dir, mark), []byte(why.Error()+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, durabilityMark), []byte(why.Error()+"\n"), 0o600); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -31,23 +31,25 @@
 		defer l.Close()
 		return l.Addr().String()
 	}
-	o := &Options{Name: "n0", Room: "room-a", Revision: "r1", Gossip: free(), Key: testKey, Dir: filepath.Join(t.TempDir(), "log"),
+	o := &Options{Name: "n0", Zone: "room-a", Revision: "r1", GossipAddress: free(), Key: testKey, LogDirectory: filepath.Join(t.TempDir(), "log"),
 		Settings: rollout.Defaults(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-	o.Keepers = []Address{{Name: "n0", Log: free(), Ask: free(), Gossip: o.Gossip}}
+	o.ControlReplicas = []ReplicaAddress{{Name: "n0", LogAddress: free(), APIAddress: free(), GossipAddress: o.GossipAddress}}
 	return o
 }
 
 func TestOptionsNameWhatIsWrong(t *testing.T) {
 	for field, spoil := range map[string]func(*Options){
 		"revision":           func(o *Options) { o.Revision = "" },
-		"keepers: found 2":   func(o *Options) { o.Keepers = append(o.Keepers, o.Keepers[0]) },
+		"keepers: found 2":   func(o *Options) { o.ControlReplicas = append(o.ControlReplicas, o.ControlReplicas[0]) },
 		"key: found 3 bytes": func(o *Options) { o.Key = "abc" },
-		"keepers[0]: log":    func(o *Options) { o.Keepers[0].Log = "here" },
-		"keepers[1]: name":   func(o *Options) { o.Keepers = append(o.Keepers, o.Keepers[0], o.Keepers[0]) },
-		"gossip":             func(o *Options) { o.Gossip = "" },
-		"dir":                func(o *Options) { o.Dir = "" },
+		"keepers[0]: log":    func(o *Options) { o.ControlReplicas[0].LogAddress = "here" },
+		"keepers[1]: name": func(o *Options) {
+			o.ControlReplicas = append(o.ControlReplicas, o.ControlReplicas[0], o.ControlReplicas[0])
+		},
+		"gossip": func(o *Options) { o.GossipAddress = "" },
+		"dir":    func(o *Options) { o.LogDirectory = "" },
 		"wire": func(o *Options) {
-			o.Wire, o.Routes = NewWire("127.0.0.1"), map[string]string{"127.0.0.1:1": "127.0.0.1:2"}
+			o.Transport, o.DialOverrides = NewTransport("127.0.0.1"), map[string]string{"127.0.0.1:1": "127.0.0.1:2"}
 		},
 	} {
 		o := options(t)
@@ -74,16 +76,16 @@
 // has forgotten.
 func TestCallsForALostIdentityAreNotHeard(t *testing.T) {
 	o := options(t)
-	s, err := listen(o, o.Keepers[0].Log, "n0.new")
+	s, err := listenRaft(o, o.ControlReplicas[0].LogAddress, "n0.new")
 	require.NoError(t, err)
 	defer s.Close()
-	_, err = s.Dial(address("n0.old", o.Keepers[0].Log), time.Second)
+	_, err = s.Dial(serverAddress("n0.old", o.ControlReplicas[0].LogAddress), time.Second)
 	assert.ErrorContains(t, err, "does not answer to n0.old")
 	wrong := *o
 	wrong.Key = "fedcba9876543210"
-	_, err = (&stream{opt: &wrong}).Dial(address("n0.new", o.Keepers[0].Log), time.Second)
+	_, err = (&raftStream{options: &wrong}).Dial(serverAddress("n0.new", o.ControlReplicas[0].LogAddress), time.Second)
 	assert.Error(t, err, "another key")
-	c, err := s.Dial(address("n0.new", o.Keepers[0].Log), time.Second)
+	c, err := s.Dial(serverAddress("n0.new", o.ControlReplicas[0].LogAddress), time.Second)
 	require.NoError(t, err)
 	defer c.Close()
 	in, err := s.Accept()
@@ -100,10 +102,10 @@
 // What is agreed outlives the process; files without an identity are refused, and a disk that is empty is another keeper.
 func TestKeeperGoesOnFromItsDisk(t *testing.T) {
 	o := options(t)
-	k, err := OpenKeeper(o)
+	k, err := OpenReplica(o)
 	require.NoError(t, err)
 	require.NoError(t, k.Init())
-	apply := func(k *Keeper, c rollout.Command) (r rollout.Result) {
+	apply := func(k *ControlReplica, c rollout.Command) (r rollout.Result) {
 		require.Eventually(t, func() bool {
 			var err error
 			r, err = k.Apply(c)
@@ -115,62 +117,62 @@
 	was := k.id
 	k.Close()
 
-	k, err = OpenKeeper(o)
+	k, err = OpenReplica(o)
 	require.NoError(t, err)
 	assert.Equal(t, was, k.id)
 	apply(k, rollout.Command{Tick: &struct{}{}})
-	k.look(func(m *rollout.StateMachine) { assert.Equal(t, "r1", m.Members["n0"].Revision) })
+	k.readState(func(m *rollout.StateMachine) { assert.Equal(t, "r1", m.Members["n0"].Revision) })
 	v, err := k.watch(httptest.NewRequest(http.MethodGet, "/watch?name=n0", nil))
 	require.NoError(t, err)
-	assert.True(t, v.(watched).View.Known)
+	assert.True(t, v.(watchAnswer).View.Registered)
 	k.Close()
 
-	require.NoError(t, os.Remove(filepath.Join(o.Dir, "identity")))
-	_, err = OpenKeeper(o)
+	require.NoError(t, os.Remove(filepath.Join(o.LogDirectory, "identity")))
+	_, err = OpenReplica(o)
 	assert.ErrorContains(t, err, "holds files and no identity")
-	require.NoError(t, os.RemoveAll(o.Dir))
-	k, err = OpenKeeper(o)
+	require.NoError(t, os.RemoveAll(o.LogDirectory))
+	k, err = OpenReplica(o)
 	require.NoError(t, err)
 	defer k.Close()
 	assert.NotEqual(t, was, k.id)
-	assert.False(t, k.leads(), "a keeper without a past begins nothing by itself")
+	assert.False(t, k.isLeader(), "a keeper without a past begins nothing by itself")
 }
 
 // On a full disk the library can't write the term that it votes in, and panics; the front end must serve on. The keeper is closed,
 // and goes on from what is there once there is room.
 func TestAFullDiskEndsTheKeeperOnly(t *testing.T) {
 	o := options(t)
-	o.DiskFaults = filepath.Join(t.TempDir(), "fault")
-	full := func() { require.NoError(t, os.WriteFile(o.DiskFaults, []byte("full"), 0o600)) }
-	k, err := OpenKeeper(o)
+	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
+	full := func() { require.NoError(t, os.WriteFile(o.DiskFaultFile, []byte("full"), 0o600)) }
+	k, err := OpenReplica(o)
 	require.NoError(t, err)
 	require.NoError(t, k.Init())
-	leads := func() bool { return k.leads() }
+	leads := func() bool { return k.isLeader() }
 	require.Eventually(t, leads, 10*time.Second, 10*time.Millisecond)
 	was := k.id
 
 	full()
 	_, err = k.Apply(rollout.Command{Tick: &struct{}{}})
 	require.Error(t, err)
-	<-k.disk.failed
-	assert.Equal(t, diskrecovery.NoSpace, kindOf(k.disk.reason()))
-	assert.Error(t, k.disk.Set([]byte("a"), []byte("b")), "nothing more is written after a failure")
+	<-k.store.failed
+	assert.Equal(t, diskrecovery.NoSpace, classifyFailure(k.store.reason()))
+	assert.Error(t, k.store.Set([]byte("a"), []byte("b")), "nothing more is written after a failure")
 	require.Eventually(t, func() bool { return k.raft.State() == raft.Candidate }, 10*time.Second, 10*time.Millisecond, "it stands for election")
 	ended := make(chan bool, 1)
 	go func() {
 		returned := false
 		defer func() { ended <- returned }()
-		_ = k.disk.SetUint64([]byte(currentTerm), 99)
+		_ = k.store.SetUint64([]byte(currentTerm), 99)
 		returned = true
 	}()
 	assert.False(t, <-ended, "the library panics on what this returns")
 	k.Close()
 
-	_, err = OpenKeeper(o)
-	var bad *diskError
+	_, err = OpenReplica(o)
+	var bad *DiskError
 	assert.ErrorAs(t, err, &bad, "it can't be opened to be written")
-	require.NoError(t, os.Remove(o.DiskFaults))
-	k, err = OpenKeeper(o)
+	require.NoError(t, os.Remove(o.DiskFaultFile))
+	k, err = OpenReplica(o)
 	require.NoError(t, err)
 	defer func() { k.Close() }()
 	assert.Equal(t, was, k.id)
@@ -186,20 +188,20 @@
 		o := *first
 		o.Name = fmt.Sprint("n", i)
 		if i > 0 {
-			o.Gossip = options(t).Gossip
+			o.GossipAddress = options(t).GossipAddress
 		}
 		g, err := openGossip(&o, uint64(i+1))
 		require.NoError(t, err)
 		all = append(all, g)
 	}
 	defer all[0].close()
-	require.Eventually(t, func() bool { return len(all[0].heard()) == 3 }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(all[0].aliveProcesses()) == 3 }, 10*time.Second, 10*time.Millisecond)
 	for _, g := range all[1:] {
 		close(g.stop)
-		require.NoError(t, g.list.Shutdown(), "without a word")
+		require.NoError(t, g.members.Shutdown(), "without a word")
 	}
 	gone := time.Now()
-	require.Eventually(t, func() bool { return len(all[0].heard()) == 1 }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(all[0].aliveProcesses()) == 1 }, 20*time.Second, 10*time.Millisecond)
 	assert.Less(t, time.Since(gone), 4*time.Second)
 }
 
@@ -208,42 +210,42 @@
 		path := filepath.Join(t.TempDir(), "fault")
 		require.NoError(t, os.WriteFile(path, []byte(word), 0o600))
 		wrote := false
-		err := spoil(path, func() error { wrote = true; return nil })
+		err := withInjectedFault(path, func() error { wrote = true; return nil })
 		require.Error(t, err)
-		assert.Equal(t, want, kindOf(err))
+		assert.Equal(t, want, classifyFailure(err))
 		assert.Equal(t, want == diskrecovery.DurabilityUnknown, wrote)
 	}
-	assert.Equal(t, diskrecovery.DurabilityUnknown, kindOf(io.ErrUnexpectedEOF), "what is not known is a doubt")
+	assert.Equal(t, diskrecovery.DurabilityUnknown, classifyFailure(io.ErrUnexpectedEOF), "what is not known is a doubt")
 }
 
 func TestCallsNeedTheKey(t *testing.T) {
 	o := options(t)
-	k, err := OpenKeeper(o)
+	k, err := OpenReplica(o)
 	require.NoError(t, err)
 	defer k.Close()
 	wrong := *o
 	wrong.Key = "fedcba9876543210"
-	var no *RefusedError
-	assert.ErrorAs(t, call(&wrong, o.Keepers[0].Ask, "/status", nil, nil), &no)
+	var no *RejectedError
+	assert.ErrorAs(t, call(&wrong, o.ControlReplicas[0].APIAddress, "/status", nil, nil), &no)
 	var s Status
-	require.NoError(t, call(o, o.Keepers[0].Ask, "/status", nil, &s))
-	assert.Equal(t, "n0", s.Keeper)
-	assert.ErrorContains(t, call(o, o.Keepers[0].Ask, "/apply", map[string]int{"odd": 1}, nil), "odd")
+	require.NoError(t, call(o, o.ControlReplicas[0].APIAddress, "/status", nil, &s))
+	assert.Equal(t, "n0", s.Replica)
+	assert.ErrorContains(t, call(o, o.ControlReplicas[0].APIAddress, "/apply", map[string]int{"odd": 1}, nil), "odd")
 	_, err = NewClient(o).Apply(rollout.Command{Tick: &struct{}{}})
 	assert.ErrorContains(t, err, "no keeper could be asked", "nobody leads")
 }
 
 func TestCountsAreGatheredByWindow(t *testing.T) {
-	var c counts
+	var c countWindows
 	for i, name := range []string{"a", "b", "a"} {
-		c.take(Counts{Name: name, Window: 5, Count: rollout.RequestCounts{Requests: int64(i + 1)}})
+		c.add(WindowCounts{Name: name, Window: 5, Counts: rollout.RequestCounts{Requests: int64(i + 1)}})
 	}
-	c.take(Counts{Name: "a", Window: 6})
-	w, n := c.whole(5)
+	c.add(WindowCounts{Name: "a", Window: 6})
+	w, n := c.completeWindows(5)
 	assert.Equal(t, []int64{5}, n)
 	require.Len(t, w, 1)
 	require.Len(t, w[0], 2, "a word that comes twice counts once")
-	_, n = c.whole(5)
+	_, n = c.completeWindows(5)
 	assert.Empty(t, n)
 	text, err := json.Marshal(rollout.Command{Tick: &struct{}{}})
 	require.NoError(t, err)
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -13,10 +13,10 @@
 
 // gossip is who is heard of.
 type gossip struct {
-	opt   *Options
-	list  *memberlist.Memberlist
-	alive *aliveProcesses
-	stop  chan struct{}
+	options *Options
+	members *memberlist.Memberlist
+	events  *processEvents
+	stop    chan struct{}
 }
 
 // meta tells which process of a member is heard.
@@ -28,32 +28,32 @@
 func (meta) LocalState(bool) []byte          { return nil }
 func (meta) MergeRemoteState([]byte, bool)   {}
 
-// routed is memberlist's own transport, with addresses dialled in place of others.
-type routed struct {
+// routedTransport is memberlist's own transport, with addresses dialled in place of others.
+type routedTransport struct {
 	*memberlist.NetTransport
-	opt *Options
+	options *Options
 }
 
-func (t *routed) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.NetTransport.WriteTo(b, t.opt.route(addr))
+func (t *routedTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	return t.NetTransport.WriteTo(b, t.options.dialAddress(addr))
 }
 
-func (t *routed) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = t.opt.route(a.Addr)
+func (t *routedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	a.Addr = t.options.dialAddress(a.Addr)
 	return t.NetTransport.WriteToAddress(b, a)
 }
 
-func (t *routed) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
-	return t.NetTransport.DialTimeout(t.opt.route(addr), wait)
+func (t *routedTransport) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
+	return t.NetTransport.DialTimeout(t.options.dialAddress(addr), wait)
 }
 
-func (t *routed) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
-	a.Addr = t.opt.route(a.Addr)
+func (t *routedTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
+	a.Addr = t.options.dialAddress(a.Addr)
 	return t.NetTransport.DialAddressTimeout(a, wait)
 }
 
 func openGossip(o *Options, incarnation uint64) (*gossip, error) {
-	host, port, err := net.SplitHostPort(o.Gossip)
+	host, port, err := net.SplitHostPort(o.GossipAddress)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: gossip: %w", err)
 	}
@@ -66,9 +66,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: gossip: %w", err)
 	}
-	var transport memberlist.NodeAwareTransport = &routed{t, o}
-	if o.Wire != nil {
-		transport = newWiredTransport(t, o.Wire)
+	var transport memberlist.NodeAwareTransport = &routedTransport{t, o}
+	if o.Transport != nil {
+		transport = newWiredTransport(t, o.Transport)
 	}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Delegate, c.Transport, c.Logger, c.SecretKey = o.Name, meta{incarnation}, transport, quiet, []byte(o.Key)
@@ -80,7 +80,7 @@
 	// eight times the interval. So long a member that is gone counted as in, and others were let out beside it. A doubt that is
 	// wrong costs a permit for a moment and frees nothing.
 	c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = 1, 2
-	alive := &aliveProcesses{incarnations: map[string]uint64{}}
+	alive := &processEvents{incarnations: map[string]uint64{}}
 	c.Events = alive
 	list, err := memberlist.Create(c)
 	if err != nil {
@@ -96,10 +96,10 @@
 // again.
 func (g *gossip) rejoin() {
 	for i := 0; ; i++ {
-		heard := g.heard()
-		for _, k := range g.opt.Keepers {
-			if _, ok := heard[k.Name]; !ok && k.Name != g.opt.Name {
-				_, _ = g.list.Join([]string{k.Gossip})
+		heard := g.aliveProcesses()
+		for _, k := range g.options.ControlReplicas {
+			if _, ok := heard[k.Name]; !ok && k.Name != g.options.Name {
+				_, _ = g.members.Join([]string{k.GossipAddress})
 			}
 		}
 		wait := 300 * time.Millisecond
@@ -114,15 +114,15 @@
 	}
 }
 
-// heard tells the process of each member that is heard of, or suspected for less than a moment: the library tells no difference.
-func (g *gossip) heard() map[string]uint64 {
-	g.alive.mu.Lock()
-	defer g.alive.mu.Unlock()
-	return maps.Clone(g.alive.incarnations)
+// aliveProcesses tells the process of each member that is heard of, or suspected for less than a moment: the library tells no difference.
+func (g *gossip) aliveProcesses() map[string]uint64 {
+	g.events.mu.Lock()
+	defer g.events.mu.Unlock()
+	return maps.Clone(g.events.incarnations)
 }
 
 func (g *gossip) close() {
 	close(g.stop)
-	_ = g.list.Leave(500 * time.Millisecond)
-	_ = g.list.Shutdown()
+	_ = g.members.Leave(500 * time.Millisecond)
+	_ = g.members.Shutdown()
 }
--- a/internal/fleet/keeper.go
+++ b/internal/fleet/keeper.go
@@ -23,22 +23,22 @@
 	"beechcart/decision/rollout"
 )
 
-// Keeper keeps the agreed log, with the others that do. It is safe for concurrent use.
-type Keeper struct {
-	opt   *Options
-	me    *Address
-	id    string // this disk's identity
-	log   *slog.Logger
-	raft  *raft.Raft
-	disk  *disk
-	trans *raft.NetworkTransport
-	http  *http.Server
+// ControlReplica keeps the agreed log, with the others that do. It is safe for concurrent use.
+type ControlReplica struct {
+	options   *Options
+	address   *ReplicaAddress
+	id        string // this disk's identity
+	log       *slog.Logger
+	raft      *raft.Raft
+	store     *logStore
+	transport *raft.NetworkTransport
+	http      *http.Server
 
-	mu      sync.Mutex
-	machine *rollout.StateMachine
-	changed chan struct{} // closed and replaced at each command
+	mu           sync.Mutex
+	stateMachine *rollout.StateMachine
+	changed      chan struct{} // closed and replaced at each command
 
-	counts counts
+	counts countWindows
 
 	stop chan struct{}
 	done sync.WaitGroup
@@ -67,34 +67,34 @@
 	return id, nil
 }
 
-// OpenKeeper starts keeping the log in o.Dir.
-func OpenKeeper(o *Options) (*Keeper, error) {
-	k := &Keeper{opt: o, me: o.keeper(), log: o.Log, changed: make(chan struct{}), stop: make(chan struct{})}
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+// OpenReplica starts keeping the log in o.Dir.
+func OpenReplica(o *Options) (*ControlReplica, error) {
+	k := &ControlReplica{options: o, address: o.self(), log: o.Log, changed: make(chan struct{}), stop: make(chan struct{})}
+	if err := os.MkdirAll(o.LogDirectory, 0o700); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	var err error
-	if k.id, err = identity(o.Dir, o.Name); err != nil {
+	if k.id, err = identity(o.LogDirectory, o.Name); err != nil {
 		return nil, err
 	}
-	if k.machine, err = rollout.New(o.Settings); err != nil {
+	if k.stateMachine, err = rollout.New(o.Settings); err != nil {
 		return nil, err
 	}
 	quiet := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{o.Log, "raft"}, DisableTime: true})
-	if k.disk, err = openDisk(o.Dir, o.DiskFaults); err != nil {
-		return nil, fmt.Errorf("fleet: %s: %w", o.Dir, err)
+	if k.store, err = openLogStore(o.LogDirectory, o.DiskFaultFile); err != nil {
+		return nil, fmt.Errorf("fleet: %s: %w", o.LogDirectory, err)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(o.Dir, 2, quiet)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(o.LogDirectory, 2, quiet)
 	if err != nil {
-		k.disk.Close()
+		k.store.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	stream, err := listen(o, k.me.Log, k.id)
+	stream, err := listenRaft(o, k.address.LogAddress, k.id)
 	if err != nil {
-		k.disk.Close()
+		k.store.Close()
 		return nil, err
 	}
-	k.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 2, Timeout: askWait, Logger: quiet})
+	k.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: stream, MaxPool: 2, Timeout: callTimeout, Logger: quiet})
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = raft.ServerID(k.id), quiet
 	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = 600*time.Millisecond, 600*time.Millisecond, 400*time.Millisecond
@@ -103,22 +103,22 @@
 	begun := make(chan struct{})
 	go func() {
 		defer close(begun)
-		k.raft, err = raft.NewRaft(c, (*machine)(k), k.disk, k.disk, snaps, k.trans)
+		k.raft, err = raft.NewRaft(c, (*raftStateMachine)(k), k.store, k.store, snaps, k.transport)
 	}()
 	if <-begun; k.raft == nil {
-		if why := k.disk.reason(); why != nil {
-			err = &diskError{why}
+		if why := k.store.reason(); why != nil {
+			err = &DiskError{why}
 		}
-		k.trans.Close()
-		k.disk.Close()
-		return nil, fmt.Errorf("fleet: %s: %w", o.Dir, err)
+		k.transport.Close()
+		k.store.Close()
+		return nil, fmt.Errorf("fleet: %s: %w", o.LogDirectory, err)
 	}
-	l, err := o.listenTCP(k.me.Ask, servedTraffic)
+	l, err := o.listenTCP(k.address.APIAddress, servedTraffic)
 	if err != nil {
 		k.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	k.http = &http.Server{Handler: k.handler(), ReadHeaderTimeout: askWait}
+	k.http = &http.Server{Handler: k.handler(), ReadHeaderTimeout: callTimeout}
 	go func() { _ = k.http.Serve(l) }()
 	k.done.Add(1)
 	go k.join()
@@ -126,30 +126,32 @@
 }
 
 // Close ends the keeper; the others go on.
-func (k *Keeper) Close() {
+func (k *ControlReplica) Close() {
 	close(k.stop)
 	if k.http != nil {
 		_ = k.http.Close()
 	}
 	_ = k.raft.Shutdown().Error()
-	_ = k.trans.Close()
+	_ = k.transport.Close()
 	k.done.Wait()
-	_ = k.disk.Close()
+	_ = k.store.Close()
 }
 
-// address is where this keeper's log is reached, with the identity that calls must be meant for.
-func address(id, hostPort string) raft.ServerAddress { return raft.ServerAddress(id + "@" + hostPort) }
+// serverAddress is where this keeper's log is reached, with the identity that calls must be meant for.
+func serverAddress(id, hostPort string) raft.ServerAddress {
+	return raft.ServerAddress(id + "@" + hostPort)
+}
 
 // join asks the others to be let in, until it is. One that is alone begins a fleet only by Init.
-func (k *Keeper) join() {
+func (k *ControlReplica) join() {
 	defer k.done.Done()
 	for {
-		if k.knows(k.raft) {
+		if k.isVoter(k.raft) {
 			return
 		}
-		for _, a := range k.opt.Keepers {
-			if a.Name != k.me.Name {
-				_ = call(k.opt, a.Ask, "/join", joinWord{k.me.Name, k.id, k.me.Log}, nil)
+		for _, a := range k.options.ControlReplicas {
+			if a.Name != k.address.Name {
+				_ = call(k.options, a.APIAddress, "/join", joinRequest{k.address.Name, k.id, k.address.LogAddress}, nil)
 			}
 		}
 		select {
@@ -160,7 +162,7 @@
 	}
 }
 
-func (k *Keeper) knows(r *raft.Raft) bool {
+func (k *ControlReplica) isVoter(r *raft.Raft) bool {
 	f := r.GetConfiguration()
 	if f.Error() != nil {
 		return false
@@ -173,18 +175,20 @@
 	return false
 }
 
-type joinWord struct {
-	Name, ID, Log string
+type joinRequest struct {
+	Name       string `json:"Name"`
+	ID         string `json:"ID"`
+	LogAddress string `json:"Log"`
 }
 
-// admit takes a keeper in; an identity of the same name that its disk has lost goes first.
-func (k *Keeper) admit(w joinWord) error {
+// addReplica takes a keeper in; an identity of the same name that its disk has lost goes first.
+func (k *ControlReplica) addReplica(w joinRequest) error {
 	known := false
-	for _, a := range k.opt.Keepers {
-		known = known || (a.Name == w.Name && a.Log == w.Log)
+	for _, a := range k.options.ControlReplicas {
+		known = known || (a.Name == w.Name && a.LogAddress == w.LogAddress)
 	}
 	if !known || !strings.HasPrefix(w.ID, w.Name+".") {
-		return fmt.Errorf("%s at %s is not among the keepers of the settings", w.Name, w.Log)
+		return fmt.Errorf("%s at %s is not among the keepers of the settings", w.Name, w.LogAddress)
 	}
 	f := k.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -196,72 +200,72 @@
 		}
 		if strings.HasPrefix(string(s.ID), w.Name+".") {
 			k.log.Warn("a keeper has a new disk", "keeper", w.Name, "was", string(s.ID), "is", w.ID)
-			if err := k.raft.RemoveServer(s.ID, 0, agreeWait).Error(); err != nil {
+			if err := k.raft.RemoveServer(s.ID, 0, commitTimeout).Error(); err != nil {
 				return err
 			}
 		}
 	}
-	return k.raft.AddVoter(raft.ServerID(w.ID), address(w.ID, w.Log), 0, agreeWait).Error()
+	return k.raft.AddVoter(raft.ServerID(w.ID), serverAddress(w.ID, w.LogAddress), 0, commitTimeout).Error()
 }
 
 // Init begins a fleet with this keeper alone; the others join it. It is an operator's act: a keeper that finds nobody
 // must not begin a second fleet by itself.
-func (k *Keeper) Init() error {
+func (k *ControlReplica) Init() error {
 	return k.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{
-		ID: raft.ServerID(k.id), Address: address(k.id, k.me.Log),
+		ID: raft.ServerID(k.id), Address: serverAddress(k.id, k.address.LogAddress),
 	}}}).Error()
 }
 
-// errNoLeader tells that the log takes nothing just now, or takes it elsewhere.
-var errNoLeader = errors.New("fleet: no keeper leads")
+// errNotLeader tells that the log takes nothing just now, or takes it elsewhere.
+var errNotLeader = errors.New("fleet: no keeper leads")
 
 // Apply enters a command into the log, with this keeper's time in it, and returns the machine's answer. An error tells that
 // it is not known whether it was taken: the same command, under its id, may be tried again.
-func (k *Keeper) Apply(c rollout.Command) (rollout.Result, error) {
-	c.At = time.Duration(k.opt.now().UnixNano())
+func (k *ControlReplica) Apply(c rollout.Command) (rollout.Result, error) {
+	c.At = time.Duration(k.options.now().UnixNano())
 	text, err := json.Marshal(c)
 	if err != nil {
 		return rollout.Result{}, err
 	}
-	f := k.raft.Apply(text, agreeWait)
+	f := k.raft.Apply(text, commitTimeout)
 	if err := f.Error(); err != nil {
-		return rollout.Result{}, fmt.Errorf("%w: %w", errNoLeader, err)
+		return rollout.Result{}, fmt.Errorf("%w: %w", errNotLeader, err)
 	}
 	return f.Response().(rollout.Result), nil
 }
 
-// leads tells whether this keeper leads.
-func (k *Keeper) leads() bool { return k.raft.State() == raft.Leader }
+// isLeader tells whether this keeper leads.
+func (k *ControlReplica) isLeader() bool { return k.raft.State() == raft.Leader }
 
-// leader is where the leading keeper is asked; empty for none known.
-func (k *Keeper) leader() string {
+// leaderAddress is where the leading keeper is asked; empty for none known.
+func (k *ControlReplica) leaderAddress() string {
 	_, id := k.raft.LeaderWithID()
-	for _, a := range k.opt.Keepers {
+	for _, a := range k.options.ControlReplicas {
 		if strings.HasPrefix(string(id), a.Name+".") {
-			return a.Ask
+			return a.APIAddress
 		}
 	}
 	return ""
 }
 
-// look calls f with the state as this keeper knows it.
-func (k *Keeper) look(f func(*rollout.StateMachine)) {
+// readState calls f with the state as this keeper knows it.
+func (k *ControlReplica) readState(f func(*rollout.StateMachine)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	f(k.machine)
+	f(k.stateMachine)
 }
 
-// next is closed at the next command.
-func (k *Keeper) next() <-chan struct{} {
+// nextChange is closed at the next command.
+func (k *ControlReplica) nextChange() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
 }
 
-// machine is the keeper as raft sees it.
-type machine Keeper
+// raftStateMachine is the keeper as raft sees it.
+type raftStateMachine ControlReplica
 
-func (m *machine) Apply(l *raft.Log) any {
+func (m *raftStateMachine) Apply(l *raft.Log) any {
 	var c rollout.Command
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -269,21 +273,21 @@
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		r.Rejected = &rollout.RejectedError{Code: rollout.InvalidArgument, Text: err.Error()}
 	} else {
-		r = m.machine.Apply(c)
+		r = m.stateMachine.Apply(c)
 	}
 	close(m.changed)
 	m.changed = make(chan struct{})
 	return r
 }
 
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *raftStateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	text, err := m.machine.Snapshot()
+	text, err := m.stateMachine.Snapshot()
 	return snapshot(text), err
 }
 
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *raftStateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(r)
 	if err != nil {
@@ -291,7 +295,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.machine.Restore(text)
+	return m.stateMachine.Restore(text)
 }
 
 type snapshot []byte
--- a/internal/fleet/keeping.go
+++ b/internal/fleet/keeping.go
@@ -12,7 +12,7 @@
 func (m *Member) openLog() error {
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	doubt := marked(m.opt.Dir)
+	doubt := isMarked(m.options.LogDirectory)
 	newPolicy := diskrecovery.New
 	if doubt {
 		newPolicy = diskrecovery.NewMarked
@@ -21,59 +21,59 @@
 	if err != nil {
 		return err
 	}
-	var k *Keeper
+	var k *ControlReplica
 	if !doubt {
-		var bad *diskError
-		if k, err = OpenKeeper(&m.opt); err != nil && !errors.As(err, &bad) {
+		var bad *DiskError
+		if k, err = OpenReplica(&m.options); err != nil && !errors.As(err, &bad) {
 			return err
 		} else if err != nil {
-			m.failed(decide, now(), err)
+			m.diskFailed(decide, now(), err)
 		}
 	}
 	m.done.Add(1)
-	go m.keep(k, decide, now)
+	go m.runReplica(k, decide, now)
 	return nil
 }
 
-// lookAgain is how often a keeper that is out looks whether it may come back.
-const lookAgain = 200 * time.Millisecond
+// recoveryInterval is how often a keeper that is out looks whether it may come back.
+const recoveryInterval = 200 * time.Millisecond
 
-// keep keeps the log, and goes out and comes back as decide tells, until the member ends. The front end serves on meanwhile.
-func (m *Member) keep(k *Keeper, decide *diskrecovery.Policy, now func() time.Duration) {
+// runReplica keeps the log, and goes out and comes back as decide tells, until the member ends. The front end serves on meanwhile.
+func (m *Member) runReplica(k *ControlReplica, decide *diskrecovery.Policy, now func() time.Duration) {
 	defer m.done.Done()
 	for told := ""; ; {
 		if k != nil {
 			told = ""
-			if !m.keeping(k) {
+			if !m.serveReplica(k) {
 				return
 			}
-			m.failed(decide, now(), k.disk.reason())
+			m.diskFailed(decide, now(), k.store.reason())
 			k = nil
 		}
-		step := decide.Next(now(), diskrecovery.Quorum(m.agreed()))
+		step := decide.Next(now(), diskrecovery.Quorum(m.quorumAvailable()))
 		if why := decide.Reason(); why != told && why != "" {
 			told = why
 			m.log.Warn("the log is not kept here", "why", why)
 		}
 		if step == diskrecovery.Wait {
-			if !m.rest(lookAgain) {
+			if !m.wait(recoveryInterval) {
 				return
 			}
 			continue
 		}
 		var err error
 		if step == diskrecovery.Reinitialize {
-			err = setAside(m.opt.Dir)
+			err = setAside(m.options.LogDirectory)
 		}
 		if err == nil {
-			k, err = OpenKeeper(&m.opt)
+			k, err = OpenReplica(&m.options)
 		}
 		if err != nil {
 			k = nil
 			m.log.Error("the log can't be opened", "error", err)
-			var bad *diskError
+			var bad *DiskError
 			if errors.As(err, &bad) {
-				m.failed(decide, now(), err)
+				m.diskFailed(decide, now(), err)
 			}
 			decide.Failed(now(), diskrecovery.OpenFailed)
 			continue
@@ -87,11 +87,11 @@
 	}
 }
 
-// failed tells of a failure of the disk, and marks a doubt for whatever process comes after.
-func (m *Member) failed(decide *diskrecovery.Policy, now time.Duration, why error) {
-	kind := kindOf(why)
+// diskFailed tells of a failure of the disk, and marks a doubt for whatever process comes after.
+func (m *Member) diskFailed(decide *diskrecovery.Policy, now time.Duration, why error) {
+	kind := classifyFailure(why)
 	if kind == diskrecovery.DurabilityUnknown {
-		if err := setMark(m.opt.Dir, why); err != nil {
+		if err := setMark(m.options.LogDirectory, why); err != nil {
 			m.log.Error("a doubt can't be marked on the disk", "error", err)
 		}
 	}
@@ -99,22 +99,22 @@
 	decide.Failed(now, kind)
 }
 
-// keeping keeps the log until its disk fails; false when the member ends.
-func (m *Member) keeping(k *Keeper) bool {
+// serveReplica keeps the log until its disk fails; false when the member ends.
+func (m *Member) serveReplica(k *ControlReplica) bool {
 	k.done.Add(1)
-	go k.lead(m.gossip, m.front.Engines)
+	go k.runLeader(m.gossip, m.frontEnd.Engines)
 	select {
 	case <-m.stop:
 		k.Close()
 		return false
-	case <-k.disk.failed:
+	case <-k.store.failed:
 		k.Close()
 		return true
 	}
 }
 
-// agreed tells whether the others agree without this front end, which keeps nothing now.
-func (m *Member) agreed() bool {
+// quorumAvailable tells whether the others agree without this front end, which keeps nothing now.
+func (m *Member) quorumAvailable() bool {
 	s, err := m.client.Status()
-	return err == nil && s.Leads
+	return err == nil && s.IsLeader
 }
--- a/internal/fleet/lead.go
+++ b/internal/fleet/lead.go
@@ -9,50 +9,52 @@
 	"beechcart/decision/rollout"
 )
 
-// Counts is what one front end did in one window.
-type Counts struct {
-	Name, Room, Revision string
-	Window               int64 // Unix time over countsFor
-	Load                 float64
-	Count                rollout.RequestCounts
+// WindowCounts is what one front end did in one window.
+type WindowCounts struct {
+	Name     string                `json:"Name"`
+	Zone     string                `json:"Room"`
+	Revision string                `json:"Revision"`
+	Window   int64                 `json:"Window"` // Unix time over windowLength
+	Load     float64               `json:"Load"`   // requests a second
+	Counts   rollout.RequestCounts `json:"Count"`
 }
 
-// counts gathers windows until they are old enough to be whole.
-type counts struct {
-	mu   sync.Mutex
-	list map[int64]map[string]Counts
+// countWindows gathers windows until they are old enough to be whole.
+type countWindows struct {
+	mu      sync.Mutex
+	windows map[int64]map[string]WindowCounts
 }
 
-func (c *counts) take(w Counts) {
+func (c *countWindows) add(w WindowCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.list == nil {
-		c.list = map[int64]map[string]Counts{}
+	if c.windows == nil {
+		c.windows = map[int64]map[string]WindowCounts{}
 	}
-	if c.list[w.Window] == nil {
-		c.list[w.Window] = map[string]Counts{}
+	if c.windows[w.Window] == nil {
+		c.windows[w.Window] = map[string]WindowCounts{}
 	}
-	if len(c.list[w.Window]) < 10_000 {
-		c.list[w.Window][w.Name] = w
+	if len(c.windows[w.Window]) < 10_000 {
+		c.windows[w.Window][w.Name] = w
 	}
 }
 
-// whole takes the windows up to that one out, in order.
-func (c *counts) whole(upTo int64) (windows [][]Counts, numbers []int64) {
+// completeWindows takes the windows up to that one out, in order.
+func (c *countWindows) completeWindows(upTo int64) (windows [][]WindowCounts, numbers []int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n := range c.list {
+	for n := range c.windows {
 		if n <= upTo {
 			numbers = append(numbers, n)
 		}
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers {
-		var w []Counts
-		for _, v := range c.list[n] {
+		var w []WindowCounts
+		for _, v := range c.windows[n] {
 			w = append(w, v)
 		}
-		delete(c.list, n)
+		delete(c.windows, n)
 		windows = append(windows, w)
 	}
 	return windows, numbers
@@ -63,10 +65,10 @@
 }
 
 // window is the number of the window at a time.
-func window(t time.Time) int64 { return t.UnixNano() / int64(countsFor) }
+func window(t time.Time) int64 { return t.UnixNano() / int64(windowLength) }
 
-// lead looks around while this keeper leads: doubts, ticks, what was counted, and what its own list says of engines.
-func (k *Keeper) lead(g *gossip, engines func() []rollout.Engine) {
+// runLeader looks around while this keeper leads: doubts, ticks, what was counted, and what its own list says of engines.
+func (k *ControlReplica) runLeader(g *gossip, engines func() []rollout.Engine) {
 	defer k.done.Done()
 	silent := map[string]time.Time{} // since when a member is not heard of
 	led := false
@@ -74,20 +76,20 @@
 		select {
 		case <-k.stop:
 			return
-		case <-time.After(leadEvery):
+		case <-time.After(leaderInterval):
 		}
-		if !k.leads() {
+		if !k.isLeader() {
 			led = false
 			clear(silent)
 			continue
 		}
 		if !led { // all that was agreed before must be known here first
-			if k.raft.Barrier(agreeWait).Error() != nil {
+			if k.raft.Barrier(commitTimeout).Error() != nil {
 				continue
 			}
 			led = true
 		}
-		for _, c := range k.due(g.heard(), silent, engines()) {
+		for _, c := range k.periodicCommands(g.aliveProcesses(), silent, engines()) {
 			if _, err := k.Apply(c); err != nil {
 				break
 			}
@@ -95,11 +97,11 @@
 	}
 }
 
-// due lists the commands that the leader enters by itself.
-func (k *Keeper) due(heard map[string]uint64, silent map[string]time.Time, engines []rollout.Engine) (out []rollout.Command) {
-	now := k.opt.now()
-	windows, numbers := k.counts.whole(window(now) - 2)
-	k.look(func(m *rollout.StateMachine) {
+// periodicCommands lists the commands that the leader enters by itself.
+func (k *ControlReplica) periodicCommands(heard map[string]uint64, silent map[string]time.Time, engines []rollout.Engine) (out []rollout.Command) {
+	now := k.options.now()
+	windows, numbers := k.counts.completeWindows(window(now) - 2)
+	k.readState(func(m *rollout.StateMachine) {
 		for name, o := range m.Members {
 			if o.Suspected || o.Phase == rollout.Terminated || heard[name] == o.Incarnation {
 				delete(silent, name)
@@ -108,7 +110,7 @@
 			if silent[name].IsZero() {
 				silent[name] = now
 			}
-			if now.Sub(silent[name]) >= doubtFor {
+			if now.Sub(silent[name]) >= suspicionTimeout {
 				out = append(out, rollout.Command{Suspect: &rollout.Suspect{Name: name, Incarnation: o.Incarnation}})
 				delete(silent, name)
 			}
@@ -131,15 +133,15 @@
 			rooms := map[string]*rollout.ZoneCounts{}
 			for _, c := range w {
 				load.FrontEnds += c.Load
-				r := rooms[c.Room]
+				r := rooms[c.Zone]
 				if r == nil {
-					r = &rollout.ZoneCounts{Zone: c.Room}
-					rooms[c.Room] = r
+					r = &rollout.ZoneCounts{Zone: c.Zone}
+					rooms[c.Zone] = r
 				}
 				if rel := m.Release; rel != nil && c.Revision == rel.Revision {
-					add(&r.New, c.Count)
+					add(&r.New, c.Counts)
 				} else {
-					add(&r.Old, c.Count)
+					add(&r.Old, c.Counts)
 				}
 			}
 			if change := load.FrontEnds - m.Load.FrontEnds; change > m.Load.FrontEnds/10 || -change > m.Load.FrontEnds/10 {
--- a/internal/fleet/recorded_test.go
+++ b/internal/fleet/recorded_test.go
@@ -116,9 +116,9 @@
 }
 
 // openReplica opens the replica of a directory.
-func openReplica(t *testing.T, o *Options) *Keeper {
+func openReplica(t *testing.T, o *Options) *ControlReplica {
 	t.Helper()
-	replica, err := OpenKeeper(o)
+	replica, err := OpenReplica(o)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		if replica != nil {
@@ -129,20 +129,20 @@
 }
 
 // awaitLeading waits until the replica leads.
-func awaitLeading(t *testing.T, replica *Keeper) {
+func awaitLeading(t *testing.T, replica *ControlReplica) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		status, err := replica.Status()
-		return err == nil && status.Leads && replica.raft.Barrier(time.Second).Error() == nil
+		return err == nil && status.IsLeader && replica.raft.Barrier(time.Second).Error() == nil
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
 // newReplica opens a replica with the recorded identity and an empty log, and enters the commands.
-func newReplica(t *testing.T) (*Options, *Keeper) {
+func newReplica(t *testing.T) (*Options, *ControlReplica) {
 	t.Helper()
 	o := options(t)
-	require.NoError(t, os.MkdirAll(o.Dir, 0o700))
-	require.NoError(t, os.WriteFile(filepath.Join(o.Dir, "identity"), []byte(recordedIdentity+"\n"), 0o600))
+	require.NoError(t, os.MkdirAll(o.LogDirectory, 0o700))
+	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "identity"), []byte(recordedIdentity+"\n"), 0o600))
 	replica := openReplica(t, o)
 	require.NoError(t, replica.Init())
 	awaitLeading(t, replica)
@@ -184,11 +184,11 @@
 	_, err := replica.Apply(parseCommand(t, `{"id":"c12","by":"ann","at":0,"halt":{"cause":"the last entry"}}`))
 	require.NoError(t, err)
 	require.NoError(t, replica.raft.Shutdown().Error())
-	require.NoError(t, filepath.WalkDir(o.Dir, func(path string, entry fs.DirEntry, err error) error {
+	require.NoError(t, filepath.WalkDir(o.LogDirectory, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
 		}
-		name, err := filepath.Rel(o.Dir, path)
+		name, err := filepath.Rel(o.LogDirectory, path)
 		require.NoError(t, err)
 		content, err := os.ReadFile(path)
 		require.NoError(t, err)
@@ -212,16 +212,16 @@
 		recordReplica(t)
 	}
 	o := options(t)
-	require.NoError(t, os.CopyFS(o.Dir, os.DirFS(filepath.Join(recordedDir, "replica"))))
-	packed, err := os.Open(filepath.Join(o.Dir, "log.db.gz"))
+	require.NoError(t, os.CopyFS(o.LogDirectory, os.DirFS(filepath.Join(recordedDir, "replica"))))
+	packed, err := os.Open(filepath.Join(o.LogDirectory, "log.db.gz"))
 	require.NoError(t, err)
 	defer packed.Close()
 	r, err := gzip.NewReader(packed)
 	require.NoError(t, err)
 	content, err := io.ReadAll(r)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(filepath.Join(o.Dir, "log.db"), content, 0o600))
-	require.NoError(t, os.Remove(filepath.Join(o.Dir, "log.db.gz")))
+	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "log.db"), content, 0o600))
+	require.NoError(t, os.Remove(filepath.Join(o.LogDirectory, "log.db.gz")))
 	return o
 }
 
@@ -229,7 +229,7 @@
 // the replica answers.
 func TestRecordedReplicaIsRead(t *testing.T) {
 	o := recordedReplica(t)
-	entries := logEntries(t, o.Dir)
+	entries := logEntries(t, o.LogDirectory)
 	for _, line := range strings.Split(strings.TrimSpace(entries), "\n") {
 		parseCommand(t, line)
 	}
@@ -250,18 +250,18 @@
 	recordedReplica(t)
 	o, replica := newReplica(t)
 	require.NoError(t, replica.raft.Snapshot().Error())
-	snapshots, err := filepath.Glob(filepath.Join(o.Dir, "snapshots", "*", "state.bin"))
+	snapshots, err := filepath.Glob(filepath.Join(o.LogDirectory, "snapshots", "*", "state.bin"))
 	require.NoError(t, err)
 	require.Len(t, snapshots, 1)
 	written, err := os.ReadFile(snapshots[0])
 	require.NoError(t, err)
 	checkRecorded(t, "snapshot-without-times.json", []byte(withoutStateTimes(string(written))+"\n"))
 	require.NoError(t, replica.raft.Shutdown().Error())
-	require.NoError(t, replica.disk.Close())
+	require.NoError(t, replica.store.Close())
 	entries, err := os.ReadFile(filepath.Join(recordedDir, "entries.jsonl"))
 	require.NoError(t, err)
 	lines := strings.SplitAfter(withoutTimes(string(entries)), "\n")
-	assert.Equal(t, strings.Join(lines[:len(commandTexts())], ""), withoutTimes(logEntries(t, o.Dir)))
+	assert.Equal(t, strings.Join(lines[:len(commandTexts())], ""), withoutTimes(logEntries(t, o.LogDirectory)))
 }
 
 var stateTime = regexp.MustCompile(`"(now|changed|before|granted|begun|started|at|may_stop|soak_from)":\d+`)
@@ -280,13 +280,13 @@
 // ask makes calls at a replica. Its addresses, and how far its log is, are replaced in what is recorded.
 func ask(t *testing.T, o *Options, calls []exchange) []exchange {
 	t.Helper()
-	me := o.Keepers[0]
-	names := strings.NewReplacer(me.Ask, "ASK", me.Log, "LOG", me.Gossip, "GOSSIP")
+	me := o.ControlReplicas[0]
+	names := strings.NewReplacer(me.APIAddress, "ASK", me.LogAddress, "LOG", me.GossipAddress, "GOSSIP")
 	index := regexp.MustCompile(`"index":\d+`)
 	done := []exchange{}
 	for _, e := range calls {
-		body := strings.NewReplacer("LOG", me.Log).Replace(e.Body)
-		request, err := http.NewRequest(e.Method, "http://"+me.Ask+e.Path, strings.NewReader(body))
+		body := strings.NewReplacer("LOG", me.LogAddress).Replace(e.Body)
+		request, err := http.NewRequest(e.Method, "http://"+me.APIAddress+e.Path, strings.NewReader(body))
 		require.NoError(t, err)
 		request.Header.Set("X-Key", o.Key)
 		if e.Path == "/status?wrong-key" {
@@ -317,7 +317,7 @@
 // fillCounts sets every field of a report of counts.
 func fillCounts(t *testing.T) string {
 	t.Helper()
-	var report Counts
+	var report WindowCounts
 	n := 0
 	var fill func(reflect.Value)
 	fill = func(v reflect.Value) {
@@ -371,7 +371,7 @@
 	done := ask(t, o, calls)
 
 	alone := options(t)
-	replica, err := OpenKeeper(alone)
+	replica, err := OpenReplica(alone)
 	require.NoError(t, err)
 	t.Cleanup(replica.Close)
 	done = append(done, ask(t, alone, []exchange{
@@ -419,7 +419,7 @@
 	server.Listener = l
 	server.Start()
 	t.Cleanup(server.Close)
-	o.Keepers[0].Ask = l.Addr().String()
+	o.ControlReplicas[0].APIAddress = l.Addr().String()
 	return f
 }
 
@@ -448,11 +448,11 @@
 	f := serveFake(t, leader, func(string, string) string { return `{"value":{"permit":5}}` })
 	follower := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = fmt.Fprintf(w, `{"error":"fleet: no keeper leads","leader":%q}`, leader.Keepers[0].Ask)
+		_, _ = fmt.Fprintf(w, `{"error":"fleet: no keeper leads","leader":%q}`, leader.ControlReplicas[0].APIAddress)
 	}))
 	defer follower.Close()
 	o := options(t)
-	o.Keepers[0].Ask = strings.TrimPrefix(follower.URL, "http://")
+	o.ControlReplicas[0].APIAddress = strings.TrimPrefix(follower.URL, "http://")
 	result, err := NewClient(o).Apply(parseCommand(t, `{"at":0,"tick":{}}`))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(5), result.Permit)
@@ -463,9 +463,9 @@
 // process after the one that its file names.
 func TestRecordedMemberCalls(t *testing.T) {
 	o := options(t)
-	o.Kind, o.Weight = "std-12", 100
+	o.Kind, o.CapacityPerSecond = "std-12", 100
 	const process = "4000000000000000001"
-	require.NoError(t, os.WriteFile(o.Dir+".process", []byte("4000000000000000000\n"), 0o600))
+	require.NoError(t, os.WriteFile(o.LogDirectory+".process", []byte("4000000000000000000\n"), 0o600))
 	o.Name = "n1" // it keeps no log
 	view := `{"view":{"known":true,"incarnation":` + process + `,"seq":2,"phase":"serving","doubted":false,` +
 		`"wanted":"r1","permit":{"number":7,"holder":"n1","for":"restart","revision":"r2","release":1,"granted":5,` +
@@ -485,10 +485,10 @@
 	})
 	member, err := Join(*o, idleFront{})
 	require.NoError(t, err)
-	<-member.Known()
-	member.Say(rollout.Serving)
+	<-member.Registered()
+	member.SetPhase(rollout.Serving)
 	select {
-	case permission := <-member.Goes():
+	case permission := <-member.Shutdowns():
 		assert.Equal(t, "{7 restart r2}", fmt.Sprint(permission))
 	case <-time.After(20 * time.Second):
 		require.Fail(t, "not told to go")
@@ -496,7 +496,7 @@
 	member.Close(20 * time.Second)
 	calls := slices.DeleteFunc(f.sorted(), func(call string) bool { return strings.Contains(call, "/counts") })
 	checkRecorded(t, "member.txt", []byte(strings.Join(calls, "\n")+"\n"))
-	written, err := os.ReadFile(o.Dir + ".process")
+	written, err := os.ReadFile(o.LogDirectory + ".process")
 	require.NoError(t, err)
 	assert.Equal(t, process+"\n", string(written))
 }
@@ -504,17 +504,17 @@
 // What a replica sends that looks for its fleet.
 func TestRecordedJoinCall(t *testing.T) {
 	o := options(t)
-	require.NoError(t, os.MkdirAll(o.Dir, 0o700))
-	require.NoError(t, os.WriteFile(filepath.Join(o.Dir, "identity"), []byte(recordedIdentity+"\n"), 0o600))
+	require.NoError(t, os.MkdirAll(o.LogDirectory, 0o700))
+	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "identity"), []byte(recordedIdentity+"\n"), 0o600))
 	others := options(t)
 	f := serveFake(t, others, func(string, string) string { return `{}` })
-	f.note = func(call string) string { return strings.ReplaceAll(call, o.Keepers[0].Log, "LOG") }
+	f.note = func(call string) string { return strings.ReplaceAll(call, o.ControlReplicas[0].LogAddress, "LOG") }
 	for _, name := range []string{"n1", "n2"} {
-		other := others.Keepers[0]
+		other := others.ControlReplicas[0]
 		other.Name = name
-		o.Keepers = append(o.Keepers, other)
+		o.ControlReplicas = append(o.ControlReplicas, other)
 	}
-	replica, err := OpenKeeper(o)
+	replica, err := OpenReplica(o)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(f.sorted()) > 0 }, 20*time.Second, time.Millisecond)
 	replica.Close()
@@ -524,15 +524,15 @@
 // The files that a replica leaves beside its log, and the words with which a connection of the log begins.
 func TestRecordedFiles(t *testing.T) {
 	o := options(t)
-	o.DiskFaults = filepath.Join(t.TempDir(), "fault")
+	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
 	member, err := Join(*o, idleFront{})
 	require.NoError(t, err)
 	defer member.Close(0)
-	identity, err := os.ReadFile(filepath.Join(o.Dir, "identity"))
+	identity, err := os.ReadFile(filepath.Join(o.LogDirectory, "identity"))
 	require.NoError(t, err)
 	assert.Regexp(t, `^n0\.[0-9a-f]{12}\n$`, string(identity))
 
-	c, err := net.Dial("tcp", o.Keepers[0].Log)
+	c, err := net.Dial("tcp", o.ControlReplicas[0].LogAddress)
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.SetDeadline(time.Now().Add(20*time.Second)))
@@ -543,12 +543,12 @@
 	require.NoError(t, err)
 	assert.Equal(t, "+", string(answer))
 
-	require.NoError(t, os.WriteFile(o.DiskFaults, []byte("sync"), 0o600))
+	require.NoError(t, os.WriteFile(o.DiskFaultFile, []byte("sync"), 0o600))
 	require.Error(t, NewClient(o).Init())
 	var mark []byte
 	require.Eventually(t, func() bool {
-		mark, err = os.ReadFile(filepath.Join(o.Dir, "doubtful"))
+		mark, err = os.ReadFile(filepath.Join(o.LogDirectory, "doubtful"))
 		return err == nil && len(mark) > 0
 	}, 20*time.Second, time.Millisecond)
-	assert.Equal(t, "sync "+o.DiskFaults+": input/output error\n", string(mark))
+	assert.Equal(t, "sync "+o.DiskFaultFile+": input/output error\n", string(mark))
 }
--- a/internal/fleet/stream.go
+++ b/internal/fleet/stream.go
@@ -12,49 +12,49 @@
 	"github.com/hashicorp/raft"
 )
 
-// stream carries the log's calls. Each connection begins with a line that names the identity that it is meant for, and the
+// raftStream carries the log's calls. Each connection begins with a line that names the identity that it is meant for, and the
 // shared key; one that is meant for another is closed unread.
-type stream struct {
-	opt  *Options
-	id   string
-	addr string
-	l    net.Listener
-	good chan net.Conn
-	over chan struct{}
-	once sync.Once
+type raftStream struct {
+	options  *Options
+	identity string
+	addr     string
+	listener net.Listener
+	accepted chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
-func listen(o *Options, addr, id string) (*stream, error) {
+func listenRaft(o *Options, addr, id string) (*raftStream, error) {
 	l, err := o.listenTCP(addr, logTraffic)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	s := &stream{opt: o, id: id, addr: addr, l: l, good: make(chan net.Conn), over: make(chan struct{})}
+	s := &raftStream{options: o, identity: id, addr: addr, listener: l, accepted: make(chan net.Conn), closed: make(chan struct{})}
 	go s.serve()
 	return s, nil
 }
 
-func (s *stream) serve() {
+func (s *raftStream) serve() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			select {
-			case <-s.over:
+			case <-s.closed:
 				return
 			case <-time.After(50 * time.Millisecond): // out of descriptors, most likely
 				continue
 			}
 		}
-		go s.greet(c)
+		go s.handshake(c)
 	}
 }
 
-func (s *stream) greet(c net.Conn) {
-	_ = c.SetReadDeadline(time.Now().Add(askWait))
+func (s *raftStream) handshake(c net.Conn) {
+	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
 	r := bufio.NewReaderSize(io.LimitReader(c, 256), 256)
 	line, err := r.ReadString('\n')
 	// The caller sends nothing more until it is answered, so the reader holds no byte of what follows.
-	if want := s.id + " " + s.opt.Key + "\n"; err != nil || line != want {
+	if want := s.identity + " " + s.options.Key + "\n"; err != nil || line != want {
 		c.Close()
 		return
 	}
@@ -64,47 +64,47 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	select {
-	case s.good <- c:
-	case <-s.over:
+	case s.accepted <- c:
+	case <-s.closed:
 		c.Close()
 	}
 }
 
-func (s *stream) Accept() (net.Conn, error) {
+func (s *raftStream) Accept() (net.Conn, error) {
 	select {
-	case c := <-s.good:
+	case c := <-s.accepted:
 		return c, nil
-	case <-s.over:
+	case <-s.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (s *stream) Close() error {
-	s.once.Do(func() { close(s.over) })
-	return s.l.Close()
+func (s *raftStream) Close() error {
+	s.once.Do(func() { close(s.closed) })
+	return s.listener.Close()
 }
 
 // Addr names the identity too: it is what the others know this keeper by.
-func (s *stream) Addr() net.Addr { return named(address(s.id, s.addr)) }
+func (s *raftStream) Addr() net.Addr { return serverAddr(serverAddress(s.identity, s.addr)) }
 
-type named string
+type serverAddr string
 
-func (named) Network() string  { return "tcp" }
-func (n named) String() string { return string(n) }
+func (serverAddr) Network() string  { return "tcp" }
+func (n serverAddr) String() string { return string(n) }
 
 // Dial opens a connection to an identity at an address.
-func (s *stream) Dial(to raft.ServerAddress, wait time.Duration) (net.Conn, error) {
+func (s *raftStream) Dial(to raft.ServerAddress, wait time.Duration) (net.Conn, error) {
 	id, hostPort, ok := strings.Cut(string(to), "@")
 	if !ok {
 		return nil, fmt.Errorf("fleet: %q names no identity", to)
 	}
-	c, err := s.opt.dialTCP(hostPort, wait, logTraffic)
+	c, err := s.options.dialTCP(hostPort, wait, logTraffic)
 	if err != nil {
 		return nil, err
 	}
 	_ = c.SetDeadline(time.Now().Add(wait))
 	var yes [1]byte
-	if _, err = fmt.Fprintf(c, "%s %s\n", id, s.opt.Key); err == nil {
+	if _, err = fmt.Fprintf(c, "%s %s\n", id, s.options.Key); err == nil {
 		_, err = io.ReadFull(c, yes[:])
 	}
 	if err != nil {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -45,10 +45,10 @@
 // HostSet names hosts by their addresses, without ports.
 type HostSet map[string]bool
 
-// Wire counts what a member sends and receives, and restricts to whom it sends. It serves tests at fleet size: a member that has none
+// Transport counts what a member sends and receives, and restricts to whom it sends. It serves tests at fleet size: a member that has none
 // uses its sockets directly. A Wire belongs to one member, whose connections it opens from the member's own address, so
 // that the other end can tell whose they are. It is safe for concurrent use.
-type Wire struct {
+type Transport struct {
 	local  *net.TCPAddr
 	meters [trafficKinds]meter
 	cut    atomic.Pointer[cut]
@@ -61,9 +61,9 @@
 	replaced chan struct{} // closed when another cut is in its place
 }
 
-// NewWire returns the wire of a member at a host, an IP address without a port, that restricts nothing yet.
-func NewWire(host string) *Wire {
-	w := &Wire{local: &net.TCPAddr{IP: net.ParseIP(host)}}
+// NewTransport returns the wire of a member at a host, an IP address without a port, that restricts nothing yet.
+func NewTransport(host string) *Transport {
+	w := &Transport{local: &net.TCPAddr{IP: net.ParseIP(host)}}
 	w.cut.Store(&cut{replaced: make(chan struct{})})
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -75,28 +75,28 @@
 
 // Block lets nothing be sent to these hosts from now on, in place of those of the last call. Datagrams to them are dropped, connections to them
 // don't open, and writes on connections that are open wait for the cut to end, for maxBlockedWrite at most.
-func (w *Wire) Block(hosts HostSet) {
+func (w *Transport) Block(hosts HostSet) {
 	last := w.cut.Swap(&cut{hosts, make(chan struct{})})
 	close(last.replaced)
 }
 
 // Blocked tells whether nothing is sent to a host now.
-func (w *Wire) Blocked(host string) bool { return w.cut.Load().hosts[host] }
+func (w *Transport) Blocked(host string) bool { return w.cut.Load().hosts[host] }
 
 // Gossip is the traffic of membership: datagrams, and the streams of full exchanges.
-func (w *Wire) Gossip() Traffic { return w.meters[gossipTraffic].read() }
+func (w *Transport) Gossip() Traffic { return w.meters[gossipTraffic].read() }
 
 // Calls is the traffic of HTTP calls that the member made.
-func (w *Wire) Calls() Traffic { return w.meters[callTraffic].read() }
+func (w *Transport) Calls() Traffic { return w.meters[callTraffic].read() }
 
 // Served is the traffic of HTTP calls that the member answered, at a replica.
-func (w *Wire) Served() Traffic { return w.meters[servedTraffic].read() }
+func (w *Transport) Served() Traffic { return w.meters[servedTraffic].read() }
 
 // Log is the traffic of the replicated log, at a replica.
-func (w *Wire) Log() Traffic { return w.meters[logTraffic].read() }
+func (w *Transport) Log() Traffic { return w.meters[logTraffic].read() }
 
 // awaitClear returns nil once the host is not blocked, net.ErrClosed when closed is, and os.ErrDeadlineExceeded at the deadline.
-func (w *Wire) awaitClear(host string, closed <-chan struct{}, deadline time.Time) error {
+func (w *Transport) awaitClear(host string, closed <-chan struct{}, deadline time.Time) error {
 	for {
 		now := w.cut.Load()
 		if !now.hosts[host] {
@@ -116,7 +116,7 @@
 }
 
 // dial opens a connection from the member's own address. One to a blocked host waits, as for an answer that is lost.
-func (w *Wire) dial(ctx context.Context, addr string, kind trafficKind) (net.Conn, error) {
+func (w *Transport) dial(ctx context.Context, addr string, kind trafficKind) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 }
 
 // dialWithin is dial with a time limit.
-func (w *Wire) dialWithin(addr string, wait time.Duration, kind trafficKind) (net.Conn, error) {
+func (w *Transport) dialWithin(addr string, wait time.Duration, kind trafficKind) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	return w.dial(ctx, addr, kind)
@@ -146,27 +146,27 @@
 
 // httpClient makes the calls to replicas: the member's own with a wire, else one that the process shares.
 func (o *Options) httpClient() *http.Client {
-	if o.Wire == nil {
+	if o.Transport == nil {
 		return client
 	}
-	return o.Wire.http
+	return o.Transport.http
 }
 
 // listenTCP listens at an address, through the wire where there is one.
 func (o *Options) listenTCP(addr string, kind trafficKind) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
-	if err != nil || o.Wire == nil {
+	if err != nil || o.Transport == nil {
 		return l, err
 	}
-	return &wireListener{l, o.Wire, kind}, nil
+	return &wireListener{l, o.Transport, kind}, nil
 }
 
 // dialTCP dials an address, through the wire where there is one.
 func (o *Options) dialTCP(addr string, wait time.Duration, kind trafficKind) (net.Conn, error) {
-	if o.Wire == nil {
-		return net.DialTimeout("tcp", o.route(addr), wait)
+	if o.Transport == nil {
+		return net.DialTimeout("tcp", o.dialAddress(addr), wait)
 	}
-	return o.Wire.dialWithin(addr, wait, kind)
+	return o.Transport.dialWithin(addr, wait, kind)
 }
 
 // meter counts one kind of traffic.
--- a/internal/fleet/wire_conn.go
+++ b/internal/fleet/wire_conn.go
@@ -10,7 +10,7 @@
 // wireListener hands out connections that are counted and restricted by a wire.
 type wireListener struct {
 	net.Listener
-	wire *Wire
+	wire *Transport
 	kind trafficKind
 }
 
@@ -25,7 +25,7 @@
 // wireConn is a connection whose traffic is counted, and that sends nothing while its other end is blocked.
 type wireConn struct {
 	net.Conn
-	wire      *Wire
+	wire      *Transport
 	meter     *meter
 	peer      string // host of the other end
 	unopened  atomic.Bool
@@ -38,7 +38,7 @@
 }
 
 // wrap counts a connection that was opened.
-func (w *Wire) wrap(c net.Conn, kind trafficKind) *wireConn {
+func (w *Transport) wrap(c net.Conn, kind trafficKind) *wireConn {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
 		host = c.RemoteAddr().String()
@@ -51,7 +51,7 @@
 
 // accepted counts a connection that the other end has opened. On a real network it would not open while the other end is blocked, which
 // gets no answer to its first segment; so nothing is read from it before the cut ends.
-func (w *Wire) accepted(c net.Conn, kind trafficKind) *wireConn {
+func (w *Transport) accepted(c net.Conn, kind trafficKind) *wireConn {
 	counted := w.wrap(c, kind)
 	counted.unopened.Store(w.Blocked(counted.peer))
 	return counted
--- a/internal/fleet/wire_gossip.go
+++ b/internal/fleet/wire_gossip.go
@@ -11,14 +11,14 @@
 // wiredTransport is memberlist's own transport with all that goes through it counted and restricted by a wire.
 type wiredTransport struct {
 	*memberlist.NetTransport
-	wire     *Wire
+	wire     *Transport
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
 	finished chan struct{}
 	finish   sync.Once // memberlist shuts its transport down twice where it fails to start
 }
 
-func newWiredTransport(inner *memberlist.NetTransport, wire *Wire) *wiredTransport {
+func newWiredTransport(inner *memberlist.NetTransport, wire *Transport) *wiredTransport {
 	t := &wiredTransport{NetTransport: inner, wire: wire, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 		finished: make(chan struct{})}
 	go t.forwardPackets()
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -35,10 +35,10 @@
 	var all []*Options
 	for i := range n {
 		o, host := *first, fmt.Sprintf("%s.%d", base, i+1)
-		o.Name, o.Gossip, o.Wire = fmt.Sprint("n", i), host+":7004", NewWire(host)
-		o.Keepers = []Address{{Name: "n0", Log: base + ".1:7002", Ask: base + ".1:7003", Gossip: base + ".1:7004"}}
+		o.Name, o.GossipAddress, o.Transport = fmt.Sprint("n", i), host+":7004", NewTransport(host)
+		o.ControlReplicas = []ReplicaAddress{{Name: "n0", LogAddress: base + ".1:7002", APIAddress: base + ".1:7003", GossipAddress: base + ".1:7004"}}
 		if i > 0 {
-			o.Dir = ""
+			o.LogDirectory = ""
 		}
 		all = append(all, &o)
 	}
@@ -46,13 +46,13 @@
 }
 
 func hostOf(o *Options) string {
-	host, _, _ := net.SplitHostPort(o.Gossip)
+	host, _, _ := net.SplitHostPort(o.GossipAddress)
 	return host
 }
 
 func blockEachOther(a, b *Options) {
-	a.Wire.Block(HostSet{hostOf(b): true})
-	b.Wire.Block(HostSet{hostOf(a): true})
+	a.Transport.Block(HostSet{hostOf(b): true})
+	b.Transport.Block(HostSet{hostOf(a): true})
 }
 
 // connect opens a connection from one member to another, and returns both ends.
@@ -84,7 +84,7 @@
 func wiredTransportOf(t *testing.T, o *Options) *wiredTransport {
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{hostOf(o)}, BindPort: 7004})
 	require.NoError(t, err)
-	transport := newWiredTransport(inner, o.Wire)
+	transport := newWiredTransport(inner, o.Transport)
 	t.Cleanup(func() { _ = transport.Shutdown() })
 	return transport
 }
@@ -93,7 +93,7 @@
 	pair := wiredOptions(t, 2)
 	sender, receiver := wiredTransportOf(t, pair[0]), wiredTransportOf(t, pair[1])
 	sendTo := func(size int) {
-		_, err := sender.WriteTo(make([]byte, size), pair[1].Gossip)
+		_, err := sender.WriteTo(make([]byte, size), pair[1].GossipAddress)
 		require.NoError(t, err)
 	}
 	receive := func() int {
@@ -112,13 +112,13 @@
 		bytes += size + 28
 	}
 	want := Traffic{SentBytes: uint64(bytes), SentMessages: 14}
-	assert.Equal(t, want, pair[0].Wire.Gossip())
-	assert.Equal(t, Traffic{ReceivedBytes: uint64(bytes), ReceivedMessages: 14}, pair[1].Wire.Gossip())
+	assert.Equal(t, want, pair[0].Transport.Gossip())
+	assert.Equal(t, Traffic{ReceivedBytes: uint64(bytes), ReceivedMessages: 14}, pair[1].Transport.Gossip())
 
-	pair[0].Wire.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
 	sendTo(700)
-	assert.Equal(t, want, pair[0].Wire.Gossip(), "what is cut is not sent")
-	pair[0].Wire.Block(nil)
+	assert.Equal(t, want, pair[0].Transport.Gossip(), "what is cut is not sent")
+	pair[0].Transport.Block(nil)
 	sendTo(7)
 	assert.Equal(t, 7, receive(), "the one before was lost")
 }
@@ -134,19 +134,19 @@
 	}{{dialled, accepted, pair[0], pair[1]}, {accepted, dialled, pair[1], pair[0]}} {
 		writeText(t, ends.from, "before")
 		readText(t, ends.to, "before")
-		ends.cut.Wire.Block(HostSet{hostOf(ends.peer): true})
+		ends.cut.Transport.Block(HostSet{hostOf(ends.peer): true})
 		require.NoError(t, ends.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
 		_, err := ends.from.Write([]byte("lost"))
 		assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		writeText(t, ends.to, "the other way")
 		readText(t, ends.from, "the other way")
 		require.NoError(t, ends.from.SetWriteDeadline(time.Time{}))
-		ends.cut.Wire.Block(nil)
+		ends.cut.Transport.Block(nil)
 		writeText(t, ends.from, "after")
 		readText(t, ends.to, "after")
 	}
 
-	pair[0].Wire.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
 	waiting := make(chan error, 1)
 	go func() {
 		_, err := dialled.Write([]byte("never"))
@@ -162,17 +162,17 @@
 	require.NoError(t, err)
 	defer l.Close()
 
-	pair[0].Wire.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
 	_, err = pair[0].dialTCP(l.Addr().String(), 30*time.Millisecond, callTraffic)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
 	assert.True(t, timeout.Timeout(), "as from a host that does not answer")
-	assert.Zero(t, pair[0].Wire.Calls().Connections)
-	pair[0].Wire.Block(nil)
+	assert.Zero(t, pair[0].Transport.Calls().Connections)
+	pair[0].Transport.Block(nil)
 
 	// The other end's first segment arrives, and the answer to it is cut.
-	pair[1].Wire.Block(HostSet{hostOf(pair[0]): true})
+	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
 	dialled, err := pair[0].dialTCP(l.Addr().String(), longWait, callTraffic)
 	require.NoError(t, err)
 	defer dialled.Close()
@@ -183,7 +183,7 @@
 	require.NoError(t, accepted.SetReadDeadline(time.Now().Add(30*time.Millisecond)))
 	_, err = accepted.Read(make([]byte, 8))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	pair[1].Wire.Block(nil)
+	pair[1].Transport.Block(nil)
 	readText(t, accepted, "early")
 }
 
@@ -193,8 +193,8 @@
 	dialled, accepted := connect(t, pair[0], pair[1])
 	writeText(t, dialled, "0123456789")
 	readText(t, accepted, "0123456789")
-	assert.Equal(t, Traffic{SentBytes: 100 + 10 + 40, ReceivedBytes: 100, SentMessages: 1, Connections: 1}, pair[0].Wire.Log())
-	assert.Equal(t, Traffic{SentBytes: 100, ReceivedBytes: 100 + 10 + 40, ReceivedMessages: 1}, pair[1].Wire.Log())
+	assert.Equal(t, Traffic{SentBytes: 100 + 10 + 40, ReceivedBytes: 100, SentMessages: 1, Connections: 1}, pair[0].Transport.Log())
+	assert.Equal(t, Traffic{SentBytes: 100, ReceivedBytes: 100 + 10 + 40, ReceivedMessages: 1}, pair[1].Transport.Log())
 	assert.Equal(t, 0, streamHeaders(0))
 	assert.Equal(t, 40, streamHeaders(segmentPayload))
 	assert.Equal(t, 80, streamHeaders(segmentPayload+1))
@@ -202,14 +202,14 @@
 
 func TestCallsAreCountedAndCut(t *testing.T) {
 	pair := wiredOptions(t, 2)
-	replica, err := OpenKeeper(pair[0])
+	replica, err := OpenReplica(pair[0])
 	require.NoError(t, err)
 	defer replica.Close()
-	require.NoError(t, call(pair[1], pair[0].Keepers[0].Ask, "/status", nil, nil))
-	assert.Equal(t, uint64(1), pair[1].Wire.Calls().Connections)
+	require.NoError(t, call(pair[1], pair[0].ControlReplicas[0].APIAddress, "/status", nil, nil))
+	assert.Equal(t, uint64(1), pair[1].Transport.Calls().Connections)
 	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeader }
 	require.Eventually(t, func() bool { // a write is counted after it, when its other end may have read already
-		calls, served := pair[1].Wire.Calls(), pair[0].Wire.Served()
+		calls, served := pair[1].Transport.Calls(), pair[0].Transport.Served()
 		asked, answered := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
 		return asked > connectionBytes && answered > connectionBytes &&
 			asked == payload(served.ReceivedBytes, served.ReceivedMessages) && answered == payload(calls.ReceivedBytes, calls.ReceivedMessages)
@@ -218,7 +218,7 @@
 	tryOnce := func(wait time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
 		defer cancel()
-		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pair[0].Keepers[0].Ask+"/status", nil)
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pair[0].ControlReplicas[0].APIAddress+"/status", nil)
 		require.NoError(t, err)
 		response, err := pair[1].httpClient().Do(request)
 		if err != nil {
@@ -226,12 +226,12 @@
 		}
 		return response.Body.Close()
 	}
-	pair[1].Wire.Block(HostSet{hostOf(pair[0]): true})
+	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
 	assert.Error(t, tryOnce(50*time.Millisecond), "the call is cut")
-	pair[1].Wire.Block(nil)
-	pair[0].Wire.Block(HostSet{hostOf(pair[1]): true})
+	pair[1].Transport.Block(nil)
+	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
 	assert.Error(t, tryOnce(50*time.Millisecond), "the answer is cut")
-	pair[0].Wire.Block(nil)
+	pair[0].Transport.Block(nil)
 	assert.NoError(t, tryOnce(longWait))
 }
 
@@ -247,12 +247,12 @@
 	}
 	require.Eventually(t, func() bool { return NewClient(pair[1]).Init() == nil }, longWait, 20*time.Millisecond)
 	hear := func(n int) func() bool {
-		return func() bool { return members[0].Heard() == n && members[1].Heard() == n }
+		return func() bool { return members[0].AliveMembers() == n && members[1].AliveMembers() == n }
 	}
 	require.Eventually(t, hear(2), longWait, 10*time.Millisecond)
 	for _, m := range members {
 		select {
-		case <-m.Known():
+		case <-m.Registered():
 		case <-time.After(longWait):
 			require.Fail(t, "the log does not take the process")
 		}
@@ -260,14 +260,14 @@
 	blockEachOther(pair[0], pair[1])
 	require.Eventually(t, hear(1), longWait, 10*time.Millisecond)
 	for _, o := range pair {
-		o.Wire.Block(nil)
+		o.Transport.Block(nil)
 	}
 	require.Eventually(t, hear(2), longWait, 10*time.Millisecond)
 	// What is under way, and what a full buffer has lost, is the difference.
 	require.Eventually(t, func() bool {
 		sent, received := uint64(0), uint64(0)
 		for _, o := range pair {
-			gossip := o.Wire.Gossip()
+			gossip := o.Transport.Gossip()
 			sent, received = sent+gossip.SentMessages, received+gossip.ReceivedMessages
 		}
 		return sent > 20 && max(sent, received)-min(sent, received) <= sent/10
@@ -277,21 +277,21 @@
 func TestMembersWithoutAWireShareTheClient(t *testing.T) {
 	o := options(t)
 	assert.Same(t, client, o.httpClient())
-	o.Wire = NewWire("127.0.0.1")
+	o.Transport = NewTransport("127.0.0.1")
 	assert.NotSame(t, client, o.httpClient())
 }
 
 // idleFront is a front end without engines or requests.
 type idleFront struct{}
 
-func (idleFront) Veto(map[string]bool)           {}
-func (idleFront) Idle(string) bool               { return true }
-func (idleFront) Engines() []rollout.Engine      { return nil }
-func (idleFront) Counted() rollout.RequestCounts { return rollout.RequestCounts{} }
+func (idleFront) Exclude(map[string]bool)              {}
+func (idleFront) Drained(string) bool                  { return true }
+func (idleFront) Engines() []rollout.Engine            { return nil }
+func (idleFront) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
 
 // A member that comes back as another process is heard of as that one, and a name without a number as none.
 func TestAliveProcessesFollowEvents(t *testing.T) {
-	alive := &aliveProcesses{incarnations: map[string]uint64{}}
+	alive := &processEvents{incarnations: map[string]uint64{}}
 	node := func(meta string) *memberlist.Node { return &memberlist.Node{Name: "n0", Meta: []byte(meta)} }
 	alive.NotifyJoin(node("5"))
 	assert.Equal(t, map[string]uint64{"n0": 5}, alive.incarnations)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -26,7 +26,7 @@
 type hollow struct {
 	config  HollowMember
 	options fleet.Options
-	wire    *fleet.Wire
+	wire    *fleet.Transport
 	engines []rollout.Engine
 	rate    float64 // requests a second that it counts
 
@@ -42,10 +42,10 @@
 
 func newHollow(config *HostConfig, member HollowMember) *hollow {
 	address, _, _ := net.SplitHostPort(member.Gossip) // checked with the configuration
-	wire := fleet.NewWire(address)
+	wire := fleet.NewTransport(address)
 	h := &hollow{config: member, wire: wire, rate: config.RequestsASec}
-	h.options = fleet.Options{Name: member.Name, Room: member.Zone, Revision: config.Revision, Weight: hollowWeight, Gossip: member.Gossip,
-		Keepers: config.Replicas, Dir: member.Dir, Key: config.Key, Settings: rollout.Defaults(), Wire: wire,
+	h.options = fleet.Options{Name: member.Name, Zone: member.Zone, Revision: config.Revision, CapacityPerSecond: hollowWeight, GossipAddress: member.Gossip,
+		ControlReplicas: config.Replicas, LogDirectory: member.Dir, Key: config.Key, Settings: rollout.Defaults(), Transport: wire,
 		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
 	if member.Dir != "" {
 		h.engines = listedEngines(config.Engines)
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		if grant.For == rollout.Drain {
+		if grant.Purpose == rollout.Drain {
 			return nil
 		}
 		if grant.Revision != "" {
@@ -92,29 +92,29 @@
 }
 
 // runProcess joins the fleet and serves, until ctx ends or the fleet grants a shutdown, which it returns.
-func (h *hollow) runProcess(ctx context.Context, slots chan struct{}) (grant fleet.Go, err error) {
+func (h *hollow) runProcess(ctx context.Context, slots chan struct{}) (grant fleet.ShutdownGrant, err error) {
 	if !h.acquire(ctx, slots) {
-		return fleet.Go{}, nil
+		return fleet.ShutdownGrant{}, nil
 	}
 	started := process{front: newHollowFront(h.engines, h.rate)}
 	if started.member, err = fleet.Join(h.options, started.front); err != nil {
 		h.release(slots)
-		return fleet.Go{}, err
+		return fleet.ShutdownGrant{}, err
 	}
 	h.set(started)
 	select {
-	case <-started.member.Known():
+	case <-started.member.Registered():
 	case <-time.After(knownWithin):
 	case <-ctx.Done():
 	}
 	h.release(slots)
 	if ctx.Err() == nil {
-		started.member.Say(rollout.Serving)
+		started.member.SetPhase(rollout.Serving)
 	}
 	select {
 	case <-ctx.Done():
-	case grant = <-started.member.Goes():
-		started.member.Say(rollout.Draining)
+	case grant = <-started.member.Shutdowns():
+		started.member.SetPhase(rollout.Draining)
 	}
 	started.member.Close(goneWithin)
 	h.set(process{})
@@ -143,7 +143,7 @@
 // known tells whether the log has taken the process.
 func (p process) known() bool {
 	select {
-	case <-p.member.Known():
+	case <-p.member.Registered():
 		return true
 	default:
 		return false
--- a/internal/scale/hollow_front.go
+++ b/internal/scale/hollow_front.go
@@ -22,8 +22,8 @@
 	return &hollowFront{engines: engines, rate: rate, started: time.Now(), inForce: map[string]time.Time{}}
 }
 
-// Veto implements fleet.Front.
-func (f *hollowFront) Veto(engines map[string]bool) {
+// Exclude implements fleet.Front.
+func (f *hollowFront) Exclude(engines map[string]bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for engine := range f.inForce {
@@ -38,14 +38,14 @@
 	}
 }
 
-// Idle implements fleet.Front.
-func (f *hollowFront) Idle(string) bool { return true }
+// Drained implements fleet.Front.
+func (f *hollowFront) Drained(string) bool { return true }
 
 // Engines implements fleet.Front.
 func (f *hollowFront) Engines() []rollout.Engine { return f.engines }
 
-// Counted implements fleet.Front.
-func (f *hollowFront) Counted() rollout.RequestCounts {
+// RequestCounts implements fleet.Front.
+func (f *hollowFront) RequestCounts() rollout.RequestCounts {
 	return rollout.RequestCounts{Requests: int64(f.rate * time.Since(f.started).Seconds())}
 }
 
--- a/internal/scale/host_report.go
+++ b/internal/scale/host_report.go
@@ -30,7 +30,7 @@
 		if running.member == nil {
 			continue
 		}
-		r.addHeard(running.member.Heard())
+		r.addHeard(running.member.AliveMembers())
 		r.Members++
 		if running.known() {
 			r.Known++
--- a/internal/scale/host_test.go
+++ b/internal/scale/host_test.go
@@ -44,7 +44,7 @@
 	base := loopbackNet(t)
 	address := func(i, port int) string { return fmt.Sprintf("%s.%d:%d", base, i+1, port) }
 	config := HostConfig{Key: testKey, Revision: "r1", ReportMillis: 50, RequestsASec: 10,
-		Replicas:      []fleet.Address{{Name: "n0", Log: address(0, 7002), Ask: address(0, 7003), Gossip: address(0, 7004)}},
+		Replicas:      []fleet.ReplicaAddress{{Name: "n0", LogAddress: address(0, 7002), APIAddress: address(0, 7003), GossipAddress: address(0, 7004)}},
 		Engines:       []HollowEngine{{"e0", "a", 12}, {"e1", "b", 12}, {"e2", "a", 12}, {"e3", "b", 12}},
 		AddressByZone: []ZoneAddresses{{Zone: "a"}, {Zone: "b"}},
 	}
@@ -127,7 +127,7 @@
 
 // begin begins the fleet's log once its replica answers.
 func begin(t *testing.T, config HostConfig) *fleet.Client {
-	client := fleet.NewClient(&fleet.Options{Keepers: config.Replicas, Key: testKey})
+	client := fleet.NewClient(&fleet.Options{ControlReplicas: config.Replicas, Key: testKey})
 	require.Eventually(t, func() bool { return client.Init() == nil }, longWait, 20*time.Millisecond)
 	return client
 }
@@ -204,7 +204,7 @@
 		address, _, err := net.SplitHostPort(member.Gossip)
 		require.NoError(t, err)
 		member.Zone, member.Dir = fmt.Sprint("z", i), filepath.Join(dir, member.Name)
-		config.Replicas = append(config.Replicas, fleet.Address{Name: member.Name, Log: address + ":7002", Ask: address + ":7003", Gossip: member.Gossip})
+		config.Replicas = append(config.Replicas, fleet.ReplicaAddress{Name: member.Name, LogAddress: address + ":7002", APIAddress: address + ":7003", GossipAddress: member.Gossip})
 		config.AddressByZone = append(config.AddressByZone, ZoneAddresses{Zone: member.Zone, Hosts: []string{address}})
 	}
 	h := startHost(t, config)
@@ -223,7 +223,7 @@
 	}()
 	leader := func() string {
 		for _, replica := range config.Replicas {
-			if status, err := client.StatusOf(replica.Name); err == nil && status.Leads && len(status.Servers) == 3 {
+			if status, err := client.StatusOf(replica.Name); err == nil && status.IsLeader && len(status.Servers) == 3 {
 				return replica.Name
 			}
 		}
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -38,7 +38,7 @@
 type layout struct {
 	key      string
 	members  []plannedMember // control replicas first, real front ends last
-	replicas []fleet.Address
+	replicas []fleet.ReplicaAddress
 	engines  []HollowEngine
 	zones    []ZoneAddresses
 	hosts    []hostPlan // control replicas first, each alone
@@ -92,7 +92,7 @@
 			Gossip: at(m.host, gossipPort)}
 		if i < o.Control {
 			m.Dir = filepath.Join(dir, m.Name+".log")
-			l.replicas = append(l.replicas, fleet.Address{Name: m.Name, Log: at(m.host, logPort), Ask: at(m.host, askPort), Gossip: m.Gossip})
+			l.replicas = append(l.replicas, fleet.ReplicaAddress{Name: m.Name, LogAddress: at(m.host, logPort), APIAddress: at(m.host, askPort), GossipAddress: m.Gossip})
 		}
 		l.members = append(l.members, m)
 		l.zones[zone].Hosts = append(l.zones[zone].Hosts, m.host)
--- a/internal/scale/notice.go
+++ b/internal/scale/notice.go
@@ -67,7 +67,7 @@
 func (r *run) awaitUnsuspected(ctx context.Context, members []string) bool {
 	return waitUntil(ctx, r.opt.NoticeWithin, noticeInterval, func() bool {
 		status, err := r.client.Status()
-		return err == nil && status.Leads && allUnsuspected(status.State.Members, members)
+		return err == nil && status.IsLeader && allUnsuspected(status.State.Members, members)
 	})
 }
 
@@ -89,7 +89,7 @@
 		if after > w.bound {
 			return
 		}
-		if err == nil && status.Leads {
+		if err == nil && status.IsLeader {
 			w.observe(status.State.Members, after)
 		}
 		if len(w.suspectedAt) == len(w.members) || !pause(ctx, noticeInterval) {
--- a/internal/scale/notice_test.go
+++ b/internal/scale/notice_test.go
@@ -64,7 +64,7 @@
 // Guards against a replica that has lost its lead, and an answer after the bound.
 func TestOnlyTheLeadersAnswersWithinTheBoundCount(t *testing.T) {
 	all := rollout.State{Members: stateOf("m1", "m2")}
-	answers := []fleet.Status{{}, {State: all}, {Leads: true, State: rollout.State{Members: stateOf("m1")}}, {Leads: true, State: all}}
+	answers := []fleet.Status{{}, {State: all}, {IsLeader: true, State: rollout.State{Members: stateOf("m1")}}, {IsLeader: true, State: all}}
 	asked := 0
 	w := newSuspicionWatch([]string{"m1", "m2"}, time.Now(), longWait)
 	w.follow(context.Background(), func() (fleet.Status, error) {
--- a/internal/scale/parts/replica.go
+++ b/internal/scale/parts/replica.go
@@ -180,8 +180,8 @@
 func (r *replicaClient) measureCounts(ctx context.Context) error {
 	before, began := r.wire.bytes(), processCPU(r.process.pid())
 	for i := range r.place.size.Members {
-		report := fleet.Counts{Name: memberName(i), Room: zoneName(i), Revision: revision, Window: time.Now().UnixNano() / int64(countsEvery),
-			Load: PlannedRate, Count: rollout.RequestCounts{Requests: int64(PlannedRate * countsEvery.Seconds()), Rejected: 3, Slow: 12}}
+		report := fleet.WindowCounts{Name: memberName(i), Zone: zoneName(i), Revision: revision, Window: time.Now().UnixNano() / int64(countsEvery),
+			Load: PlannedRate, Counts: rollout.RequestCounts{Requests: int64(PlannedRate * countsEvery.Seconds()), Rejected: 3, Slow: 12}}
 		if _, err := r.call(ctx, r.operator, "/counts", report, nil); err != nil {
 			return err
 		}
--- a/internal/scale/parts/replicahost.go
+++ b/internal/scale/parts/replicahost.go
@@ -44,9 +44,9 @@
 	if err := json.Unmarshal(line, &config); err != nil {
 		return fmt.Errorf("parts: replica: %w", err)
 	}
-	replica, err := fleet.OpenKeeper(&fleet.Options{Name: replicaName, Room: zoneName(0), Revision: revision, Gossip: config.Gossip, Dir: config.Dir,
+	replica, err := fleet.OpenReplica(&fleet.Options{Name: replicaName, Zone: zoneName(0), Revision: revision, GossipAddress: config.Gossip, LogDirectory: config.Dir,
 		Key: config.Key, Settings: rollout.Defaults(), Log: slog.New(slog.DiscardHandler),
-		Keepers: []fleet.Address{{Name: replicaName, Log: config.Log, Ask: config.Calls, Gossip: config.Gossip}}})
+		ControlReplicas: []fleet.ReplicaAddress{{Name: replicaName, LogAddress: config.Log, APIAddress: config.Calls, GossipAddress: config.Gossip}}})
 	if err != nil {
 		return err
 	}
@@ -67,9 +67,9 @@
 // leadsWithin bounds how long a log of one replica may take to elect itself.
 const leadsWithin = 30 * time.Second
 
-func untilLeads(replica *fleet.Keeper) error {
+func untilLeads(replica *fleet.ControlReplica) error {
 	for end := time.Now().Add(leadsWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if status, err := replica.Status(); err == nil && status.Leads {
+		if status, err := replica.Status(); err == nil && status.IsLeader {
 			return nil
 		}
 	}
--- a/internal/scale/primary.go
+++ b/internal/scale/primary.go
@@ -14,9 +14,9 @@
 	within, cancel := context.WithTimeout(ctx, r.opt.FormWithin)
 	defer cancel()
 	for {
-		if s, err := r.client.Status(); err == nil && s.Leads {
+		if s, err := r.client.Status(); err == nil && s.IsLeader {
 			for _, h := range r.hosts[:r.opt.Control] {
-				if h.plan.members[0].Name == s.Keeper {
+				if h.plan.members[0].Name == s.Replica {
 					return h, nil
 				}
 			}
--- a/internal/scale/protocol.go
+++ b/internal/scale/protocol.go
@@ -9,14 +9,14 @@
 
 // HostConfig is the first line that a host reads.
 type HostConfig struct {
-	Members       []HollowMember  `json:"members"`
-	Replicas      []fleet.Address `json:"replicas"` // of the control log
-	Key           string          `json:"key"`      // of the fleet
-	Engines       []HollowEngine  `json:"engines"`  // the list that a replica's own front end would have
-	Revision      string          `json:"revision"`
-	ReportMillis  int             `json:"report_millis"`  // from one report to the next
-	RequestsASec  float64         `json:"requests_a_sec"` // that each hollow front end counts as served
-	AddressByZone []ZoneAddresses `json:"address_by_zone"`
+	Members       []HollowMember         `json:"members"`
+	Replicas      []fleet.ReplicaAddress `json:"replicas"` // of the control log
+	Key           string                 `json:"key"`      // of the fleet
+	Engines       []HollowEngine         `json:"engines"`  // the list that a replica's own front end would have
+	Revision      string                 `json:"revision"`
+	ReportMillis  int                    `json:"report_millis"`  // from one report to the next
+	RequestsASec  float64                `json:"requests_a_sec"` // that each hollow front end counts as served
+	AddressByZone []ZoneAddresses        `json:"address_by_zone"`
 }
 
 // HollowMember is one front end without client traffic. One with a directory is a control replica, named among HostConfig.Replicas.
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -102,10 +102,10 @@
 	Gossip string `json:"gossip"`
 }
 
-func settingsOf(m plannedMember, replicas []fleet.Address, keyFile string) (string, error) {
+func settingsOf(m plannedMember, replicas []fleet.ReplicaAddress, keyFile string) (string, error) {
 	part := fleetSettings{Gossip: m.Gossip, Zone: m.Zone, Revision: revision, Weight: 100, KeyFile: keyFile}
 	for _, r := range replicas {
-		part.Replicas = append(part.Replicas, replicaSettings(r))
+		part.Replicas = append(part.Replicas, replicaSettings{r.Name, r.LogAddress, r.APIAddress, r.GossipAddress})
 	}
 	text, err := json.Marshal(struct {
 		Schema int           `json:"schema"`
--- a/internal/scale/runner.go
+++ b/internal/scale/runner.go
@@ -82,7 +82,7 @@
 	if r.plan, err = newLayout(&r.opt, r.dir); err != nil {
 		return err
 	}
-	r.client = fleet.NewClient(&fleet.Options{Keepers: r.plan.replicas, Key: r.plan.key})
+	r.client = fleet.NewClient(&fleet.Options{ControlReplicas: r.plan.replicas, Key: r.plan.key})
 	for _, plan := range r.plan.hosts {
 		r.hosts = append(r.hosts, r.newHost(plan))
 	}
@@ -163,7 +163,7 @@
 	defer cancel()
 	for {
 		err := r.client.Init()
-		if err == nil || errors.As(err, new(*fleet.RefusedError)) {
+		if err == nil || errors.As(err, new(*fleet.RejectedError)) {
 			break
 		}
 		if !pause(within, lookInterval) {
@@ -204,13 +204,13 @@
 	var err error
 	listed := waitUntil(ctx, r.opt.FormWithin, time.Second, func() bool {
 		s, err = r.client.Status()
-		return err == nil && s.Leads && len(s.State.Engines) >= r.opt.Engines
+		return err == nil && s.IsLeader && len(s.State.Engines) >= r.opt.Engines
 	})
 	if !listed {
 		r.note("the log has %d of %d databases (%v)", len(s.State.Engines), r.opt.Engines, err)
 		return
 	}
-	r.note("the log has %d members and %d databases; %s leads", len(s.State.Members), len(s.State.Engines), s.Keeper)
+	r.note("the log has %d members and %d databases; %s leads", len(s.State.Members), len(s.State.Engines), s.Replica)
 }
 
 // quiet measures what the fleet costs while nothing happens.
