--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -83,7 +83,10 @@
 	}
 	for _, replica := range settings.ControlReplicas {
 		o.ControlReplicas = append(o.ControlReplicas, fleet.ReplicaAddress{
-			Name: replica.Name, LogAddress: replica.LogAddress, APIAddress: replica.APIAddress, GossipAddress: replica.GossipAddress,
+			Name:          replica.Name,
+			LogAddress:    replica.LogAddress,
+			APIAddress:    replica.APIAddress,
+			GossipAddress: replica.GossipAddress,
 		})
 	}
 	return o
