--- a/internal/engine/changelog.go
+++ b/internal/engine/changelog.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"strconv"
 	"time"
@@ -9,69 +10,88 @@
 	"beechcart/decision/watchtimeout"
 )
 
-// FollowChangeLog polls the change log at addr until ctx ends, and hands each answer to take, which returns the number
-// of the last event held. A lost connection is opened anew, for as long as it takes; state is told how each poll
-// went. How long each step may last is decision/watchtimeout's word. The end of ctx drops the dial or the poll in hand at once: guards
-// against hanging on an address that a new configuration has replaced, and that tells nothing more.
-func (f *Client) FollowChangeLog(ctx context.Context, addr string, since int64, take func([]byte) (int64, error), state func(error)) {
-	for w := watchtimeout.New(f.opt.DrainGrace, f.opt.ConnectTimeout); ctx.Err() == nil; {
-		err := f.follow(ctx, w, addr, &since, take, state)
+var errChangeLogClosed = errors.New("change log: connection closed")
+
+// changeLogWatch is the state of following one change log.
+type changeLogWatch struct {
+	client   *Client
+	address  string
+	since    int64 // the number of the last event that was taken
+	take     func(body []byte) (int64, error)
+	timeouts *watchtimeout.Timeouts
+}
+
+// FollowChangeLog polls the change log at an address until ctx ends. Each answer goes to take, which returns the
+// number of the last event that it has taken; the polls begin after event since. The outcome of each poll goes to
+// report. A lost connection is opened again, however often. decision/watchtimeout decides how long each step may
+// last. The end of ctx ends a dial or a poll at once: a new configuration may have replaced an address that no longer
+// answers.
+func (c *Client) FollowChangeLog(
+	ctx context.Context, address string, since int64, take func([]byte) (int64, error), report func(error),
+) {
+	watch := &changeLogWatch{
+		client: c, address: address, since: since, take: take,
+		timeouts: watchtimeout.New(c.options.DrainGrace, c.options.ConnectTimeout),
+	}
+	for ctx.Err() == nil {
+		err := watch.followOnce(ctx, report)
 		if ctx.Err() != nil {
 			return
 		}
-		if state(err); isTimeout(err) {
-			continue // it has cost its time already
+		if report(err); isTimeout(err) {
+			continue // it has taken its time already
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(w.RetryDelay()):
+		case <-time.After(watch.timeouts.RetryDelay()):
 		}
 	}
 }
 
-// follow polls on one connection until that fails.
-func (f *Client) follow(ctx context.Context, w *watchtimeout.Timeouts, addr string, since *int64, take func([]byte) (int64, error), state func(error)) error {
+// followOnce polls on one connection until that fails.
+func (w *changeLogWatch) followOnce(ctx context.Context, report func(error)) error {
 	began := time.Now()
-	c, err := f.socks.dial(ctx, addr, w.Dial(), true)
+	conn, err := w.client.sockets.dial(ctx, w.address, w.timeouts.Dial(), urgentUse)
 	if err != nil {
-		w.DialFailed()
+		w.timeouts.DialFailed()
 		return err
 	}
-	w.DialSucceeded(time.Since(began))
-	c.most = maxList
-	defer c.close()
-	defer context.AfterFunc(ctx, c.close)()
+	w.timeouts.DialSucceeded(time.Since(began))
+	conn.bodyLimit = maxChangeLogBytes
+	defer conn.close()
+	defer context.AfterFunc(ctx, conn.close)()
 	for {
-		if err := f.changes(c, w, addr, since, take); err != nil {
+		if err := w.poll(conn); err != nil {
 			return err
 		}
-		state(nil)
+		report(nil)
 	}
 }
 
-func (f *Client) changes(c *conn, w *watchtimeout.Timeouts, addr string, since *int64, take func([]byte) (int64, error)) error {
-	c.begin("GET", "/changes?since="+strconv.FormatInt(*since, 10)+
-		"&timeout="+strconv.FormatInt(w.PollWait().Milliseconds(), 10), addr)
-	if err := c.send(nil); err != nil {
+func (w *changeLogWatch) poll(conn *connection) error {
+	wait := w.timeouts.PollWait()
+	conn.writeRequestLine("GET", changesPath+"?since="+strconv.FormatInt(w.since, 10)+
+		"&timeout="+strconv.FormatInt(wait.Milliseconds(), 10), w.address)
+	if err := conn.send(nil); err != nil {
 		return err
 	}
 	sent := time.Now()
-	r, err := c.receive(sent.Add(w.PollWait() + w.Response()))
+	r, err := conn.receive(sent.Add(wait + w.timeouts.Response()))
 	if err != nil {
 		if isTimeout(err) {
-			w.ResponseTimedOut()
+			w.timeouts.ResponseTimedOut()
 		}
 		return err
 	}
-	w.ResponseReceived(time.Since(sent))
-	if r.code != 200 {
-		return fmt.Errorf("change log: status %d", r.code)
+	w.timeouts.ResponseReceived(time.Since(sent))
+	if r.status != statusOK {
+		return fmt.Errorf("change log: status %d", r.status)
 	}
-	if *since, err = take(r.body); err != nil {
+	if w.since, err = w.take(r.body); err != nil {
 		return err
 	}
-	if !c.fresh() {
-		return fmt.Errorf("change log: connection closed")
+	if !conn.reusable() {
+		return errChangeLogClosed
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/engine/load_report.go
@@ -0,0 +1,43 @@
+package engine
+
+import (
+	"bytes"
+
+	"beechcart/admission"
+)
+
+// notReported is the value of a field that a load report does not have.
+const notReported = -1
+
+// parseLoadReport reads a load report such as inflight:7;util:0.61; nil where there is none. Unknown and malformed
+// fields are skipped.
+func parseLoadReport(text []byte) *admission.Report {
+	if len(text) == 0 {
+		return nil
+	}
+	report := &admission.Report{
+		Held: notReported, Queue: notReported, Util: notReported, Memory: notReported, Disks: notReported,
+	}
+	for len(text) > 0 {
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, []byte(";"))
+		name, value, _ := bytes.Cut(pair, []byte(":"))
+		number, ok := parseNumber(bytes.TrimSpace(value))
+		if !ok {
+			continue
+		}
+		switch string(bytes.TrimSpace(name)) {
+		case "inflight", "outstanding":
+			report.Held = number
+		case "queue", "backlog":
+			report.Queue = number
+		case "util", "utilization":
+			report.Util = number
+		case "x0":
+			report.Memory = number
+		case "x1":
+			report.Disks = number
+		}
+	}
+	return report
+}
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -31,8 +31,9 @@
 }
 
 func (s *told) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
-	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n", o.ID, o.Attempt,
-		o.Engine, int(o.Status), o.Alive, int64(o.Work), math.Float64bits(o.NeedMB), reportText(o.Report), rows)
+	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n",
+		o.ID, o.Attempt, o.Engine, int(o.Status), o.Alive, int64(o.Work), math.Float64bits(o.NeedMB),
+		reportText(o.Report), rows)
 }
 
 func (s *told) Notify(ev admission.Event) {
@@ -41,8 +42,8 @@
 	}
 	switch ev := ev.(type) {
 	case admission.Progress:
-		s.lines <- fmt.Sprintf("note id=%s attempt=%d engine=%d kind=%d value=%016x\n", ev.ID, ev.Attempt, ev.Engine, int(ev.Kind),
-			math.Float64bits(ev.Value))
+		s.lines <- fmt.Sprintf("note id=%s attempt=%d engine=%d kind=%d value=%016x\n",
+			ev.ID, ev.Attempt, ev.Engine, int(ev.Kind), math.Float64bits(ev.Value))
 	case admission.HealthCheckResult:
 		s.lines <- fmt.Sprintf("health engine=%d status=%d report=%s\n", ev.Engine, int(ev.Status), reportText(ev.Report))
 	}
@@ -59,7 +60,8 @@
 	return b.String()
 }
 
-// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that brought it.
+// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that
+// brought it.
 type scriptedPeer struct {
 	address string
 	calls   chan string
@@ -76,6 +78,7 @@
 
 // servePeer answers the nth call with answers[n], whatever connection brings it.
 func servePeer(t *testing.T, answers ...string) *scriptedPeer {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -97,7 +100,7 @@
 }
 
 func (p *scriptedPeer) serve(c net.Conn, conn int, pending chan string) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	for r := bufio.NewReader(c); ; {
 		call, err := readCall(r)
 		if err != nil {
@@ -148,17 +151,19 @@
 }
 
 var (
-	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\nX-Gauges: inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
-	running    = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
-	spilling   = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
-	waiting    = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
-	odd        = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
-	unknown    = answer("500 Error", "", "")
-	noContent  = "HTTP/1.1 204 No Content\r\n\r\n"
-	chunked    = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
+	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\n"+
+		"X-Gauges: inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
+	running   = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
+	spilling  = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
+	waiting   = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
+	odd       = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
+	unknown   = answer("500 Error", "", "")
+	noContent = "HTTP/1.1 204 No Content\r\n\r\n"
+	chunked   = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\n" +
+		"Transfer-Encoding: chunked\r\n\r\n3\r\na\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
 )
 
-func newClient(p *scriptedPeer) (*engine.Client, *told) {
+func newRecordedClient(p *scriptedPeer) (*engine.Client, *told) {
 	s := &told{lines: make(chan string, 100)}
 	f := engine.New(engine.Options{
 		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, MayDelete: true, Counters: &invariant.Counters{},
@@ -171,8 +176,9 @@
 }
 
 func newRequest() *exchange.Exchange {
-	return exchange.New(exchange.Request{ID: "9b1f03aa5c7e2d41", ClassName: "load", Class: 1, Statement: []byte("SELECT a FROM sales_17.orders")},
-		time.Now())
+	return exchange.New(exchange.Request{
+		ID: "9b1f03aa5c7e2d41", ClassName: "load", Class: 1, Statement: []byte("SELECT a FROM sales_17.orders"),
+	}, time.Now())
 }
 
 // The calls of an attempt, and what it ends with, are as they were recorded.
@@ -196,13 +202,14 @@
 		{"reset-never-arrived", []string{resetConn, unknown, noContent}},
 		{"reset-while-running", []string{running, resetConn, running, unknown}},
 		{"silent-then-served", []string{staySilent, servedOnce}},
-		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""), answer("200 OK", "X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
+		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""),
+			answer("200 OK", "X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
 		{"closed-then-polled", []string{answer("202 Accepted", "Connection: close\r\n", ""), servedOnce}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
 			p := servePeer(t, k.answers...)
-			f, s := newClient(p)
+			f, s := newRecordedClient(p)
 			f.Start(newRequest(), 2, 7, admission.Terms{Priority: 3, GrantMB: 144.5}, 10*time.Second, time.Time{})
 			recorded.Compare(t, k.name, collect(p, s))
 		})
@@ -227,7 +234,7 @@
 func TestRecordedCancel(t *testing.T) {
 	hold := make(chan struct{})
 	p := servePeer(t, running, noContent)
-	f, s := newClient(p)
+	f, s := newRecordedClient(p)
 	s.hold = hold
 	x := newRequest()
 	f.Start(x, 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
@@ -239,9 +246,10 @@
 
 // A health check, and one that is reset and made again.
 func TestRecordedHealthCheck(t *testing.T) {
-	p := servePeer(t, resetConn, answer("200 OK", "X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n", ""),
+	gauges := "X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n"
+	p := servePeer(t, resetConn, answer("200 OK", gauges, ""),
 		answer("200 OK", "", ""), unknown)
-	f, s := newClient(p)
+	f, s := newRecordedClient(p)
 	var out bytes.Buffer
 	for range 3 {
 		f.CheckHealth(7)
@@ -257,8 +265,9 @@
 
 // The polls of the change log say which event came last, and how long to wait.
 func TestRecordedChangeLog(t *testing.T) {
-	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown, answer("200 OK", "", "third"), staySilent)
-	f, _ := newClient(p)
+	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown,
+		answer("200 OK", "", "third"), staySilent)
+	f, _ := newRecordedClient(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	taken := make(chan string, 10)
 	ended := make(chan struct{})
