--- a/admission/engine_test.go
+++ b/admission/engine_test.go
@@ -37,7 +37,7 @@
 	oneAction[WatchEndpoints](t, b.advance(2*sec))
 }
 
-// TestRemovedEnginesAreForgotten: on a day of replacements all that had ever been listed were looked at in each step.
+// TestRemovedEnginesAreForgotten: on a run of replacements all that had ever been listed were looked at in each step.
 func TestRemovedEnginesAreForgotten(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
 	list := newEngines(2)
@@ -45,7 +45,8 @@
 	id := ""
 	for i := 0; id == ""; i++ { // one that is out on the engine that goes
 		id = fmt.Sprint("r", i)
-		if oneAction[Send](t, b.step(Request{ID: id, Timeout: 1000 * sec, Group: -1, Work: 50 * ms})).Engine != list[1].ID {
+		if oneAction[Send](t, b.step(Request{ID: id, Timeout: 1000 * sec, TableGroup: -1,
+			Work: 50 * ms})).Engine != list[1].ID {
 			id = ""
 		}
 	}
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,7 @@
 	"beechcart/admission"
 )
 
-// A gateway tells the controller what happened and carries out what it answers.
+// A front end tells the controller what happened and carries out what it answers.
 func Example() {
 	ctl, err := admission.New(admission.Settings{
 		Replicas: 1,
@@ -25,14 +25,14 @@
 	now := 10 * time.Second
 	actions := ctl.Step(now, []admission.Event{
 		admission.EndpointsChanged{Engines: []admission.Engine{{ID: 7}}},
-		admission.Request{ID: "q1", Timeout: 5 * time.Second, Group: -1},
+		admission.Request{ID: "q1", Timeout: 5 * time.Second, TableGroup: -1},
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
-		case admission.Send: // start the query on the engine; report its end as an Outcome
+		case admission.Send: // start the request on the engine; report its end as an Outcome
 			fmt.Printf("send %s to engine %d\n", a.ID, a.Engine)
 		case admission.Reject: // tell the client when to come back
-			fmt.Printf("refuse %s for %v\n", a.ID, a.RetryAfter)
+			fmt.Printf("reject %s for %v\n", a.ID, a.RetryAfter)
 		case admission.Fail:
 			fmt.Printf("fail %s\n", a.ID)
 		case admission.SetTimer: // call Step with a Timer of this token after the delay
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -81,8 +81,10 @@
 		r.Timeout, r.Work = 20*sec, 2*sec
 		refused += len(actionsOf[Reject](b.step(r)))
 	}
-	if b.controller.queuedRequests > max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)) || refused == 0 {
-		t.Fatalf("%d queued, depth %d, %d refused", b.controller.queuedRequests, max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), refused)
+	if b.controller.queuedRequests > max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)) ||
+		refused == 0 {
+		t.Fatalf("%d queued, depth %d, %d rejected", b.controller.queuedRequests,
+			max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), refused)
 	}
 }
 
@@ -93,7 +95,7 @@
 	s.Classes[1].Ordered = true
 	b := startController(t, s, nil)
 	keyed := func(id string) Request {
-		return Request{ID: id, Class: 1, Key: "k", Timeout: 20 * sec, Group: -1, Work: 100 * ms}
+		return Request{ID: id, Class: 1, Key: "k", Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
 	b.step(keyed("head"))
 	b.advance(3 * sec)
@@ -114,7 +116,7 @@
 	s.Classes[1].Ordered = true
 	b := startController(t, s, newEngines(4))
 	keyed := func(id, key string) Request {
-		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, Group: -1, Work: 100 * ms}
+		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
 	head := oneAction[Send](t, b.step(keyed("head", "k")))
 	for i := range 2 * maxQueueLookahead {
@@ -128,14 +130,14 @@
 	oneAction[Send](t, b.step(keyed("third", "m")))
 }
 
-// TestLateRequestOfAKeyGivesWay: in a crowded key the first would be late one after the other; a late one is refused where
-// one in time waits behind it, and kept where none does.
+// TestLateRequestOfAKeyGivesWay: in a crowded key the first would be late one after the other; a late one is rejected
+// where one in time waits behind it, and kept where none does.
 func TestLateRequestOfAKeyGivesWay(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered, s.Classes[1].LateWeight = true, 0.5
 	b := startController(t, s, nil)
 	keyed := func(id, key string) Request {
-		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, Group: -1, Work: 100 * ms}
+		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
 	b.step(keyed("head", "k"), keyed("alone", "l"))
 	b.advance(3 * sec)
@@ -144,7 +146,7 @@
 	}
 	b.step(keyed("next", "k"))
 	if r := oneAction[Reject](t, b.advance(2*housekeepingInterval)); r.ID != "head" {
-		t.Fatalf("refused %s", r.ID)
+		t.Fatalf("rejected %s", r.ID)
 	}
 	if snd := actionsOf[Send](b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(4)})); len(snd) != 2 {
 		t.Fatalf("want next and alone sent: %v", snd)
