--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 func TestOneFinalAnswer(t *testing.T) {
@@ -22,14 +23,14 @@
 	}
 	wg.Wait()
 	<-x.Done()
-	assert.EqualValues(t, won.Load()-1, x.Answer().RetryAfter, "the answer is the winner's, and there is one")
+	assert.EqualValues(t, won.Load()-1, x.Answer().RetryAfter, "the one answer is that of the first to settle")
 }
 
 func TestCheckRows(t *testing.T) {
 	for _, in := range []string{"", "a\tb\tc\n", "\t\t\n\t\t\n"} {
-		assert.NoError(t, CheckRows([]byte(in)), in)
+		require.NoError(t, CheckRows([]byte(in)), in)
 	}
 	for _, in := range []string{"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "\n", "a\tb\tc\n\n"} {
-		assert.Error(t, CheckRows([]byte(in)), in)
+		require.Error(t, CheckRows([]byte(in)), in)
 	}
 }
