--- a/internal/mysql/field.go
+++ b/internal/mysql/field.go
@@ -88,7 +88,7 @@
 	if !ok {
 		return false
 	}
-	r.Class, r.ClassName = class, names.Class(class, value)
+	r.Class, r.ClassName = class, names.ClassName(class, value)
 	return true
 }
 
