--- a/cmd/gateway/leaving_test.go
+++ b/cmd/gateway/leaving_test.go
@@ -431,11 +431,11 @@
 		return false
 	})
 	r := startAs(t, noProbes(true))
-	way := relays.NewNet(1)
+	way := relays.NewNetwork(1)
 	t.Cleanup(way.Close)
 	// for a connection, and again for what it brings
-	way.Link("front", "engine").Set(relays.Trouble{Delay: 150 * time.Millisecond})
-	address, err := way.Lead("front", "engine", lost.Listener.Addr().String(), false)
+	way.Link("front", "engine").Set(relays.LinkFault{Delay: 150 * time.Millisecond})
+	address, err := way.Route("front", "engine", lost.Listener.Addr().String(), relays.TCPOnly)
 	require.NoError(t, err)
 	entry := strings.Replace(lost.entry("ready", 0), lost.Listener.Addr().String(), address, 1)
 	r.tell(entry)
--- a/cmd/gatewayctl/bench.go
+++ b/cmd/gatewayctl/bench.go
@@ -177,7 +177,7 @@
 	flags.IntVar(&b.rounds, "rounds", 1, "how often")
 	flags.IntVar(&o.Engines, "engines", 4, "fake engines")
 	flags.IntVar(&o.Sessions, "sessions", 16, "sessions of the closed loop")
-	flags.DurationVar(&o.For, "for", 2*time.Second, "how long each part goes on")
+	flags.DurationVar(&o.Duration, "for", 2*time.Second, "how long each part goes on")
 	flags.Float64Var(&o.Rate, "rate", 2000, "open arrivals a second; 0 leaves them out")
 	flags.IntVar(&o.Idle, "idle", 0, "further sessions that do nothing")
 	return c
@@ -202,7 +202,7 @@
 				return err
 			}
 			fmt.Fprintf(t, "%d\t%s\t%.1f\t%.0f\t%.3f\t%.3f\t%.3f\n",
-				round+1, program, s.CPUPerLookup, s.Saturated, s.P50, s.P99, s.P999)
+				round+1, program, s.CPUPerLookup, s.LookupsPerSecond, s.P50, s.P99, s.P999)
 		}
 	}
 	return t.Flush()
@@ -228,7 +228,7 @@
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "sessions %d\nbytes each %.0f\nCPU ms a second %.2f\nclosed all at once, "+
 				"forgotten after %.2f s\n",
-				i.Sessions, i.BytesEach, i.CPUPerS, i.CloseAllFor)
+				i.Sessions, i.BytesEach, i.CPUMillisPerSecond, i.CloseAllSeconds)
 			return err
 		},
 	}
--- a/cmd/gatewayctl/config.go
+++ b/cmd/gatewayctl/config.go
@@ -12,7 +12,7 @@
 	"beechcart/internal/operatorconfig/cuefile"
 )
 
-// defaultSettingsFile stands in the repository.
+// defaultSettingsFile is the settings file of the repository.
 const defaultSettingsFile = "deploy/beechcart.cue"
 
 // settingsFile is the file of a command line, or the default.
--- a/cmd/gatewayctl/faulttest.go
+++ b/cmd/gatewayctl/faulttest.go
@@ -21,7 +21,7 @@
 			"seed\n" +
 			"draws, under load, and checks the rules. Exit code 0: every rule kept; 1: a rule violated; 2: could not run.",
 	}
-	for _, test := range faulttest.All {
+	for _, test := range faulttest.Scenarios {
 		root.AddCommand((&faulttestRun{test: test}).command())
 	}
 	return root
@@ -29,7 +29,7 @@
 
 // faulttestRun is one command line that runs a fault test.
 type faulttestRun struct {
-	test    faulttest.Drill
+	test    faulttest.Scenario
 	options faulttest.Options
 	json    bool
 	verbose bool
@@ -40,7 +40,7 @@
 	c := &cobra.Command{
 		Use: test.Name, Short: test.Short, Args: cobra.NoArgs,
 		Example: "  gatewayctl faulttest " + test.Name + " --seconds 30 --seed 7\n  gatewayctl faulttest " + test.Name +
-			" --json --faults " + test.Kinds[0],
+			" --json --faults " + test.Faults[0],
 		RunE: func(c *cobra.Command, _ []string) error { return r.run(c) },
 	}
 	flags := c.Flags()
@@ -48,9 +48,9 @@
 	flags.IntVar(&o.Seconds, "seconds", 30, "how long the load goes on")
 	flags.Float64Var(&o.Rate, "rate", 300, "requests a second")
 	flags.IntVar(&o.Engines, "engines", 8, "fake engines")
-	flags.StringVar(&o.Faults, "faults", "all", "all, none, or one of "+strings.Join(test.Kinds, ", "))
-	if test.Fronts > 0 {
-		flags.IntVar(&o.Fronts, "fronts", test.Fronts, "front ends, in three zones")
+	flags.StringVar(&o.Faults, "faults", "all", "all, none, or one of "+strings.Join(test.Faults, ", "))
+	if test.FrontEnds > 0 {
+		flags.IntVar(&o.FrontEnds, "fronts", test.FrontEnds, "front ends, in three zones")
 	}
 	programFlag(c, &o.Program)
 	flags.BoolVar(&r.json, "json", false, "print one JSON object")
@@ -59,9 +59,9 @@
 		flags.StringVar(&o.Policy, "policy", "",
 			"a baseline in place of the program's own: "+strings.Join(test.Policies, ", "))
 	}
-	if len(test.Bads) > 0 {
-		flags.StringVar(&o.Bad, "bad", test.Bads[0],
-			"what is wrong with the bad release: "+strings.Join(test.Bads, ", "))
+	if len(test.BadReleases) > 0 {
+		flags.StringVar(&o.BadRelease, "bad", test.BadReleases[0],
+			"what is wrong with the bad release: "+strings.Join(test.BadReleases, ", "))
 	}
 	return c
 }
@@ -97,7 +97,7 @@
 // showProgress lets the run tell its faults, or move a bar where a person looks on.
 func (r *faulttestRun) showProgress(c *cobra.Command) {
 	if r.verbose {
-		r.options.Note = func(format string, a ...any) {
+		r.options.Logf = func(format string, a ...any) {
 			printProgress(c, "%s %s", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, a...))
 		}
 		return
@@ -110,5 +110,5 @@
 		progressbar.OptionSetDescription("faulttest "+r.test.Name),
 		progressbar.OptionClearOnFinish(),
 		progressbar.OptionSetPredictTime(true))
-	r.options.Step = func(done, _ int) { _ = bar.Set(done) }
+	r.options.Progress = func(done, _ int) { _ = bar.Set(done) }
 }
--- a/cmd/gatewayctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -103,7 +103,7 @@
 		}
 	}
 	if s.verbose {
-		o.Note = func(format string, a ...any) { printProgress(c, format, a...) }
+		o.Logf = func(format string, a ...any) { printProgress(c, format, a...) }
 	}
 	return nil
 }
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -13,24 +13,24 @@
 // BaselineSchema is the version of a baseline file.
 const BaselineSchema = 1
 
-// Rise is by how much a count may rise over its baseline. Of what is counted one by one, RiseOne is the most: a tenth of
-// twenty allocations would let one more through.
+// MaxRise is by how much a count may rise over its baseline. Of what is counted one by one, MaxRiseOfOne is the most:
+// a tenth of twenty allocations would let one more through.
 const (
-	Rise    = 0.10
-	RiseOne = 0.5
+	MaxRise      = 0.10
+	MaxRiseOfOne = 0.5
 )
 
 // allowed is the most that a count may be. The allocations of a large result go with the reads that bring it, which
-// the machine cuts as it likes (155 to 165 from run to run, the same build): there the tenth holds alone.
+// the machine cuts as it likes: there the tenth holds alone.
 func allowed(scenario, name string, was float64) float64 {
 	if name == "alloc_bytes" || (scenario == "large" && name == "allocs") {
-		return was * (1 + Rise)
+		return was * (1 + MaxRise)
 	}
-	return was + min(was*Rise, RiseOne)
+	return was + min(was*MaxRise, MaxRiseOfOne)
 }
 
-// held are the counts that a baseline holds. Times are not among them.
-var held = []string{"allocs", "alloc_bytes", "copied"}
+// heldCounts are the counts that a baseline holds. Times are not among them.
+var heldCounts = []string{"allocs", "alloc_bytes", "copied"}
 
 // Baseline is the record of what requests cost.
 type Baseline struct {
@@ -63,7 +63,7 @@
 	b := Baseline{Schema: BaselineSchema, Lookups: o.Lookups, Counts: map[string]Counts{}}
 	for scenario, c := range counts {
 		b.Counts[scenario] = Counts{}
-		for _, name := range held {
+		for _, name := range heldCounts {
 			if v, ok := c[name]; ok {
 				b.Counts[scenario][name] = float64(int(v*100+0.5)) / 100
 			}
@@ -76,7 +76,7 @@
 	return renameio.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Compare tells each count that has risen by more than Rise, or that could not be held.
+// Compare tells each count that has risen by more than MaxRise, or that could not be held.
 func (b *Baseline) Compare(counts map[string]Counts) (risen []string) {
 	for _, scenario := range slices.Sorted(maps.Keys(b.Counts)) {
 		for _, name := range slices.Sorted(maps.Keys(b.Counts[scenario])) {
@@ -86,7 +86,8 @@
 			case !ok:
 				risen = append(risen, fmt.Sprintf("%s %s: not counted; the baseline is %.2f", scenario, name, was))
 			case now > allowed(scenario, name, was):
-				risen = append(risen, fmt.Sprintf("%s %s: %.2f, the baseline is %.2f, allowed is %.2f; 'make cheap' counts it again",
+				risen = append(risen, fmt.Sprintf("%s %s: %.2f, the baseline is %.2f, allowed is %.2f; 'make cheap' counts it "+
+					"again",
 					scenario, name, now, was, allowed(scenario, name, was)))
 			}
 		}
@@ -94,8 +95,8 @@
 	return risen
 }
 
-// KeepLeast lowers each count to that of another measurement of the same program where that is less. A count that only one of them
-// has stays as it is in counts.
+// KeepLeast lowers each count to that of another measurement of the same program where that is less. A count that
+// only one of them has stays as it is in counts.
 func KeepLeast(counts, again map[string]Counts) {
 	for scenario, c := range counts {
 		for name, was := range c {
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -32,13 +32,13 @@
 
 // request makes one request under an id, and checks its answer.
 func (c *client) request(id uint64) error {
-	deadline := time.Now().Add(c.scenario.limit + answerSlack)
+	deadline := time.Now().Add(c.scenario.deadline + answerSlack)
 	if err := c.connect(); err != nil {
 		return err
 	}
 	rows, err := c.query(c.scenario.statement(id), deadline)
-	if c.scenario.Name == refusalScenario {
-		return c.checkRefused(err)
+	if c.scenario.Name == rejectionScenario {
+		return c.checkRejected(err)
 	}
 	if err != nil {
 		return fmt.Errorf("bench: %s: %w", c.scenario.Name, err)
@@ -51,24 +51,24 @@
 
 // connect opens the session, where the scenario has one that lasts.
 func (c *client) connect() (err error) {
-	if c.session == nil && !c.scenario.fresh {
+	if c.session == nil && !c.scenario.sessionEach {
 		c.session, err = faulttest.Dial(c.address, dialTimeout)
 	}
 	return err
 }
 
 func (c *client) query(statement string, deadline time.Time) ([][]string, error) {
-	if c.scenario.fresh {
+	if c.scenario.sessionEach {
 		return faulttest.OneQuery(c.address, statement, deadline)
 	}
 	return c.session.Query(statement, deadline)
 }
 
-// checkRefused returns an error unless a request was refused in a way that makes a repeat harmless.
-func (c *client) checkRefused(err error) error {
-	var refused *faulttest.ServerError
-	if !errors.As(err, &refused) || !refused.Harmless() {
-		return fmt.Errorf("bench: %s: not refused: %w", c.scenario.Name, err)
+// checkRejected returns an error unless a request was rejected as safe to retry.
+func (c *client) checkRejected(err error) error {
+	var rejected *faulttest.ServerError
+	if !errors.As(err, &rejected) || !rejected.RetrySafe() {
+		return fmt.Errorf("bench: %s: not rejected: %w", c.scenario.Name, err)
 	}
 	return nil
 }
--- a/internal/bench/gate_test.go
+++ b/internal/bench/gate_test.go
@@ -16,6 +16,7 @@
 
 // built builds the front end, with replacements in one file.
 func built(t *testing.T, dir, name, file string, replace []string, tags ...string) string {
+	t.Helper()
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
 	args := []string{"-tags", strings.Join(tags, ",")}
@@ -44,7 +45,8 @@
 	const file = "internal/mysql/server.go"
 	const answered = "	case exchange.Served:\n"
 	dir := t.TempDir()
-	base := PathOptions{Program: built(t, dir, "base", "", nil), Counting: built(t, dir, "counting", "", nil, "count"), Lookups: 200, Engines: 1, Only: "lookup"}
+	base := PathOptions{Program: built(t, dir, "base", "", nil), Counting: built(t, dir, "counting", "", nil, "count"),
+		Lookups: 200, Engines: 1, Only: "lookup"}
 	quiet := func(string) {}
 	counts, err := Path(context.Background(), base, quiet)
 	require.NoError(t, err)
@@ -60,9 +62,11 @@
 		want    string
 		tags    []string
 	}{
-		"alloc": {[]string{answered, answered + "\t\textra = new([64]byte)\n", "type sessionKey struct{}", "type sessionKey struct{}\n\nvar extra *[64]byte\n"},
+		"alloc": {[]string{answered, answered + "\t\textra = new([64]byte)\n", "type sessionKey struct{}",
+			"type sessionKey struct{}\n\nvar extra *[64]byte\n"},
 			"lookup allocs:", nil},
-		"copy": {[]string{answered, answered + "\t\tcopies.Add(copies.Output, len(a.Rows))\n"}, "lookup copied:", []string{"count"}},
+		"copy": {[]string{answered, answered + "\t\tcopycount.Add(copycount.Output, len(a.Rows))\n"}, "lookup copied:",
+			[]string{"count"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := base
@@ -85,16 +89,18 @@
 	for _, text := range []string{`{"schema":2,"counts":{"a":{"allocs":1}}}`, `{"schema":1}`, `{`, ``} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := ReadBaseline(path)
-		assert.Error(t, err, text)
+		require.Error(t, err, text)
 	}
-	require.NoError(t, WriteBaseline(path, map[string]Counts{"lookup": {"allocs": 20, "copied": 2.004, "peak_mb": 9}}, PathOptions{Lookups: 9}))
+	require.NoError(t, WriteBaseline(path, map[string]Counts{"lookup": {"allocs": 20, "copied": 2.004, "peak_mb": 9}},
+		PathOptions{Lookups: 9}))
 	b, err := ReadBaseline(path)
 	require.NoError(t, err)
 	assert.Equal(t, Counts{"allocs": 20, "copied": 2}, b.Counts["lookup"], "what is told for information is not held")
 	assert.Empty(t, b.Compare(map[string]Counts{"lookup": {"allocs": 20.4, "copied": 2.05}}))
 	assert.Len(t, b.Compare(map[string]Counts{"lookup": {"allocs": 21, "copied": 3}}), 2, "one more of each")
 	assert.Contains(t, b.Compare(map[string]Counts{"lookup": {"allocs": 20}})[0], "not counted")
-	for field, o := range map[string]PathOptions{"lookups": {Lookups: 1, Engines: 1}, "engines": {Lookups: 100}, "only": {Lookups: 100, Engines: 1, Only: "x"}} {
+	for field, o := range map[string]PathOptions{"lookups": {Lookups: 1, Engines: 1}, "engines": {Lookups: 100},
+		"only": {Lookups: 100, Engines: 1, Only: "x"}} {
 		assert.ErrorContains(t, o.Check(), field+": found")
 	}
 }
--- a/internal/bench/idle.go
+++ b/internal/bench/idle.go
@@ -26,13 +26,13 @@
 	return fmt.Sprintf(`{"schema":1,"clients":{"idle_ms":600000,"max_sessions":%d}}`, n+busySessions)
 }
 
-// idleSockets returns the limit of sockets for a front end with n idle sessions.
-func idleSockets(n int) int { return 4 * (n + busySessions) }
+// idleDescriptors returns the limit of descriptors for a front end with n idle sessions.
+func idleDescriptors(n int) int { return 4 * (n + busySessions) }
 
 // openIdle opens n sessions that make no request. Those that were opened are returned with an error too.
 func (t *testbed) openIdle(n int) (sessions []*faulttest.Session, err error) {
 	for range n {
-		session, err := faulttest.Dial(t.front.Addr, idleDialTimeout)
+		session, err := faulttest.Dial(t.frontEnd.Addr, idleDialTimeout)
 		if err != nil {
 			return sessions, fmt.Errorf("bench: idle session %d: %w", len(sessions), err)
 		}
@@ -49,16 +49,17 @@
 
 // Idle is what sessions that do nothing cost.
 type Idle struct {
-	Sessions    int
-	BytesEach   float64 // resident, above that of none
-	CPUPerS     float64 // milliseconds of CPU a second while nothing is asked
-	CloseAllFor float64 // seconds until all that were closed at once are forgotten
+	Sessions           int
+	BytesEach          float64 // resident, above that of none
+	CPUMillisPerSecond float64 // milliseconds of CPU a second while nothing is asked
+	CloseAllSeconds    float64 // seconds until all that were closed at once are forgotten
 }
 
 // MeasureIdle opens n idle sessions on a front end and measures what they cost.
 func MeasureIdle(ctx context.Context, program string, n int) (Idle, error) {
 	measured := Idle{Sessions: n}
-	t, err := newTestbed(testbedOptions{program: program, engines: 2, sockets: idleSockets(n), settings: idleSettings(n), withDoor: true})
+	t, err := newTestbed(testbedOptions{program: program, engines: 2, descriptors: idleDescriptors(n),
+		settings: idleSettings(n), withStats: true})
 	if err != nil {
 		return measured, err
 	}
@@ -66,27 +67,27 @@
 	if err := t.warmUp(ctx); err != nil {
 		return measured, err
 	}
-	without, _ := resident(t.front.Pid())
+	without, _ := resident(t.frontEnd.Pid())
 	sessions, err := t.openIdle(n)
 	defer closeAll(sessions)
 	if err != nil {
 		return measured, err
 	}
-	cpu := cpuNanos(t.front.Pid())
+	cpu := cpuNanos(t.frontEnd.Pid())
 	if err := wait(ctx, idleCPUTime); err != nil {
 		return measured, err
 	}
-	measured.CPUPerS = float64(cpuNanos(t.front.Pid())-cpu) / 1e6 / idleCPUTime.Seconds()
-	with, _ := resident(t.front.Pid())
+	measured.CPUMillisPerSecond = float64(cpuNanos(t.frontEnd.Pid())-cpu) / 1e6 / idleCPUTime.Seconds()
+	with, _ := resident(t.frontEnd.Pid())
 	measured.BytesEach = (with - without) * (1 << 20) / float64(n)
-	measured.CloseAllFor, err = t.timeCloseAll(sessions)
+	measured.CloseAllSeconds, err = t.timeCloseAll(sessions)
 	return measured, err
 }
 
 // warmUp makes lookups, so that what the first ones allocate is not taken for a cost of idle sessions.
 func (t *testbed) warmUp(ctx context.Context) error {
 	const lookups = 500
-	c := &client{scenario: lookupScenario, address: t.front.Addr}
+	c := &client{scenario: lookupScenario, address: t.frontEnd.Addr}
 	defer c.close()
 	return c.repeat(ctx, lookups)
 }
@@ -96,7 +97,7 @@
 	began := time.Now()
 	closeAll(sessions)
 	for {
-		open := openFiles(t.front.Pid())
+		open := openFiles(t.frontEnd.Pid())
 		if open <= maxFilesAtRest {
 			return time.Since(began).Seconds(), nil
 		}
--- a/internal/bench/list.go
+++ b/internal/bench/list.go
@@ -1,5 +1,3 @@
-// Package bench measures the front end as a process: what it costs, counted from outside. Each measurement names its
-// machine and its spread; counts and ratios of one run are meant to be compared, times are not.
 package bench
 
 import (
@@ -16,16 +14,25 @@
 	"beechcart/internal/faulttest"
 )
 
+const (
+	// listLineTimeout is how long the front end may take to log one engine of its list.
+	listLineTimeout = 30 * time.Second
+
+	instancesPerNode = 10
+	nodesPerSubnet   = 200
+	firstEnginePort  = 1000
+)
+
 // ListOptions are what the measurement of a list takes.
 type ListOptions struct {
 	Program  string // the front end
 	Entries  int    // instances in the catalogue
 	Metadata int    // bytes of metadata of each
-	Seconds  int    // of the list standing still
-	Changes  int    // drains told after it, one at a time
+	Seconds  int    // for which the list does not change
+	Changes  int    // drains after it, one at a time
 }
 
-// Check tells which option can't be used.
+// Check names the first option that can't be used.
 func (o *ListOptions) Check() error {
 	switch {
 	case o.Entries < 1 || o.Entries > 50_000:
@@ -40,6 +47,21 @@
 	return nil
 }
 
+// listRun is one measurement: a catalogue, a front end that follows it, and what the front end logs.
+type listRun struct {
+	options   ListOptions
+	catalogue *consul.Server
+	frontEnd  *faulttest.FrontEnd
+	lines     chan listedLine
+	results   map[string]float64
+}
+
+// listedLine is a log line about one engine.
+type listedLine struct {
+	faulttest.EngineListed
+	readAt time.Time
+}
+
 // List measures what a list costs a front end that has no other work: to read, to hold and to follow.
 func List(ctx context.Context, o ListOptions) (map[string]float64, error) {
 	if err := o.Check(); err != nil {
@@ -49,80 +71,130 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
-	cat, err := consul.Start("127.0.0.1:0", nil)
-	if err != nil {
+	defer func() { _ = os.RemoveAll(dir) }()
+	r := &listRun{options: o, lines: make(chan listedLine, 2*o.Entries+16), results: map[string]float64{}}
+	if r.catalogue, err = consul.Start("127.0.0.1:0", nil); err != nil {
+		return nil, err
+	}
+	defer r.catalogue.Close()
+	r.register()
+	if err := r.measureRead(ctx, dir); err != nil {
 		return nil, err
 	}
-	defer cat.Close()
-	more := strings.Repeat("x", o.Metadata)
-	id := func(i int) string { return "e" + strconv.Itoa(i) }
-	for i := range o.Entries {
-		cat.Register(consul.Node{Node: "n" + strconv.Itoa(i/10), Address: fmt.Sprintf("127.0.%d.%d", 1+i/10/200, 1+i/10%200)},
-			consul.Service{ID: id(i), Service: "engine", Port: 1000 + i%10, Meta: map[string]string{"zone": "room-a", "kind": "std-4", "more": more}},
-			consul.Check{CheckID: "service:" + id(i), Status: "passing"})
+	defer func() { _ = r.frontEnd.Stop() }()
+	if err := r.measureUnchanged(ctx); err != nil {
+		return nil, err
 	}
-	type line struct {
-		faulttest.Listed
-		at time.Time // when it was read
+	if err := r.measureChanges(ctx); err != nil {
+		return nil, err
 	}
-	lines := make(chan line, 2*o.Entries+16)
+	return r.results, nil
+}
+
+func engineID(i int) string { return "e" + strconv.Itoa(i) }
+
+// register fills the catalogue.
+func (r *listRun) register() {
+	metadata := strings.Repeat("x", r.options.Metadata)
+	for i := range r.options.Entries {
+		node := i / instancesPerNode
+		r.catalogue.Register(
+			consul.Node{
+				Node:    "n" + strconv.Itoa(node),
+				Address: fmt.Sprintf("127.0.%d.%d", 1+node/nodesPerSubnet, 1+node%nodesPerSubnet),
+			},
+			consul.Service{
+				ID:      engineID(i),
+				Service: "engine",
+				Port:    firstEnginePort + i%instancesPerNode,
+				Meta:    map[string]string{"zone": "room-a", "kind": "std-4", "more": metadata},
+			},
+			consul.Check{CheckID: "service:" + engineID(i), Status: "passing"},
+		)
+	}
+}
+
+// measureRead starts the front end, and measures the time until it has listed all engines. The caller must stop the
+// front end unless there is an error.
+func (r *listRun) measureRead(ctx context.Context, dir string) (err error) {
 	began := time.Now()
-	f, err := faulttest.StartFront(faulttest.FrontOptions{Program: o.Program, Dir: dir, Name: "n0", MemoryMB: 1024, Sockets: 1024,
-		Settings: fmt.Sprintf(`{"schema":1,"source":"consul","consul":{"addresses":[%q]}}`, cat.Addr),
-		Line: func(text string) {
-			if l, ok := faulttest.ParseListed(text); ok {
-				lines <- line{l, time.Now()}
+	r.frontEnd, err = faulttest.StartFrontEnd(faulttest.FrontEndOptions{
+		Program:          r.options.Program,
+		Dir:              dir,
+		Name:             "n0",
+		MemoryMB:         1024,
+		Descriptors:      1024,
+		OperatorSettings: fmt.Sprintf(`{"schema":1,"source":"consul","consul":{"addresses":[%q]}}`, r.catalogue.Addr),
+		OnLogLine: func(text string) {
+			if l, ok := faulttest.ParseEngineListed(text); ok {
+				r.lines <- listedLine{l, time.Now()}
 			}
-		}})
+		},
+	})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	defer func() { _ = f.Stop() }()
-	for range o.Entries {
-		select {
-		case <-lines:
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-time.After(30 * time.Second):
-			return nil, fmt.Errorf("bench: the list was not taken\n%s", f.Log())
+	for range r.options.Entries {
+		if _, err := r.nextLine(ctx); err != nil {
+			err = fmt.Errorf("bench: the list was not taken: %w\n%s", err, r.frontEnd.Log())
+			_ = r.frontEnd.Stop()
+			return err
 		}
 	}
-	figures := map[string]float64{"entries": float64(o.Entries), "listed_s": time.Since(began).Seconds()}
-	reads, cpu := cat.Reads(), faulttest.CPUSeconds(f.Pid())
-	from := time.Now()
-	if err := wait(ctx, time.Duration(o.Seconds)*time.Second); err != nil {
-		return nil, err
+	r.results["entries"] = float64(r.options.Entries)
+	r.results["listed_s"] = time.Since(began).Seconds()
+	return nil
+}
+
+// nextLine returns the next log line about an engine.
+func (r *listRun) nextLine(ctx context.Context) (listedLine, error) {
+	select {
+	case l := <-r.lines:
+		return l, nil
+	case <-ctx.Done():
+		return listedLine{}, ctx.Err()
+	case <-time.After(listLineTimeout):
+		return listedLine{}, fmt.Errorf("no line about an engine for %v", listLineTimeout)
 	}
-	minutes := time.Since(from).Minutes()
-	figures["still_cpu_s_per_min"] = (faulttest.CPUSeconds(f.Pid()) - cpu) / minutes
-	figures["still_reads_per_min"] = float64(cat.Reads()-reads) / minutes
-	figures["resident_mb"], figures["peak_mb"] = resident(f.Pid())
-	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	for i := range o.Changes {
-		on := i%2 == 0
-		wrote := time.Now()
-		cat.SetMaintenance("n0", id(0), consul.Maintenance{Enabled: on, Reason: "bench"})
-		for {
-			select {
-			case l := <-lines:
-				if l.Name == id(0) && (l.State != "ready") == on {
-					_ = h.RecordValue(l.at.Sub(wrote).Microseconds())
-				} else {
-					continue
-				}
-			case <-time.After(30 * time.Second):
-				return nil, fmt.Errorf("bench: change %d did not arrive", i)
-			case <-ctx.Done():
-				return nil, ctx.Err()
-			}
-			break
-		}
+}
+
+// measureUnchanged measures what a list costs that does not change.
+func (r *listRun) measureUnchanged(ctx context.Context) error {
+	pid := r.frontEnd.Pid()
+	reads, cpu := r.catalogue.Reads(), faulttest.CPUSeconds(pid)
+	began := time.Now()
+	if err := wait(ctx, time.Duration(r.options.Seconds)*time.Second); err != nil {
+		return err
+	}
+	minutes := time.Since(began).Minutes()
+	r.results["still_cpu_s_per_min"] = (faulttest.CPUSeconds(pid) - cpu) / minutes
+	r.results["still_reads_per_min"] = float64(r.catalogue.Reads()-reads) / minutes
+	r.results["resident_mb"], r.results["peak_mb"] = resident(pid)
+	return nil
+}
+
+// measureChanges drains an engine and brings it back in turn, and measures the time until the front end has logged each
+// change.
+func (r *listRun) measureChanges(ctx context.Context) error {
+	if r.options.Changes == 0 {
+		return nil
 	}
-	if o.Changes > 0 {
-		figures["told_p50_ms"] = float64(h.ValueAtQuantile(50)) / 1000
-		figures["told_p99_ms"] = float64(h.ValueAtQuantile(99)) / 1000
-		figures["told_max_ms"] = float64(h.Max()) / 1000
+	propagation := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+	for i := range r.options.Changes {
+		draining := i%2 == 0
+		writtenAt := time.Now()
+		r.catalogue.SetMaintenance("n0", engineID(0), consul.Maintenance{Enabled: draining, Reason: "bench"})
+		line, err := r.nextLine(ctx)
+		for err == nil && (line.Name != engineID(0) || (line.State != "ready") != draining) {
+			line, err = r.nextLine(ctx)
+		}
+		if err != nil {
+			return fmt.Errorf("bench: change %d did not arrive: %w", i, err)
+		}
+		_ = propagation.RecordValue(line.readAt.Sub(writtenAt).Microseconds())
 	}
-	return figures, nil
+	r.results["told_p50_ms"] = float64(propagation.ValueAtQuantile(50)) / 1000
+	r.results["told_p99_ms"] = float64(propagation.ValueAtQuantile(99)) / 1000
+	r.results["told_max_ms"] = float64(propagation.Max()) / 1000
+	return nil
 }
--- a/internal/bench/path.go
+++ b/internal/bench/path.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// pathSockets is the limit of sockets of a front end whose requests are counted.
-	pathSockets = 1024
+	// pathDescriptors is the limit of descriptors of a front end whose requests are counted.
+	pathDescriptors = 1024
 	// warmUpRequests is the least number of requests before a count: pools are full then, and engines are trusted.
 	warmUpRequests = 50
 	// idleTime is how long the costs that come by time are measured.
@@ -27,7 +27,7 @@
 	Only     string // one scenario; empty: all
 }
 
-// Check tells which option can't be used.
+// Check names the first option that can't be used.
 func (o *PathOptions) Check() error {
 	switch {
 	case o.Lookups < 50 || o.Lookups > 1_000_000:
@@ -81,12 +81,13 @@
 
 // countAllocations adds the allocations of a scenario on the release build to counts.
 func (o *PathOptions) countAllocations(ctx context.Context, s Scenario, counts Counts) error {
-	t, err := newTestbed(testbedOptions{program: o.Program, engines: o.Engines, sockets: pathSockets, withDoor: true})
+	t, err := newTestbed(testbedOptions{program: o.Program, engines: o.Engines, descriptors: pathDescriptors,
+		withStats: true})
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	c := &client{scenario: s, address: t.front.Addr}
+	c := &client{scenario: s, address: t.frontEnd.Addr}
 	defer c.close()
 	n := s.repeats(o.Lookups)
 	if err := c.repeat(ctx, max(warmUpRequests, n/2)); err != nil {
@@ -99,21 +100,22 @@
 	counts["allocs"] = cost.run.allocations / float64(n)
 	counts["alloc_bytes"] = cost.run.bytes / float64(n)
 	counts["idle_allocs_per_s"] = cost.idlePerSecond.allocations
-	_, counts["peak_mb"] = resident(t.front.Pid())
+	_, counts["peak_mb"] = resident(t.frontEnd.Pid())
 	return nil
 }
 
-// countCopies adds the bytes copied for each byte of the result to counts, in all and by place, on the build that counts
-// them. Copies of the statement are left out, since they do not grow with the result.
+// countCopies adds the bytes copied for each byte of the result to counts, in all and by call site, on the build that
+// counts them. Copies of the statement are left out, since they do not grow with the result.
 func (o *PathOptions) countCopies(ctx context.Context, s Scenario, counts Counts) error {
-	t, err := newTestbed(testbedOptions{program: o.Counting, engines: o.Engines, sockets: pathSockets, withDoor: true})
+	t, err := newTestbed(testbedOptions{program: o.Counting, engines: o.Engines, descriptors: pathDescriptors,
+		withStats: true})
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	c := &client{scenario: s, address: t.front.Addr}
+	c := &client{scenario: s, address: t.frontEnd.Addr}
 	defer c.close()
-	before, err := t.door.Stats()
+	before, err := t.stats.Stats()
 	if err != nil {
 		return err
 	}
@@ -121,23 +123,23 @@
 	if err := c.repeat(ctx, n); err != nil {
 		return err
 	}
-	after, err := t.door.Stats()
+	after, err := t.stats.Stats()
 	if err != nil {
 		return err
 	}
 	if after.Copies == nil {
 		return fmt.Errorf("bench: %s does not count copies: build it with -tags count", o.Counting)
 	}
-	if s.Name == refusalScenario {
+	if s.Name == rejectionScenario {
 		return nil // it has no result
 	}
 	total := 0.0
-	for place, bytes := range after.Copies {
-		if place == "statement" || place == "call" {
+	for site, bytes := range after.Copies {
+		if site == "statement" || site == "call" {
 			continue
 		}
-		perByte := float64(bytes-before.Copies[place]) / float64(n) / s.resultBytes()
-		counts["copied_"+place] = perByte
+		perByte := float64(bytes-before.Copies[site]) / float64(n) / s.resultBytes()
+		counts["copied_"+site] = perByte
 		total += perByte
 	}
 	counts["copied"] = total
@@ -147,7 +149,7 @@
 // heapCost is a number of heap allocations and their bytes.
 type heapCost struct{ allocations, bytes float64 }
 
-// allocated returns what was allocated between two answers of the door.
+// allocated returns what was allocated between two statistics.
 func allocated(from, to processstats.Stats) heapCost {
 	return heapCost{float64(to.Mallocs - from.Mallocs), float64(to.Bytes - from.Bytes)}
 }
@@ -165,22 +167,22 @@
 
 // measureHeap measures what the front end allocates during run.
 func (t *testbed) measureHeap(ctx context.Context, run func() error) (costs heapCosts, err error) {
-	if _, err := t.door.Stats(); err != nil { // the first answer costs more than the others
+	if _, err := t.stats.Stats(); err != nil { // the first answer costs more than the others
 		return costs, err
 	}
-	first, err := t.door.Stats()
+	first, err := t.stats.Stats()
 	if err != nil {
 		return costs, err
 	}
-	second, err := t.door.Stats()
+	second, err := t.stats.Stats()
 	if err != nil {
 		return costs, err
 	}
-	answer := allocated(first, second) // the cost of an answer of the door itself
+	answer := allocated(first, second) // the cost of an answer itself
 	if err := wait(ctx, idleTime); err != nil {
 		return costs, err
 	}
-	idle, err := t.door.Stats()
+	idle, err := t.stats.Stats()
 	if err != nil {
 		return costs, err
 	}
@@ -190,7 +192,7 @@
 		return costs, err
 	}
 	took := time.Since(began).Seconds()
-	end, err := t.door.Stats()
+	end, err := t.stats.Stats()
 	if err != nil {
 		return costs, err
 	}
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -11,27 +11,27 @@
 
 // Scenario is one kind of request whose cost is counted.
 type Scenario struct {
-	Name  string
-	class string
-	limit time.Duration // the client's time limit
-	fresh bool          // each on a session of its own: connect, login and query in one, quit
+	Name        string
+	class       string
+	deadline    time.Duration // the client's time limit
+	sessionEach bool          // each on a session of its own: connect, login and query in one, quit
 }
 
-const refusalScenario = "refusal"
+const rejectionScenario = "refusal"
 
 // Scenarios are the kinds of request that Path counts.
 var Scenarios = []Scenario{
 	lookupScenario,
 	{"report", "report", 8 * time.Second, false},
 	{"large", "load", 8 * time.Second, false},
-	{refusalScenario, "lookup", 10 * time.Millisecond, false},
+	{rejectionScenario, "lookup", 10 * time.Millisecond, false},
 	{"session", "lookup", 2500 * time.Millisecond, true},
 }
 
 var lookupScenario = Scenario{"lookup", "lookup", 2500 * time.Millisecond, false}
 
-// results are the classes of the stub engines: results of 1 KB, 48 KB in 8 pages, and 0.95 MB in 140 pages.
-var results = map[string]engine.Class{
+// engineClasses are the classes of the fake engines: results of 1 KB, 48 KB in 8 pages, and 0.95 MB in 140 pages.
+var engineClasses = map[string]engine.Class{
 	"lookup": {Threads: 1, Rows: 42},
 	"report": {Threads: 1, Rows: 240, Pages: 8},
 	"load":   {Threads: 1, Rows: 200, Pages: 140},
@@ -39,12 +39,12 @@
 
 // statement returns a query of the scenario under an id.
 func (s Scenario) statement(id uint64) string {
-	return faulttest.Statement(s.class, fmt.Sprintf("%016x", id), s.limit, int(id%faulttest.Schemas))
+	return faulttest.Statement(s.class, fmt.Sprintf("%016x", id), s.deadline, int(id%faulttest.Schemas))
 }
 
 // rows is the number of rows of one result.
 func (s Scenario) rows() int {
-	class := results[s.class]
+	class := engineClasses[s.class]
 	return max(1, class.Pages) * max(1, class.Rows)
 }
 
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -11,10 +11,10 @@
 
 // Speed is what a front end does at full load and at a steady rate.
 type Speed struct {
-	CPUPerLookup float64 // microseconds of user and system time, closed loop
-	Saturated    float64 // lookups a second, closed loop
-	P50, P99     float64 // milliseconds, open arrivals at the rate asked for, from the time each was due
-	P999         float64
+	CPUPerLookup     float64 // microseconds of user and system time, closed loop
+	LookupsPerSecond float64 // lookups a second, closed loop
+	P50, P99         float64 // milliseconds, open arrivals at the rate asked for, from the time each was due
+	P999             float64
 }
 
 // SpeedOptions are what Measure takes.
@@ -22,7 +22,7 @@
 	Program  string
 	Engines  int
 	Sessions int           // in the closed loop
-	For      time.Duration // each part
+	Duration time.Duration // each part
 	Rate     float64       // open arrivals a second; 0: that part is left out
 	Idle     int           // further sessions that do nothing
 }
@@ -34,7 +34,8 @@
 	if o.Idle > 0 {
 		settings = idleSettings(o.Idle)
 	}
-	t, err := newTestbed(testbedOptions{program: o.Program, engines: o.Engines, sockets: max(2048, idleSockets(o.Idle)), settings: settings})
+	t, err := newTestbed(testbedOptions{program: o.Program, engines: o.Engines, descriptors: max(2048,
+		idleDescriptors(o.Idle)), settings: settings})
 	if err != nil {
 		return speed, err
 	}
@@ -44,20 +45,20 @@
 	if err != nil {
 		return speed, err
 	}
-	if _, err := t.closedLoop(ctx, o.Sessions, o.For/4); err != nil { // warm-up
+	if _, err := t.closedLoop(ctx, o.Sessions, o.Duration/4); err != nil { // warm-up
 		return speed, err
 	}
-	cpu, began := cpuNanos(t.front.Pid()), time.Now()
-	lookups, err := t.closedLoop(ctx, o.Sessions, o.For)
+	cpu, began := cpuNanos(t.frontEnd.Pid()), time.Now()
+	lookups, err := t.closedLoop(ctx, o.Sessions, o.Duration)
 	if err != nil {
 		return speed, err
 	}
-	speed.CPUPerLookup = float64(cpuNanos(t.front.Pid())-cpu) / 1000 / float64(lookups)
-	speed.Saturated = float64(lookups) / time.Since(began).Seconds()
+	speed.CPUPerLookup = float64(cpuNanos(t.frontEnd.Pid())-cpu) / 1000 / float64(lookups)
+	speed.LookupsPerSecond = float64(lookups) / time.Since(began).Seconds()
 	if o.Rate == 0 {
 		return speed, nil
 	}
-	latencies, err := t.openLoop(ctx, o.Rate, o.For)
+	latencies, err := t.openLoop(ctx, o.Rate, o.Duration)
 	if err != nil {
 		return speed, err
 	}
@@ -70,8 +71,8 @@
 	return float64(h.ValueAtQuantile(percentile)) / 1e6
 }
 
-// closedLoop makes lookups for that long on several sessions, each as soon as the one before is answered, and returns how
-// many were made.
+// closedLoop makes lookups for that long on several sessions, each as soon as the one before is answered, and returns
+// how many were made.
 func (t *testbed) closedLoop(ctx context.Context, sessions int, d time.Duration) (int, error) {
 	var workers sync.WaitGroup
 	var mu sync.Mutex
@@ -100,7 +101,7 @@
 
 // lookupUntil makes lookups on one session until a time, ctx ends or one fails, and returns how many were made.
 func (t *testbed) lookupUntil(ctx context.Context, end time.Time, id uint64) (n int, err error) {
-	c := &client{scenario: lookupScenario, address: t.front.Addr}
+	c := &client{scenario: lookupScenario, address: t.frontEnd.Addr}
 	defer c.close()
 	for time.Now().Before(end) && err == nil && ctx.Err() == nil {
 		id++
@@ -110,14 +111,14 @@
 	return n, err
 }
 
-// openLoop makes lookups at a fixed rate for that long, whether or not earlier ones are answered. It returns their latencies
-// in nanoseconds, each from the time at which the lookup was due.
+// openLoop makes lookups at a fixed rate for that long, whether or not earlier ones are answered. It returns their
+// latencies in nanoseconds, each from the time at which the lookup was due.
 func (t *testbed) openLoop(ctx context.Context, rate float64, d time.Duration) (*hdrhistogram.Histogram, error) {
 	latencies := hdrhistogram.New(1000, int64(time.Minute), 3)
 	var mu sync.Mutex
 	var first error
 	var requests sync.WaitGroup
-	pool := newClientPool(t.front.Addr)
+	pool := newClientPool(t.frontEnd.Addr)
 	began, interval := time.Now(), time.Duration(float64(time.Second)/rate)
 	for i := 0; time.Duration(i)*interval < d && ctx.Err() == nil; i++ {
 		due := began.Add(time.Duration(i) * interval)
--- a/internal/bench/systrace/systrace.go
+++ b/internal/bench/systrace/systrace.go
@@ -106,10 +106,11 @@
 			fresh = true
 			held[tid] = true
 			// EPERM tells a thread that a traced one has started: it is attached already.
-			if err := ptrace(unix.PTRACE_SEIZE, tid, 0, options); err != nil && !errors.Is(err, unix.EPERM) && !errors.Is(err, unix.ESRCH) {
+			if err := ptrace(unix.PTRACE_SEIZE, tid, options); err != nil && !errors.Is(err, unix.EPERM) && !errors.Is(err,
+				unix.ESRCH) {
 				return nil, fmt.Errorf("seize thread %d: %w", tid, err)
 			}
-			_ = ptrace(unix.PTRACE_INTERRUPT, tid, 0, 0)
+			_ = ptrace(unix.PTRACE_INTERRUPT, tid, 0)
 		}
 		if !fresh {
 			return held, nil
@@ -117,8 +118,9 @@
 	}
 }
 
-func ptrace(request, tid int, addr, data uintptr) error {
-	if _, _, errno := unix.Syscall6(unix.SYS_PTRACE, uintptr(request), uintptr(tid), addr, data, 0, 0); errno != 0 {
+// ptrace makes a request that takes no address.
+func ptrace(request, tid int, data uintptr) error {
+	if _, _, errno := unix.Syscall6(unix.SYS_PTRACE, uintptr(request), uintptr(tid), 0, data, 0, 0); errno != 0 {
 		return errno
 	}
 	return nil
@@ -152,7 +154,7 @@
 			return
 		case c.stop.Load():
 			if !ws.Exited() && !ws.Signaled() {
-				c.letGo(tid, ws)
+				c.detach(tid, ws)
 			}
 			delete(held, tid)
 			c.release(held)
@@ -170,7 +172,7 @@
 // the end of this one.
 func (c *Counter) release(held map[int]bool) {
 	for tid := range held {
-		_ = ptrace(unix.PTRACE_INTERRUPT, tid, 0, 0)
+		_ = ptrace(unix.PTRACE_INTERRUPT, tid, 0)
 	}
 	for end := time.Now().Add(time.Second); len(held) > 0 && time.Now().Before(end); {
 		var ws unix.WaitStatus
@@ -182,19 +184,19 @@
 			time.Sleep(time.Millisecond)
 			continue
 		case !ws.Exited() && !ws.Signaled():
-			c.letGo(tid, ws)
+			c.detach(tid, ws)
 		}
 		delete(held, tid)
 	}
 }
 
-// letGo detaches a thread that has stopped; a signal that it was about to get still reaches it.
-func (c *Counter) letGo(tid int, ws unix.WaitStatus) {
+// detach detaches a thread that has stopped; a signal that it was about to get still reaches it.
+func (c *Counter) detach(tid int, ws unix.WaitStatus) {
 	signal := uintptr(0)
 	if sig := ws.StopSignal(); sig != unix.SIGTRAP|0x80 && uint32(ws)>>16 == 0 {
 		signal = uintptr(sig)
 	}
-	_ = ptrace(unix.PTRACE_DETACH, tid, 0, signal)
+	_ = ptrace(unix.PTRACE_DETACH, tid, signal)
 }
 
 // step takes one stop of a thread, and lets it go on.
@@ -207,12 +209,13 @@
 	default:
 		signal = uintptr(sig)
 	}
-	_ = ptrace(unix.PTRACE_SYSCALL, tid, 0, signal)
+	_ = ptrace(unix.PTRACE_SYSCALL, tid, signal)
 }
 
 func (c *Counter) count(tid int) {
 	var info syscallInfo
-	_, _, errno := unix.Syscall6(unix.SYS_PTRACE, getSyscallInfo, uintptr(tid), unsafe.Sizeof(info), uintptr(unsafe.Pointer(&info)), 0, 0)
+	_, _, errno := unix.Syscall6(unix.SYS_PTRACE, getSyscallInfo, uintptr(tid), unsafe.Sizeof(info),
+		uintptr(unsafe.Pointer(&info)), 0, 0)
 	if errno != 0 || info.op != opEntry {
 		return
 	}
@@ -223,16 +226,19 @@
 
 // names are the calls that a Go network program makes.
 var names = map[uint64]string{
-	unix.SYS_READ: "read", unix.SYS_WRITE: "write", unix.SYS_READV: "readv", unix.SYS_WRITEV: "writev", unix.SYS_CLOSE: "close",
+	unix.SYS_READ: "read", unix.SYS_WRITE: "write", unix.SYS_READV: "readv", unix.SYS_WRITEV: "writev",
+	unix.SYS_CLOSE:  "close",
 	unix.SYS_SOCKET: "socket", unix.SYS_CONNECT: "connect", unix.SYS_ACCEPT: "accept", unix.SYS_ACCEPT4: "accept4",
 	unix.SYS_SENDTO: "sendto", unix.SYS_RECVFROM: "recvfrom", unix.SYS_SENDMSG: "sendmsg", unix.SYS_RECVMSG: "recvmsg",
 	unix.SYS_SHUTDOWN: "shutdown", unix.SYS_BIND: "bind", unix.SYS_LISTEN: "listen", unix.SYS_GETSOCKNAME: "getsockname",
 	unix.SYS_GETPEERNAME: "getpeername", unix.SYS_SETSOCKOPT: "setsockopt", unix.SYS_GETSOCKOPT: "getsockopt",
 	unix.SYS_EPOLL_CTL: "epoll_ctl", unix.SYS_EPOLL_PWAIT: "epoll_pwait", unix.SYS_EPOLL_CREATE1: "epoll_create1",
 	unix.SYS_EPOLL_PWAIT2: "epoll_pwait2",
-	unix.SYS_FUTEX:        "futex", unix.SYS_NANOSLEEP: "nanosleep", unix.SYS_SCHED_YIELD: "sched_yield", unix.SYS_MADVISE: "madvise",
-	unix.SYS_MMAP: "mmap", unix.SYS_MUNMAP: "munmap", unix.SYS_FCNTL: "fcntl", unix.SYS_TGKILL: "tgkill", unix.SYS_GETPID: "getpid",
-	unix.SYS_CLONE: "clone", unix.SYS_RT_SIGRETURN: "rt_sigreturn", unix.SYS_RT_SIGPROCMASK: "rt_sigprocmask",
+	unix.SYS_FUTEX:        "futex", unix.SYS_NANOSLEEP: "nanosleep", unix.SYS_SCHED_YIELD: "sched_yield",
+	unix.SYS_MADVISE: "madvise",
+	unix.SYS_MMAP:    "mmap", unix.SYS_MUNMAP: "munmap", unix.SYS_FCNTL: "fcntl", unix.SYS_TGKILL: "tgkill",
+	unix.SYS_GETPID: "getpid",
+	unix.SYS_CLONE:  "clone", unix.SYS_RT_SIGRETURN: "rt_sigreturn", unix.SYS_RT_SIGPROCMASK: "rt_sigprocmask",
 	unix.SYS_SIGALTSTACK: "sigaltstack", unix.SYS_EVENTFD2: "eventfd2", unix.SYS_RESTART_SYSCALL: "restart_syscall",
 }
 
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -21,24 +21,24 @@
 
 // testbedOptions are what a testbed is started with.
 type testbedOptions struct {
-	program  string // the front end
-	engines  int
-	sockets  int    // limit of the front end
-	settings string // operators' settings as built JSON; empty: none
-	withDoor bool   // open the door to the front end's accounting
+	program     string // the front end
+	engines     int
+	descriptors int    // limit of the front end
+	settings    string // operators' settings as built JSON; empty: none
+	withStats   bool   // read the front end's statistics
 }
 
-// testbed is a front end with the stub servers that it needs.
+// testbed is a front end with the fake servers that it needs.
 type testbed struct {
-	dir     string
-	log     *changelog.Log
-	engines []*engine.Engine
-	front   *faulttest.Front
-	door    *processstats.Client // nil without one
+	dir      string
+	log      *changelog.Log
+	engines  []*engine.Engine
+	frontEnd *faulttest.FrontEnd
+	stats    *processstats.Client // nil without one
 }
 
-// newTestbed starts a front end on stub engines that answer at once. Probes are off: the controller sends them by time, and
-// they would be counted as a request's cost.
+// newTestbed starts a front end on fake engines that answer at once. Health checks are off: the controller sends them
+// by time, and they would be counted as a request's cost.
 func newTestbed(o testbedOptions) (_ *testbed, err error) {
 	t := &testbed{}
 	defer func() {
@@ -55,7 +55,7 @@
 	if err = t.startEngines(o.engines); err != nil {
 		return nil, err
 	}
-	if err = t.startFront(o); err != nil {
+	if err = t.startFrontEnd(o); err != nil {
 		return nil, err
 	}
 	return t, nil
@@ -63,11 +63,11 @@
 
 // close stops all processes and removes all files.
 func (t *testbed) close() {
-	if t.door != nil {
-		t.door.Close()
+	if t.stats != nil {
+		t.stats.Close()
 	}
-	if t.front != nil {
-		_ = t.front.Stop()
+	if t.frontEnd != nil {
+		_ = t.frontEnd.Stop()
 	}
 	for _, e := range t.engines {
 		e.Kill()
@@ -78,65 +78,68 @@
 	_ = os.RemoveAll(t.dir)
 }
 
-// engineName is the name under which an engine answers. All have the same length, so that all results have the same size.
+// engineName is the name under which an engine answers. All have the same length, so that all results have the same
+// size.
 func engineName(i int) string { return "s-0000000" + strconv.Itoa(i%10) }
 
-// startEngines starts stub engines and lists them in the change log.
+// startEngines starts fake engines and lists them in the change log.
 func (t *testbed) startEngines(n int) error {
 	var endpoints []changelog.Endpoint
 	for i := range n {
-		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: engineName(i), Cores: 64, MaxQueries: 10_000, Classes: results})
+		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: engineName(i), Cores: 64, MaxQueries: 10_000,
+			Classes: engineClasses})
 		if err != nil {
 			return err
 		}
 		t.engines = append(t.engines, e)
-		endpoints = append(endpoints, changelog.Endpoint{Name: fmt.Sprintf("s-%08x", i+1), Address: e.Addr, Zone: "room-a", Type: "std-4", Status: "ready"})
+		endpoints = append(endpoints, changelog.Endpoint{Name: fmt.Sprintf("s-%08x", i+1), Address: e.Addr, Zone: "room-a",
+			Type: "std-4", Status: "ready"})
 	}
 	t.log.Publish(true, endpoints...)
 	return nil
 }
 
-// startFront starts the front end, and returns once it has listed all engines.
-func (t *testbed) startFront(o testbedOptions) error {
+// startFrontEnd starts the front end, and returns once it has listed all engines.
+func (t *testbed) startFrontEnd(o testbedOptions) error {
 	listed := make(chan struct{}, 4096)
-	options := faulttest.FrontOptions{
-		Program:   o.program,
-		Dir:       t.dir,
-		Name:      "n0",
-		MemoryMB:  512,
-		Sockets:   o.sockets,
-		ChangeLog: t.log.Addr,
-		Settings:  o.settings,
-		Facts:     strings.Replace(faulttest.Facts, `"probes":true`, `"probes":false`, 1),
-		Line: func(line string) {
-			if _, ok := faulttest.ParseListed(line); ok {
+	options := faulttest.FrontEndOptions{
+		Program:          o.program,
+		Dir:              t.dir,
+		Name:             "n0",
+		MemoryMB:         512,
+		Descriptors:      o.descriptors,
+		ChangeLog:        t.log.Addr,
+		OperatorSettings: o.settings,
+		PlatformSettings: strings.Replace(faulttest.Settings, `"probes":true`, `"probes":false`, 1),
+		OnLogLine: func(line string) {
+			if _, ok := faulttest.ParseEngineListed(line); ok {
 				listed <- struct{}{}
 			}
 		},
 	}
-	if o.withDoor {
-		theirs, err := t.openDoor()
+	if o.withStats {
+		theirs, err := t.openStats()
 		if err != nil {
 			return err
 		}
-		defer theirs.Close()
+		defer func() { _ = theirs.Close() }()
 		options.Files, options.Env = []*os.File{theirs}, []string{processstats.DescriptorEnv + "=3"}
 	}
 	var err error
-	if t.front, err = faulttest.StartFront(options); err != nil {
+	if t.frontEnd, err = faulttest.StartFrontEnd(options); err != nil {
 		return err
 	}
 	return awaitListed(listed, o.engines)
 }
 
-// openDoor makes the pair of sockets of the door, and returns the one for the front end.
-func (t *testbed) openDoor() (theirs *os.File, err error) {
+// openStats makes the pair of sockets for the front end's statistics, and returns the one for the front end.
+func (t *testbed) openStats() (theirs *os.File, err error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
-	t.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
-	return os.NewFile(uintptr(pair[1]), "door"), nil
+	t.stats = processstats.NewClient(os.NewFile(uintptr(pair[0]), "process statistics"))
+	return os.NewFile(uintptr(pair[1]), "process statistics"), nil
 }
 
 // awaitListed returns once n engines were listed.
--- a/internal/faulttest/cluster/relay_test.go
+++ b/internal/faulttest/cluster/relay_test.go
@@ -12,6 +12,7 @@
 
 // echo answers all that it gets on TCP, and hands datagrams on.
 func echo(t *testing.T) (addr string, datagrams chan string) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -22,7 +23,7 @@
 	}()
 	u, err := net.ListenPacket("udp", l.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(func() { u.Close() })
+	t.Cleanup(func() { _ = u.Close() })
 	datagrams = make(chan string, 100)
 	go func() {
 		b := make([]byte, 100)
@@ -33,11 +34,36 @@
 	return l.Addr().String(), datagrams
 }
 
+// datagramCounter returns a function that sends datagrams over the link from a to b with a fault, and counts those that
+// arrive.
+func datagramCounter(t *testing.T, n *Network, addr string, datagrams <-chan string) func(LinkFault, int) int {
+	t.Helper()
+	u, err := net.Dial("udp", addr)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = u.Close() })
+	return func(fault LinkFault, sends int) int {
+		n.Link("a", "b").Set(fault)
+		for range sends {
+			_, _ = u.Write([]byte("d"))
+			time.Sleep(time.Millisecond)
+		}
+		got := 0
+		for {
+			select {
+			case <-datagrams:
+				got++
+			case <-time.After(100 * time.Millisecond):
+				return got
+			}
+		}
+	}
+}
+
 func TestRelayDoesWhatItIsTold(t *testing.T) {
 	target, datagrams := echo(t)
-	n := NewNet(1)
+	n := NewNetwork(1)
 	defer n.Close()
-	addr, err := n.Lead("a", "b", target, true)
+	addr, err := n.Route("a", "b", target, TCPAndUDP)
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -56,44 +82,26 @@
 	}
 	assert.Equal(t, "x", says(time.Second))
 
-	n.Link("b", "a").Set(Trouble{Cut: true}) // one way: it arrives, and the answer does not
+	n.Link("b", "a").Set(LinkFault{Cut: true}) // one way: it arrives, and the answer does not
 	assert.Equal(t, "nothing", says(100*time.Millisecond))
-	n.Link("b", "a").Set(Trouble{})
+	n.Link("b", "a").Set(LinkFault{})
 	_ = c.SetDeadline(time.Now().Add(time.Second))
 	_, err = c.Read(b)
 	require.NoError(t, err, "what waited comes once the link is well")
 
 	began := time.Now()
-	n.Link("a", "b").Set(Trouble{Delay: 80 * time.Millisecond})
+	n.Link("a", "b").Set(LinkFault{Delay: 80 * time.Millisecond})
 	assert.Equal(t, "x", says(time.Second))
 	assert.GreaterOrEqual(t, time.Since(began), 80*time.Millisecond)
-	n.Link("a", "b").Set(Trouble{})
+	n.Link("a", "b").Set(LinkFault{})
 
-	u, err := net.Dial("udp", addr)
-	require.NoError(t, err)
-	defer u.Close()
-	count := func(trouble Trouble, sends int) int {
-		n.Link("a", "b").Set(trouble)
-		for range sends {
-			_, _ = u.Write([]byte("d"))
-			time.Sleep(time.Millisecond)
-		}
-		got := 0
-		for {
-			select {
-			case <-datagrams:
-				got++
-			case <-time.After(100 * time.Millisecond):
-				return got
-			}
-		}
-	}
-	assert.Equal(t, 20, count(Trouble{}, 20))
-	assert.Equal(t, 0, count(Trouble{Cut: true}, 20))
-	assert.Equal(t, 0, count(Trouble{Drop: 1}, 20))
-	assert.Equal(t, 40, count(Trouble{Dup: 1}, 20))
+	count := datagramCounter(t, n, addr, datagrams)
+	assert.Equal(t, 20, count(LinkFault{}, 20))
+	assert.Equal(t, 0, count(LinkFault{Cut: true}, 20))
+	assert.Equal(t, 0, count(LinkFault{Drop: 1}, 20))
+	assert.Equal(t, 40, count(LinkFault{Duplicate: 1}, 20))
 
-	n.Link("a", "b").Set(Trouble{})
+	n.Link("a", "b").Set(LinkFault{})
 	n.Link("a", "b").Reset()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
 	_, err = c.Read(b)
--- /dev/null
+++ b/internal/faulttest/cluster/settings.go
@@ -0,0 +1,89 @@
+package cluster
+
+import (
+	"encoding/json"
+	"errors"
+
+	"beechcart/internal/fleet"
+)
+
+const (
+	// clockSkewSteps and clockSkewStepMillis set the clocks of members apart, in turn.
+	clockSkewSteps      = 3
+	clockSkewStepMillis = 100
+
+	// memberWeight is what each member is said to carry, in requests a second.
+	memberWeight = 100
+
+	// revisionPlaceholder stands for the revision of a process in a member's settings.
+	revisionPlaceholder = "%REVISION%"
+)
+
+// fleetSettings is the fleet's part of a front end's settings, in the keys of the operators' file.
+type fleetSettings struct {
+	Gossip     string           `json:"gossip"`
+	Zone       string           `json:"room"`
+	Revision   string           `json:"revision"`
+	Weight     float64          `json:"weight"`
+	KeyFile    string           `json:"key_file"`
+	Routes     []string         `json:"routes"`
+	SkewMillis int              `json:"ahead_ms"`
+	Replicas   []replicaSetting `json:"keepers"`
+	Dir        string           `json:"dir,omitempty"`
+	DiskFaults string           `json:"disk_faults,omitempty"`
+}
+
+type replicaSetting struct {
+	Name   string `json:"name"`
+	Log    string `json:"log"`
+	API    string `json:"ask"`
+	Gossip string `json:"gossip"`
+}
+
+// settingsOf returns the settings of a member as JSON. All that it dials goes over relays of its own.
+func (c *Cluster) settingsOf(m *Member, replicas []fleet.Address, keyFile string) (string, error) {
+	routes, err := c.routesOf(m, replicas)
+	if err != nil {
+		return "", err
+	}
+	s := fleetSettings{
+		Gossip:     m.host + gossipPort,
+		Zone:       m.Zone,
+		Revision:   revisionPlaceholder,
+		Weight:     memberWeight,
+		KeyFile:    keyFile,
+		Routes:     routes,
+		SkewMillis: m.Number % clockSkewSteps * clockSkewStepMillis,
+	}
+	for _, r := range replicas {
+		s.Replicas = append(s.Replicas, replicaSetting{Name: r.Name, Log: r.Log, API: r.Ask, Gossip: r.Gossip})
+	}
+	if m.ControlReplica {
+		s.Dir, s.DiskFaults = m.dir, m.diskFaultFile
+	}
+	text, err := json.Marshal(s)
+	return string(text), err
+}
+
+// routesOf makes the relays of a member, and returns where it dials each address.
+func (c *Cluster) routesOf(m *Member, replicas []fleet.Address) (routes []string, err error) {
+	add := func(to, address string, protocols Protocols) error {
+		if to == m.Name {
+			return nil
+		}
+		at, err := c.options.Network.Route(m.Name, to, address, protocols)
+		routes = append(routes, address+"="+at)
+		return err
+	}
+	for _, other := range c.Members {
+		if err := add(other.Name, other.host+gossipPort, TCPAndUDP); err != nil {
+			return nil, err
+		}
+	}
+	for _, r := range replicas {
+		if err := errors.Join(add(r.Name, r.Log, TCPOnly), add(r.Name, r.Ask, TCPOnly)); err != nil {
+			return nil, err
+		}
+	}
+	return routes, nil
+}
--- a/internal/faulttest/demo.go
+++ b/internal/faulttest/demo.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
+	"net"
 	"os"
+	"path/filepath"
 	"time"
-
-	"beechcart/internal/fake/consul"
 )
 
 // DemoOptions are what a demonstration takes.
@@ -18,81 +18,114 @@
 	Out     io.Writer
 }
 
-// Demo starts a front end, four stand-in engines and a stand-in Consul, runs a few queries, and goes on until ctx ends.
+const demoEngines = 4
+
+// demo is a demonstration that is under way. Its first error in printing ends all further printing.
+type demo struct {
+	out       io.Writer
+	err       error
+	catalogue *catalogueRun
+	frontEnd  *FrontEnd
+	session   *Session
+}
+
+// Demo starts a front end, fake engines and a fake Consul, runs a few queries, and goes on until ctx ends.
 func Demo(ctx context.Context, o DemoOptions) error {
 	dir, err := os.MkdirTemp("", "demo")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	w := &ward{wrote: map[string]time.Time{}, ready: map[string]bool{}}
-	if w.cat, err = consul.Start("127.0.0.1:0", nil); err != nil {
+	defer func() { _ = os.RemoveAll(dir) }()
+	catalogue, err := startCatalogue(Options{Engines: demoEngines})
+	defer catalogue.close()
+	if err != nil {
 		return err
 	}
-	defer w.cat.Close()
-	for i := range 4 {
-		u := &unit{name: fmt.Sprintf("e%d", i)}
-		if err := w.start(u); err != nil {
-			return err
-		}
-		defer u.e.Kill()
-		w.engines = append(w.engines, u)
-		w.register(u)
-	}
-	f, err := StartFront(FrontOptions{Program: o.Program, Dir: dir, Name: "demo", MemoryMB: 192, Sockets: 1024, Line: w.line,
-		Settings: fmt.Sprintf(`{"schema":1,"source":"consul","consul":{"addresses":[%q]},"admin_socket":%q}`, w.cat.Addr, dir+"/admin.sock")})
+	adminSocket := filepath.Join(dir, "admin.sock")
+	frontEnd, err := StartFrontEnd(FrontEndOptions{
+		Program: o.Program, Dir: dir, Name: "demo", MemoryMB: 192, Descriptors: 1024, OnLogLine: catalogue.followLog,
+		OperatorSettings: fmt.Sprintf(`{"schema":1,"source":"consul","consul":{"addresses":[%q]},"admin_socket":%q}`,
+			catalogue.consul.Addr, adminSocket),
+	})
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Stop() }()
-	if !w.settled(ctx, 4) {
-		return fmt.Errorf("the front end has not taken the list\n%s", f.Log())
+	defer func() { _ = frontEnd.Stop() }()
+	if !catalogue.waitListed(ctx, demoEngines) {
+		return fmt.Errorf("the front end has not taken the list\n%s", frontEnd.Log())
 	}
-	fmt.Fprintf(o.Out, "front end      %s  (user app, no password, database bi)\nadmin socket   %s/admin.sock\nstand-in Consul http://%s/v1/health/service/engine\n", f.Addr, dir, w.cat.Addr)
-	for _, u := range w.engines {
-		fmt.Fprintf(o.Out, "engine %s      %s\n", u.name, u.e.Addr)
+	d := &demo{out: o.Out, catalogue: catalogue, frontEnd: frontEnd}
+	d.printAddresses(adminSocket)
+	if d.session, err = Dial(frontEnd.Addr, 3*time.Second); err != nil {
+		return err
 	}
-	s, err := Dial(f.Addr, 3*time.Second)
-	if err != nil {
+	defer d.session.Close()
+	if err := d.play(ctx); err != nil || o.Once {
 		return err
 	}
-	defer s.c.Close()
-	ask := func(c Class) error {
-		id := fmt.Sprintf("%016x", rand.Uint64())
-		text := fmt.Sprintf("/* c=%s,i=%s,d=%d */ SELECT id, engine, n FROM sales_17.orders", c.Name, id, c.Wait.Milliseconds())
-		began := time.Now()
-		rows, err := s.Query(text, began.Add(c.Wait+slack))
-		fmt.Fprintf(o.Out, "\n> %s\n", text)
-		if err != nil {
-			return err
-		}
-		for _, row := range rows {
-			fmt.Fprintf(o.Out, "  %v\n", row)
-		}
-		fmt.Fprintf(o.Out, "  %d rows in %v\n", len(rows), time.Since(began).Round(time.Millisecond))
-		return nil
+	d.printInvitation()
+	<-ctx.Done()
+	return d.err
+}
+
+func (d *demo) printf(format string, a ...any) {
+	if d.err == nil {
+		_, d.err = fmt.Fprintf(d.out, format, a...)
+	}
+}
+
+func (d *demo) printAddresses(adminSocket string) {
+	d.printf("front end      %s  (user app, no password, database bi)\n", d.frontEnd.Addr)
+	d.printf("admin socket   %s\n", adminSocket)
+	d.printf("fake Consul    http://%s/v1/health/service/%s\n", d.catalogue.consul.Addr, serviceName)
+	for _, e := range d.catalogue.engines {
+		d.printf("engine %s      %s\n", e.name, e.fake.Addr)
 	}
-	for _, c := range Classes {
-		if err := ask(c); err != nil {
+}
+
+// play runs a query of each class, drains an engine, runs a few more, and brings the engine back.
+func (d *demo) play(ctx context.Context) error {
+	for _, class := range Classes {
+		if err := d.query(class); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(o.Out, "\n%s goes into maintenance; the next lookups go elsewhere.\n", w.engines[0].name)
-	w.drain(w.engines[0], true)
-	if !w.settled(ctx, 3) {
-		return fmt.Errorf("the front end has not taken the drain\n%s", f.Log())
+	drained := d.catalogue.engines[0]
+	d.printf("\n%s goes into maintenance; the next lookups go elsewhere.\n", drained.name)
+	d.catalogue.drain(drained)
+	if !d.catalogue.waitListed(ctx, demoEngines-1) {
+		return fmt.Errorf("the front end has not taken the drain\n%s", d.frontEnd.Log())
 	}
 	for range 3 {
-		if err := ask(Classes[0]); err != nil {
+		if err := d.query(Classes[0]); err != nil {
 			return err
 		}
 	}
-	w.drain(w.engines[0], false)
-	if o.Once {
-		return nil
+	d.catalogue.undrain(drained)
+	return d.err
+}
+
+// query runs one query and prints its rows.
+func (d *demo) query(class Class) error {
+	text := fmt.Sprintf("/* c=%s,i=%016x,d=%d */ SELECT id, engine, n FROM sales_17.orders",
+		class.Name, rand.Uint64(), class.Timeout.Milliseconds())
+	began := time.Now()
+	rows, err := d.session.Query(text, began.Add(class.Timeout+answerTimeout))
+	d.printf("\n> %s\n", text)
+	if err != nil {
+		return err
+	}
+	for _, row := range rows {
+		d.printf("  %v\n", row)
 	}
-	fmt.Fprintf(o.Out, "\nIt is back. Try a MySQL client, for example:\n  mysql --protocol=tcp -h 127.0.0.1 -P %s -u app --comments bi -e \"/* c=lookup,i=$(openssl rand -hex 8),d=2500 */ SELECT * FROM sales_17.orders\"\nCtrl-C ends it.\n",
-		f.Addr[len("127.0.0.1:"):])
-	<-ctx.Done()
-	return nil
+	d.printf("  %d rows in %v\n", len(rows), time.Since(began).Round(time.Millisecond))
+	return d.err
+}
+
+func (d *demo) printInvitation() {
+	_, port, _ := net.SplitHostPort(d.frontEnd.Addr)
+	d.printf("\nIt is back. Try a MySQL client, for example:\n"+
+		"  mysql --protocol=tcp -h 127.0.0.1 -P %s -u app --comments bi "+
+		"-e \"/* c=lookup,i=$(openssl rand -hex 8),d=2500 */ SELECT * FROM sales_17.orders\"\n"+
+		"Ctrl-C ends it.\n", port)
 }
--- a/internal/faulttest/drill_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -28,7 +28,7 @@
 	var b bytes.Buffer
 	r.WriteViolations(&b)
 	assert.True(t, r.Passed, "seed %d\n%s", o.Seed, b.String())
-	assert.Greater(t, r.Figures["served"], 0.9*r.Figures["requests"], "seed %d", o.Seed)
+	assert.Greater(t, r.Measurements["served"], 0.9*r.Measurements["requests"], "seed %d", o.Seed)
 
 	b.Reset()
 	require.NoError(t, r.WriteJSON(&b))
@@ -46,7 +46,8 @@
 
 // Guards against a drill that can't fail: the naive reading loses all engines when all checks flap.
 func TestNaiveReadingBreaksTheRules(t *testing.T) {
-	r, err := Catalogue.Run(context.Background(), Options{Program: program, Seed: 7, Seconds: 5, Rate: 50, Engines: 6, Faults: "flap-all", Policy: "naive"})
+	r, err := Catalogue.Run(context.Background(), Options{Program: program, Seed: 7, Seconds: 5, Rate: 50, Engines: 6,
+		Faults: "flap-all", Policy: "naive"})
 	require.NoError(t, err)
 	assert.False(t, r.Passed)
 	assert.Positive(t, r.Rules[NoEngine])
@@ -60,7 +61,8 @@
 	}
 	const lookup, load = 0, 2
 	ask := func(class int, o Outcome, latency int) Request {
-		return Request{ID: "a", Class: class, Due: at(0), Sent: at(0), Latency: time.Duration(latency) * time.Millisecond, Outcome: o}
+		return Request{ID: "a", Class: class, Due: at(0), Sent: at(0), Latency: time.Duration(latency) * time.Millisecond,
+			Outcome: o}
 	}
 	for name, k := range map[string]struct {
 		r      Request
@@ -69,21 +71,30 @@
 		extra  []string
 		want   string
 	}{
-		"well":                        {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 0, 20)}, nil, nil, ""},
-		"repeated in turn":            {ask(lookup, Served, 50), []engine.Execution{run("e1", "a", 0, 20), run("e2", "a", 21, 40)}, nil, nil, ""},
-		"two out":                     {ask(lookup, Served, 50), []engine.Execution{run("e2", "a", 10, 40), run("e1", "a", 0, 20)}, nil, nil, TwoOut},
-		"load twice":                  {ask(load, Served, 50), []engine.Execution{run("e1", "a", 0, 20), run("e2", "a", 21, 40)}, nil, nil, DoubleRuns},
-		"load refused after it ran":   {ask(load, Refused, 50), []engine.Execution{run("e1", "a", 0, 20)}, nil, nil, FalsePromises},
-		"load refused, never ran":     {ask(load, Refused, 50), nil, nil, nil, ""},
-		"no answer":                   {ask(lookup, Unanswered, 4500), nil, nil, nil, UnansweredOne},
-		"answered too late":           {ask(lookup, Failed, 2900), nil, nil, nil, UnansweredOne},
-		"wrong rows":                  {ask(lookup, Wrong, 20), nil, nil, nil, WrongAnswers},
-		"served by nobody":            {ask(lookup, Served, 20), nil, nil, nil, WrongAnswers},
-		"surplus":                     {ask(lookup, Refused, 20), nil, nil, []string{"x"}, DoubleAnswers},
-		"sent within the grace":       {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 600, 620)}, func(d *Drains) { d.Told("e1", at(200)) }, nil, ""},
-		"sent late":                   {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 600, 620)}, func(d *Drains) { d.Told("e1", at(0)); d.Told("e1", at(300)) }, nil, LateSends},
-		"sent after the drain":        {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 600, 620)}, func(d *Drains) { d.Told("e1", at(0)); d.Lifted("e1", at(590)) }, nil, ""},
-		"sent late in a second drain": {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 900, 920)}, func(d *Drains) { d.Told("e1", at(0)); d.Lifted("e1", at(100)); d.Told("e1", at(200)) }, nil, LateSends},
+		"well": {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 0, 20)}, nil, nil, ""},
+		"repeated in turn": {ask(lookup, Served, 50), []engine.Execution{run("e1", "a", 0, 20), run("e2", "a",
+			21, 40)}, nil, nil, ""},
+		"two out": {ask(lookup, Served, 50), []engine.Execution{run("e2", "a", 10, 40), run("e1", "a",
+			0, 20)}, nil, nil, OverlappingRuns},
+		"load twice": {ask(load, Served, 50), []engine.Execution{run("e1", "a", 0, 20), run("e2", "a", 21,
+			40)}, nil, nil, DoubleRuns},
+		"load refused after it ran": {ask(load, Rejected, 50), []engine.Execution{run("e1", "a", 0, 20)}, nil, nil,
+			FalsePromises},
+		"load refused, never ran": {ask(load, Rejected, 50), nil, nil, nil, ""},
+		"no answer":               {ask(lookup, Unanswered, 4500), nil, nil, nil, UnansweredRequests},
+		"answered too late":       {ask(lookup, Failed, 2900), nil, nil, nil, UnansweredRequests},
+		"wrong rows":              {ask(lookup, Wrong, 20), nil, nil, nil, WrongAnswers},
+		"served by nobody":        {ask(lookup, Served, 20), nil, nil, nil, WrongAnswers},
+		"surplus":                 {ask(lookup, Rejected, 20), nil, nil, []string{"x"}, DoubleAnswers},
+		"sent within the grace": {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 600, 620)},
+			func(d *Drains) { d.Commanded("e1", at(200)) }, nil, ""},
+		"sent late": {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 600, 620)},
+			func(d *Drains) { d.Commanded("e1", at(0)); d.Commanded("e1", at(300)) }, nil, LateSends},
+		"sent after the drain": {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 600, 620)},
+			func(d *Drains) { d.Commanded("e1", at(0)); d.Cancelled("e1", at(590)) }, nil, ""},
+		"sent late in a second drain": {ask(lookup, Served, 20), []engine.Execution{run("e1", "a", 900, 920)},
+			func(d *Drains) { d.Commanded("e1", at(0)); d.Cancelled("e1", at(100)); d.Commanded("e1", at(200)) }, nil,
+			LateSends},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d Drains
@@ -106,8 +117,10 @@
 	good := Options{Seconds: 10, Rate: 10, Engines: 5, Faults: "all"}
 	require.NoError(t, good.Check(Catalogue))
 	for field, spoil := range map[string]func(*Options){
-		"seconds": func(o *Options) { o.Seconds = 0 }, "rate": func(o *Options) { o.Rate = 0 }, "engines": func(o *Options) { o.Engines = 1 },
-		"policy": func(o *Options) { o.Policy = "x" }, "bad": func(o *Options) { o.Bad = "x" }, "faults": func(o *Options) { o.Faults = "x" },
+		"seconds": func(o *Options) { o.Seconds = 0 }, "rate": func(o *Options) { o.Rate = 0 },
+		"engines": func(o *Options) { o.Engines = 1 },
+		"policy":  func(o *Options) { o.Policy = "x" }, "bad": func(o *Options) { o.BadRelease = "x" },
+		"faults": func(o *Options) { o.Faults = "x" },
 	} {
 		o := good
 		spoil(&o)
--- a/internal/faulttest/load.go
+++ b/internal/faulttest/load.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"strconv"
 	"sync"
 	"time"
 
@@ -14,12 +15,12 @@
 
 // Class is one class of the load.
 type Class struct {
-	Name   string
-	Share  float64       // of the requests
-	Wait   time.Duration // how long clients wait
-	Aim    time.Duration // answers within it count in full
-	Worth  float64
-	Unsafe bool
+	Name             string
+	Share            float64       // of the requests
+	Timeout          time.Duration // how long clients wait
+	LatencyObjective time.Duration // answers within it count in full
+	PriorityWeight   float64
+	NonIdempotent    bool
 }
 
 // Outcome is how a request ended for its client.
@@ -27,18 +28,19 @@
 
 // The outcomes of a request.
 const (
-	Served     Outcome = "served"
-	Refused    Outcome = "refused"
-	Failed     Outcome = "failed"
-	Unanswered Outcome = "unanswered"
-	WithFront  Outcome = "lost_with_front" // no answer, and its front end was killed or stood still meanwhile
-	Wrong      Outcome = "wrong"           // rows that no engine made for it, or what is no answer
+	Served           Outcome = "served"
+	Rejected         Outcome = "refused"
+	Failed           Outcome = "failed"
+	Unanswered       Outcome = "unanswered"
+	LostWithFrontEnd Outcome = "lost_with_front" // no answer, and its front end was killed or stopped meanwhile
+	Wrong            Outcome = "wrong"           // rows that no engine made for it, or what is no answer
 )
 
-// Statement returns a query as the platform's clients write it: a hint with class, id and time limit, and a table of one of
-// the tenant's schemas.
-func Statement(class, id string, limit time.Duration, schema int) string {
-	return fmt.Sprintf("/* c=%s,i=%s,d=%d,t=south-grain,h=20.0,need_mb=16 */ SELECT a FROM sales_%d.orders", class, id, limit.Milliseconds(), schema)
+// Statement returns a query as the platform's clients write it: a hint with class, id and deadline, and a table of
+// one of the tenant's schemas.
+func Statement(class, id string, deadline time.Duration, schema int) string {
+	return fmt.Sprintf("/* c=%s,i=%s,d=%d,t=south-grain,h=20.0,need_mb=16 */ SELECT a FROM sales_%d.orders",
+		class, id, deadline.Milliseconds(), schema)
 }
 
 // Schemas is the number of schemas that clients query.
@@ -63,43 +65,42 @@
 	Classes []Class
 	Rand    *rand.Rand
 
-	// Pick is the front end for a request, in place of one drawn from Addrs; empty for none. A front layer that knows
-	// who is up: one that refuses connections has taken nothing, and the next is picked. May be nil.
+	// Pick returns the front end for a request, in place of one drawn from Addrs; empty for none. It is a front layer that
+	// knows who is up. May be nil.
 	Pick func() string
-	// Lost tells whether the front end at an address was killed, or stood still, between. May be nil.
+	// Lost tells whether the front end at an address was killed or stopped between. May be nil.
 	Lost func(addr string, from, to time.Time) bool
 
-	mu       sync.Mutex
-	idle     map[string][]*Session
-	requests []Request
-	surplus  []string // answers that nobody asked for
+	mu         sync.Mutex
+	idle       map[string][]*Session
+	requests   []Request
+	unexpected []string // answers that nobody asked for
 }
 
-// slack is how long after a client's time an answer is still waited for, to tell a late one from none.
-const slack = 2 * time.Second
+const (
+	// answerTimeout is how long after a client's deadline an answer is still waited for, to tell a late one from none.
+	answerTimeout = 2 * time.Second
+
+	// sessionIdleTimeout is after how long clients close a session.
+	sessionIdleTimeout = 4 * time.Second
 
-// idleWait is after how long clients close a session.
-const idleWait = 4 * time.Second
+	dialTimeout = 3 * time.Second
+
+	// A front layer goes on to another front end, after a delay, up to so many times.
+	maxSkipped = 20
+	skipDelay  = 20 * time.Millisecond
+
+	// crossingTime is how soon after a send a session that closes may have crossed it.
+	crossingTime = 50 * time.Millisecond
+)
 
 // Run sends for that long, or until ctx ends, and returns once every request has its outcome.
 func (l *Load) Run(ctx context.Context, d time.Duration) []Request {
 	l.idle = map[string][]*Session{}
-	var wg sync.WaitGroup
-	begin := time.Now()
-	for at := time.Duration(0); ; {
-		at += time.Duration(l.Rand.ExpFloat64() / l.Rate * float64(time.Second))
-		if at > d {
-			break
-		}
-		r := Request{ID: fmt.Sprintf("%016x", l.Rand.Uint64()), Due: begin.Add(at)}
-		draw := l.Rand.Float64()
-		for r.Class = 0; r.Class < len(l.Classes)-1 && draw >= l.Classes[r.Class].Share; r.Class++ {
-			draw -= l.Classes[r.Class].Share
-		}
-		addr, group := "", l.Rand.IntN(Schemas)
-		if l.Pick == nil {
-			addr = l.Addrs[l.Rand.IntN(len(l.Addrs))]
-		}
+	var sending sync.WaitGroup
+	began := time.Now()
+	for at := l.nextArrival(0); at <= d; at = l.nextArrival(at) {
+		r, schema := l.newRequest(began.Add(at))
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(r.Due)):
@@ -107,126 +108,171 @@
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			l.one(&r, addr, group)
+		sending.Go(func() {
+			l.send(r, schema)
 			l.mu.Lock()
-			l.requests = append(l.requests, r)
+			l.requests = append(l.requests, *r)
 			l.mu.Unlock()
-		}()
+		})
 	}
-	wg.Wait()
+	sending.Wait()
+	l.closeIdle()
+	return l.requests
+}
+
+// nextArrival draws the time of the arrival after one.
+func (l *Load) nextArrival(at time.Duration) time.Duration {
+	return at + time.Duration(l.Rand.ExpFloat64()/l.Rate*float64(time.Second))
+}
+
+// newRequest draws a request and the schema that it queries.
+func (l *Load) newRequest(due time.Time) (r *Request, schema int) {
+	r = &Request{ID: fmt.Sprintf("%016x", l.Rand.Uint64()), Due: due}
+	draw := l.Rand.Float64()
+	for r.Class = 0; r.Class < len(l.Classes)-1 && draw >= l.Classes[r.Class].Share; r.Class++ {
+		draw -= l.Classes[r.Class].Share
+	}
+	schema = l.Rand.IntN(Schemas)
+	if l.Pick == nil {
+		r.Addr = l.Addrs[l.Rand.IntN(len(l.Addrs))]
+	}
+	return r, schema
+}
+
+// closeIdle closes the idle sessions, and records answers on them that nobody asked for.
+func (l *Load) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, list := range l.idle {
-		for _, s := range list {
-			if err := s.fresh(); errors.Is(err, errSurplus) {
-				l.surplus = append(l.surplus, "on an idle session at the end")
+	for _, sessions := range l.idle {
+		for _, s := range sessions {
+			if err := s.checkIdle(); errors.Is(err, errUnexpected) {
+				l.unexpected = append(l.unexpected, "on an idle session at the end")
 			}
-			s.c.Close()
+			s.Close()
 		}
 	}
-	return l.requests
 }
 
-// take returns an idle session, or a new one.
-func (l *Load) take(addr string) (*Session, error) {
+// session returns an idle session, or a new one.
+func (l *Load) session(addr string) (*Session, error) {
 	for {
-		l.mu.Lock()
-		list := l.idle[addr]
-		if len(list) == 0 {
-			l.mu.Unlock()
-			return Dial(addr, 3*time.Second)
+		s := l.takeIdle(addr)
+		if s == nil {
+			return Dial(addr, dialTimeout)
 		}
-		s := list[len(list)-1]
-		l.idle[addr] = list[:len(list)-1]
-		l.mu.Unlock()
-		err := s.fresh()
-		if err == nil && time.Since(s.used) < idleWait {
+		err := s.checkIdle()
+		if err == nil && time.Since(s.lastUsed) < sessionIdleTimeout {
 			return s, nil
 		}
-		if errors.Is(err, errSurplus) {
+		if errors.Is(err, errUnexpected) {
 			l.mu.Lock()
-			l.surplus = append(l.surplus, "on an idle session")
+			l.unexpected = append(l.unexpected, "on an idle session")
 			l.mu.Unlock()
 		}
-		s.c.Close()
+		s.Close()
+	}
+}
+
+// takeIdle takes an idle session; nil where there is none.
+func (l *Load) takeIdle(addr string) *Session {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	sessions := l.idle[addr]
+	if len(sessions) == 0 {
+		return nil
 	}
+	last := len(sessions) - 1
+	l.idle[addr] = sessions[:last]
+	return sessions[last]
 }
 
-func (l *Load) one(r *Request, addr string, group int) {
-	c := l.Classes[r.Class]
-	statement := Statement(c.Name, r.ID, c.Wait, group)
-	for try, doors := 0, 0; ; try++ {
+// send sends one request and records its outcome. A front end that a front layer picked and that accepts no connection
+// has taken nothing: the next is picked.
+func (l *Load) send(r *Request, schema int) {
+	class := l.Classes[r.Class]
+	statement := Statement(class.Name, r.ID, class.Timeout, schema)
+	for try, skipped := 0, 0; ; try++ {
 		if l.Pick != nil {
-			addr = l.Pick()
+			r.Addr = l.Pick()
 		}
-		r.Addr = addr
-		var s *Session
-		var err error
-		if try <= 0 {
-			s, err = l.take(addr)
-		} else {
-			s, err = Dial(addr, 3*time.Second) // a request that crossed a close is sent again on a new connection
-		}
-		if err != nil && l.Pick != nil && doors < 20 && !errors.As(err, new(*ServerError)) {
-			doors, try = doors+1, -1 // nothing was taken there
-			time.Sleep(20 * time.Millisecond)
+		s, err := l.connect(r.Addr, try)
+		if err != nil && l.Pick != nil && skipped < maxSkipped && !errors.As(err, new(*ServerError)) {
+			skipped, try = skipped+1, -1
+			time.Sleep(skipDelay)
 			continue
 		}
 		if err != nil {
-			r.Outcome, r.Detail, r.Latency = Unanswered, err.Error(), time.Since(r.Due)
-			var refused *ServerError
-			if errors.As(err, &refused) && refused.Harmless() {
-				r.Outcome = Refused
-			}
+			r.failToConnect(err)
 			return
 		}
 		r.Sent = time.Now()
-		rows, err := s.Query(statement, r.Sent.Add(c.Wait+slack))
+		rows, err := s.Query(statement, r.Sent.Add(class.Timeout+answerTimeout))
 		r.Latency = time.Since(r.Due)
-		// One that was killed held the request, so it is not sent again under its id: it may be running.
-		if err != nil && isClosed(err) && l.Lost != nil && l.Lost(addr, r.Sent, time.Now()) {
-			r.Outcome, r.Detail = WithFront, err.Error()
-			s.c.Close()
-			return
-		}
-		// A front end may close a session that has nothing open; a request that crosses it is sent again, once.
-		if crossed := time.Since(r.Sent) < 50*time.Millisecond; err != nil && crossed && try == 0 && isClosed(err) {
-			s.c.Close()
+		// A front end may close a session that has nothing open; a request that crosses it is sent again, once. One that
+		// was killed held the request, which may be running: it is not sent again under its id.
+		crossed := err != nil && isClosed(err) && try == 0 && time.Since(r.Sent) < crossingTime
+		if crossed && !l.lost(r) {
+			s.Close()
 			continue
 		}
-		r.Outcome, r.Detail = judge(r.ID, rows, err)
-		if r.Outcome == Unanswered && l.Lost != nil && l.Lost(addr, r.Sent, time.Now()) {
-			r.Outcome = WithFront
-			s.c.Close()
-			return
-		}
-		if r.Outcome == Unanswered || r.Outcome == Wrong {
-			s.c.Close()
-			return
-		}
-		s.used = time.Now()
-		l.mu.Lock()
-		l.idle[addr] = append(l.idle[addr], s)
-		l.mu.Unlock()
+		l.finish(r, s, rows, err)
+		return
+	}
+}
+
+// connect returns a session for a try. A request that crossed a close is sent again on a new connection.
+func (l *Load) connect(addr string, try int) (*Session, error) {
+	if try <= 0 {
+		return l.session(addr)
+	}
+	return Dial(addr, dialTimeout)
+}
+
+// failToConnect records that no front end has taken the request.
+func (r *Request) failToConnect(err error) {
+	r.Outcome, r.Detail, r.Latency = Unanswered, err.Error(), time.Since(r.Due)
+	var rejected *ServerError
+	if errors.As(err, &rejected) && rejected.RetrySafe() {
+		r.Outcome = Rejected
+	}
+}
+
+// finish records the answer of a request, and keeps its session for another one where it can be used.
+func (l *Load) finish(r *Request, s *Session, rows [][]string, err error) {
+	r.Outcome, r.Detail = classify(r.ID, rows, err)
+	if r.Outcome == Unanswered && l.lost(r) {
+		r.Outcome = LostWithFrontEnd
+	}
+	if r.Outcome == Unanswered || r.Outcome == Wrong || r.Outcome == LostWithFrontEnd {
+		s.Close()
 		return
 	}
+	s.lastUsed = time.Now()
+	l.mu.Lock()
+	l.idle[r.Addr] = append(l.idle[r.Addr], s)
+	l.mu.Unlock()
+}
+
+// lost tells whether the front end of a request was killed or stopped since the request was sent.
+func (l *Load) lost(r *Request) bool {
+	return l.Lost != nil && l.Lost(r.Addr, r.Sent, time.Now())
 }
 
+// isClosed tells a connection that has ended from an answer and from a timeout.
 func isClosed(err error) bool {
-	var t net.Error
-	var s *ServerError
-	return !errors.As(err, &s) && !(errors.As(err, &t) && t.Timeout())
+	var timeout net.Error
+	if errors.As(err, &timeout) && timeout.Timeout() {
+		return false
+	}
+	return !errors.As(err, new(*ServerError))
 }
 
-// judge tells an outcome, and whether the rows are those of the request.
-func judge(id string, rows [][]string, err error) (Outcome, string) {
+// classify tells an outcome, and whether the rows are those of the request.
+func classify(id string, rows [][]string, err error) (Outcome, string) {
 	var s *ServerError
 	switch {
-	case errors.As(err, &s) && s.Harmless():
-		return Refused, s.Text
+	case errors.As(err, &s) && s.RetrySafe():
+		return Rejected, s.Text
 	case errors.As(err, &s):
 		return Failed, s.Text
 	case err != nil:
@@ -235,40 +281,41 @@
 		return Wrong, "served without rows"
 	}
 	for i, row := range rows {
-		if len(row) != 3 || row[0] != id || row[2] != fmt.Sprint(i) {
+		if len(row) != 3 || row[0] != id || row[2] != strconv.Itoa(i) {
 			return Wrong, fmt.Sprintf("row %d is %q", i, row)
 		}
 	}
 	return Served, ""
 }
 
-// countOutcomes adds the number of requests of each outcome to figures, by the outcome's name.
-func countOutcomes(figures map[string]float64, requests []Request) {
+// countOutcomes adds the number of requests of each outcome to measurements, by the outcome's name.
+func countOutcomes(measurements map[string]float64, requests []Request) {
 	for _, request := range requests {
-		figures[string(request.Outcome)]++
+		measurements[string(request.Outcome)]++
 	}
 }
 
-// Service is the worth answered within its aim over the worth asked for, of the requests due in [from, to).
-func Service(classes []Class, list []Request, from, to time.Time) float64 {
-	var got, asked float64
+// ServiceShare is the priority weight answered within its latency objective over the weight asked for, of the requests
+// due in [from, to).
+func ServiceShare(classes []Class, list []Request, from, to time.Time) float64 {
+	var achieved, total float64
 	for _, r := range list {
 		if r.Due.Before(from) || !r.Due.Before(to) {
 			continue
 		}
 		c := classes[r.Class]
-		asked += c.Worth
-		if r.Outcome == Served && r.Latency <= c.Aim {
-			got += c.Worth
+		total += c.PriorityWeight
+		if r.Outcome == Served && r.Latency <= c.LatencyObjective {
+			achieved += c.PriorityWeight
 		}
 	}
-	if asked == 0 {
+	if total == 0 {
 		return 0
 	}
-	return got / asked
+	return achieved / total
 }
 
-// Latencies is the histogram, in microseconds, of the served requests of a class; nil is all.
+// Latencies is the histogram, in microseconds, of the served requests of a class; of all where class is negative.
 func Latencies(list []Request, class int) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	for _, r := range list {
--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -11,16 +11,17 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// Rollout injects faults into a test cluster of front ends through two releases, one of them bad, and drains of engines.
-var Rollout = Drill{
-	Name:   "rollout",
-	Short:  "Front ends in three rooms that are killed, stopped, cut off and robbed of disks through releases and drains",
-	Kinds:  memberFaultKinds(),
-	Fronts: rolloutFronts,
+// Rollout injects faults into a test cluster of front ends through two releases, one of them bad, and drains of
+// engines.
+var Rollout = Scenario{
+	Name:      "rollout",
+	Short:     "Front ends in three zones that are killed, stopped, cut off and lose disks through releases and drains",
+	Faults:    memberFaultKinds(),
+	FrontEnds: rolloutFronts,
 	// Without judgement a bad release continues until the operator of this test halts it.
-	Policies: []string{policyUnjudged},
-	Bads:     []string{badErrors, badSlow},
-	Run:      runRollout,
+	Policies:    []string{policyUnjudged},
+	BadReleases: []string{badErrors, badSlow},
+	Run:         runRollout,
 }
 
 const policyUnjudged = "unjudged"
@@ -47,13 +48,14 @@
 	maxUnavailableEngines = 1
 )
 
-// failureDetection is the time by which every member must know that a front end is unavailable that has not reported so.
+// failureDetection is the time by which every member must know that a front end is unavailable that has not reported
+// so.
 const failureDetection = 4 * time.Second
 
 var rolloutZones = []string{"room-a", "room-b", "room-c"}
 
-// Streams of the pseudo-random generator of a seed. Each goroutine that draws has its own, so that its sequence does not
-// depend on the scheduling of the others.
+// Streams of the pseudo-random generator of a seed. Each goroutine that draws has its own, so that its sequence does
+// not depend on the scheduling of the others.
 const (
 	streamLoad   = 2
 	streamPick   = 3
@@ -69,11 +71,11 @@
 
 const drainsPerRun = 3
 
-// rolloutRun is one run of the rollout fault test: the test cluster, its stub servers, and what was observed.
+// rolloutRun is one run of the rollout fault test: the test cluster, its fake servers, and what was observed.
 type rolloutRun struct {
 	options Options
-	cluster *cluster.Fleet
-	network *cluster.Net
+	cluster *cluster.Cluster
+	network *cluster.Network
 	goodLog *changelog.Log // endpoints for the good revisions
 	badLog  *changelog.Log // endpoints for the bad revision
 	engines []*managedEngine
@@ -104,7 +106,7 @@
 func newRolloutRun(o Options) *rolloutRun {
 	return &rolloutRun{
 		options: o,
-		network: cluster.NewNet(o.Seed),
+		network: cluster.NewNetwork(o.Seed),
 		faulted: memberSet{},
 		drains:  map[string]*Drains{},
 		figures: map[string]float64{},
@@ -124,8 +126,8 @@
 }
 
 func runRollout(ctx context.Context, o Options) (*Report, error) {
-	if o.Fronts == 0 {
-		o.Fronts = rolloutFronts
+	if o.FrontEnds == 0 {
+		o.FrontEnds = rolloutFronts
 	}
 	run, err := startRollout(ctx, o)
 	if err != nil {
@@ -154,7 +156,7 @@
 	finished := make(chan []Request, 1)
 	go func() { finished <- load.Run(loadCtx, duration+loadTimeout) }()
 
-	pause(ctx, duration)
+	sleep(ctx, duration)
 	stopFaults()
 	injectors.Wait() // each fault is undone when it ends
 	r.network.Each(allLinks, restoreLink)
@@ -168,7 +170,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return r.report(observations{requests, load.surplus, unsettled, period{began, ended}}), nil
+	return r.report(observations{requests, load.unexpected, unsettled, period{began, ended}}), nil
 }
 
 // startOperators starts those who release revisions and drain engines.
@@ -181,7 +183,7 @@
 	operators.Go(func() {
 		rng := r.random(streamDrains)
 		for range drainsPerRun {
-			pause(ctx, between(rng, time.Second, 4*time.Second))
+			sleep(ctx, drawDuration(rng, time.Second, 4*time.Second))
 			r.drainEngine(ctx, rng)
 		}
 	})
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -18,14 +18,16 @@
 	exitDrained = 76
 )
 
-// emptyGrace is by how much an execution may end after its engine was declared empty: its end is noted after its answer.
+// emptyGrace is by how much an execution may end after its engine was declared empty: its end is noted after its
+// answer.
 const emptyGrace = 50 * time.Millisecond
 
-// waitSettled waits until all members serve on the revision that is agreed, and returns what is missing if they never do.
+// waitSettled waits until all members serve on the revision that is agreed, and returns what is missing if they never
+// do.
 func (r *rolloutRun) waitSettled(ctx context.Context) (missing []string) {
 	for range 400 {
 		missing = r.unsettled()
-		if len(missing) == 0 || !pause(ctx, 100*time.Millisecond) {
+		if len(missing) == 0 || !sleep(ctx, 100*time.Millisecond) {
 			return missing
 		}
 	}
@@ -52,7 +54,7 @@
 	processes := m.Processes()
 	current := processes[len(processes)-1]
 	switch {
-	case agreed == nil || agreed.Phase != rollout.Serving || agreed.Suspected || !m.Up():
+	case agreed == nil || agreed.Phase != rollout.Serving || agreed.Suspected || !m.Listening():
 		return m.Name + " does not serve"
 	case agreed.Revision != agreed.TargetRevision || current.Revision != agreed.TargetRevision:
 		return fmt.Sprintf("%s runs %s, and %s is agreed", m.Name, current.Revision, agreed.TargetRevision)
@@ -62,12 +64,12 @@
 	return ""
 }
 
-// judgedRequests returns the requests that the rules hold for. Those that were lost with their front end are left out. The
-// time limit is waived for those that a front end answered late because it was stopped; a request without any answer stays
-// a violation.
+// judgedRequests returns the requests that the rules hold for. Those that were lost with their front end are left
+// out. The time limit is waived for those that a front end answered late because it was stopped; a request without
+// any answer stays a violation.
 func judgedRequests(requests []Request, disturbed func(address string, from, to time.Time) bool) (judged []Request) {
 	for _, request := range requests {
-		if request.Outcome == WithFront {
+		if request.Outcome == LostWithFrontEnd {
 			continue
 		}
 		if request.Outcome != Unanswered && disturbed(request.Addr, request.Due, request.Due.Add(request.Latency)) {
@@ -127,24 +129,25 @@
 }
 
 // granted tells whether a process stopped accepting requests under a shutdown grant.
-func granted(p cluster.Process) bool { return p.Chosen && !p.Left.IsZero() }
+func granted(p cluster.Process) bool { return p.ByGrant && !p.DrainingAt.IsZero() }
 
 // checkExit finds processes that crashed or broke an invariant.
 func (c *rolloutChecker) checkExit(p cluster.Process) {
-	if p.Fault != "" {
-		c.violate(Crashes, p.Ended, "%s: %s", p.Member, p.Fault)
+	if p.BrokenInvariant != "" {
+		c.violate(Crashes, p.EndedAt, "%s: %s", p.Member, p.BrokenInvariant)
 	}
-	ended := !p.Ended.IsZero() && !p.Killed
-	if ended && !slices.Contains([]int{0, exitRestart, exitDrained}, p.Code) {
-		c.violate(Crashes, p.Ended, "%s ended by itself with code %d", p.Member, p.Code)
+	ended := !p.EndedAt.IsZero() && !p.Killed
+	if ended && !slices.Contains([]int{0, exitRestart, exitDrained}, p.ExitCode) {
+		c.violate(Crashes, p.EndedAt, "%s ended by itself with code %d", p.Member, p.ExitCode)
 	}
 }
 
 // checkHalts finds a granted shutdown that began after a halt was acknowledged.
 func (c *rolloutChecker) checkHalts(p cluster.Process) {
 	for _, halt := range c.haltPeriods {
-		if p.Left.After(halt.from) && p.Left.Before(halt.to) {
-			c.violate(AfterHalt, p.Left, "%s went out %v after a halt was acknowledged", p.Member, p.Left.Sub(halt.from))
+		if p.DrainingAt.After(halt.from) && p.DrainingAt.Before(halt.to) {
+			c.violate(AfterHalt, p.DrainingAt, "%s went out %v after a halt was acknowledged", p.Member,
+				p.DrainingAt.Sub(halt.from))
 		}
 	}
 }
@@ -153,22 +156,22 @@
 func (c *rolloutChecker) checkBudget(m *cluster.Member, p cluster.Process) {
 	var unavailable, inZone []string
 	for _, other := range c.members {
-		if other == m || !knownUnavailable(other, p.Left) {
+		if other == m || !knownUnavailable(other, p.DrainingAt) {
 			continue
 		}
 		unavailable = append(unavailable, other.Name)
-		if other.Room == m.Room {
+		if other.Zone == m.Zone {
 			inZone = append(inZone, other.Name)
 		}
 	}
 	if len(unavailable) >= maxUnavailable || len(inZone) >= maxUnavailableInZone {
-		c.violate(OverBudget, p.Left, "%s went out while %s were out, %s of its room",
+		c.violate(OverBudget, p.DrainingAt, "%s went out while %s were out, %s of its room",
 			p.Member, strings.Join(unavailable, " "), strings.Join(inZone, " "))
 	}
 }
 
 // knownUnavailable tells whether a member was unavailable at a time, and the fleet had to know it.
 func knownUnavailable(m *cluster.Member, at time.Time) bool {
-	unavailable, byGrant, since := m.Out(at)
+	unavailable, byGrant, since := m.Unavailable(at)
 	return unavailable && (byGrant || at.Sub(since) > failureDetection)
 }
--- a/internal/faulttest/rollout_disk_faults.go
+++ b/internal/faulttest/rollout_disk_faults.go
@@ -19,15 +19,16 @@
 		return
 	}
 	defer r.unclaim(m)
-	r.options.note("%s loses its disk", m.Name)
+	r.options.logf("%s loses its disk", m.Name)
 	if err := m.LoseDisk(); err != nil {
-		r.options.note("%v", err)
+		r.options.logf("%v", err)
 	}
 	r.waitListening(ctx, m)
 	r.waitRejoined(ctx, m)
 }
 
-// diskFault lets the writes of a control replica fail for a while, as rig.Member.FailDisk names it. Its process continues.
+// diskFault lets the writes of a control replica fail for a while, as cluster.Member.FailDisk names it. Its process
+// continues.
 func diskFault(failure string) func(*rolloutRun, context.Context, *rand.Rand) {
 	return func(r *rolloutRun, ctx context.Context, rng *rand.Rand) {
 		m := r.claim(rng, true)
@@ -35,30 +36,30 @@
 			return
 		}
 		defer r.unclaim(m)
-		r.options.note("the disk of %s fails: %s", m.Name, failure)
+		r.options.logf("the disk of %s fails: %s", m.Name, failure)
 		if err := m.FailDisk(failure); err != nil {
-			r.options.note("%v", err)
+			r.options.logf("%v", err)
 		}
-		pause(ctx, between(rng, time.Second, 5*time.Second))
+		sleep(ctx, drawDuration(rng, time.Second, 5*time.Second))
 		if err := m.FailDisk(""); err != nil {
-			r.options.note("%v", err)
+			r.options.logf("%v", err)
 		}
 		r.waitRejoined(ctx, m)
 	}
 }
 
-// waitRejoined waits until a control replica with a new disk is a caught-up voter again. A second disk lost before that is
-// more than three replicas tolerate.
+// waitRejoined waits until a control replica with a new disk is a caught-up voter again. A second disk lost before
+// that is more than three replicas tolerate.
 func (r *rolloutRun) waitRejoined(ctx context.Context, m *cluster.Member) {
 	for range 300 {
 		if r.hasRejoined(m) {
 			return
 		}
-		if !pause(ctx, 100*time.Millisecond) {
+		if !sleep(ctx, 100*time.Millisecond) {
 			return
 		}
 	}
-	r.options.note("%s is not back among the keepers", m.Name)
+	r.options.logf("%s is not back among the control replicas", m.Name)
 }
 
 func (r *rolloutRun) hasRejoined(m *cluster.Member) bool {
--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -17,8 +17,8 @@
 	badDelay      = 700 * time.Millisecond
 )
 
-// managedEngine is one engine, through all its processes. It has two at a time: the one of the good revisions, and the one
-// that stands for it under the bad revision.
+// managedEngine is one engine, through all its processes. It has two at a time: the one of the good revisions, and
+// the one that stands for it under the bad revision.
 type managedEngine struct {
 	name      string
 	good, bad *engine.Engine
@@ -56,19 +56,19 @@
 
 // startEngine starts new processes of an engine.
 func (r *rolloutRun) startEngine(e *managedEngine) error {
-	options := engine.Options{Name: e.name, Cores: 4, MaxQueries: 64, Classes: stock}
+	options := engine.Options{Name: e.name, Cores: 4, MaxQueries: 64, Classes: engineClasses}
 	good, err := engine.Start("127.0.0.1:0", options)
 	if err != nil {
-		return fmt.Errorf("drill: %w", err)
+		return fmt.Errorf("faulttest: %w", err)
 	}
-	if r.options.Bad == badSlow {
+	if r.options.BadRelease == badSlow {
 		options.Latency = badDelay
 	} else {
 		options.ErrorShare = badErrorShare
 	}
 	bad, err := engine.Start("127.0.0.1:0", options)
 	if err != nil {
-		return fmt.Errorf("drill: %w", err)
+		return fmt.Errorf("faulttest: %w", err)
 	}
 	r.mu.Lock()
 	e.good, e.bad, e.since = good, bad, time.Now().UnixMilli()
@@ -80,7 +80,8 @@
 func (r *rolloutRun) publish(complete bool, engines ...*managedEngine) {
 	var good, bad []changelog.Endpoint
 	for _, e := range engines {
-		endpoint := changelog.Endpoint{Name: e.name, Address: e.good.Addr, Zone: e.zone(), Type: "std-4", Status: "ready", SinceMS: e.since}
+		endpoint := changelog.Endpoint{Name: e.name, Address: e.good.Addr, Zone: e.zone(), Type: "std-4", Status: "ready",
+			SinceMS: e.since}
 		good = append(good, endpoint)
 		endpoint.Address = e.bad.Addr
 		bad = append(bad, endpoint)
@@ -97,15 +98,15 @@
 		return
 	}
 	r.count("drains", 1)
-	r.options.note("drain %s, permit %d", e.name, permit)
+	r.options.logf("drain %s, permit %d", e.name, permit)
 	began := time.Now()
 	if !r.waitMayStop(ctx, permit) {
 		return
 	}
 	permitted := time.Now()
 	r.count("drain_s", permitted.Sub(began).Seconds())
-	r.options.note("%s may be stopped, after %v", e.name, permitted.Sub(began).Round(time.Millisecond))
-	pause(ctx, between(rng, 200*time.Millisecond, time.Second))
+	r.options.logf("%s may be stopped, after %v", e.name, permitted.Sub(began).Round(time.Millisecond))
+	sleep(ctx, drawDuration(rng, 200*time.Millisecond, time.Second))
 	r.replaceProcesses(e, permitted)
 }
 
@@ -119,8 +120,8 @@
 		if result.Rejected == nil {
 			return result.Permit, true
 		}
-		r.options.note("drain of %s refused: %v", name, result.Rejected)
-		if !pause(ctx, time.Second) {
+		r.options.logf("drain of %s refused: %v", name, result.Rejected)
+		if !sleep(ctx, time.Second) {
 			return 0, false
 		}
 	}
@@ -134,7 +135,7 @@
 				return true
 			}
 		}
-		if !pause(ctx, 50*time.Millisecond) {
+		if !sleep(ctx, 50*time.Millisecond) {
 			return false
 		}
 	}
@@ -148,7 +149,7 @@
 	r.mu.Unlock()
 	e.kill()
 	if err := r.startEngine(e); err != nil {
-		r.options.note("%v", err)
+		r.options.logf("%v", err)
 		return
 	}
 	r.publish(false, e)
--- a/internal/faulttest/rollout_faults.go
+++ b/internal/faulttest/rollout_faults.go
@@ -11,27 +11,35 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// At most maxFaulted members are in the hands of faults at a time, and at most one of them is a control replica: two faulted
-// replicas of three would leave the cluster without a quorum.
+// At most maxFaulted members are in the hands of faults at a time, and at most one of them is a control replica: two
+// faulted replicas of three would leave the cluster without a quorum.
 const maxFaulted = 2
 
 // memberFault is one kind of fault of front ends. Its injection returns once the fault has been undone.
 type memberFault struct {
-	kind    string
-	onLinks bool // a fault of the network; others are of processes and disks
-	inject  func(r *rolloutRun, ctx context.Context, rng *rand.Rand)
+	kind   string
+	layer  faultLayer
+	inject func(r *rolloutRun, ctx context.Context, rng *rand.Rand)
 }
 
+// faultLayer is where a fault happens. Each has injectors of its own.
+type faultLayer int
+
+const (
+	memberLayer  faultLayer = iota // processes and disks
+	networkLayer                   // links between members
+)
+
 // memberFaults lists the kinds. What a seed draws depends on their order.
 var memberFaults = []memberFault{
 	{kind: "kill", inject: signalFault("kill", syscall.SIGKILL)},
 	{kind: "stop", inject: (*rolloutRun).stopMember},
 	{kind: "term", inject: signalFault("term", syscall.SIGTERM)},
-	{kind: "room", onLinks: true, inject: (*rolloutRun).isolateZone},
-	{kind: "one-way", onLinks: true, inject: (*rolloutRun).cutOneWay},
-	{kind: "slow", onLinks: true, inject: (*rolloutRun).delayZone},
-	{kind: "lossy", onLinks: true, inject: (*rolloutRun).loseDatagrams},
-	{kind: "reset", onLinks: true, inject: (*rolloutRun).resetConnections},
+	{kind: "room", layer: networkLayer, inject: (*rolloutRun).isolateZone},
+	{kind: "one-way", layer: networkLayer, inject: (*rolloutRun).cutOneWay},
+	{kind: "slow", layer: networkLayer, inject: (*rolloutRun).delayZone},
+	{kind: "lossy", layer: networkLayer, inject: (*rolloutRun).loseDatagrams},
+	{kind: "reset", layer: networkLayer, inject: (*rolloutRun).resetConnections},
 	{kind: "disk", inject: (*rolloutRun).loseDisk},
 	{kind: "full", inject: diskFault("full")},
 	{kind: "sync", inject: diskFault("sync")},
@@ -49,27 +57,28 @@
 // startFaultInjectors starts two injectors of faults of members and one of faults of links; they end with ctx.
 func (r *rolloutRun) startFaultInjectors(ctx context.Context) *sync.WaitGroup {
 	var injectors sync.WaitGroup
-	for i, onLinks := range []bool{false, false, true} {
+	for i, layer := range []faultLayer{memberLayer, memberLayer, networkLayer} {
 		rng := r.random(uint64(streamFaults + i))
-		injectors.Go(func() { r.injectFaults(ctx, rng, onLinks) })
+		injectors.Go(func() { r.injectFaults(ctx, rng, layer) })
 	}
 	return &injectors
 }
 
-// injectFaults draws faults, and injects one after the other until ctx ends.
-func (r *rolloutRun) injectFaults(ctx context.Context, rng *rand.Rand, onLinks bool) {
+// injectFaults draws faults of a layer, and injects one after the other until ctx ends.
+func (r *rolloutRun) injectFaults(ctx context.Context, rng *rand.Rand, layer faultLayer) {
 	var chosen []memberFault
 	for _, f := range memberFaults {
-		if f.onLinks == onLinks && r.options.plays(f.kind) {
+		if f.layer == layer && r.options.injects(f.kind) {
 			chosen = append(chosen, f)
 		}
 	}
-	for len(chosen) > 0 && pause(ctx, between(rng, 500*time.Millisecond, 3*time.Second)) {
+	for len(chosen) > 0 && sleep(ctx, drawDuration(rng, 500*time.Millisecond, 3*time.Second)) {
 		chosen[rng.IntN(len(chosen))].inject(r, ctx, rng)
 	}
 }
 
-// claim picks a member that no other fault has claimed; nil if there is none. onlyReplicas picks among control replicas.
+// claim picks a member that no other fault has claimed; nil if there is none. onlyReplicas picks among control
+// replicas.
 func (r *rolloutRun) claim(rng *rand.Rand, onlyReplicas bool) *cluster.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +86,7 @@
 	var free []*cluster.Member
 	for _, m := range r.cluster.Members {
 		switch {
-		case r.faulted[m.Name], m.Keeps && replicaFaulted, onlyReplicas && !m.Keeps:
+		case r.faulted[m.Name], m.ControlReplica && replicaFaulted, onlyReplicas && !m.ControlReplica:
 		default:
 			free = append(free, m)
 		}
@@ -104,7 +113,9 @@
 }
 
 // isFaultedReplica tells whether a member is a control replica that a fault has claimed. The caller must hold mu.
-func (r *rolloutRun) isFaultedReplica(m *cluster.Member) bool { return m.Keeps && r.faulted[m.Name] }
+func (r *rolloutRun) isFaultedReplica(m *cluster.Member) bool {
+	return m.ControlReplica && r.faulted[m.Name]
+}
 
 // unclaim lets other faults claim a member.
 func (r *rolloutRun) unclaim(m *cluster.Member) {
@@ -116,7 +127,7 @@
 // replicas returns the members that are control replicas.
 func (r *rolloutRun) replicas() (replicas []*cluster.Member) {
 	for _, m := range r.cluster.Members {
-		if m.Keeps {
+		if m.ControlReplica {
 			replicas = append(replicas, m)
 		}
 	}
@@ -131,7 +142,7 @@
 			return
 		}
 		defer r.unclaim(m)
-		r.options.note("%s %s", kind, m.Name)
+		r.options.logf("%s %s", kind, m.Name)
 		m.Signal(signal)
 		r.waitListening(ctx, m)
 	}
@@ -144,9 +155,9 @@
 		return
 	}
 	defer r.unclaim(m)
-	r.options.note("stop %s", m.Name)
+	r.options.logf("stop %s", m.Name)
 	m.Signal(syscall.SIGSTOP)
-	pause(ctx, between(rng, time.Second, 10*time.Second))
+	sleep(ctx, drawDuration(rng, time.Second, 10*time.Second))
 	m.Signal(syscall.SIGCONT)
 	r.waitListening(ctx, m)
 }
@@ -156,7 +167,7 @@
 	if !r.claimAllReplicas() {
 		return
 	}
-	r.options.note("kill all keepers")
+	r.options.logf("kill all control replicas")
 	for _, m := range r.replicas() {
 		m.Signal(syscall.SIGKILL)
 	}
@@ -168,7 +179,7 @@
 
 // waitListening waits until a member's process listens again, or ctx ends.
 func (r *rolloutRun) waitListening(ctx context.Context, m *cluster.Member) {
-	pause(ctx, 100*time.Millisecond)
-	for !m.Up() && pause(ctx, 50*time.Millisecond) {
+	sleep(ctx, 100*time.Millisecond)
+	for !m.Listening() && sleep(ctx, 50*time.Millisecond) {
 	}
 }
--- a/internal/faulttest/rollout_link_faults.go
+++ b/internal/faulttest/rollout_link_faults.go
@@ -21,12 +21,12 @@
 	return func(from, to string) bool { return inside[from] != inside[to] }
 }
 
-func restoreLink(l *cluster.Link) { l.Set(cluster.Trouble{}) }
+func restoreLink(l *cluster.Link) { l.Set(cluster.LinkFault{}) }
 
 // disturb sets links in trouble for a while.
-func (r *rolloutRun) disturb(ctx context.Context, rng *rand.Rand, selected linkSelector, trouble cluster.Trouble) {
+func (r *rolloutRun) disturb(ctx context.Context, rng *rand.Rand, selected linkSelector, trouble cluster.LinkFault) {
 	r.network.Each(selected, func(l *cluster.Link) { l.Set(trouble) })
-	pause(ctx, between(rng, time.Second, 6*time.Second))
+	sleep(ctx, drawDuration(rng, time.Second, 6*time.Second))
 	r.network.Each(selected, restoreLink)
 }
 
@@ -34,7 +34,7 @@
 func (r *rolloutRun) membersIn(zone string) memberSet {
 	members := memberSet{}
 	for _, m := range r.cluster.Members {
-		if m.Room == zone {
+		if m.Zone == zone {
 			members[m.Name] = true
 		}
 	}
@@ -51,37 +51,37 @@
 // isolateZone cuts a zone off from the others.
 func (r *rolloutRun) isolateZone(ctx context.Context, rng *rand.Rand) {
 	zone := drawZone(rng)
-	r.options.note("cut %s off", zone)
-	r.disturb(ctx, rng, across(r.membersIn(zone)), cluster.Trouble{Cut: true})
+	r.options.logf("cut %s off", zone)
+	r.disturb(ctx, rng, across(r.membersIn(zone)), cluster.LinkFault{Cut: true})
 }
 
 // cutOneWay cuts all links to a member, or all from it.
 func (r *rolloutRun) cutOneWay(ctx context.Context, rng *rand.Rand) {
 	member := r.drawMember(rng)
 	inbound := rng.IntN(2) == 0
-	r.options.note("%s hears nothing, or is not heard: %v", member, inbound)
+	r.options.logf("%s hears nothing, or is not heard: %v", member, inbound)
 	selected := func(from, to string) bool { return (inbound && to == member) || (!inbound && from == member) }
-	r.disturb(ctx, rng, selected, cluster.Trouble{Cut: true})
+	r.disturb(ctx, rng, selected, cluster.LinkFault{Cut: true})
 }
 
 // delayZone delays what goes between a zone and the others.
 func (r *rolloutRun) delayZone(ctx context.Context, rng *rand.Rand) {
 	zone := drawZone(rng)
-	r.options.note("slow links")
-	delay := between(rng, 30*time.Millisecond, 200*time.Millisecond)
-	r.disturb(ctx, rng, across(r.membersIn(zone)), cluster.Trouble{Delay: delay})
+	r.options.logf("slow links")
+	delay := drawDuration(rng, 30*time.Millisecond, 200*time.Millisecond)
+	r.disturb(ctx, rng, across(r.membersIn(zone)), cluster.LinkFault{Delay: delay})
 }
 
 // loseDatagrams loses and repeats datagrams of all members.
 func (r *rolloutRun) loseDatagrams(ctx context.Context, rng *rand.Rand) {
-	r.options.note("datagrams are lost and repeated")
-	r.disturb(ctx, rng, allLinks, cluster.Trouble{Drop: lossShare, Dup: lossShare})
+	r.options.logf("datagrams are lost and repeated")
+	r.disturb(ctx, rng, allLinks, cluster.LinkFault{Drop: lossShare, Duplicate: lossShare})
 }
 
 // resetConnections resets the connections of a member.
 func (r *rolloutRun) resetConnections(_ context.Context, rng *rand.Rand) {
 	member := r.drawMember(rng)
-	r.options.note("reset the connections of %s", member)
+	r.options.logf("reset the connections of %s", member)
 	selected := func(from, to string) bool { return from == member || to == member }
 	r.network.Each(selected, (*cluster.Link).Reset)
 }
--- a/internal/faulttest/rollout_load.go
+++ b/internal/faulttest/rollout_load.go
@@ -31,7 +31,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for range tries {
-			if m := members[rng.IntN(len(members))]; m.Takes() {
+			if m := members[rng.IntN(len(members))]; m.AcceptsRequests() {
 				return m.Addr
 			}
 		}
@@ -61,7 +61,7 @@
 	sums := map[string]*traffic{rest: {}, release: {}, unknown: {}}
 	bytes, messages := r.network.Traffic()
 	at := time.Now()
-	for pause(ctx, 500*time.Millisecond) {
+	for sleep(ctx, 500*time.Millisecond) {
 		bytesNow, messagesNow := r.network.Traffic()
 		elapsed := time.Since(at).Seconds()
 		phase := rest
@@ -80,15 +80,15 @@
 	defer r.mu.Unlock()
 	for _, phase := range []string{rest, release} {
 		if sum := sums[phase]; sum.seconds > 0 {
-			memberSeconds := sum.seconds * float64(r.options.Fronts)
+			memberSeconds := sum.seconds * float64(r.options.FrontEnds)
 			r.figures["bytes_member_s_"+phase] = sum.bytes / memberSeconds
 			r.figures["messages_member_s_"+phase] = sum.messages / memberSeconds
 		}
 	}
 }
 
-// measureCPU records the share of a core that the leader's process takes, and the median of the members that are no control
-// replicas.
+// measureCPU records the share of a core that the leader's process takes, and the median of the members that are no
+// control replicas.
 func (r *rolloutRun) measureCPU() {
 	status := r.leaderStatus()
 	if status == nil {
@@ -98,10 +98,10 @@
 	for _, m := range r.cluster.Members {
 		processes := m.Processes()
 		current := processes[len(processes)-1]
-		share := CPUSeconds(m.Pid()) / time.Since(current.Started).Seconds()
+		share := CPUSeconds(m.Pid()) / time.Since(current.StartedAt).Seconds()
 		if m.Name == status.Keeper {
 			r.count("cpu_leader", share)
-		} else if !m.Keeps {
+		} else if !m.ControlReplica {
 			others = append(others, share)
 		}
 	}
--- a/internal/faulttest/rollout_logs.go
+++ b/internal/faulttest/rollout_logs.go
@@ -17,18 +17,19 @@
 func (r *rolloutRun) followLog(m *cluster.Member, line string) {
 	if match := listing.FindStringSubmatch(line); match != nil {
 		if at, err := time.Parse(time.RFC3339Nano, match[1]); err == nil {
-			r.recordDrain(m.Addr, match[2], match[3] != "ready", at)
+			r.recordState(m.Addr, match[2], match[3], at)
 		}
 	}
 	if match := stopping.FindStringSubmatch(line); match != nil {
 		if at, err := time.Parse(time.RFC3339Nano, match[1]); err == nil {
-			m.Left(at, match[2] != "")
+			m.MarkDraining(at, match[2] != "")
 		}
 	}
 }
 
-// recordDrain records that the front end at an address has learnt whether an engine drains.
-func (r *rolloutRun) recordDrain(address, engine string, draining bool, at time.Time) {
+// recordState records that the front end at an address has learnt of an engine's state, which drains unless it is
+// ready.
+func (r *rolloutRun) recordState(address, engine, state string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	drains := r.drains[address]
@@ -36,15 +37,16 @@
 		drains = &Drains{}
 		r.drains[address] = drains
 	}
-	if draining {
-		drains.Told(engine, at)
+	if state == "ready" {
+		drains.Cancelled(engine, at)
 	} else {
-		drains.Lifted(engine, at)
+		drains.Commanded(engine, at)
 	}
 }
 
-// drainsByRequest returns, by a request's id, the drains that the front end of that request has learnt of. Front ends learn
-// of a drain at different times, and each is checked against its own. The caller must hold mu, or be the only user.
+// drainsByRequest returns, by a request's id, the drains that the front end of that request has learnt of. Front ends
+// learn of a drain at different times, and each is checked against its own. The caller must hold mu, or be the only
+// user.
 func (r *rolloutRun) drainsByRequest(requests []Request) func(id string) *Drains {
 	byID := make(map[string]*Drains, len(requests))
 	for _, request := range requests {
--- a/internal/faulttest/rollout_release.go
+++ b/internal/faulttest/rollout_release.go
@@ -22,14 +22,14 @@
 func (r *rolloutRun) apply(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	r.mu.Lock()
 	r.commands++
-	c.ID, c.RequestedBy = fmt.Sprintf("drill-%d", r.commands), "the drill"
+	c.ID, c.RequestedBy = fmt.Sprintf("faulttest-%d", r.commands), "the fault test"
 	r.mu.Unlock()
 	for {
 		result, err := r.cluster.Client.Apply(c)
 		if err == nil {
 			return result, nil
 		}
-		if !pause(ctx, 100*time.Millisecond) {
+		if !sleep(ctx, 100*time.Millisecond) {
 			return result, ctx.Err()
 		}
 	}
@@ -43,15 +43,16 @@
 	return nil
 }
 
-// release brings the fleet to a revision. A release that is halted is resumed if resume is set, and rolled back otherwise.
+// release brings the fleet to a revision. A release that is halted is resumed if resume is set, and rolled back
+// otherwise.
 func (r *rolloutRun) release(ctx context.Context, revision string, resume bool) {
 	number, started := r.startRelease(ctx, revision)
 	if !started {
 		return
 	}
-	r.options.note("release %d to %s", number, revision)
+	r.options.logf("release %d to %s", number, revision)
 	o := &releaseOperator{run: r, revision: revision, number: number, resume: resume, began: time.Now()}
-	for pause(ctx, 100*time.Millisecond) {
+	for sleep(ctx, 100*time.Millisecond) {
 		if o.check(ctx) {
 			return
 		}
@@ -72,7 +73,7 @@
 		if result.Rejected == nil {
 			return result.Release, true
 		}
-		if !pause(ctx, 500*time.Millisecond) {
+		if !sleep(ctx, 500*time.Millisecond) {
 			return 0, false
 		}
 	}
@@ -98,14 +99,14 @@
 	case release.State == rollout.Done:
 		took := time.Since(o.began)
 		o.run.count("release_s_"+o.revision, took.Seconds())
-		o.run.options.note("release %d ended, back %v, after %v", o.number, release.RollingBack, took.Round(time.Millisecond))
+		o.run.options.logf("release %d ended, back %v, after %v", o.number, release.RollingBack, took.Round(time.Millisecond))
 		return true
 	case release.State == rollout.Halted && !o.rolledBack:
 		o.handleHalt(ctx, release.HaltCause)
 	case release.State == rollout.Running && !o.resume && !o.rolledBack && time.Since(o.began) > releasePatience:
-		o.run.options.note("the bad release was not halted by itself")
+		o.run.options.logf("the bad release was not halted by itself")
 		o.run.count("halted_by_hand", 1)
-		_, _ = o.run.apply(ctx, rollout.Command{Halt: &rollout.Halt{Cause: "the drill's patience"}})
+		_, _ = o.run.apply(ctx, rollout.Command{Halt: &rollout.Halt{Cause: "not halted by analysis in time"}})
 	}
 	return false
 }
@@ -114,8 +115,8 @@
 func (o *releaseOperator) handleHalt(ctx context.Context, cause string) {
 	acknowledged := time.Now()
 	o.run.count("halts_"+o.revision, 1)
-	o.run.options.note("release %d halted: %s", o.number, cause)
-	pause(ctx, haltObservation)
+	o.run.options.logf("release %d halted: %s", o.number, cause)
+	sleep(ctx, haltObservation)
 	o.run.mu.Lock()
 	o.run.haltPeriods = append(o.run.haltPeriods, period{acknowledged, time.Now()})
 	o.run.mu.Unlock()
--- a/internal/faulttest/rollout_report.go
+++ b/internal/faulttest/rollout_report.go
@@ -19,7 +19,8 @@
 		members:      r.cluster.Members,
 		emptyPeriods: r.emptyPeriods,
 		haltPeriods:  r.haltPeriods,
-		violations:   Check(Classes, judgedRequests(seen.requests, r.disturbed), executions, r.drainsByRequest(seen.requests), seen.surplus),
+		violations: Check(Classes, judgedRequests(seen.requests, r.disturbed), executions,
+			r.drainsByRequest(seen.requests), seen.surplus),
 	}
 	checker.checkEmptiness(executions)
 	checker.checkProcesses()
@@ -31,7 +32,7 @@
 	countOutcomes(r.figures, seen.requests)
 	r.figures["requests"] = float64(len(seen.requests))
 	r.figures["executions"] = float64(len(executions))
-	r.figures["service"] = Service(Classes, seen.requests, seen.load.from, seen.load.to)
+	r.figures["service"] = ServiceShare(Classes, seen.requests, seen.load.from, seen.load.to)
 	r.figures["seconds"] = seen.load.to.Sub(seen.load.from).Seconds()
 	return newReport("rollout", r.options.Seed, checker.violations, r.figures)
 }
@@ -58,7 +59,7 @@
 			if granted(p) {
 				r.figures["went_out"]++
 			}
-			if p.Revision == badRevision && !p.Ready.IsZero() {
+			if p.Revision == badRevision && !p.ListeningAt.IsZero() {
 				exposed[m.Name] = true
 			}
 		}
--- a/internal/faulttest/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -23,12 +23,12 @@
 	frontSockets  = 1024
 )
 
-// startRollout starts stub servers and the test cluster. It returns once the cluster serves under the budgets of the test.
-// The caller must close the run.
+// startRollout starts fake servers and the test cluster. It returns once the cluster serves under the budgets of the
+// test. The caller must close the run.
 func startRollout(ctx context.Context, o Options) (_ *rolloutRun, err error) {
-	dir, err := os.MkdirTemp("", "drill")
+	dir, err := os.MkdirTemp("", "faulttest")
 	if err != nil {
-		return nil, fmt.Errorf("drill: %w", err)
+		return nil, fmt.Errorf("faulttest: %w", err)
 	}
 	run := newRolloutRun(o)
 	defer func() {
@@ -36,7 +36,7 @@
 			run.close()
 		}
 	}()
-	run.onClose(func() { os.RemoveAll(dir) })
+	run.onClose(func() { _ = os.RemoveAll(dir) })
 	run.onClose(run.network.Close)
 	if err := run.startChangeLogs(); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	for _, log := range []**changelog.Log{&r.goodLog, &r.badLog} {
 		started, err := changelog.Start("127.0.0.1:0")
 		if err != nil {
-			return fmt.Errorf("drill: %w", err)
+			return fmt.Errorf("faulttest: %w", err)
 		}
 		*log = started
 		r.onClose(started.Close)
@@ -77,14 +77,14 @@
 
 func (r *rolloutRun) startCluster(ctx context.Context, dir string) (err error) {
 	starter := &frontStarter{run: r, dir: dir, starts: map[string]int{}}
-	r.cluster, err = cluster.NewFleet(cluster.Options{
-		Members: r.options.Fronts,
-		Rooms:   rolloutZones,
-		Keepers: controlReplicas,
-		Dir:     dir,
-		Net:     r.network,
-		Note:    r.options.note,
-		Start:   starter.start,
+	r.cluster, err = cluster.New(cluster.Options{
+		Members:         r.options.FrontEnds,
+		Zones:           rolloutZones,
+		ControlReplicas: controlReplicas,
+		Dir:             dir,
+		Network:         r.network,
+		Logf:            r.options.logf,
+		Start:           starter.start,
 	})
 	if err != nil {
 		return err
@@ -102,25 +102,25 @@
 	starts map[string]int // so far, by member
 }
 
-func (s *frontStarter) start(m *cluster.Member, revision, fleetSettings string) (cluster.Front, error) {
+func (s *frontStarter) start(m *cluster.Member, revision, fleetSettings string) (cluster.FrontEnd, error) {
 	dir, err := s.newDir(m.Name)
 	if err != nil {
 		return nil, err
 	}
-	front, err := StartFront(FrontOptions{
-		Program:   s.run.options.Program,
-		Dir:       dir,
-		Name:      m.Name,
-		Listen:    m.Addr,
-		ChangeLog: s.run.changeLogOf(revision).Addr,
-		MemoryMB:  frontMemoryMB,
-		Sockets:   frontSockets,
-		Facts:     rolloutFacts(m, s.run.options.Fronts),
-		Settings:  `{"schema":1,"fleet":` + fleetSettings + `}`,
-		Line:      func(line string) { s.run.followLog(m, line) },
+	front, err := StartFrontEnd(FrontEndOptions{
+		Program:          s.run.options.Program,
+		Dir:              dir,
+		Name:             m.Name,
+		Listen:           m.Addr,
+		ChangeLog:        s.run.changeLogOf(revision).Addr,
+		MemoryMB:         frontMemoryMB,
+		Descriptors:      frontSockets,
+		PlatformSettings: rolloutFacts(m, s.run.options.FrontEnds),
+		OperatorSettings: `{"schema":1,"fleet":` + fleetSettings + `}`,
+		OnLogLine:        func(line string) { s.run.followLog(m, line) },
 	})
 	if err != nil {
-		return nil, err // without it, a nil *Front would be a rig.Front that is not nil
+		return nil, err // without it, a nil *FrontEnd would be a rig.FrontEnd that is not nil
 	}
 	return front, nil
 }
@@ -134,8 +134,8 @@
 	return dir, os.Mkdir(dir, 0o700)
 }
 
-// changeLogOf returns the log that front ends of a revision read. That of the bad revision lists the same engines at the
-// addresses of processes that fail or are slow.
+// changeLogOf returns the log that front ends of a revision read. That of the bad revision lists the same engines at
+// the addresses of processes that fail or are slow.
 func (r *rolloutRun) changeLogOf(revision string) *changelog.Log {
 	if revision == badRevision {
 		return r.badLog
@@ -143,11 +143,11 @@
 	return r.goodLog
 }
 
-// rolloutFacts returns Facts for one front end of several, in the zones of the test.
+// rolloutFacts returns PlatformSettings for one front end of several, in the zones of the test.
 func rolloutFacts(m *cluster.Member, members int) string {
 	const one, oneZone = `"locality":"room-a","me":0,"replicas_of_me":1`, `"zones":["room-a"]`
-	own := fmt.Sprintf(`"locality":%q,"me":%d,"replicas_of_me":%d`, m.Room, m.Number, members)
-	facts := strings.Replace(Facts, one, own, 1)
+	own := fmt.Sprintf(`"locality":%q,"me":%d,"replicas_of_me":%d`, m.Zone, m.Number, members)
+	facts := strings.Replace(Settings, one, own, 1)
 	return strings.Replace(facts, oneZone, `"zones":["room-a","room-b","room-c"]`, 1)
 }
 
@@ -159,7 +159,7 @@
 	}
 	settings := r.settings()
 	if _, err := r.apply(ctx, rollout.Command{Configure: &settings}); err != nil {
-		return fmt.Errorf("drill: no keeper leads: %w (%w)", err, initErr)
+		return fmt.Errorf("faulttest: no control replica leads: %w (%w)", err, initErr)
 	}
 	return nil
 }
@@ -171,7 +171,7 @@
 		if last == nil || errors.As(last, new(*fleet.RefusedError)) {
 			return last
 		}
-		if !pause(ctx, 50*time.Millisecond) {
+		if !sleep(ctx, 50*time.Millisecond) {
 			return last
 		}
 	}
@@ -200,11 +200,11 @@
 		if r.assembled() {
 			return nil
 		}
-		if !pause(ctx, 50*time.Millisecond) {
+		if !sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	return errors.New("drill: the fleet does not come together")
+	return errors.New("faulttest: the fleet does not come together")
 }
 
 func (r *rolloutRun) assembled() bool {
@@ -218,5 +218,5 @@
 			serving++
 		}
 	}
-	return serving == r.options.Fronts && len(status.State.Engines) == r.options.Engines
+	return serving == r.options.FrontEnds && len(status.State.Engines) == r.options.Engines
 }
--- a/internal/faulttest/session.go
+++ b/internal/faulttest/session.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// Session is one connection of a client: the MySQL text protocol, as far as the platform uses it, read strictly.
+// Session is one connection of a client: the MySQL text protocol, as far as the platform uses it, read strictly. It is
+// not safe for concurrent use.
 type Session struct {
-	c    net.Conn
-	r    *bufio.Reader
-	used time.Time
+	conn     net.Conn
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
-// errSurplus tells that a front end sent more than one answer.
-var errSurplus = errors.New("bytes that belong to no answer")
+// errUnexpected tells that a front end sent more than one answer.
+var errUnexpected = errors.New("bytes that belong to no answer")
 
 // ServerError is an error packet.
 type ServerError struct {
@@ -27,10 +28,29 @@
 	Text string
 }
 
+// The codes that promise that a retry is safe.
+const (
+	tooManyConnections  = 1040
+	tooManyUserSessions = 1203
+	resourceLimit       = 1226
+)
+
+// Commands and marks of packets.
+const (
+	commandQuit  = 1
+	commandQuery = 3
+	markOK       = 0
+	markEOF      = 0xfe
+	markError    = 0xff
+	minError     = 9 // bytes of an error packet before its text
+)
+
 func (e *ServerError) Error() string { return fmt.Sprintf("error %d: %s", e.Code, e.Text) }
 
-// Harmless tells an error that promises that a repeat is harmless.
-func (e *ServerError) Harmless() bool { return e.Code == 1040 || e.Code == 1203 || e.Code == 1226 }
+// RetrySafe tells whether the error promises that a retry is safe.
+func (e *ServerError) RetrySafe() bool {
+	return e.Code == tooManyConnections || e.Code == tooManyUserSessions || e.Code == resourceLimit
+}
 
 // login is the client's answer to the greeting: protocol 4.1, user app, database bi, no password.
 var login = []byte("\x08\x82\x08\x00" + "\x00\x00\x00\x01" + "\x2d" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
@@ -42,25 +62,33 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Session{c: c, r: bufio.NewReader(c)}
-	if err = c.SetDeadline(time.Now().Add(wait)); err == nil {
-		if _, err = s.packet(); err == nil {
-			if err = s.send(1, login); err == nil {
-				_, err = s.answer()
-			}
-		}
-	}
-	if err != nil {
+	s := &Session{conn: c, reader: bufio.NewReader(c)}
+	if err := s.logIn(time.Now().Add(wait)); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
+// logIn reads the greeting and logs in.
+func (s *Session) logIn(deadline time.Time) error {
+	if err := s.conn.SetDeadline(deadline); err != nil {
+		return err
+	}
+	if _, err := s.readPacket(); err != nil {
+		return err
+	}
+	if err := s.send(1, login); err != nil {
+		return err
+	}
+	_, err := s.readAnswer()
+	return err
+}
+
 // Close ends the session; a nil one too.
 func (s *Session) Close() {
 	if s != nil {
-		s.c.Close()
+		s.conn.Close()
 	}
 }
 
@@ -74,19 +102,19 @@
 	if err := c.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	s := &Session{c: c, r: bufio.NewReader(c)}
-	if _, err := c.Write(append(packet(1, login), packet(0, append([]byte{3}, statement...))...)); err != nil {
+	s := &Session{conn: c, reader: bufio.NewReader(c)}
+	if _, err := c.Write(append(packet(1, login), packet(0, append([]byte{commandQuery}, statement...))...)); err != nil {
 		return nil, err
 	}
-	if _, err := s.packet(); err != nil { // the greeting
+	if _, err := s.readPacket(); err != nil { // the greeting
 		return nil, err
 	}
-	if _, err := s.answer(); err != nil {
+	if _, err := s.readAnswer(); err != nil {
 		return nil, err
 	}
-	rows, err := s.answer()
+	rows, err := s.readAnswer()
 	if err == nil {
-		err = s.send(0, []byte{1}) // COM_QUIT
+		err = s.send(0, []byte{commandQuit})
 	}
 	return rows, err
 }
@@ -98,31 +126,31 @@
 }
 
 func (s *Session) send(seq byte, payload []byte) error {
-	_, err := s.c.Write(packet(seq, payload))
+	_, err := s.conn.Write(packet(seq, payload))
 	return err
 }
 
-func (s *Session) packet() ([]byte, error) {
+func (s *Session) readPacket() ([]byte, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(s.r, head[:]); err != nil {
+	if _, err := io.ReadFull(s.reader, head[:]); err != nil {
 		return nil, err
 	}
 	p := make([]byte, int(head[0])|int(head[1])<<8|int(head[2])<<16)
-	_, err := io.ReadFull(s.r, p)
+	_, err := io.ReadFull(s.reader, p)
 	return p, err
 }
 
-// fresh tells whether the session is open and nothing unasked has come.
-func (s *Session) fresh() error {
-	if s.r.Buffered() > 0 {
-		return errSurplus
+// checkIdle returns an error where the session has ended, or has sent what nobody asked for.
+func (s *Session) checkIdle() error {
+	if s.reader.Buffered() > 0 {
+		return errUnexpected
 	}
-	_ = s.c.SetReadDeadline(time.Now().Add(time.Microsecond))
-	_, err := s.r.Peek(1)
+	_ = s.conn.SetReadDeadline(time.Now().Add(time.Microsecond))
+	_, err := s.reader.Peek(1)
 	var t net.Error
 	switch {
 	case err == nil:
-		return errSurplus
+		return errUnexpected
 	case errors.As(err, &t) && t.Timeout():
 		return nil
 	}
@@ -131,36 +159,36 @@
 
 // Query sends one statement and reads its whole answer before the deadline.
 func (s *Session) Query(statement string, deadline time.Time) ([][]string, error) {
-	if err := s.c.SetDeadline(deadline); err != nil {
+	if err := s.conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	if err := s.send(0, append([]byte{3}, statement...)); err != nil {
+	if err := s.send(0, append([]byte{commandQuery}, statement...)); err != nil {
 		return nil, err
 	}
-	return s.answer()
+	return s.readAnswer()
 }
 
-// answer reads OK, an error, or a result set of text rows up to its last EOF.
-func (s *Session) answer() ([][]string, error) {
+// readAnswer reads OK, an error, or a result set of text rows up to its last EOF.
+func (s *Session) readAnswer() ([][]string, error) {
 	var rows [][]string
 	for eofs := 0; ; {
-		p, err := s.packet()
+		p, err := s.readPacket()
 		if err != nil {
 			return nil, err
 		}
 		switch {
 		case len(p) == 0:
 			return nil, errors.New("an empty packet")
-		case p[0] == 0xff && len(p) >= 9:
-			return rows, &ServerError{int(binary.LittleEndian.Uint16(p[1:])), string(p[9:])}
-		case p[0] == 0 && eofs == 0:
+		case p[0] == markError && len(p) >= minError:
+			return rows, &ServerError{int(binary.LittleEndian.Uint16(p[1:])), string(p[minError:])}
+		case p[0] == markOK && eofs == 0:
 			return nil, nil
-		case p[0] == 0xfe && len(p) < 9:
+		case p[0] == markEOF && len(p) < minError:
 			if eofs++; eofs == 2 {
 				return rows, nil
 			}
 		case eofs == 1:
-			row, err := cells(p)
+			row, err := textRow(p)
 			if err != nil {
 				return nil, err
 			}
@@ -169,8 +197,8 @@
 	}
 }
 
-// cells reads the length-coded texts of a row. Those of the platform are short.
-func cells(p []byte) (row []string, err error) {
+// textRow reads the length-coded texts of a row. Those of the platform are short.
+func textRow(p []byte) (row []string, err error) {
 	for len(p) > 0 {
 		n, from := int(p[0]), 1
 		switch {
--- a/internal/scale/capacity/capacity.go
+++ b/internal/scale/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity renders the tables of docs/CAPACITY.md from the recordings under bench/scale. What the page says of a
-// quantity is defined here as a [Row]: which recorded quantities it is made of, what it grows with, what carries it and what
-// it may be. The figures come from the recordings alone, and a row whose quantities no recording has says "not measured".
+// Package capacity renders the tables of docs/CAPACITY.md from the recordings under bench/scale. What the page says
+// of a quantity is defined here as a [Row]: which recorded quantities it is made of, what it grows with, what carries
+// it and what it may be. The figures come from the recordings alone, and a row whose quantities no recording has says
+// "not measured".
 package capacity
 
 import "beechcart/internal/scale/record"
@@ -45,8 +46,8 @@
 	Because  string // what the other quantity is then
 }
 
-// Term is one recorded quantity, multiplied by planning numbers. One without a quantity is arithmetic on planning numbers and on
-// constants of the code, and the page says so.
+// Term is one recorded quantity, multiplied by planning numbers. One without a quantity is arithmetic on planning
+// numbers and on constants of the code, and the page says so.
 type Term struct {
 	Quantity string
 	Law      record.Law // what it grows with; not used by Worst and Least
@@ -94,7 +95,8 @@
 	return names
 }
 
-// Tables returns all tables of rows, in the order of the page. Which shares of paused members have rows depends on the recordings.
+// Tables returns all tables of rows, in the order of the page. Which shares of paused members have rows depends on
+// the recordings.
 func Tables(recordings []record.Recording) []Table {
 	var tables []Table
 	tables = append(tables, frontEndTables(recordings)...)
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -58,14 +58,16 @@
 			}
 			for _, term := range r.Terms {
 				_, err := record.Fit{Law: term.Law}.At(planningSize)
-				assert.True(t, term.Quantity == "" || term.Take == Worst || term.Take == Least || err == nil, "%s: law %q", r.What, term.Law)
+				assert.True(t, term.Quantity == "" || term.Take == Worst || term.Take == Least || err == nil, "%s: law %q",
+					r.What, term.Law)
 				assert.True(t, term.Law != record.InRate || term.Rate > 0 || term.Take == Slope, "%s: no planning rate", r.What)
 			}
 		}
 	}
 }
 
-// TestARowIsOfTheRoleOfItsTable finds a quantity that was recorded for another role than the one that the page shows it under.
+// TestARowIsOfTheRoleOfItsTable finds a quantity that was recorded for another role than the one that the page shows
+// it under.
 func TestARowIsOfTheRoleOfItsTable(t *testing.T) {
 	recordings, err := record.Load(recordingsDir)
 	require.NoError(t, err)
@@ -96,7 +98,8 @@
 	for _, l := range leads() {
 		rows := l.rows(Tables(nil))
 		assert.NotEmpty(t, rows, l.Suspicion)
-		assert.True(t, len(l.Rows) == 0 || len(rows) == len(l.Rows), "%s: names %d rows, found %d", l.Suspicion, len(l.Rows), len(rows))
+		assert.True(t, len(l.Rows) == 0 || len(rows) == len(l.Rows), "%s: names %d rows, found %d", l.Suspicion,
+			len(l.Rows), len(rows))
 	}
 }
 
@@ -121,18 +124,21 @@
 	for _, members := range sizes {
 		for repeat := 1; repeat <= 3 && members <= upTo; repeat++ {
 			size := record.Size{Members: members, Engines: (members*planEngines + planMembers/2) / planMembers}
-			r.Samples = append(r.Samples, record.Sample{Quantity: quantity, Role: record.FrontEnd, Size: size, Repeat: repeat, Value: value(float64(members))})
+			r.Samples = append(r.Samples, record.Sample{Quantity: quantity, Role: record.FrontEnd, Size: size, Repeat: repeat,
+				Value: value(float64(members))})
 		}
 	}
 	return r
 }
 
 func lineOf(quantity string, budget float64) Row {
-	return Row{What: quantity, Terms: []Term{perMember(quantity)}, Unit: BytesPerSecond, Mechanism: "test", Budget: Budget{Limit: budget}}
+	return Row{What: quantity, Terms: []Term{perMember(quantity)}, Unit: BytesPerSecond, Mechanism: "test",
+		Budget: Budget{Limit: budget}}
 }
 
 func TestALineGivesValueSlopeAndVerdict(t *testing.T) {
-	recordings := []record.Recording{sweep("a_bytes_per_second", planMembers, func(n float64) float64 { return 1000 + 2*n })}
+	recordings := []record.Recording{sweep("a_bytes_per_second", planMembers,
+		func(n float64) float64 { return 1000 + 2*n })}
 	row := lineOf("a_bytes_per_second", 1210)
 	f := row.evaluate(recordings)
 	require.True(t, f.Measured)
@@ -207,7 +213,8 @@
 }
 
 func TestAtLeastAndNone(t *testing.T) {
-	row := Row{Unit: Count, Terms: []Term{{Quantity: "a_members", Take: Least}}, Budget: Budget{Limit: planMembers, AtLeast: true}}
+	row := Row{Unit: Count, Terms: []Term{{Quantity: "a_members", Take: Least}}, Budget: Budget{Limit: planMembers,
+		AtLeast: true}}
 	f := row.evaluate([]record.Recording{sweep("a_members", planMembers, func(n float64) float64 { return n })})
 	assert.Equal(t, Within, row.judge(f).Verdict)
 	f = row.evaluate([]record.Recording{sweep("a_members", planMembers, func(float64) float64 { return 0 })})
@@ -215,7 +222,8 @@
 }
 
 func TestWhatNeverCameInSomeRunIsAMiss(t *testing.T) {
-	row := Row{Unit: Seconds, Terms: []Term{{Quantity: "a_seconds", Take: Worst, OutOf: "a_members"}}, Budget: Budget{Limit: 60}}
+	row := Row{Unit: Seconds, Terms: []Term{{Quantity: "a_seconds", Take: Worst, OutOf: "a_members"}},
+		Budget: Budget{Limit: 60}}
 	runs := sweep("a_members", planMembers, func(n float64) float64 { return n })
 	f := row.evaluate([]record.Recording{runs})
 	assert.Equal(t, "never (never in 3 of 3 runs)", row.value(f))
@@ -231,7 +239,8 @@
 	assert.Equal(t, NotMeasured, row.judge(row.evaluate(nil)).Verdict)
 
 	f = row.evaluate([]record.Recording{sweep("a_members", 400, func(n float64) float64 { return n })})
-	assert.Equal(t, "not measured (never in 3 of 3 runs at 400 x 456)", row.value(f), "a smaller fleet says nothing certain of a larger one")
+	assert.Equal(t, "not measured (never in 3 of 3 runs at 400 x 456)", row.value(f),
+		"a smaller fleet says nothing certain of a larger one")
 	assert.Equal(t, NotMeasured, row.judge(f).Verdict)
 }
 
@@ -239,9 +248,11 @@
 	row := lineOf("a_cpu_cores", 1)
 	row.Terms[0].Unless = Condition{"a_unanswered_ratio", 0.01, "ended without rows"}
 	cost := sweep("a_cpu_cores", planMembers, func(n float64) float64 { return n })
-	f := row.evaluate([]record.Recording{cost, sweep("a_unanswered_ratio", planMembers, func(float64) float64 { return 0.01 })})
+	f := row.evaluate([]record.Recording{cost, sweep("a_unanswered_ratio", planMembers,
+		func(float64) float64 { return 0.01 })})
 	assert.True(t, f.Measured)
-	f = row.evaluate([]record.Recording{cost, sweep("a_unanswered_ratio", planMembers, func(float64) float64 { return 0.5 })})
+	f = row.evaluate([]record.Recording{cost, sweep("a_unanswered_ratio", planMembers,
+		func(float64) float64 { return 0.5 })})
 	assert.Equal(t, "not measured (what was recorded says nothing: up to 50% ended without rows)", row.value(f))
 	assert.Equal(t, NotMeasured, row.judge(f).Verdict)
 }
@@ -255,7 +266,8 @@
 }
 
 func TestSharesOfPausedMembersHaveRows(t *testing.T) {
-	recordings := []record.Recording{sweep("storm_share_21_percent_heard_least_members", planMembers, func(float64) float64 { return 9 }),
+	recordings := []record.Recording{sweep("storm_share_21_percent_heard_least_members", planMembers,
+		func(float64) float64 { return 9 }),
 		sweep("storm_share_5_percent_heard_least_members", planMembers, func(float64) float64 { return 710 })}
 	rows := stormRows(recordings)
 	require.Len(t, rows, 8)
@@ -267,7 +279,8 @@
 func TestMissesAreOrderedWithTheImpossibleFirst(t *testing.T) {
 	recordings := []record.Recording{sweep("a_bytes_per_second", planMembers, func(float64) float64 { return 300 })}
 	impossible := Row{What: "impossible", Absent: "nothing carries it"}
-	tables := []Table{{Name: "one", Rows: []Row{lineOf("a_bytes_per_second", 200), lineOf("a_bytes_per_second", 301), lineOf("b_bytes", 1)}},
+	tables := []Table{{Name: "one", Rows: []Row{lineOf("a_bytes_per_second", 200), lineOf("a_bytes_per_second", 301),
+		lineOf("b_bytes", 1)}},
 		{Name: "two", Rows: []Row{lineOf("a_bytes_per_second", 100), impossible}}}
 	var factors []float64
 	for _, m := range misses(tables, recordings) {
@@ -294,14 +307,15 @@
 	assert.Equal(t, rendered, again)
 
 	_, err = Render(page.String()+"<!-- table: nothing -->\n<!-- end table -->\n", nil)
-	assert.ErrorContains(t, err, "table nothing")
+	require.ErrorContains(t, err, "table nothing")
 	_, err = Render(page.String()+page.String(), nil)
-	assert.ErrorContains(t, err, "found twice")
+	require.ErrorContains(t, err, "found twice")
 	_, err = Render("no table at all", nil)
 	assert.ErrorContains(t, err, "not on the page")
 }
 
-// TestARecordedQuantityWithoutARowIsShown guards against a row whose quantity is spelled otherwise than the recording's.
+// TestARecordedQuantityWithoutARowIsShown guards against a row whose quantity is spelled otherwise than the
+// recording's.
 func TestARecordedQuantityWithoutARowIsShown(t *testing.T) {
 	tables := []Table{{Name: "one", Rows: []Row{lineOf("a_bytes_per_second", 1)}}}
 	recordings := []record.Recording{sweep("a_bytes_a_second", planMembers, func(n float64) float64 { return n })}
@@ -311,9 +325,12 @@
 
 func TestNumbers(t *testing.T) {
 	for want, got := range map[string]string{
-		"0": number(0), "1,234,567": number(1234567), "-1,234": number(-1234), "12.3": number(12.34), "12": number(12), "100": number(99.96),
-		"0.0123": number(0.01234), "1.23": number(1.234), "4,096 B": bytes(4096), "67.1 MB": bytes(64 << 20), "16 KB a day": format(16000, BytesPerDay),
-		"1.3% of a core": format(0.013, Cores), "250 ms": format(0.25, Seconds), "12 µs of a core": format(12e-6, CPUSeconds), "35/s": format(35, PerSecond),
+		"0": number(0), "1,234,567": number(1234567), "-1,234": number(-1234), "12.3": number(12.34), "12": number(12),
+		"100":    number(99.96),
+		"0.0123": number(0.01234), "1.23": number(1.234), "4,096 B": bytes(4096), "67.1 MB": bytes(64 << 20),
+		"16 KB a day":    format(16000, BytesPerDay),
+		"1.3% of a core": format(0.013, Cores), "250 ms": format(0.25, Seconds), "12 µs of a core": format(12e-6,
+			CPUSeconds), "35/s": format(35, PerSecond),
 	} {
 		assert.Equal(t, want, got)
 	}
--- a/internal/scale/capacity/evaluate.go
+++ b/internal/scale/capacity/evaluate.go
@@ -56,10 +56,10 @@
 		return Figure{Missing: []string{t.Quantity}}
 	}
 	f := Figure{Recordings: recordedIn(recordings, t.Quantity)}
-	if f.countNever(samples, runs) {
+	if f.noteAbsent(samples, runs) {
 		f.Recordings = recordedIn(recordings, t.OutOf)
 	}
-	if len(samples) == 0 || f.void(recordings, t.Unless) {
+	if len(samples) == 0 || f.isVoid(recordings, t.Unless) {
 		return f
 	}
 	switch t.Take {
@@ -72,8 +72,8 @@
 	return f
 }
 
-// void notes that the quantity says nothing, where the condition holds for any sample.
-func (f *Figure) void(recordings []record.Recording, c Condition) bool {
+// isVoid notes that the quantity says nothing, where the condition holds for any sample.
+func (f *Figure) isVoid(recordings []record.Recording, c Condition) bool {
 	others := record.Select(recordings, c.Quantity)
 	if len(others) == 0 {
 		return false
@@ -86,14 +86,15 @@
 	return true
 }
 
-// countNever notes runs in which what was recorded by samples never came: those at the planning numbers, or at the largest size where there is
-// none. It tells whether there were any.
-func (f *Figure) countNever(samples, runs []record.Sample) bool {
+// noteAbsent notes runs in which what was recorded by samples never came: those at the planning numbers, or at the
+// largest size where there is none. It tells whether there were any.
+func (f *Figure) noteAbsent(samples, runs []record.Sample) bool {
 	all, came, where := atPlanning(runs), atPlanning(samples), ""
 	planning := len(all) > 0
 	if !planning {
 		members, engines := largest(runs)
-		all, came, where = ofSize(runs, members, engines), ofSize(samples, members, engines), fmt.Sprintf(" at %d x %d", members, engines)
+		all, came, where = ofSize(runs, members, engines), ofSize(samples, members, engines), fmt.Sprintf(" at %d x %d",
+			members, engines)
 	}
 	if len(came) >= len(all) {
 		return false
@@ -131,8 +132,8 @@
 	return slices.Max(values)
 }
 
-// line takes the value, or the slope, of the line over the samples. Where a line says nothing, the value is the mean of what was
-// measured at the planning numbers, and there is none without such a measurement.
+// line takes the value, or the slope, of the line over the samples. Where a line says nothing, the value is the mean
+// of what was measured at the planning numbers, and there is none without such a measurement.
 func (f *Figure) line(samples []record.Sample, t Term) {
 	fit, err := record.FitLine(samples, t.Law)
 	if err != nil {
@@ -159,7 +160,8 @@
 	f.Value, err = fit.At(size)
 	f.Measured = err == nil
 	if largest := variableAt(t.Law, size); t.Law != record.Constant && fit.Largest < largest {
-		f.Notes = append(f.Notes, fmt.Sprintf("extrapolated: measured up to %s, here %s", number(fit.Largest), number(largest)))
+		f.Notes = append(f.Notes, fmt.Sprintf("extrapolated: measured up to %s, here %s", number(fit.Largest),
+			number(largest)))
 	}
 }
 
@@ -190,7 +192,8 @@
 
 // scaled is a fit of the quantity times a factor.
 func scaled(f record.Fit, factor float64) record.Fit {
-	f.Intercept, f.Slope, f.SlopeLow, f.SlopeHigh = f.Intercept*factor, f.Slope*factor, f.SlopeLow*factor, f.SlopeHigh*factor
+	f.Intercept, f.Slope, f.SlopeLow, f.SlopeHigh = f.Intercept*factor, f.Slope*factor, f.SlopeLow*factor,
+		f.SlopeHigh*factor
 	return f
 }
 
@@ -198,7 +201,8 @@
 func atPlanning(samples []record.Sample) (at []record.Sample) {
 	same := func(found, wanted int) bool { return found == 0 || found == wanted }
 	for _, s := range samples {
-		if same(s.Size.Members, planMembers) && same(s.Size.Engines, planEngines) && same(s.Size.Sessions, sessionsPerMember) {
+		if same(s.Size.Members, planMembers) && same(s.Size.Engines, planEngines) && same(s.Size.Sessions,
+			sessionsPerMember) {
 			at = append(at, s)
 		}
 	}
--- a/internal/scale/capacity/format.go
+++ b/internal/scale/capacity/format.go
@@ -85,8 +85,9 @@
 		return number(v) + "/s"
 	case Share:
 		return percent(v)
+	default: // Count
+		return number(v)
 	}
-	return number(v)
 }
 
 // duration writes seconds in the unit that suits them.
--- a/internal/scale/capacity/render.go
+++ b/internal/scale/capacity/render.go
@@ -23,8 +23,8 @@
 // markers matches one table of the page, with its markers.
 var markers = regexp.MustCompile(`(?s)<!-- table: ([a-z_]+) -->\n.*?<!-- end table -->`)
 
-// Render returns the page with its tables as the recordings have them. The text between tables is left alone. The page must hold each
-// table once.
+// Render returns the page with its tables as the recordings have them. The text between tables is left alone. The
+// page must hold each table once.
 func Render(page string, recordings []record.Recording) (string, error) {
 	rendered := renderTables(recordings)
 	seen := map[string]bool{}
@@ -69,12 +69,14 @@
 
 // renderRows renders a table of rows.
 func renderRows(t Table, recordings []record.Recording) string {
-	header := []string{"quantity", "law", "slope (of the repeats)", "at 710 x 810", "budget", "verdict", "carried by", "recorded in"}
+	header := []string{"quantity", "law", "slope (of the repeats)", "at 710 x 810", "budget", "verdict", "carried by",
+		"recorded in"}
 	var lines [][]string
 	for _, r := range t.Rows {
 		f := r.evaluate(recordings)
 		lines = append(lines, []string{
-			r.What + ": " + r.formula(), r.law(), r.slope(f), r.value(f), r.budget(), r.judge(f).String(), r.Mechanism, strings.Join(f.Recordings, ", "),
+			r.What + ": " + r.formula(), r.law(), r.slope(f), r.value(f), r.budget(), r.judge(f).String(), r.Mechanism,
+			strings.Join(f.Recordings, ", "),
 		})
 	}
 	return markdown(header, lines)
@@ -132,7 +134,8 @@
 			continue
 		}
 		slopes = append(slopes, fmt.Sprintf("%s (%s to %s) %s; residual %s; %d sizes, %d samples", format(fit.Slope, r.Unit),
-			format(fit.SlopeLow, r.Unit), format(fit.SlopeHigh, r.Unit), per(fit.Law), deviation(fit.Residual), fit.Sizes, fit.Samples))
+			format(fit.SlopeLow, r.Unit), format(fit.SlopeHigh, r.Unit), per(fit.Law), deviation(fit.Residual), fit.Sizes,
+			fit.Samples))
 	}
 	return strings.Join(slopes, "; ")
 }
@@ -152,8 +155,9 @@
 		return "a session"
 	case record.InRate:
 		return "for each one a second"
+	default: // record.Constant
+		return string(law)
 	}
-	return string(law)
 }
 
 func (r Row) value(f Figure) string {
@@ -198,7 +202,8 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b miss) int { // Missed is less than CannotBeDone
-		return cmp.Or(cmp.Compare(b.judgement.Verdict, a.judgement.Verdict), cmp.Compare(b.judgement.Factor, a.judgement.Factor))
+		return cmp.Or(cmp.Compare(b.judgement.Verdict, a.judgement.Verdict), cmp.Compare(b.judgement.Factor,
+			a.judgement.Factor))
 	})
 	return list
 }
@@ -233,8 +238,8 @@
 	return markdown([]string{"row", "table", "why"}, lines)
 }
 
-// renderOthers lists quantities that recordings have and no row uses, so that nothing recorded is hidden, and a row whose quantity is
-// spelled otherwise than the recording's is seen.
+// renderOthers lists quantities that recordings have and no row uses, so that nothing recorded is hidden, and a row
+// whose quantity is spelled otherwise than the recording's is seen.
 func renderOthers(tables []Table, recordings []record.Recording) string {
 	used := map[string]bool{}
 	for _, t := range tables {
@@ -257,17 +262,20 @@
 		members, engines := largest(all)
 		at := ofSize(all, members, engines)
 		span := number(extremeOf(at, Least)) + " to " + number(extremeOf(at, Worst))
-		lines = append(lines, []string{"`" + name + "`", span, fmt.Sprintf("%d x %d", members, engines), number(float64(len(at))),
+		lines = append(lines, []string{"`" + name + "`", span, fmt.Sprintf("%d x %d", members, engines),
+			number(float64(len(at))),
 			strings.Join(recordedIn(recordings, name), ", ")})
 	}
 	slices.SortFunc(lines, func(a, b []string) int { return strings.Compare(a[0], b[0]) })
-	return markdown([]string{"quantity", "least to greatest", "at front ends x databases", "samples there", "recorded in"}, lines)
+	return markdown([]string{"quantity", "least to greatest", "at front ends x databases", "samples there",
+		"recorded in"}, lines)
 }
 
 func renderRecordings(recordings []record.Recording) string {
 	var lines [][]string
 	for _, r := range recordings {
-		lines = append(lines, []string{r.Name, "`" + r.Command + "`", r.At.UTC().Format("2006-01-02 15:04"), r.Commit, number(float64(r.Cores)),
+		lines = append(lines, []string{r.Name, "`" + r.Command + "`", r.At.UTC().Format("2006-01-02 15:04"), r.Commit,
+			number(float64(r.Cores)),
 			strings.Join(append(slices.Clone(r.Notes), r.Settings), " ")})
 	}
 	return markdown([]string{"recording", "command", "at (UTC)", "commit", "cores", "notes"}, lines)
--- a/internal/scale/capacity/rows_front_end.go
+++ b/internal/scale/capacity/rows_front_end.go
@@ -81,24 +81,35 @@
 func frontEndRows() []Row {
 	sent, received := perMember("member_sent_bytes_per_second"), perMember("member_received_bytes_per_second")
 	return []Row{
-		{What: "control traffic, sent and received", Unit: BytesPerSecond, Mechanism: byMember, Budget: bytesBudget, Terms: []Term{sent, received}},
+		{What: "control traffic, sent and received", Unit: BytesPerSecond, Mechanism: byMember, Budget: bytesBudget,
+			Terms: []Term{sent, received}},
 		{What: "of it sent", Unit: BytesPerSecond, Mechanism: byMember, Terms: one(sent)},
 		{What: "of it received", Unit: BytesPerSecond, Mechanism: byMember, Terms: one(received)},
 		{What: "of it gossip, both ways", Unit: BytesPerSecond, Mechanism: byGossip,
-			Terms: []Term{perMember("member_gossip_sent_bytes_per_second"), perMember("member_gossip_received_bytes_per_second")}},
+			Terms: []Term{perMember("member_gossip_sent_bytes_per_second"),
+				perMember("member_gossip_received_bytes_per_second")}},
 		{What: "of it calls to control replicas, both ways", Unit: BytesPerSecond, Mechanism: byCalls,
 			Terms: []Term{perMember("member_calls_sent_bytes_per_second"), perMember("member_calls_received_bytes_per_second")}},
-		{What: "control traffic and lists by the change log", Unit: BytesPerSecond, Mechanism: byMember + "; " + byList, Budget: bytesBudget,
-			Terms: []Term{sent, received, level("change_log_idle_bytes_per_second"), level("change_log_event_bytes", changesPerSecond)}},
-		{What: "control traffic and lists by Consul, whole at each change", Unit: BytesPerSecond, Mechanism: byMember + "; " + byList, Budget: bytesBudget,
+		{What: "control traffic and lists by the change log", Unit: BytesPerSecond, Mechanism: byMember + "; " + byList,
+			Budget: bytesBudget,
+			Terms: []Term{sent, received, level("change_log_idle_bytes_per_second"), level("change_log_event_bytes",
+				changesPerSecond)}},
+		{What: "control traffic and lists by Consul, whole at each change", Unit: BytesPerSecond,
+			Mechanism: byMember + "; " + byList, Budget: bytesBudget,
 			Terms: []Term{sent, received, perEngine("consul_list_bytes", changesPerSecond)}},
-		{What: "control messages sent", Unit: PerSecond, Mechanism: byMember, Terms: one(perMember("member_messages_per_second"))},
-		{What: "processor time of control", Unit: Cores, Mechanism: byMember, Budget: coresBudget, Terms: one(perMember("member_cpu_cores"))},
-		{What: "processor time of control, and a whole list read at each change", Unit: Cores, Mechanism: byMember + "; " + byList, Budget: coresBudget,
+		{What: "control messages sent", Unit: PerSecond, Mechanism: byMember,
+			Terms: one(perMember("member_messages_per_second"))},
+		{What: "processor time of control", Unit: Cores, Mechanism: byMember, Budget: coresBudget,
+			Terms: one(perMember("member_cpu_cores"))},
+		{What: "processor time of control, and a whole list read at each change", Unit: Cores,
+			Mechanism: byMember + "; " + byList, Budget: coresBudget,
 			Terms: []Term{perMember("member_cpu_cores"), perEngine("list_read_cpu_seconds", changesPerSecond)}},
-		{What: "heap of control", Unit: Bytes, Mechanism: byMember, Budget: heapBudget, Terms: one(perMember("member_heap_bytes"))},
-		{What: "processor time without clients or fleet, list held", Unit: Cores, Mechanism: byList, Terms: one(perEngine("front_end_idle_cpu_cores"))},
-		{What: "resident memory without clients or fleet, list held", Unit: Bytes, Mechanism: byList, Terms: one(perEngine("front_end_idle_resident_bytes"))},
+		{What: "heap of control", Unit: Bytes, Mechanism: byMember, Budget: heapBudget,
+			Terms: one(perMember("member_heap_bytes"))},
+		{What: "processor time without clients or fleet, list held", Unit: Cores, Mechanism: byList,
+			Terms: one(perEngine("front_end_idle_cpu_cores"))},
+		{What: "resident memory without clients or fleet, list held", Unit: Bytes, Mechanism: byList,
+			Terms: one(perEngine("front_end_idle_resident_bytes"))},
 	}
 }
 
@@ -110,7 +121,8 @@
 		return Condition{prefix + "_statements_unanswered_ratio", mostUnanswered, "of the statements ended without rows"}
 	}
 	rate := func(prefix string) Term {
-		return Term{Quantity: prefix + "_cpu_cores", Law: record.InRate, Rate: statementsPerMember, Unless: unanswered(prefix)}
+		return Term{Quantity: prefix + "_cpu_cores", Law: record.InRate, Rate: statementsPerMember,
+			Unless: unanswered(prefix)}
 	}
 	slope := func(quantity string, law record.Law) Term { return Term{Quantity: quantity, Law: law, Take: Slope} }
 	statement := slope("front_end_cpu_cores", record.InRate)
@@ -119,18 +131,22 @@
 	byLength.Unless = unanswered("front_end_by_list")
 	loaded := Term{Quantity: "front_end_loaded_resident_bytes", Take: Worst, Unless: unanswered("front_end")}
 	return []Row{
-		{What: "resident memory of one session", Unit: Bytes, Mechanism: bySessions, Terms: one(slope("front_end_session_resident_bytes", record.InSession))},
+		{What: "resident memory of one session", Unit: Bytes, Mechanism: bySessions,
+			Terms: one(slope("front_end_session_resident_bytes", record.InSession))},
 		{What: "resident memory with all sessions idle", Unit: Bytes, Mechanism: bySessions,
 			Terms: one(grows("front_end_session_resident_bytes", record.InSession))},
 		{What: "resident memory with all sessions, after statements", Unit: Bytes, Mechanism: byExchange, Terms: one(loaded)},
 		{What: "processor time of one statement", Unit: CPUSeconds, Mechanism: byExchange, Terms: one(statement)},
-		{What: "processor time of all statements of a front end", Unit: Cores, Mechanism: byExchange, Terms: one(rate("front_end"))},
-		{What: "the same where connections to databases serve again", Unit: Cores, Mechanism: byExchange, Terms: one(rate("front_end_reuse"))},
+		{What: "processor time of all statements of a front end", Unit: Cores, Mechanism: byExchange,
+			Terms: one(rate("front_end"))},
+		{What: "the same where connections to databases serve again", Unit: Cores, Mechanism: byExchange,
+			Terms: one(rate("front_end_reuse"))},
 		{What: "processor time of one statement, by the length of the list", Unit: CPUSeconds, Mechanism: byExchange,
 			Terms: one(byLength)},
 		{What: "statements that ended without rows, the worst rate", Unit: Share, Mechanism: byExchange,
 			Terms: worst("front_end_statements_unanswered_ratio")},
-		{What: "processor time of one login", Unit: CPUSeconds, Mechanism: bySessions, Terms: one(slope("front_end_login_cpu_cores", record.InRate))},
+		{What: "processor time of one login", Unit: CPUSeconds, Mechanism: bySessions,
+			Terms: one(slope("front_end_login_cpu_cores", record.InRate))},
 		{What: "all sessions of a front end logging in again", Unit: CPUSeconds, Mechanism: bySessions,
 			Terms: one(Term{Quantity: "front_end_login_cpu_cores", Law: record.InRate, Take: Slope, Times: []Factor{sessions}})},
 	}
@@ -138,17 +154,23 @@
 
 func listRows() []Row {
 	return []Row{
-		{What: "whole list from the change log", Unit: Bytes, Mechanism: byList, Terms: one(perEngine("change_log_list_bytes"))},
+		{What: "whole list from the change log", Unit: Bytes, Mechanism: byList,
+			Terms: one(perEngine("change_log_list_bytes"))},
 		{What: "one change from the change log", Unit: Bytes, Mechanism: byList, Terms: one(level("change_log_event_bytes"))},
-		{What: "whole list from Consul: each change", Unit: Bytes, Mechanism: byList, Terms: one(perEngine("consul_list_bytes"))},
-		{What: "a front end, change log, changes alone", Unit: BytesPerDay, Mechanism: byList, Terms: one(level("change_log_event_bytes", changesPerDay))},
+		{What: "whole list from Consul: each change", Unit: Bytes, Mechanism: byList,
+			Terms: one(perEngine("consul_list_bytes"))},
+		{What: "a front end, change log, changes alone", Unit: BytesPerDay, Mechanism: byList,
+			Terms: one(level("change_log_event_bytes", changesPerDay))},
 		{What: "a front end, change log, polls that bring nothing", Unit: BytesPerSecond, Mechanism: byList,
 			Terms: one(level("change_log_idle_bytes_per_second"))},
-		{What: "a front end, Consul", Unit: BytesPerDay, Mechanism: byList, Terms: one(perEngine("consul_list_bytes", changesPerDay))},
+		{What: "a front end, Consul", Unit: BytesPerDay, Mechanism: byList, Terms: one(perEngine("consul_list_bytes",
+			changesPerDay))},
 		{What: "a front end, Consul, over the day", Unit: BytesPerSecond, Mechanism: byList, Budget: bytesBudget,
 			Terms: one(perEngine("consul_list_bytes", changesPerSecond))},
-		{What: "reading a whole list at a front end", Unit: CPUSeconds, Mechanism: byList, Terms: one(perEngine("list_read_cpu_seconds"))},
-		{What: "reading one change at a front end", Unit: CPUSeconds, Mechanism: byList, Terms: one(perEngine("list_event_cpu_seconds"))},
+		{What: "reading a whole list at a front end", Unit: CPUSeconds, Mechanism: byList,
+			Terms: one(perEngine("list_read_cpu_seconds"))},
+		{What: "reading one change at a front end", Unit: CPUSeconds, Mechanism: byList,
+			Terms: one(perEngine("list_event_cpu_seconds"))},
 	}
 }
 
@@ -156,13 +178,20 @@
 	return []Row{
 		{What: "pairs of a front end and a database", Unit: Count, Mechanism: bySubset,
 			Terms: arithmetic(allMembers, Factor{"databases", planEngines})},
-		{What: "databases that a front end sends to, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_sent_to_count"))},
-		{What: "databases that a front end probes, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_probed_count"))},
-		{What: "databases that a front end speaks to, the mean", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_spoken_to_count"))},
-		{What: "databases that a front end speaks to, the most", Unit: Count, Mechanism: bySubset, Terms: worst("databases_spoken_to_most_count")},
-		{What: "pairs that speak, in the fleet", Unit: Count, Mechanism: bySubset, Terms: one(perEngine("databases_spoken_to_count", allMembers))},
-		{What: "probes that a front end sends", Unit: PerSecond, Mechanism: bySubset, Terms: one(perEngine("alone_probes_sent_per_second"))},
-		{What: "statements of a front end that run at once, the most", Unit: Count, Mechanism: bySubset, Terms: worst("alone_statements_out_most_count")},
+		{What: "databases that a front end sends to, the mean", Unit: Count, Mechanism: bySubset,
+			Terms: one(perEngine("databases_sent_to_count"))},
+		{What: "databases that a front end probes, the mean", Unit: Count, Mechanism: bySubset,
+			Terms: one(perEngine("databases_probed_count"))},
+		{What: "databases that a front end speaks to, the mean", Unit: Count, Mechanism: bySubset,
+			Terms: one(perEngine("databases_spoken_to_count"))},
+		{What: "databases that a front end speaks to, the most", Unit: Count, Mechanism: bySubset,
+			Terms: worst("databases_spoken_to_most_count")},
+		{What: "pairs that speak, in the fleet", Unit: Count, Mechanism: bySubset,
+			Terms: one(perEngine("databases_spoken_to_count", allMembers))},
+		{What: "probes that a front end sends", Unit: PerSecond, Mechanism: bySubset,
+			Terms: one(perEngine("alone_probes_sent_per_second"))},
+		{What: "statements of a front end that run at once, the most", Unit: Count, Mechanism: bySubset,
+			Terms: worst("alone_statements_out_most_count")},
 		{What: "connections to one database that a front end keeps, the most", Unit: Count, Mechanism: "decision/reuse",
 			Terms: worst("database_connections_kept_most_count")},
 	}
--- a/internal/scale/capacity/rows_gossip.go
+++ b/internal/scale/capacity/rows_gossip.go
@@ -11,7 +11,8 @@
 )
 
 // The times after which a front end that has ended counts as out, as internal/fleet sets them: a suspicion stands for
-// SuspicionMult x log10(members) x ProbeInterval (memberlist: suspicionTimeout), and what the leader hears nothing of is entered after doubtFor.
+// SuspicionMult x log10(members) x ProbeInterval (memberlist: suspicionTimeout), and what the leader hears nothing of
+// is entered after doubtFor.
 var (
 	suspicionStands = Factor{"s that a suspicion stands (3 x log10 of 710 x 0.3 s)", 3 * math.Log10(planMembers) * 0.3}
 	leaderWaits     = Factor{"s until the leader enters it", 0.7}
@@ -19,15 +20,21 @@
 
 func gossipRows() []Row {
 	return []Row{
-		{What: "front ends that each one hears of, the least", Unit: Count, Mechanism: byGossip, Budget: hearsAll, Terms: least("heard_least_members")},
-		{What: "time until all are known and hear of all, from a common start", Unit: Seconds, Mechanism: byGossip, Terms: worst("formation_seconds")},
+		{What: "front ends that each one hears of, the least", Unit: Count, Mechanism: byGossip, Budget: hearsAll,
+			Terms: least("heard_least_members")},
+		{What: "time until all are known and hear of all, from a common start", Unit: Seconds, Mechanism: byGossip,
+			Terms: worst("formation_seconds")},
 		{What: "front ends not known by then", Unit: Count, Mechanism: byGossip, Terms: worst("formation_unknown_members")},
 		{What: "a dead front end counts as out, at the least", Unit: Seconds, Mechanism: bySuspicion,
-			Budget: Budget{Limit: noticeSeconds, Source: byProject}, Terms: append(arithmetic(suspicionStands), arithmetic(leaderWaits)...)},
-		{What: "a dead front end is noticed", Unit: Seconds, Mechanism: bySuspicion, Budget: Budget{Limit: noticeSeconds, Source: byProject},
+			Budget: Budget{Limit: noticeSeconds, Source: byProject}, Terms: append(arithmetic(suspicionStands),
+				arithmetic(leaderWaits)...)},
+		{What: "a dead front end is noticed", Unit: Seconds, Mechanism: bySuspicion, Budget: Budget{Limit: noticeSeconds,
+			Source: byProject},
 			Terms: worst("notice_dead_max_seconds")},
-		{What: "a stopped front end is noticed", Unit: Seconds, Mechanism: bySuspicion, Terms: worst("notice_stopped_max_seconds")},
-		{What: "a one-way link is noticed", Unit: Seconds, Mechanism: bySuspicion, Terms: worst("notice_one_way_max_seconds")},
+		{What: "a stopped front end is noticed", Unit: Seconds, Mechanism: bySuspicion,
+			Terms: worst("notice_stopped_max_seconds")},
+		{What: "a one-way link is noticed", Unit: Seconds, Mechanism: bySuspicion,
+			Terms: worst("notice_one_way_max_seconds")},
 	}
 }
 
@@ -63,8 +70,9 @@
 // afterRows are what runs record of the time after a trouble.
 func afterRows(name, prefix string) []Row {
 	return []Row{
-		{What: name + ": control traffic in the 5 s after, sent and received", Unit: BytesPerSecond, Mechanism: byMember, Budget: bytesBudget,
-			Terms: append(worst(prefix+"_sent_bytes_per_second"), worst(prefix+"_received_bytes_per_second")...)},
+		{What: name + ": control traffic in the 5 s after, sent and received", Unit: BytesPerSecond, Mechanism: byMember,
+			Budget: bytesBudget,
+			Terms:  append(worst(prefix+"_sent_bytes_per_second"), worst(prefix+"_received_bytes_per_second")...)},
 		{What: name + ": processor time of control in the 5 s after", Unit: Cores, Mechanism: byMember, Budget: coresBudget,
 			Terms: worst(prefix + "_member_cpu_cores")},
 		{What: name + ": front ends that each one hears of in the minute after, the least", Unit: Count, Mechanism: byGossip,
--- a/internal/scale/capacity/verdict.go
+++ b/internal/scale/capacity/verdict.go
@@ -42,7 +42,8 @@
 	return Judgement{Within, factor}
 }
 
-// used is how much of the budget a value takes: over 1 where it misses it, infinite where nothing of a budget is left to compare with.
+// used is how much of the budget a value takes: over 1 where it misses it, infinite where nothing of a budget is left
+// to compare with.
 func (b Budget) used(value float64) float64 {
 	over, under := value, b.Limit
 	if b.AtLeast {
@@ -68,8 +69,9 @@
 		return fmt.Sprintf("within (%s of it)", percent(j.Factor))
 	case Missed:
 		return "missed by " + times(j.Factor)
+	default: // NoBudget
+		return "no budget"
 	}
-	return "no budget"
 }
 
 // times is a factor as the page says it.
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -59,40 +59,41 @@
 	}
 	seconds := func(micros int64) float64 { return float64(micros) / 1e6 }
 	if seen.TotalCount() > 0 {
-		result.InForce = Percentiles{seconds(seen.ValueAtQuantile(50)), seconds(seen.ValueAtQuantile(99)), seconds(seen.Max())}
+		result.InForce = Percentiles{seconds(seen.ValueAtQuantile(50)), seconds(seen.ValueAtQuantile(99)),
+			seconds(seen.Max())}
 	}
 }
 
-// playChanges drains databases one after the other, and measures until each is in force everywhere.
-func (r *run) playChanges(ctx context.Context) {
-	for range r.opt.Changes {
+// runChanges drains databases one after the other, and measures until each is in force everywhere.
+func (r *run) runChanges(ctx context.Context) {
+	for range r.options.Changes {
 		r.undrain(ctx, r.drain(ctx))
 	}
 }
 
-// drain drains the next database, waits until it is in force at every live member, and watches it for a while. A drain that the log does not
-// accept in time is lost: a fleet that can't agree is a finding.
+// drain drains the next database, waits until it is in force at every live member, and watches it for a while. A
+// drain that the log does not accept in time is lost: a fleet that can't agree is a finding.
 func (r *run) drain(ctx context.Context) *change {
-	c := &change{engine: engineName(r.changes.nextEngine % r.opt.Engines)}
+	c := &change{engine: engineName(r.changes.nextEngine % r.options.Engines)}
 	r.changes.nextEngine++
 	r.changes.made = append(r.changes.made, c)
-	within, cancel := context.WithTimeout(ctx, r.opt.ChangeWithin)
+	within, cancel := context.WithTimeout(ctx, r.options.ChangeWithin)
 	defer cancel()
 	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Subject{Name: c.engine, Engine: true}})
 	if err != nil {
-		r.note("drain of %s is not accepted: %v", c.engine, err)
-		c.live = r.opt.Members
+		r.logf("drain of %s is not accepted: %v", c.engine, err)
+		c.live = r.options.Members
 		return c
 	}
 	c.sent = accepted.sent
 	for r.collect(c); c.lost(); r.collect(c) {
-		if !pause(within, lookInterval) {
+		if !sleepFor(within, lookInterval) {
 			break
 		}
 	}
-	r.note("drain of %s: in force at %d of %d after %.2f s", c.engine, len(c.inForce), c.live, c.latency().Seconds())
+	r.logf("drain of %s: in force at %d of %d after %.2f s", c.engine, len(c.inForce), c.live, c.latency().Seconds())
 	if !c.lost() {
-		pause(ctx, r.opt.ChangeStands)
+		sleepFor(ctx, r.options.ChangeStands)
 		c.reverted = r.reverted(c)
 	}
 	return c
@@ -103,16 +104,16 @@
 	if c.sent.IsZero() {
 		return
 	}
-	within, cancel := context.WithTimeout(ctx, r.opt.ChangeWithin)
+	within, cancel := context.WithTimeout(ctx, r.options.ChangeWithin)
 	defer cancel()
 	if _, err := r.apply(within, rollout.Command{Undrain: &rollout.Subject{Name: c.engine, Engine: true}}); err != nil {
-		r.note("undrain of %s is not accepted: %v", c.engine, err)
+		r.logf("undrain of %s is not accepted: %v", c.engine, err)
 		return
 	}
 	ended := &change{engine: c.engine}
 	for r.collect(ended); len(ended.inForce) > 0; r.collect(ended) {
-		if !pause(within, lookInterval) {
-			r.note("%s is still drained at %d members", c.engine, len(ended.inForce))
+		if !sleepFor(within, lookInterval) {
+			r.logf("%s is still drained at %d members", c.engine, len(ended.inForce))
 			return
 		}
 	}
--- a/internal/scale/fault_cut.go
+++ b/internal/scale/fault_cut.go
@@ -26,18 +26,19 @@
 	return nil
 }
 
-// cutFor lets a cut stand for a while, and drains a database meanwhile. Real front ends are not cut: they take no orders.
+// cutFor lets a cut stand for a while, and drains a database meanwhile. Real front ends are not cut: they take no
+// orders.
 func (r *run) cutFor(ctx context.Context, blocked map[string][]string, stands time.Duration, found *FaultResult) error {
 	if err := r.orderAll(HostOrder{Blocked: blocked}); err != nil {
 		return err
 	}
 	began := time.Now()
-	pause(ctx, drainIntoCut)
+	sleepFor(ctx, drainIntoCut)
 	during, err := r.drainThrough(ctx, stands-drainIntoCut)
 	if err != nil {
-		r.note("%v", err) // nobody could agree
+		r.logf("%v", err) // nobody could agree
 	}
-	pause(ctx, time.Until(began.Add(stands)))
+	sleepFor(ctx, time.Until(began.Add(stands)))
 	if during != nil {
 		r.collect(during)
 		heldBack := during.live - len(during.inForce)
@@ -50,7 +51,7 @@
 func (r *run) drainThrough(ctx context.Context, wait time.Duration) (*change, error) {
 	within, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	engine := engineName(r.changes.nextEngine % r.opt.Engines)
+	engine := engineName(r.changes.nextEngine % r.options.Engines)
 	r.changes.nextEngine++
 	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Subject{Name: engine, Engine: true}})
 	if err != nil {
@@ -59,8 +60,8 @@
 	return &change{engine: engine, sent: accepted.sent}, nil
 }
 
-// catchUp tells when a drain that was made during a trouble was in force everywhere after it, and ends the drain. One that is not in
-// force everywhere by now is lost.
+// catchUp tells when a drain that was made during a trouble was in force everywhere after it, and ends the drain. One
+// that is not in force everywhere by now is lost.
 func (r *run) catchUp(ctx context.Context, over time.Time, found *FaultResult) {
 	during := found.during
 	r.collect(during)
@@ -75,23 +76,23 @@
 
 // cutZone is a zone without real front ends, where there is one, as the seed draws it.
 func (r *run) cutZone() (string, error) {
-	if r.opt.Zones < 2 {
+	if r.options.Zones < 2 {
 		return "", errors.New("there is one zone only")
 	}
-	real := map[string]bool{}
+	hasReal := map[string]bool{} // by zone
 	for _, m := range r.plan.members {
 		if m.real {
-			real[m.Zone] = true
+			hasReal[m.Zone] = true
 		}
 	}
 	var free []string
 	for _, z := range r.plan.zones {
-		if !real[z.Zone] {
+		if !hasReal[z.Zone] {
 			free = append(free, z.Zone)
 		}
 	}
 	if len(free) == 0 {
-		return r.plan.zones[r.rng.IntN(r.opt.Zones)].Zone, nil
+		return r.plan.zones[r.rng.IntN(r.options.Zones)].Zone, nil
 	}
 	return free[r.rng.IntN(len(free))], nil
 }
@@ -118,8 +119,8 @@
 
 func (r *run) membersIn(zone string) int { return len(r.namesIn(zone)) }
 
-// playZone cuts a zone off from all others.
-func playZone(ctx context.Context, r *run, found *FaultResult) error {
+// injectZoneCut cuts a zone off from all others.
+func injectZoneCut(ctx context.Context, r *run, found *FaultResult) error {
 	zone, err := r.cutZone()
 	if err != nil {
 		return err
@@ -134,8 +135,8 @@
 	return r.cutFor(ctx, blocked, zoneCutFor, found)
 }
 
-// playOneWay lets everything that a zone sends to others be lost; it still receives.
-func playOneWay(ctx context.Context, r *run, found *FaultResult) error {
+// injectOneWayCut lets everything that a zone sends to others be lost; it still receives.
+func injectOneWayCut(ctx context.Context, r *run, found *FaultResult) error {
 	zone, err := r.cutZone()
 	if err != nil {
 		return err
@@ -148,9 +149,9 @@
 	return err
 }
 
-// playRegions cuts all regions from one another.
-func playRegions(ctx context.Context, r *run, found *FaultResult) error {
-	if r.opt.Regions < 2 {
+// injectRegionCut cuts all regions from one another.
+func injectRegionCut(ctx context.Context, r *run, found *FaultResult) error {
+	if r.options.Regions < 2 {
 		return errors.New("there is one region only")
 	}
 	blocked := map[string][]string{}
@@ -161,7 +162,7 @@
 			}
 		}
 	}
-	found.Members = r.opt.Members - r.opt.Real
-	found.Played = fmt.Sprintf("%d regions are apart for %v", r.opt.Regions, regionsCutFor)
+	found.Members = r.options.Members - r.options.Real
+	found.Played = fmt.Sprintf("%d regions are apart for %v", r.options.Regions, regionsCutFor)
 	return r.cutFor(ctx, blocked, regionsCutFor, found)
 }
--- a/internal/scale/fault_dead.go
+++ b/internal/scale/fault_dead.go
@@ -5,17 +5,18 @@
 	"fmt"
 )
 
-// playDead kills a host, watches until all of its members are suspected, and starts it again.
-func playDead(ctx context.Context, r *run, found *FaultResult) error {
+// injectDeath kills a host, watches until all of its members are suspected, and starts it again.
+func injectDeath(ctx context.Context, r *run, found *FaultResult) error {
 	hosts := r.shuffledHosts()
 	if len(hosts) == 0 {
 		return errNoHosts
 	}
 	victim := hosts[0]
 	found.Members = membersOf(hosts[:1])
-	watch := r.watchSuspicion(ctx, namesOf(victim), r.opt.NoticeWithin)
+	watch := r.watchSuspicion(ctx, namesOf(victim), r.options.NoticeWithin)
 	victim.kill()
 	found.Notice = watch.await()
-	found.Played = fmt.Sprintf("%s with %d members is killed, and started again when they are suspected", victim.plan.name, found.Members)
+	found.Played = fmt.Sprintf("%s with %d members is killed, and started again when they are suspected",
+		victim.plan.name, found.Members)
 	return victim.start()
 }
--- a/internal/scale/fault_pause.go
+++ b/internal/scale/fault_pause.go
@@ -10,14 +10,14 @@
 
 // shuffledHosts are the hosts without a replica, in an order that the seed gives.
 func (r *run) shuffledHosts() []*hostProcess {
-	list := append([]*hostProcess(nil), r.hosts[r.opt.Control:]...)
+	list := append([]*hostProcess(nil), r.hosts[r.options.Control:]...)
 	r.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
 // hostsOfShare are the first of a list of hosts that together have a share of the fleet's members, one at the least.
 func (r *run) hostsOfShare(list []*hostProcess, share float64) []*hostProcess {
-	want := int(math.Round(share * float64(r.opt.Members)))
+	want := int(math.Round(share * float64(r.options.Members)))
 	members := 0
 	for i, h := range list {
 		if members += len(h.plan.members); members >= want {
@@ -49,7 +49,7 @@
 			return err
 		}
 	}
-	pause(ctx, stand)
+	sleepFor(ctx, stand)
 	for _, h := range hosts {
 		if err := h.signal(syscall.SIGCONT); err != nil {
 			return err
@@ -58,19 +58,21 @@
 	return nil
 }
 
-// playPause lets a share of all hosts stand still together for a moment: long enough for their members to be suspected.
-func playPause(ctx context.Context, r *run, found *FaultResult) error {
-	hosts := r.hostsOfShare(r.shuffledHosts(), r.opt.PauseShare)
+// injectPause lets a share of all hosts stand still together for a moment: long enough for their members to be
+// suspected.
+func injectPause(ctx context.Context, r *run, found *FaultResult) error {
+	hosts := r.hostsOfShare(r.shuffledHosts(), r.options.PauseShare)
 	found.Members = membersOf(hosts)
-	found.Played = fmt.Sprintf("%d hosts with %d members stand still together for %d ms", len(hosts), found.Members, r.opt.PauseMillis)
-	return stopHosts(ctx, hosts, time.Duration(r.opt.PauseMillis)*time.Millisecond)
+	found.Played = fmt.Sprintf("%d hosts with %d members stand still together for %d ms", len(hosts), found.Members,
+		r.options.PauseMillis)
+	return stopHosts(ctx, hosts, time.Duration(r.options.PauseMillis)*time.Millisecond)
 }
 
 // stopFor is how long the stop fault stops a host.
 const stopFor = 10 * time.Second
 
-// playStop lets one host stand still for longer than its members are waited for.
-func playStop(ctx context.Context, r *run, found *FaultResult) error {
+// injectStop lets one host stand still for longer than its members are waited for.
+func injectStop(ctx context.Context, r *run, found *FaultResult) error {
 	hosts := r.shuffledHosts()
 	if len(hosts) == 0 {
 		return errNoHosts
--- a/internal/scale/fault_restart.go
+++ b/internal/scale/fault_restart.go
@@ -26,29 +26,29 @@
 	return nil
 }
 
-// playRestarts kills a share of the members at once, and starts them again.
-func playRestarts(_ context.Context, r *run, found *FaultResult) error {
+// injectRestarts kills a share of the members at once, and starts them again.
+func injectRestarts(_ context.Context, r *run, found *FaultResult) error {
 	hosts := r.hostsOfShare(r.shuffledHosts(), restartShare)
 	found.Members = membersOf(hosts)
 	found.Played = fmt.Sprintf("%d hosts with %d members are killed and started again", len(hosts), found.Members)
 	return restartHosts(hosts)
 }
 
-// playAllRestart kills every host, the control replicas too, and starts them all at once.
-func playAllRestart(_ context.Context, r *run, found *FaultResult) error {
+// injectFullRestart kills every host, the control replicas too, and starts them all at once.
+func injectFullRestart(_ context.Context, r *run, found *FaultResult) error {
 	found.Members = membersOf(r.hosts)
 	found.Played = fmt.Sprintf("all %d hosts are killed and started again at once", len(r.hosts))
 	return restartHosts(r.hosts)
 }
 
-// playLeader kills the replica that leads, and starts it again once another one leads.
-func playLeader(ctx context.Context, r *run, found *FaultResult) error {
+// injectLeaderLoss kills the replica that leads, and starts it again once another one leads.
+func injectLeaderLoss(ctx context.Context, r *run, found *FaultResult) error {
 	leader, err := r.leader(ctx)
 	if err != nil {
 		return err
 	}
 	leader.kill()
-	if _, err := r.leader(ctx); err != nil && r.opt.Control > 1 {
+	if _, err := r.leader(ctx); err != nil && r.options.Control > 1 {
 		return err
 	}
 	found.Members = 1
@@ -56,19 +56,19 @@
 	return leader.start()
 }
 
-// playDisk kills a control replica that does not lead, removes its log, and starts it again.
-func playDisk(ctx context.Context, r *run, found *FaultResult) error {
-	if r.opt.Control < 3 {
+// injectDiskLoss kills a control replica that does not lead, removes its log, and starts it again.
+func injectDiskLoss(ctx context.Context, r *run, found *FaultResult) error {
+	if r.options.Control < 3 {
 		return errors.New("with fewer than three control replicas a lost disk is a lost log")
 	}
 	leader, err := r.leader(ctx)
 	if err != nil {
 		return err
 	}
-	first := r.rng.IntN(r.opt.Control)
+	first := r.rng.IntN(r.options.Control)
 	victim := r.hosts[first]
 	if victim == leader {
-		victim = r.hosts[(first+1)%r.opt.Control]
+		victim = r.hosts[(first+1)%r.options.Control]
 	}
 	victim.kill()
 	if err := os.RemoveAll(victim.plan.members[0].Dir); err != nil {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -14,9 +14,9 @@
 
 // Times of a front end's process, as a real one has them.
 const (
-	knownWithin   = 3 * time.Second        // that a start waits for the log to take it, before it serves without
-	goneWithin    = 500 * time.Millisecond // that the report of its end may take
-	restartsAfter = 200 * time.Millisecond // that its service manager starts it again
+	registrationTimeout = 3 * time.Second        // that a start waits for the log to take it, before it serves without
+	goneWithin          = 500 * time.Millisecond // that the report of its end may take
+	restartsAfter       = 200 * time.Millisecond // that its service manager starts it again
 )
 
 // hollowWeight is what a hollow front end can carry, in requests a second. All carry the same, so budgets go by number.
@@ -44,7 +44,8 @@
 	address, _, _ := net.SplitHostPort(member.Gossip) // checked with the configuration
 	wire := fleet.NewWire(address)
 	h := &hollow{config: member, wire: wire, rate: config.RequestsASec}
-	h.options = fleet.Options{Name: member.Name, Room: member.Zone, Revision: config.Revision, Weight: hollowWeight, Gossip: member.Gossip,
+	h.options = fleet.Options{Name: member.Name, Room: member.Zone, Revision: config.Revision, Weight: hollowWeight,
+		Gossip:  member.Gossip,
 		Keepers: config.Replicas, Dir: member.Dir, Key: config.Key, Settings: rollout.Defaults(), Wire: wire,
 		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
 	if member.Dir != "" {
@@ -55,7 +56,8 @@
 
 func listedEngines(engines []HollowEngine) (listed []rollout.Engine) {
 	for _, engine := range engines {
-		listed = append(listed, rollout.Engine{Name: engine.Name, Zone: engine.Zone, Cores: engine.Cores, Process: 1, Listed: true, Ready: true})
+		listed = append(listed, rollout.Engine{Name: engine.Name, Zone: engine.Zone, Cores: engine.Cores, Process: 1,
+			Listed: true, Ready: true})
 	}
 	return listed
 }
@@ -73,7 +75,8 @@
 	h.now = p
 }
 
-// run runs one process after the other, as a service manager does, until ctx ends or the fleet drains it. An error tells what can't be opened.
+// run runs one process after the other, as a service manager does, until ctx ends or the fleet drains it. An error
+// tells what can't be opened.
 func (h *hollow) run(ctx context.Context, slots chan struct{}) error {
 	for ctx.Err() == nil {
 		grant, err := h.runProcess(ctx, slots)
@@ -104,7 +107,7 @@
 	h.set(started)
 	select {
 	case <-started.member.Known():
-	case <-time.After(knownWithin):
+	case <-time.After(registrationTimeout):
 	case <-ctx.Done():
 	}
 	h.release(slots)
@@ -121,7 +124,8 @@
 	return grant, nil
 }
 
-// acquire waits for a slot to start in; false where ctx ends before. Replicas need none: the others can't start without them.
+// acquire waits for a slot to start in; false where ctx ends before. Replicas need none: the others can't start
+// without them.
 func (h *hollow) acquire(ctx context.Context, slots chan struct{}) bool {
 	if h.config.Dir != "" {
 		return true
--- a/internal/scale/hollow_front.go
+++ b/internal/scale/hollow_front.go
@@ -8,7 +8,8 @@
 	"beechcart/decision/rollout"
 )
 
-// hollowFront is what a hollow member stands for: a front end that has nothing out at any engine, and counts requests that nobody sent.
+// hollowFront is what a hollow member stands for: a front end that has nothing out at any engine, and counts requests
+// that nobody sent.
 type hollowFront struct {
 	engines []rollout.Engine
 	rate    float64 // requests a second
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -12,7 +12,8 @@
 	"beechcart/internal/fleet"
 )
 
-// joinsAtOnce bounds how many hollow front ends of a host start at the same time, so that starting a host is no storm of its own.
+// joinsAtOnce bounds how many hollow front ends of a host start at the same time, so that starting a host is no storm
+// of its own.
 const joinsAtOnce = 20
 
 // closeWithin bounds how long the members of a host take to leave.
@@ -26,9 +27,10 @@
 	running sync.WaitGroup
 }
 
-// RunHost reads a [HostConfig] from in, runs its members, and writes a [HostReport] a line to out, until in or ctx ends. All members
-// have left then, or an error tells how many have not. The fleet's log must have been begun elsewhere ([fleet.Client.Init]),
-// best before a host of front ends starts: they serve without it after a while, as real ones do, and go on asking.
+// RunHost reads a [HostConfig] from in, runs its members, and writes a [HostReport] a line to out, until in or ctx
+// ends. All members have left then, or an error tells how many have not. The fleet's log must have been begun
+// elsewhere ([fleet.Client.Init]), best before a host of front ends starts: they serve without it after a while, as
+// real ones do, and go on asking.
 func RunHost(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := json.NewDecoder(in)
 	lines.DisallowUnknownFields()
--- a/internal/scale/host_config.go
+++ b/internal/scale/host_config.go
@@ -1,11 +1,13 @@
 package scale
 
 import (
+	"errors"
 	"fmt"
 	"net"
 )
 
-// Check names the first field that can't be used. No members at all is allowed: such a host measures what a host costs by itself.
+// Check names the first field that can't be used. No members at all is allowed: such a host measures what a host
+// costs by itself.
 func (c *HostConfig) Check() error {
 	if c.ReportMillis <= 0 {
 		return fmt.Errorf("scale: report_millis: found %d, allowed is 1 or more", c.ReportMillis)
@@ -14,7 +16,7 @@
 		return fmt.Errorf("scale: requests_a_sec: found %v, allowed is 0 or more", c.RequestsASec)
 	}
 	if len(c.Members) > 0 && c.Revision == "" {
-		return fmt.Errorf("scale: revision: found none, allowed is a name")
+		return errors.New("scale: revision: found none, allowed is a name")
 	}
 	for i, engine := range c.Engines {
 		if engine.Name == "" {
@@ -53,7 +55,8 @@
 			return fmt.Errorf("scale: members[%d]: gossip: found %q, allowed is IP:PORT", i, member.Gossip)
 		}
 		if replicas[member.Name] != (member.Dir != "") {
-			return fmt.Errorf("scale: members[%d]: dir: found %q, allowed is a folder for those of replicas, and none for others", i, member.Dir)
+			return fmt.Errorf("scale: members[%d]: dir: found %q, allowed is a folder for those of replicas, and none for "+
+				"others", i, member.Dir)
 		}
 	}
 	return nil
--- a/internal/scale/host_report.go
+++ b/internal/scale/host_report.go
@@ -18,8 +18,9 @@
 
 // report tells of the host as it is now.
 func (h *host) report() HostReport {
-	r := HostReport{UnixNanos: time.Now().UnixNano(), CPUSeconds: cpuSeconds(), HeapBytes: heapBytes(), ResidentBytes: residentBytes(),
-		Goroutines: runtime.NumGoroutine()}
+	r := HostReport{UnixNanos: time.Now().UnixNano(), CPUSeconds: cpuSeconds(), HeapBytes: heapBytes(),
+		ResidentBytes: residentBytes(),
+		Goroutines:    runtime.NumGoroutine()}
 	drains := map[string]*DrainState{}
 	for _, member := range h.members {
 		r.Gossip.add(member.wire.Gossip())
--- a/internal/scale/host_test.go
+++ b/internal/scale/host_test.go
@@ -25,9 +25,10 @@
 // longWait is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is done.
 const longWait = 90 * time.Second
 
-// loopbackNet returns the first three numbers of addresses that no other fleet on this machine uses: a port of the last one is
-// held as the mark, until the test ends.
+// loopbackNet returns the first three numbers of addresses that no other fleet on this machine uses: a port of the
+// last one is held as the mark, until the test ends.
 func loopbackNet(t *testing.T) string {
+	t.Helper()
 	for n := range 200 {
 		base := fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+n)%200, 20+n)
 		if l, err := net.Listen("tcp", base+".254:7000"); err == nil {
@@ -41,6 +42,7 @@
 
 // testConfig lays out one replica and some hollow front ends, by turns in zones a and b.
 func testConfig(t *testing.T, members int) HostConfig {
+	t.Helper()
 	base := loopbackNet(t)
 	address := func(i, port int) string { return fmt.Sprintf("%s.%d:%d", base, i+1, port) }
 	config := HostConfig{Key: testKey, Revision: "r1", ReportMillis: 50, RequestsASec: 10,
@@ -51,7 +53,8 @@
 	for i := range members {
 		zone := &config.AddressByZone[i%2]
 		zone.Hosts = append(zone.Hosts, fmt.Sprintf("%s.%d", base, i+1))
-		config.Members = append(config.Members, HollowMember{Name: fmt.Sprint("n", i), Zone: zone.Zone, Region: "r", Gossip: address(i, 7004)})
+		config.Members = append(config.Members, HollowMember{Name: fmt.Sprint("n", i), Zone: zone.Zone, Region: "r",
+			Gossip: address(i, 7004)})
 	}
 	if members > 0 {
 		config.Members[0].Dir = filepath.Join(t.TempDir(), "log")
@@ -68,14 +71,15 @@
 }
 
 func startHost(t *testing.T, config HostConfig) *testHost {
+	t.Helper()
 	orderReader, orderWriter := io.Pipe()
 	reportReader, reportWriter := io.Pipe()
 	h := &testHost{t: t, in: orderWriter, reports: make(chan HostReport), ended: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		h.ended <- RunHost(ctx, orderReader, reportWriter)
-		reportWriter.Close()
-		orderReader.Close() // what is sent to a host that has ended fails
+		_ = reportWriter.Close()
+		_ = orderReader.Close() // what is sent to a host that has ended fails
 	}()
 	go func() {
 		defer close(h.reports)
@@ -127,6 +131,7 @@
 
 // begin begins the fleet's log once its replica answers.
 func begin(t *testing.T, config HostConfig) *fleet.Client {
+	t.Helper()
 	client := fleet.NewClient(&fleet.Options{Keepers: config.Replicas, Key: testKey})
 	require.Eventually(t, func() bool { return client.Init() == nil }, longWait, 20*time.Millisecond)
 	return client
@@ -136,11 +141,15 @@
 	config := testConfig(t, 11)
 	h := startHost(t, config)
 	client := begin(t, config)
-	report := h.await("all members known and heard", func(r HostReport) bool { return r.Known == 11 && r.HeardLeast == 11 })
+	report := h.await("all members known and heard", func(r HostReport) bool {
+		return r.Known == 11 &&
+			r.HeardLeast == 11
+	})
 	assert.Equal(t, 11, report.Members)
 	assert.Equal(t, 11, report.HeardMost)
 	assert.InDelta(t, 11, report.HeardMean, 1e-9)
-	for kind, traffic := range map[string]Traffic{"gossip": report.Gossip, "calls": report.Calls, "served": report.Served} {
+	for kind, traffic := range map[string]Traffic{"gossip": report.Gossip, "calls": report.Calls,
+		"served": report.Served} {
 		assert.Positive(t, traffic.SentBytes, kind)
 		assert.Positive(t, traffic.ReceivedMessages, kind)
 	}
@@ -169,7 +178,10 @@
 		return err == nil
 	}, longWait, 100*time.Millisecond)
 	require.Nil(t, result.Rejected)
-	report = h.await("the drain in force at all", func(r HostReport) bool { return len(r.Drains) == 1 && r.Drains[0].InForce == 11 })
+	report = h.await("the drain in force at all", func(r HostReport) bool {
+		return len(r.Drains) == 1 &&
+			r.Drains[0].InForce == 11
+	})
 	state := report.Drains[0]
 	assert.Equal(t, "e1", state.Engine)
 	assert.Len(t, state.EachNanos, 11)
@@ -194,7 +206,8 @@
 	assert.ErrorContains(t, <-h.ended, `blocked: a: found zone "nowhere"`)
 }
 
-// A leader that is cut off, also in one direction only, is followed by another one, and the fleet is whole again after the cut.
+// A leader that is cut off, also in one direction only, is followed by another one, and the fleet is whole again
+// after the cut.
 func TestAHostCutsALeaderOff(t *testing.T) {
 	config := testConfig(t, 3)
 	dir := t.TempDir()
@@ -204,14 +217,18 @@
 		address, _, err := net.SplitHostPort(member.Gossip)
 		require.NoError(t, err)
 		member.Zone, member.Dir = fmt.Sprint("z", i), filepath.Join(dir, member.Name)
-		config.Replicas = append(config.Replicas, fleet.Address{Name: member.Name, Log: address + ":7002", Ask: address + ":7003", Gossip: member.Gossip})
+		config.Replicas = append(config.Replicas, fleet.Address{Name: member.Name, Log: address + ":7002",
+			Ask: address + ":7003", Gossip: member.Gossip})
 		config.AddressByZone = append(config.AddressByZone, ZoneAddresses{Zone: member.Zone, Hosts: []string{address}})
 	}
 	h := startHost(t, config)
 	client := begin(t, config)
 	drained := make(chan struct{})
 	defer close(drained)
-	h.await("all members known and heard", func(r HostReport) bool { return r.Known == 3 && r.HeardLeast == 3 && r.Log.SentBytes > 0 })
+	h.await("all members known and heard", func(r HostReport) bool {
+		return r.Known == 3 && r.HeardLeast == 3 &&
+			r.Log.SentBytes > 0
+	})
 	go func() {
 		for range h.reports { // the host waits for whoever reads
 			select {
@@ -285,9 +302,9 @@
 		text, err = json.Marshal(changed)
 		require.NoError(t, err)
 		never, end := io.Pipe() // the input stays open
-		defer end.Close()
+		defer func() { _ = end.Close() }()
 		var out bytes.Buffer
-		assert.ErrorContains(t, RunHost(context.Background(), io.MultiReader(bytes.NewReader(text), never), &out), problem)
+		require.ErrorContains(t, RunHost(context.Background(), io.MultiReader(bytes.NewReader(text), never), &out), problem)
 	}
 	assert.ErrorContains(t, RunHost(context.Background(), bytes.NewBufferString(`{"memebrs":[]}`), io.Discard), "memebrs")
 }
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -82,7 +82,7 @@
 	for i := range o.Members {
 		if i%membersPerNet == 0 {
 			var err error
-			if base, err = cluster.LoopbackNet(); err != nil {
+			if base, err = cluster.ReserveLoopbackNet(); err != nil {
 				return err
 			}
 		}
@@ -92,7 +92,8 @@
 			Gossip: at(m.host, gossipPort)}
 		if i < o.Control {
 			m.Dir = filepath.Join(dir, m.Name+".log")
-			l.replicas = append(l.replicas, fleet.Address{Name: m.Name, Log: at(m.host, logPort), Ask: at(m.host, askPort), Gossip: m.Gossip})
+			l.replicas = append(l.replicas, fleet.Address{Name: m.Name, Log: at(m.host, logPort), Ask: at(m.host, askPort),
+				Gossip: m.Gossip})
 		}
 		l.members = append(l.members, m)
 		l.zones[zone].Hosts = append(l.zones[zone].Hosts, m.host)
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -20,7 +20,8 @@
 func (t trafficRate) bytes() float64 { return t.sent + t.received }
 
 func (t *trafficRate) add(o trafficRate) {
-	t.sent, t.received, t.messages, t.connections = t.sent+o.sent, t.received+o.received, t.messages+o.messages, t.connections+o.connections
+	t.sent, t.received, t.messages, t.connections = t.sent+o.sent, t.received+o.received, t.messages+o.messages,
+		t.connections+o.connections
 }
 
 func trafficBetween(first, last Traffic, seconds float64) trafficRate {
@@ -39,7 +40,8 @@
 	if seconds <= 0 {
 		return rates{}, false
 	}
-	r := rates{seconds: seconds, members: last.Members, heardLeast: last.HeardLeast, cpu: (last.CPUSeconds - first.CPUSeconds) / seconds,
+	r := rates{seconds: seconds, members: last.Members, heardLeast: last.HeardLeast,
+		cpu:    (last.CPUSeconds - first.CPUSeconds) / seconds,
 		gossip: trafficBetween(first.Gossip, last.Gossip, seconds), calls: trafficBetween(first.Calls, last.Calls, seconds),
 		served: trafficBetween(first.Served, last.Served, seconds), log: trafficBetween(first.Log, last.Log, seconds)}
 	for _, one := range reports {
@@ -57,7 +59,8 @@
 	cpuCores float64 // of all hosts
 }
 
-// costsBetween sums up what the hosts have reported of the time between. Hosts that were started again within it are left out.
+// costsBetween sums up what the hosts have reported of the time between. Hosts that were started again within it are
+// left out.
 func (r *run) costsBetween(from, to time.Time) costs {
 	var c costs
 	if idle, ok := ratesOf(r.idle.between(from, to)); ok {
@@ -86,10 +89,13 @@
 		return c
 	}
 	n := float64(members)
-	c.member = MemberCost{SentBytesPerSecond: (gossip.sent + calls.sent) / n, ReceivedBytesPerSecond: (gossip.received + calls.received) / n,
-		CPUShare: cpu / n, HeapBytes: heap / n, GossipSentBytesPerSecond: gossip.sent / n, GossipReceivedBytesPerSecond: gossip.received / n,
-		CallsSentBytesPerSecond: calls.sent / n, CallsReceivedBytesPerSecond: calls.received / n,
-		MessagesPerSecond: (gossip.messages + calls.messages) / n, ConnectionsPerSecond: (gossip.connections + calls.connections) / n}
+	c.member = MemberCost{SentBytesPerSecond: (gossip.sent + calls.sent) / n,
+		ReceivedBytesPerSecond: (gossip.received + calls.received) / n,
+		CPUShare:               cpu / n, HeapBytes: heap / n, GossipSentBytesPerSecond: gossip.sent / n,
+		GossipReceivedBytesPerSecond: gossip.received / n,
+		CallsSentBytesPerSecond:      calls.sent / n, CallsReceivedBytesPerSecond: calls.received / n,
+		MessagesPerSecond:    (gossip.messages + calls.messages) / n,
+		ConnectionsPerSecond: (gossip.connections + calls.connections) / n}
 	return c
 }
 
@@ -98,7 +104,8 @@
 	c.ResidentBytesMax = max(c.ResidentBytesMax, r.resident)
 	c.LogBytesPerSecond = max(c.LogBytesPerSecond, r.log.bytes())
 	c.CallsBytesPerSecondMax = max(c.CallsBytesPerSecondMax, r.calls.bytes()+r.served.bytes())
-	c.MessagesPerSecondMax = max(c.MessagesPerSecondMax, r.gossip.messages+r.calls.messages+r.served.messages+r.log.messages)
+	c.MessagesPerSecondMax = max(c.MessagesPerSecondMax,
+		r.gossip.messages+r.calls.messages+r.served.messages+r.log.messages)
 }
 
 // fleetState is what the last reports of all hosts tell together.
@@ -109,17 +116,17 @@
 	heardMean      float64
 }
 
-// whole tells whether all hosts have reported, all members are known, and all hear of all.
-func (s fleetState) whole(members int) bool {
+// complete tells whether all hosts have reported, all members are known, and all hear of all.
+func (s fleetState) complete(members int) bool {
 	return s.silent == 0 && s.known == s.members && s.heardLeast >= members
 }
 
-// look sums the last reports up.
-func (r *run) look() fleetState { return r.lookSince(time.Time{}) }
+// observe sums the last reports up.
+func (r *run) observe() fleetState { return r.observeSince(time.Time{}) }
 
-// lookSince sums up the last reports that were made after a time.
-func (r *run) lookSince(after time.Time) fleetState {
-	s := fleetState{heardLeast: r.opt.Members}
+// observeSince sums up the last reports that were made after a time.
+func (r *run) observeSince(after time.Time) fleetState {
+	s := fleetState{heardLeast: r.options.Members}
 	reported := 0
 	for _, h := range r.hosts {
 		s.members += len(h.plan.members)
