--- a/internal/faulttest/cluster/cluster.go
+++ b/internal/faulttest/cluster/cluster.go
@@ -77,7 +77,7 @@
 		c.Members = append(c.Members, c.newMember(i, loopbackNet))
 	}
 	replicas := c.replicaAddresses()
-	c.Client = fleet.NewClient(&fleet.Options{Keepers: replicas, Key: key})
+	c.Client = fleet.NewClient(&fleet.Options{ControlReplicas: replicas, Key: key})
 	for _, m := range c.Members {
 		if m.settings, err = c.settingsOf(m, replicas, keyFile); err != nil {
 			return nil, err
@@ -102,11 +102,11 @@
 	}
 }
 
-func (c *Cluster) replicaAddresses() (addresses []fleet.Address) {
+func (c *Cluster) replicaAddresses() (addresses []fleet.ReplicaAddress) {
 	for _, m := range c.Members {
 		if m.ControlReplica {
-			addresses = append(addresses, fleet.Address{
-				Name: m.Name, Log: m.host + logPort, Ask: m.host + apiPort, Gossip: m.host + gossipPort,
+			addresses = append(addresses, fleet.ReplicaAddress{
+				Name: m.Name, LogAddress: m.host + logPort, APIAddress: m.host + apiPort, GossipAddress: m.host + gossipPort,
 			})
 		}
 	}
--- a/internal/faulttest/cluster/member.go
+++ b/internal/faulttest/cluster/member.go
@@ -124,7 +124,7 @@
 	}
 	for range statusAttempts {
 		status, err := m.cluster.Client.Status()
-		if err == nil && status.Leader != "" && status.State.Members[m.Name] != nil {
+		if err == nil && status.LeaderAddress != "" && status.State.Members[m.Name] != nil {
 			if code == exitDrained && m.drained(&status.State) {
 				sleep(ctx, statusRetryDelay)
 				return "", false
--- a/internal/faulttest/cluster/settings.go
+++ b/internal/faulttest/cluster/settings.go
@@ -41,7 +41,7 @@
 }
 
 // settingsOf returns the settings of a member as JSON. All that it dials goes over relays of its own.
-func (c *Cluster) settingsOf(m *Member, replicas []fleet.Address, keyFile string) (string, error) {
+func (c *Cluster) settingsOf(m *Member, replicas []fleet.ReplicaAddress, keyFile string) (string, error) {
 	routes, err := c.routesOf(m, replicas)
 	if err != nil {
 		return "", err
@@ -56,7 +56,8 @@
 		SkewMillis: m.Number % clockSkewSteps * clockSkewStepMillis,
 	}
 	for _, r := range replicas {
-		s.Replicas = append(s.Replicas, replicaSetting{Name: r.Name, Log: r.Log, API: r.Ask, Gossip: r.Gossip})
+		s.Replicas = append(s.Replicas, replicaSetting{Name: r.Name, Log: r.LogAddress, API: r.APIAddress,
+			Gossip: r.GossipAddress})
 	}
 	if m.ControlReplica {
 		s.Dir, s.DiskFaults = m.dir, m.diskFaultFile
@@ -66,7 +67,7 @@
 }
 
 // routesOf makes the relays of a member, and returns where it dials each address.
-func (c *Cluster) routesOf(m *Member, replicas []fleet.Address) (routes []string, err error) {
+func (c *Cluster) routesOf(m *Member, replicas []fleet.ReplicaAddress) (routes []string, err error) {
 	add := func(to, address string, protocols Protocols) error {
 		if to == m.Name {
 			return nil
@@ -81,7 +82,7 @@
 		}
 	}
 	for _, r := range replicas {
-		if err := errors.Join(add(r.Name, r.Log, TCPOnly), add(r.Name, r.Ask, TCPOnly)); err != nil {
+		if err := errors.Join(add(r.Name, r.LogAddress, TCPOnly), add(r.Name, r.APIAddress, TCPOnly)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -135,7 +135,7 @@
 	one, err := f.cluster.Client.StatusOf("n0")
 	require.NoError(t, err)
 	assert.NotNil(t, one.State.Permits[permit], "a keeper whose disk was lost has it from the others")
-	assert.ErrorAs(t, f.cluster.Client.Init(), new(*fleet.RefusedError), "no second fleet is begun")
+	assert.ErrorAs(t, f.cluster.Client.Init(), new(*fleet.RejectedError), "no second fleet is begun")
 }
 
 // assertMajorityInDoubt fails the disks of a majority: nothing is agreed, nothing set aside, and all serve on.
@@ -166,7 +166,7 @@
 	n0 := f.cluster.Members[0]
 	leader := func() string {
 		if s := f.leaderStatus(); s != nil && len(s.Servers) == 3 {
-			return s.Keeper
+			return s.Replica
 		}
 		return ""
 	}
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -33,19 +33,19 @@
 		PollDiscovery:       d.text("discovery") == "ask",
 		PollInterval:        d.duration("rules.ask_every"),
 		LoadReporting:       oneOf(d, "reporting.via", loadReporting),
-		Grants:              d.boolean("family_info.takes_grants"),
-		Priorities:          d.boolean("family_info.lanes_count"),
-		TellsCost:           d.boolean("family_info.says_cost"),
+		GrantsSupported:     d.boolean("family_info.takes_grants"),
+		PrioritiesSupported: d.boolean("family_info.lanes_count"),
+		CostReported:        d.boolean("family_info.says_cost"),
 		ProgressInterval:    d.duration("family_info.tells_every"),
-		Shortage:            oneOf(d, "family_info.overbooked", shortages),
-		MostGrant:           d.number("family_info.most_grant"),
+		MemoryShortage:      oneOf(d, "family_info.overbooked", shortages),
+		MaxGrantFraction:    d.number("family_info.most_grant"),
 		CancellationAllowed: d.boolean("permissions.cancel"),
 		HealthChecksAllowed: d.boolean("permissions.probes"),
 		HealthCheckCost:     d.number("prices.probe"),
 		GossipAllowed:       d.boolean("permissions.may_tell"),
 		HedgingAllowed:      d.boolean("permissions.may_duplicate"),
 		MaxAttempts:         d.integer("permissions.attempts_cap"),
-		MarksRetry:          d.boolean("callers.marks_retry"),
+		RetriesMarked:       d.boolean("callers.marks_retry"),
 		DeadlineSlack:       d.duration("rules.answer_slack"),
 		DrainGrace:          d.duration("rules.drain_grace"),
 		SlowStart:           slowStart(d),
@@ -78,10 +78,10 @@
 	"pull":      admission.HealthCheckReports,
 }
 
-var shortages = map[string]admission.Shortage{
-	"":           admission.LineUp,
-	"line_up":    admission.LineUp,
-	"cut":        admission.Cut,
+var shortages = map[string]admission.MemoryShortage{
+	"":           admission.WaitForMemory,
+	"line_up":    admission.WaitForMemory,
+	"cut":        admission.SpillToDisk,
 	"overcommit": admission.Overcommit,
 }
 
--- a/internal/scale/parts/replica.go
+++ b/internal/scale/parts/replica.go
@@ -29,7 +29,7 @@
 
 // measureReplica measures one control replica as a process, with as many watches open as there are front ends.
 func measureReplica(ctx context.Context, o *Options, c *collector) error {
-	c.note("one replica, a process of its own: fleet.OpenKeeper with disk, no membership and no leader's periodic " +
+	c.note("one replica, a process of its own: fleet.OpenReplica with disk, no membership and no leader's periodic " +
 		"check; its clients are in the measuring process")
 	c.note("all front ends watch this one replica; where they are spread over n replicas, each has 1/n of the watches," +
 		" and each recomputes its own at each command")
@@ -183,9 +183,9 @@
 func (r *replicaClient) measureCounts(ctx context.Context) error {
 	before, began := r.wire.bytes(), processCPU(r.process.pid())
 	for i := range r.place.size.Members {
-		report := fleet.Counts{Name: memberName(i), Room: zoneName(i), Revision: revision,
+		report := fleet.WindowCounts{Name: memberName(i), Zone: zoneName(i), Revision: revision,
 			Window: time.Now().UnixNano() / int64(countsEvery),
-			Load:   PlannedRate, Count: rollout.RequestCounts{Requests: int64(PlannedRate * countsEvery.Seconds()), Rejected: 3,
+			Load:   PlannedRate, Counts: rollout.RequestCounts{Requests: int64(PlannedRate * countsEvery.Seconds()), Rejected: 3,
 				Slow: 12}}
 		if _, err := r.call(ctx, r.operator, "/counts", report, nil); err != nil {
 			return err
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -140,19 +140,19 @@
 		r.fail(fmt.Errorf("work_item: field band: %q is not in the settings", clip(name)))
 	}
 	read := admission.Request{
-		ID:      r.text("ticket"),
-		Class:   class,
-		Tenant:  platformconfig.IndexOf(g.names.Tenants, r.get("org")),
-		Key:     r.get("order_key"),
-		Timeout: time.Duration(r.number("patience_left")),
-		Work:    time.Duration(r.optionalNumber("est_cost")),
-		MemMB:   r.float("mem_mb"),
-		Group:   unknown,
-		Retry:   r.optionalNumber("repeat") == 1,
-		Write:   r.optionalNumber("update") == 1,
+		ID:         r.text("ticket"),
+		Class:      class,
+		Tenant:     platformconfig.IndexOf(g.names.Tenants, r.get("org")),
+		Key:        r.get("order_key"),
+		Timeout:    time.Duration(r.number("patience_left")),
+		Work:       time.Duration(r.optionalNumber("est_cost")),
+		MemoryMB:   r.float("mem_mb"),
+		TableGroup: unknown,
+		Retry:      r.optionalNumber("repeat") == 1,
+		Write:      r.optionalNumber("update") == 1,
 	}
 	if r.get("source_set") != "" {
-		read.Group = int(r.float("source_set"))
+		read.TableGroup = int(r.float("source_set"))
 	}
 	return read
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -15,8 +15,8 @@
 	switch a := action.(type) {
 	case admission.Send:
 		fmt.Fprintf(w, "transmit who=%d ticket=%s engine=%d", id, a.ID, a.Engine)
-		if a.Cap > 0 {
-			fmt.Fprintf(w, " cap=%d", int64(a.Cap))
+		if a.Timeout > 0 {
+			fmt.Fprintf(w, " cap=%d", int64(a.Timeout))
 		}
 		w.WriteByte('\n')
 	case admission.Terms:
