--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -11,10 +11,8 @@
 
 // Headers of HTTP.
 const (
-	headerHost             = "Host"
-	headerConnection       = "Connection"
-	headerContentLength    = "Content-Length"
-	headerTransferEncoding = "Transfer-Encoding"
+	headerHost          = "Host"
+	headerContentLength = "Content-Length"
 )
 
 // Headers of a call.
@@ -51,8 +49,6 @@
 	statusOK                 = 200
 	statusAccepted           = 202 // the query is running
 	statusNoContent          = 204 // the query was deleted
-	statusMultipleChoices    = 300
-	statusNotModified        = 304
 	statusFirstError         = 400
 	statusInternalError      = 500 // the query failed, or the engine does not know it
 	statusUnavailable        = 503
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -74,78 +74,70 @@
 	if end > maxHeadBytes {
 		return r, 0, errTooLarge
 	}
-	r, f, err := parseHead(buf[:end])
+	r, framing, err := parseHead(buf[:end])
 	if err != nil {
 		return r, 0, err
 	}
 	n = end + len("\r\n\r\n")
-	size, err := r.parseBody(buf[n:], f, maxBody)
+	size, err := r.parseBody(buf[n:], framing, maxBody)
 	if err != nil {
 		return r, 0, err
 	}
 	return r, n + size, nil
 }
 
-// framing is what the head of a response says about the end of its body.
-type framing struct {
-	length  int // -1: absent
-	chunked bool
-}
-
-// parseHead reads a status line and the headers. A header that comes twice is an error.
-func parseHead(head []byte) (r response, f framing, err error) {
-	r.pageNumber, f.length = -1, -1
+// parseHead reads a status line and the headers. An engine's own header that comes twice is an error.
+func parseHead(head []byte) (r response, framing http1.Framing, err error) {
+	r.pageNumber = -1
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
-	if r.status, r.closes, err = http1.ParseStatusLine(line); err != nil {
-		return r, f, err
+	var http10 bool
+	if r.status, http10, err = http1.ParseStatusLine(line); err != nil {
+		return r, framing, err
 	}
+	framing = http1.NewFraming(http10)
 	var seen headerSet
 	for len(rest) > 0 {
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
 		name, value, err := http1.ParseField(line)
 		if err != nil {
-			return r, f, err
+			return r, framing, err
 		}
-		header, err := r.parseHeader(name, value, &f)
+		if known, err := framing.ParseField(name, value); err != nil {
+			return r, framing, err
+		} else if known {
+			continue
+		}
+		header, err := r.parseHeader(name, value)
 		if err != nil || seen&header != 0 {
-			return r, f, errMalformed
+			return r, framing, errMalformed
 		}
 		seen |= header
 	}
-	return r, f, nil
+	return r, framing, framing.Check()
 }
 
 // parseBody reads the body from the start of buf, and returns the number of bytes read.
-func (r *response) parseBody(buf []byte, f framing, maxBody int) (n int, err error) {
+func (r *response) parseBody(buf []byte, framing http1.Framing, maxBody int) (n int, err error) {
+	length, chunked, err := framing.Body(r.status, maxBody)
+	r.closes = framing.Closes()
 	switch {
-	case f.chunked && f.length >= 0:
-		return 0, errMalformed
-	case r.status < statusOK || r.status == statusNoContent || r.status == statusNotModified:
-		return 0, nil
-	case f.chunked:
+	case err != nil:
+		return 0, err
+	case chunked:
 		r.body, n, err = joinChunks(buf, maxBody)
 		return n, err
-	case f.length < 0 && r.status < statusMultipleChoices:
-		return 0, errMalformed // a body up to the end of the connection might be cut short
-	case f.length < 0:
-		r.closes = true
-		return 0, nil
-	case f.length > maxBody:
-		return 0, errTooLarge
-	case len(buf) < f.length:
+	case len(buf) < length:
 		return 0, errIncomplete
 	}
-	r.body = buf[:f.length]
-	return f.length, nil
+	r.body = buf[:length]
+	return length, nil
 }
 
-// headerSet is a set of the headers that must not come twice.
+// headerSet is a set of the engines' own headers, which must not come twice.
 type headerSet int
 
 const (
-	contentLengthSeen headerSet = 1 << iota
-	transferEncodingSeen
-	notRunSeen
+	notRunSeen headerSet = 1 << iota
 	progressKindSeen
 	progressValueSeen
 	loadReportSeen
@@ -155,26 +147,9 @@
 	usedMemorySeen
 )
 
-// parseHeader reads one header, and returns it as a set; empty for one that may come again.
-func (r *response) parseHeader(name, value []byte, f *framing) (header headerSet, err error) {
-	switch {
-	case http1.EqualName(name, headerContentLength):
-		f.length, err = http1.ParseDigits(value)
-		return contentLengthSeen, err
-	case http1.EqualName(name, headerTransferEncoding):
-		if f.chunked = http1.EqualName(value, "chunked"); !f.chunked {
-			err = errMalformed
-		}
-		return transferEncodingSeen, err
-	case http1.EqualName(name, headerConnection):
-		r.closes = r.closes || http1.EqualName(value, "close")
-		return 0, nil
-	}
-	return r.parseEngineHeader(name, value)
-}
-
-// parseEngineHeader reads a header of the engines' own; unknown ones are skipped.
-func (r *response) parseEngineHeader(name, value []byte) (header headerSet, err error) {
+// parseHeader reads one of the engines' own headers, and returns it as a set; empty for an unknown one, which is
+// skipped.
+func (r *response) parseHeader(name, value []byte) (header headerSet, err error) {
 	switch {
 	case http1.EqualName(name, headerNotRun):
 		r.notRun = string(value) == "1"
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -12,146 +12,158 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Conn is one connection with one call at a time. Its methods are for one goroutine; Close is for any.
+const (
+	readBufferBytes = 16 << 10
+	// maxChunkLineBytes bounds the line with the size of a chunk.
+	maxChunkLineBytes = 64
+)
+
+// Conn is a client connection with one call at a time. Its methods are for one goroutine, but for Close, which is for
+// any.
 type Conn struct {
-	c    net.Conn
-	r    *bufio.Reader
-	host string
-	out  []byte
-	last bool // the answer in hand ends the connection
+	raw          net.Conn
+	reader       *bufio.Reader
+	host         string
+	request      []byte // the request that is written; its memory is used again by the next one
+	lastResponse bool   // the connection ends with the current response
 
-	deadline time.Time // of the body in hand
-	stall    time.Duration
+	bodyDeadline time.Time
+	stallTimeout time.Duration // between two pieces of the current body
 }
 
-// Limits bound an answer, in bytes.
+// Limits are the limits of a response, in bytes.
 type Limits struct{ Head, Body int }
 
-// Secure turns a fresh connection into a secured one. It is a function, so that programs without TLS don't link it.
+// Secure makes a secure connection of a raw one. It is a function, so that programs without TLS do not link it.
 type Secure func(ctx context.Context, raw net.Conn) (net.Conn, error)
 
 // Dial connects to host:port, and secures the connection where secure is not nil. The end of ctx closes the
 // connection, during the handshake and after it.
-func Dial(ctx context.Context, addr string, timeout time.Duration, secure Secure) (*Conn, error) {
+func Dial(ctx context.Context, address string, timeout time.Duration, secure Secure) (*Conn, error) {
 	deadline := time.Now().Add(timeout)
-	raw, err := netpoll.DialConnection("tcp", addr, timeout)
+	raw, err := netpoll.DialConnection("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
 	context.AfterFunc(ctx, func() { _ = raw.Close() })
-	c := &Conn{c: raw, host: addr}
+	c := &Conn{raw: raw, host: address}
 	if secure != nil {
 		if err = raw.SetDeadline(deadline); err == nil {
-			c.c, err = secure(ctx, raw)
+			c.raw, err = secure(ctx, raw)
 		}
 		if err != nil {
 			_ = raw.Close()
 			return nil, err
 		}
 	}
-	c.r = bufio.NewReaderSize(c.c, 16<<10)
+	c.reader = bufio.NewReaderSize(c.raw, readBufferBytes)
 	return c, nil
 }
 
 // Close ends the connection and any call on it.
-func (c *Conn) Close() { _ = c.c.Close() }
+func (c *Conn) Close() { _ = c.raw.Close() }
+
+// Field is a field of a request's head.
+type Field struct{ Name, Value string }
 
-// Request is one request without a body.
+// Request is a request without a body.
 type Request struct {
 	Method, Path string
-	Fields       [][2]string // name and value, in order
+	Fields       []Field // in this order
 }
 
-// Response is the beginning of an answer.
+// Response is the head of a response.
 type Response struct {
 	StatusCode int
-	length     int // -1: chunked or absent
-	chunks     bool
+	framing    Framing
 }
 
-// Do sends a call and reads the head of its answer before the deadline; field is called for each field, with
-// slices that hold during the call only. Interim answers (1xx) are passed over.
-func (c *Conn) Do(call Request, deadline time.Time, lim Limits, field func(name, value []byte) error) (Response, error) {
-	if err := c.c.SetDeadline(deadline); err != nil {
+// FieldFunc takes a field of a response's head. The slices are valid during the call only. An error ends the call of
+// Do.
+type FieldFunc func(name, value []byte) error
+
+// Do sends a request and reads the head of its response before the deadline. Each field that does not belong to the
+// framing goes to field. Interim responses (1xx) are skipped.
+func (c *Conn) Do(request Request, deadline time.Time, limits Limits, field FieldFunc) (Response, error) {
+	if err := c.raw.SetDeadline(deadline); err != nil {
 		return Response{}, err
 	}
-	b := append(append(append(append(c.out[:0], call.Method...), ' '), call.Path...), " HTTP/1.1\r\nHost: "...)
-	b = append(append(b, c.host...), "\r\n"...)
-	for _, f := range call.Fields {
-		b = append(append(append(append(b, f[0]...), ": "...), f[1]...), "\r\n"...)
-	}
-	c.out = append(b, "\r\n"...)
-	if _, err := c.c.Write(c.out); err != nil {
+	if err := c.write(request); err != nil {
 		return Response{}, err
 	}
-	left := lim.Head
+	left := limits.Head
 	for {
-		h, err := c.head(&left, field)
-		if err != nil || h.StatusCode >= 200 {
-			return h, err
+		r, err := c.readHead(&left, field)
+		if err != nil || r.StatusCode >= statusOK {
+			return r, err
 		}
-		if h.StatusCode == 101 { // nobody asked for another protocol
-			return h, ErrMalformed
+		if r.StatusCode == statusSwitchingProtocols { // no request asks for another protocol
+			return r, ErrMalformed
 		}
 	}
 }
 
-// head reads one head, interim or final. A field that comes twice and tells where the answer ends contradicts itself.
-func (c *Conn) head(left *int, field func(name, value []byte) error) (Response, error) {
-	h := Response{length: -1}
-	line, err := c.line(left)
+func (c *Conn) write(request Request) error {
+	b := append(append(append(append(c.request[:0], request.Method...), ' '), request.Path...), " HTTP/1.1\r\nHost: "...)
+	b = append(append(b, c.host...), "\r\n"...)
+	for _, f := range request.Fields {
+		b = append(append(append(append(b, f.Name...), ": "...), f.Value...), "\r\n"...)
+	}
+	c.request = append(b, "\r\n"...)
+	_, err := c.raw.Write(c.request)
+	return err
+}
+
+// readHead reads one head, interim or final, of at most left bytes, and reduces left by its size.
+func (c *Conn) readHead(left *int, field FieldFunc) (Response, error) {
+	var r Response
+	line, err := c.readLine(left)
 	if err != nil {
-		return h, err
+		return r, err
 	}
-	if h.StatusCode, c.last, err = ParseStatusLine(line); err != nil {
-		return h, err
+	var http10 bool
+	if r.StatusCode, http10, err = ParseStatusLine(line); err != nil {
+		return r, err
 	}
+	r.framing = NewFraming(http10)
 	for {
-		if line, err = c.line(left); err != nil {
-			return h, err
+		if line, err = c.readLine(left); err != nil {
+			return r, err
 		}
 		if len(line) == 0 {
 			break
 		}
-		name, value, err := ParseField(line)
-		if err != nil {
-			return h, err
-		}
-		switch {
-		case EqualName(name, "Content-Length"):
-			if h.length >= 0 {
-				return h, ErrMalformed
-			}
-			if h.length, err = ParseDigits(value); err != nil {
-				return h, err
-			}
-		case EqualName(name, "Transfer-Encoding"):
-			if h.chunks || !EqualName(value, "chunked") {
-				return h, ErrMalformed
-			}
-			h.chunks = true
-		case EqualName(name, "Connection"):
-			c.last = c.last || EqualName(value, "close")
-		case h.StatusCode >= 200:
-			if err := field(name, value); err != nil {
-				return h, err
-			}
+		if err = r.parseField(line, field); err != nil {
+			return r, err
 		}
 	}
-	if h.chunks && h.length >= 0 {
-		return h, ErrMalformed
+	c.lastResponse = r.framing.Closes()
+	return r, r.framing.Check()
+}
+
+// parseField reads one line of the head. The fields of interim responses are ignored, but for the framing.
+func (r *Response) parseField(line []byte, field FieldFunc) error {
+	name, value, err := ParseField(line)
+	if err != nil {
+		return err
+	}
+	if known, err := r.framing.ParseField(name, value); known || err != nil {
+		return err
+	}
+	if r.StatusCode < statusOK {
+		return nil
 	}
-	return h, nil
+	return field(name, value)
 }
 
-// line reads one line without its end; it holds until the next read.
-func (c *Conn) line(left *int) ([]byte, error) {
-	line, err := c.r.ReadSlice('\n')
+// readLine reads one line without its end. The line is valid until the next read.
+func (c *Conn) readLine(left *int) ([]byte, error) {
+	line, err := c.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > *left {
 		return nil, ErrTooLarge
 	}
 	if err != nil {
-		return nil, short(err)
+		return nil, unexpectedEOF(err)
 	}
 	*left -= len(line)
 	if !bytes.HasSuffix(line, []byte("\r\n")) {
@@ -160,99 +172,99 @@
 	return line[:len(line)-2], nil
 }
 
-// Body writes the body of the answer in hand to w as it comes. It may take until the deadline, if some of it comes
-// within each stall: guards against large answers that are cut off, and against silence in the middle of one.
-func (c *Conn) Body(h Response, lim Limits, deadline time.Time, stall time.Duration, w io.Writer) error {
-	c.deadline, c.stall = deadline, stall
-	switch {
-	case h.StatusCode == 204 || h.StatusCode == 304:
-		return nil
-	case h.chunks:
-		return c.chunks(lim.Body, w)
-	case h.length < 0 && h.StatusCode < 300:
-		return ErrMalformed // a body up to the end of the connection might be cut short
-	case h.length < 0:
-		c.last = true
-		return nil
-	case h.length > lim.Body:
-		return ErrTooLarge
+// Body writes the body of a response to w as it arrives. It may take until the deadline, if some of it arrives within
+// each stallTimeout: a large body is not cut off, and silence in the middle of one is found out.
+func (c *Conn) Body(
+	r Response, limits Limits, deadline time.Time, stallTimeout time.Duration, w io.Writer,
+) error {
+	c.bodyDeadline, c.stallTimeout = deadline, stallTimeout
+	length, chunked, err := r.framing.Body(r.StatusCode, limits.Body)
+	c.lastResponse = c.lastResponse || r.framing.Closes()
+	if err != nil {
+		return err
 	}
-	return c.copy(w, h.length)
+	if chunked {
+		return c.copyChunks(limits.Body, w)
+	}
+	return c.copy(w, length)
 }
 
-func (c *Conn) chunks(most int, w io.Writer) error {
+func (c *Conn) copyChunks(maxBody int, w io.Writer) error {
 	for {
-		left := 64
-		if err := c.more(); err != nil {
-			return err
-		}
-		line, err := c.line(&left)
+		size, err := c.readChunkSize(maxBody)
 		if err != nil {
 			return err
 		}
-		n, err := ParseChunkSize(line, most)
-		if err != nil {
+		maxBody -= size
+		if err := c.copy(w, size); err != nil {
 			return err
 		}
-		most -= n
-		if n > 0 {
-			if err := c.copy(w, n); err != nil {
-				return err
-			}
-		}
-		left = 2
-		if line, err = c.line(&left); err != nil {
+		left := len("\r\n")
+		line, err := c.readLine(&left)
+		if err != nil {
 			return err
 		}
 		if len(line) > 0 {
 			return ErrMalformed // trailers are not used here
 		}
-		if n == 0 {
+		if size == 0 {
 			return nil
 		}
 	}
 }
 
-// copy hands n bytes on, straight from the buffer that they were read into.
+func (c *Conn) readChunkSize(maxSize int) (int, error) {
+	if err := c.awaitInput(); err != nil {
+		return 0, err
+	}
+	left := maxChunkLineBytes
+	line, err := c.readLine(&left)
+	if err != nil {
+		return 0, err
+	}
+	return ParseChunkSize(line, maxSize)
+}
+
+// copy writes n bytes of the body to w, straight from the read buffer.
 func (c *Conn) copy(w io.Writer, n int) error {
 	for n > 0 {
-		if err := c.more(); err != nil {
+		if err := c.awaitInput(); err != nil {
 			return err
 		}
-		p, _ := c.r.Peek(min(n, c.r.Buffered()))
+		p, _ := c.reader.Peek(min(n, c.reader.Buffered()))
 		if _, err := w.Write(p); err != nil {
 			return err
 		}
 		n -= len(p)
-		if _, err := c.r.Discard(len(p)); err != nil {
+		if _, err := c.reader.Discard(len(p)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// more waits until something of the body is there.
-func (c *Conn) more() error {
-	if c.r.Buffered() > 0 {
+// awaitInput waits until a part of the body has arrived.
+func (c *Conn) awaitInput() error {
+	if c.reader.Buffered() > 0 {
 		return nil
 	}
-	until := time.Now().Add(c.stall)
-	if c.deadline.Before(until) {
-		until = c.deadline
+	until := time.Now().Add(c.stallTimeout)
+	if c.bodyDeadline.Before(until) {
+		until = c.bodyDeadline
 	}
-	if err := c.c.SetReadDeadline(until); err != nil {
+	if err := c.raw.SetReadDeadline(until); err != nil {
 		return err
 	}
-	_, err := c.r.Peek(1)
-	return short(err)
+	_, err := c.reader.Peek(1)
+	return unexpectedEOF(err)
 }
 
-// Reusable tells whether the connection may carry a further call, once the body has been read. Guards against answers
-// that bring more than belongs to them: what is left over would be read as the next answer.
-func (c *Conn) Reusable() bool { return !c.last && c.r.Buffered() == 0 }
+// Reusable reports whether the connection may carry a further call, once the body has been read. A connection that
+// has brought more than belonged to the response may not: the rest would be read as the next response.
+func (c *Conn) Reusable() bool { return !c.lastResponse && c.reader.Buffered() == 0 }
 
-// short tells an end in the middle of an answer from the end of a connection that was idle.
-func short(err error) error {
+// unexpectedEOF tells the end of a connection in the middle of a response from that of an idle connection.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -12,11 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// peer answers each connection with those pieces, and then holds it open, or closes it.
-func peer(t *testing.T, hold bool, pieces ...string) string {
+// servePieces answers the first call of each connection with the pieces, one write each, and keeps the connection open.
+func servePieces(t *testing.T, pieces ...string) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -24,7 +25,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				buf := make([]byte, 4096)
 				if _, err := c.Read(buf); err != nil {
 					return
@@ -34,72 +35,74 @@
 						return
 					}
 				}
-				if hold {
-					_, _ = c.Read(buf)
-				}
+				_, _ = c.Read(buf)
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-func ask(t *testing.T, addr string) (Response, string, *Conn, error) {
-	lim := Limits{Head: 512, Body: 64}
-	c, err := Dial(context.Background(), addr, time.Second, nil)
+// call makes one call, and returns its X-Field and its body.
+func call(t *testing.T, address string) (string, *Conn, error) {
+	t.Helper()
+	limits := Limits{Head: 512, Body: 64}
+	c, err := Dial(context.Background(), address, time.Second, nil)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	var b bytes.Buffer
-	h, err := c.Do(Request{Method: "GET", Path: "/x", Fields: [][2]string{{"A", "b"}}}, time.Now().Add(300*time.Millisecond), lim,
-		func(name, value []byte) error {
-			if EqualName(name, "x-field") {
-				b.Write(value)
-			}
-			return nil
-		})
+	request := Request{Method: "GET", Path: "/x", Fields: []Field{{"A", "b"}}}
+	r, err := c.Do(request, time.Now().Add(300*time.Millisecond), limits, func(name, value []byte) error {
+		if EqualName(name, "x-field") {
+			b.Write(value)
+		}
+		return nil
+	})
 	if err == nil {
-		err = c.Body(h, lim, time.Now().Add(300*time.Millisecond), 100*time.Millisecond, &b)
+		err = c.Body(r, limits, time.Now().Add(300*time.Millisecond), 100*time.Millisecond, &b)
 	}
-	return h, b.String(), c, err
+	return b.String(), c, err
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
+	const chunked = ok + "Transfer-Encoding: chunked\r\n\r\n"
+	full := strings.Repeat("a", 64)
 	for name, k := range map[string]struct {
 		text  string
 		body  string
 		err   bool
-		fresh bool
+		reuse bool
 	}{
 		"a length":           {ok + "Content-Length: 3\r\nX-Field: f\r\n\r\nabc", "fabc", false, true},
-		"chunks":             {ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", "abc", false, true},
+		"chunks":             {chunked + "2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", "abc", false, true},
 		"no content":         {"HTTP/1.1 204 No Content\r\n\r\n", "", false, true},
 		"interim answers":    {"HTTP/1.1 103 Early\r\n\r\n" + ok + "Content-Length: 1\r\n\r\na", "a", false, true},
 		"more than its own":  {ok + "Content-Length: 1\r\n\r\nab", "a", false, false},
 		"its last":           {ok + "Connection: close\r\nContent-Length: 1\r\n\r\na", "a", false, false},
 		"old":                {"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
 		"cut short":          {ok + "Content-Length: 5\r\n\r\nab", "ab", true, false},
-		"a chunk cut short":  {ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nab", "ab", true, false},
+		"a chunk cut short":  {chunked + "5\r\nab", "ab", true, false},
 		"no length":          {ok + "\r\nabc", "", true, false},
 		"two lengths":        {ok + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", "", true, false},
 		"length and chunks":  {ok + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", "", true, false},
 		"over the bound":     {ok + "Content-Length: 65\r\n\r\n" + strings.Repeat("a", 65), "", true, false},
-		"chunks over it":     {ok + "Transfer-Encoding: chunked\r\n\r\n40\r\n" + strings.Repeat("a", 64) + "\r\n1\r\na\r\n0\r\n\r\n", strings.Repeat("a", 64), true, false},
+		"chunks over it":     {chunked + "40\r\n" + full + "\r\n1\r\na\r\n0\r\n\r\n", full, true, false},
 		"a large head":       {ok + strings.Repeat("A: b\r\n", 200) + "\r\n", "", true, false},
 		"a bare line feed":   {"HTTP/1.1 200 OK\nContent-Length: 1\r\n\r\na", "", true, false},
 		"noise":              {"hello there, this is no HTTP\r\n\r\n", "", true, false},
 		"another protocol":   {"HTTP/1.1 101 Switching\r\n\r\n", "", true, false},
-		"a chunk of no size": {ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "", true, false},
+		"a chunk of no size": {chunked + "zz\r\n", "", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			whole := peer(t, true, k.text)
-			_, body, c, err := ask(t, whole)
+			whole := servePieces(t, k.text)
+			body, c, err := call(t, whole)
 			assert.Equal(t, k.err, err != nil, "%v", err)
 			assert.Equal(t, k.body, body)
 			if err == nil {
-				assert.Equal(t, k.fresh, c.Reusable())
+				assert.Equal(t, k.reuse, c.Reusable())
 			}
-			// The same, byte by byte.
-			_, split, _, err := ask(t, peer(t, true, strings.Split(k.text, "")...))
+			// The same response, byte by byte.
+			split, _, err := call(t, servePieces(t, strings.Split(k.text, "")...))
 			assert.Equal(t, k.err, err != nil, "%v", err)
 			if !k.err {
 				assert.Equal(t, k.body, split)
@@ -108,9 +111,9 @@
 	}
 }
 
-func TestTheEndOfTheContextEndsACall(t *testing.T) {
+func TestEndOfContextEndsACall(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c, err := Dial(ctx, peer(t, true), time.Second, nil)
+	c, err := Dial(ctx, servePieces(t), time.Second, nil)
 	require.NoError(t, err)
 	began := time.Now()
 	time.AfterFunc(20*time.Millisecond, cancel)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 is what all clients of HTTP/1.1 here share: the rules by which a message is read (RFC 9112), and a
-// connection for large answers, with or without TLS. The engines' own client, which reads small answers in place,
-// is in internal/engine and goes by the same rules.
+// Package http1 holds the rules by which all HTTP clients of this program read a response (RFC 9112), and a client
+// connection for large responses, with or without TLS. internal/engine reads small responses in place, by the same
+// rules.
 package http1
 
 import (
@@ -10,24 +10,37 @@
 )
 
 var (
-	// ErrMalformed tells an answer that can't be read, or that leaves open where it ends.
+	// ErrMalformed reports a response that can't be read, or that leaves open where it ends.
 	ErrMalformed = errors.New("http: malformed response")
-	// ErrTooLarge tells an answer over a bound.
+	// ErrTooLarge reports a response that exceeds a limit.
 	ErrTooLarge = errors.New("http: response too large")
 )
 
-// ParseStatusLine reads a status line, HTTP-version SP code SP reason, and tells whether the version is 1.0.
-func ParseStatusLine(line []byte) (code int, old bool, err error) {
-	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || (len(line) > 12 && line[12] != ' ') {
+// Status codes that decide how a response is read.
+const (
+	statusSwitchingProtocols = 101
+	statusOK                 = 200
+	statusNoContent          = 204
+	statusMultipleChoices    = 300
+	statusNotModified        = 304
+)
+
+// statusLineSize is the size of a status line up to its status code.
+const statusLineSize = len("HTTP/1.1 200")
+
+// ParseStatusLine reads a status line, HTTP-version SP code SP reason, and reports whether the version is 1.0.
+func ParseStatusLine(line []byte) (code int, http10 bool, err error) {
+	if len(line) < statusLineSize || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' ||
+		(len(line) > statusLineSize && line[statusLineSize] != ' ') {
 		return 0, false, ErrMalformed
 	}
-	if code, err = ParseDigits(line[9:12]); err != nil || code < 100 {
+	if code, err = ParseDigits(line[9:statusLineSize]); err != nil || code < 100 {
 		return 0, false, ErrMalformed
 	}
 	return code, line[7] == '0', nil
 }
 
-// ParseField parts a line of the head into its name and its value. Both are slices of the line.
+// ParseField splits a line of the head into the name and the value of its field. Both are slices of the line.
 func ParseField(line []byte) (name, value []byte, err error) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !IsToken(name) {
@@ -36,7 +49,7 @@
 	return name, bytes.TrimSpace(value), nil
 }
 
-// IsToken tells a name that a field may have: no blanks, no control characters.
+// IsToken reports whether a name has neither blanks nor control characters, and is not empty.
 func IsToken(name []byte) bool {
 	for _, c := range name {
 		if c <= ' ' || c >= 0x7f {
@@ -46,7 +59,7 @@
 	return len(name) > 0
 }
 
-// ParseDigits reads a whole number of digits only, of 39 bits at most.
+// ParseDigits reads an integer of digits only, of at most 39 bits.
 func ParseDigits(text []byte) (int, error) {
 	for _, c := range text {
 		if c < '0' || c > '9' {
@@ -60,19 +73,19 @@
 	return int(n), nil
 }
 
-// EqualName compares names without regard to case.
+// EqualName compares the name of a field, or a value such as "close", without regard to case.
 func EqualName(b []byte, name string) bool {
 	return len(b) == len(name) && bytes.EqualFold(b, []byte(name))
 }
 
-// ParseChunkSize reads the line that begins a chunk, without its line end. Extensions are passed over.
-func ParseChunkSize(line []byte, most int) (int, error) {
-	word, _, _ := bytes.Cut(line, []byte(";"))
-	n, err := strconv.ParseUint(string(bytes.TrimSpace(word)), 16, 32)
+// ParseChunkSize reads the line that begins a chunk, without its line end. Extensions are ignored.
+func ParseChunkSize(line []byte, maxSize int) (int, error) {
+	digits, _, _ := bytes.Cut(line, []byte(";"))
+	n, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 32)
 	if err != nil {
 		return 0, ErrMalformed
 	}
-	if n > uint64(most) {
+	if n > uint64(maxSize) {
 		return 0, ErrTooLarge
 	}
 	return int(n), nil
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -151,9 +151,9 @@
 			c.close()
 		}
 	}()
-	fields := [][2]string{{"Accept", "application/json"}}
+	fields := []http1.Field{{Name: "Accept", Value: "application/json"}}
 	if token != "" {
-		fields = append(fields, [2]string{"X-Consul-Token", token})
+		fields = append(fields, http1.Field{Name: "X-Consul-Token", Value: token})
 	}
 	lim := http1.Limits{Head: 16 << 10, Body: c.opt.MaxBody}
 	r.HasLeader = true // servers that don't tell have one, or they would not answer
