--- a/internal/endpoints/recorded_test.go
+++ b/internal/endpoints/recorded_test.go
@@ -20,7 +20,8 @@
 		for range rng.IntN(5) {
 			status := []string{"ready", "draining", "gone", "resting"}[rng.IntN(4)]
 			name := []string{"s-00c41f7a", "s-ffffffff", "s-1", "engine", "a-b-00c41f7a"}[rng.IntN(5)]
-			endpoints = append(endpoints, fmt.Sprintf(`{"name":%q,"address":"10.1.0.%d:7001","zone":%q,"type":%q,"group":%d,"status":%q,
+			endpoints = append(endpoints, fmt.Sprintf(`{"name":%q,"address":"10.1.0.%d:7001","zone":%q,
+				"type":%q,"group":%d,"status":%q,
 				"weight":%d.5,"since_ms":%d,"later":[1]}`, name, rng.IntN(200), []string{"east", "west", "?"}[rng.IntN(3)],
 				[]string{"std", "big", ""}[rng.IntN(3)], rng.IntN(9), status, rng.IntN(9), rng.IntN(100000)))
 		}
@@ -28,7 +29,8 @@
 			list = append(list, fmt.Sprintf(`{"seq":%d,"object":{}}`, seq))
 			continue
 		}
-		list = append(list, fmt.Sprintf(`{"seq":%d,"fleet":{"snapshot":%t,"endpoints":[%s]}}`, seq, rng.IntN(4) == 0, strings.Join(endpoints, ",")))
+		list = append(list, fmt.Sprintf(`{"seq":%d,"fleet":{"snapshot":%t,"endpoints":[%s]}}`,
+			seq, rng.IntN(4) == 0, strings.Join(endpoints, ",")))
 	}
 	return fmt.Sprintf(`{"seq":%d,"results":[%s]}`, to+rng.IntN(3), strings.Join(list, ","))
 }
@@ -46,7 +48,8 @@
 			members := l.Event()
 			fmt.Fprintln(&out, "list", l.Complete, int(members.Kind), len(members.Engines))
 			for _, e := range l.Endpoints {
-				fmt.Fprintf(&out, "%q %q %q %d %d %d %d %d %x %d\n", e.Name, e.Address, e.Reason, e.ID, e.Kind, e.Zone, e.Cell, int(e.State),
+				fmt.Fprintf(&out, "%q %q %q %d %d %d %d %d %x %d\n",
+					e.Name, e.Address, e.Reason, e.ID, e.Kind, e.Zone, e.Cell, int(e.State),
 					math.Float64bits(e.Units), e.Started.Nanoseconds())
 			}
 		}
