--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -227,9 +227,9 @@
 		fill *= heavyMemoryFraction
 	}
 	free := engine.memoryMB*fill*c.engineShare - reserved
-	if engine.loadReport.Memory >= 0 && c.reportFreshness(engine) > freshForMemory {
+	if engine.loadReport.MemoryUtilization >= 0 && c.reportFreshness(engine) > freshForMemory {
 		_, unreported := engine.unreportedSends()
-		free = math.Max(free, engine.memoryMB*(fill-engine.loadReport.Memory)-unreported)
+		free = math.Max(free, engine.memoryMB*(fill-engine.loadReport.MemoryUtilization)-unreported)
 	}
 	return engine.threads == 0 || engine.memoryMB <= 0 || c.expectedMemory(request) <= free
 }
@@ -237,8 +237,8 @@
 // isCalm reports whether an engine is not under pressure with so many threads more, as far as the load is ours.
 func (c *Controller) isCalm(engine *engineState, threads, averageLoad float64) bool {
 	load := c.engineLoad(engine, averageLoad) + threads*math.Min(1, ownLoadFactor*c.engineShare)/engine.cores
-	return load <= pressureLoad*c.warmth(engine) && engine.loadReport.Disks < pressureLoad &&
-		engine.loadReport.Queue <= 0 && engine.slowdown < targetSlowdown
+	return load <= pressureLoad*c.warmth(engine) && engine.loadReport.DiskUtilization < pressureLoad &&
+		engine.loadReport.Queued <= 0 && engine.slowdown < targetSlowdown
 }
 
 // concurrencyLimit is the limit on own threads at an engine: its cores times the threads per core that it has lately
@@ -259,12 +259,12 @@
 // carries well, whichever is more. Where neither is reported, own threads over our part of the engine stand in.
 func (c *Controller) reportedLoad(engine *engineState) float64 {
 	threads := engine.averageThreads / c.engineShare
-	if engine.loadReport.Held >= 0 {
-		threads = engine.loadReport.Held * c.meanThreads
-	} else if engine.loadReport.Util >= 0 {
-		return engine.loadReport.Util
+	if engine.loadReport.InFlight >= 0 {
+		threads = engine.loadReport.InFlight * c.meanThreads
+	} else if engine.loadReport.Utilization >= 0 {
+		return engine.loadReport.Utilization
 	}
-	return math.Max(engine.loadReport.Util, threads/engine.cores/c.allEngines.threadFactor)
+	return math.Max(engine.loadReport.Utilization, threads/engine.cores/c.allEngines.threadFactor)
 }
 
 // reportFreshness is the weight of an engine's last report: 1 while it is new, and less with age.
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -30,7 +30,7 @@
 	b := startController(t, baseSettings(), newEngines(3))
 	for id, util := range map[uint32]float64{1: 0.1, 2: 0.9} {
 		b.step(HealthCheckResult{Engine: id, Status: OK,
-			Report: &Report{Util: util, Held: -1, Queue: -1, Memory: -1, Disks: -1}})
+			Report: &Report{Utilization: util, InFlight: -1, Queued: -1, MemoryUtilization: -1, DiskUtilization: -1}})
 	}
 	b.controller.summarizeFleet()
 	avg := b.controller.fleet.averageLoad
@@ -90,7 +90,8 @@
 		s.Replicas = n
 		b := startController(t, s, newEngines(20))
 		e := b.controller.enginesByID[1]
-		e.loadReport, e.reportedAt = Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}, b.now
+		e.loadReport, e.reportedAt = Report{Utilization: 0.7, InFlight: -1, Queued: -1, MemoryUtilization: -1,
+			DiskUtilization: -1}, b.now
 		if b.controller.isCalm(e, 3, 0.7) != calm {
 			t.Fatalf("%d front ends: calm %v", n, !calm)
 		}
@@ -127,7 +128,8 @@
 	s.Replicas = 60
 	b := startController(t, s, newEngines(12))
 	e := b.controller.engines[b.controller.subset.first]
-	e.loadReport, e.reportedAt = Report{Held: -1, Queue: 0, Util: -1, Memory: -1, Disks: -1}, b.now
+	e.loadReport, e.reportedAt = Report{InFlight: -1, Queued: 0, Utilization: -1, MemoryUtilization: -1,
+		DiskUtilization: -1}, b.now
 	b.step(newRequest("a", 0))
 	b.advance(100 * ms)
 	if load := b.controller.reportedLoad(e); load > 0.3 {
@@ -147,7 +149,8 @@
 	s.Replicas, s.Classes[1].Threads = 60, 4
 	b := startController(t, s, newEngines(12))
 	for _, e := range b.controller.engines {
-		e.loadReport, e.reportedAt = Report{Held: -1, Queue: 0, Util: 1, Memory: -1, Disks: -1}, b.now
+		e.loadReport, e.reportedAt = Report{InFlight: -1, Queued: 0, Utilization: 1, MemoryUtilization: -1,
+			DiskUtilization: -1}, b.now
 	}
 	b.controller.randomDrawUntil, b.controller.randomDraw = b.now+20*sec, 0.1
 	b.step(Request{ID: "heavy", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 8 * sec, MemoryMB: 4000})
@@ -169,7 +172,8 @@
 		{1, 2, 1, 1}, {1, 20, 2, 4}, {0.3, 20, 2, 4}, {-1, 20, 2, 4}, {0.3, -1, 0.3, 0.3},
 	} {
 		e := b.controller.engines[0]
-		e.loadReport, e.reportedAt = Report{Held: x.held, Queue: -1, Util: x.util, Memory: -1, Disks: -1}, b.now
+		e.loadReport, e.reportedAt = Report{InFlight: x.held, Queued: -1, Utilization: x.util, MemoryUtilization: -1,
+			DiskUtilization: -1}, b.now
 		if load := b.controller.reportedLoad(e); load < x.least || load > x.most {
 			t.Errorf("use %.1f and %.0f held read as %.2f", x.util, x.held, load)
 		}
--- a/admission/deadline_test.go
+++ b/admission/deadline_test.go
@@ -40,7 +40,8 @@
 	}{{4 * sec, 0.7, true}, {800 * ms, 0.7, false}, {800 * ms, 0.2, true}, {400 * ms, 0.2, false}} {
 		b := startController(t, baseSettings(), newEngines(2))
 		for _, e := range b.controller.engines {
-			e.reportedAt, e.loadReport = b.now, Report{Util: c.util, Held: -1, Queue: -1, Memory: -1, Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Utilization: c.util, InFlight: -1, Queued: -1, MemoryUtilization: -1,
+				DiskUtilization: -1}
 		}
 		b.step()
 		r := newRequest("a", 0)
@@ -60,7 +61,8 @@
 	for i := range 20 {
 		b.controller.enginesByID[1].slowdown = 8
 		for _, e := range b.controller.engines {
-			e.reportedAt, e.loadReport = b.now, Report{Util: 0.7, Held: -1, Queue: -1, Memory: -1, Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Utilization: 0.7, InFlight: -1, Queued: -1, MemoryUtilization: -1,
+				DiskUtilization: -1}
 		}
 		b.step()
 		r := newRequest(fmt.Sprint("p", i), 0)
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -151,13 +151,13 @@
 }
 
 func (e *classEstimate) learnMemory(request *requestState, event Outcome) {
-	if event.NeedMB <= 0 {
+	if event.MemoryMB <= 0 {
 		return
 	}
 	e.memoryAnswers++
-	e.memory += (event.NeedMB - e.memory) * math.Max(minMeanRate, 1/e.memoryAnswers)
+	e.memory += (event.MemoryMB - e.memory) * math.Max(minMeanRate, 1/e.memoryAnswers)
 	if request.MemoryMB > 0 {
-		e.memoryCorrection = e.memorySamples.observe(event.NeedMB, request.MemoryMB)
+		e.memoryCorrection = e.memorySamples.observe(event.MemoryMB, request.MemoryMB)
 	}
 }
 
--- a/admission/events.go
+++ b/admission/events.go
@@ -64,11 +64,11 @@
 
 // Report is an engine's load report. A field that was not reported is negative.
 type Report struct {
-	Held   float64 // requests in flight
-	Queue  float64 // requests that wait
-	Util   float64 // threads in use over cores
-	Memory float64 // in use, as a fraction
-	Disks  float64 // in use, as a fraction
+	InFlight          float64 // requests in flight
+	Queued            float64 // requests that wait
+	Utilization       float64 // threads in use over cores
+	MemoryUtilization float64 // in use, as a fraction
+	DiskUtilization   float64 // in use, as a fraction
 }
 
 // ProgressKind says what a [Progress] tells.
@@ -110,16 +110,16 @@
 	}
 	// Outcome is how an attempt ended.
 	Outcome struct {
-		ID      string
-		Attempt int
-		Engine  uint32
-		Status  Status
-		Latency time.Duration
-		Closed  bool          // the request has its final answer
-		Alive   bool          // Reset: only the connection was lost, and the engine has answered since
-		Work    time.Duration // that it took over all threads; 0: not told
-		NeedMB  float64       // memory that it needed; 0: not told
-		Report  *Report       // nil: none
+		ID          string
+		Attempt     int
+		Engine      uint32
+		Status      Status
+		Latency     time.Duration
+		Closed      bool          // the request has its final answer
+		EngineAlive bool          // Reset: only the connection was lost, and the engine has answered since
+		Work        time.Duration // that it took over all threads; 0: not told
+		MemoryMB    float64       // memory that it needed; 0: not told
+		Report      *Report       // nil: none
 	}
 	// ClientDisconnected tells that the client has left; no answer is owed any more.
 	ClientDisconnected struct{ ID string }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -71,7 +71,7 @@
 				Closed: status == OK, Work: f.ctls[ctl].requests[a.ID].Work})
 		case HealthCheck:
 			f.later(2*ms, ctl, HealthCheckResult{Engine: a.Engine, Status: OK,
-				Report: &Report{Held: -1, Queue: -1, Util: 0.4, Memory: -1, Disks: -1}})
+				Report: &Report{InFlight: -1, Queued: -1, Utilization: 0.4, MemoryUtilization: -1, DiskUtilization: -1}})
 		case SetTimer:
 			f.later(a.Delay, ctl, Timer{Token: a.Token})
 		}
--- a/admission/gossip.go
+++ b/admission/gossip.go
@@ -63,7 +63,7 @@
 		return
 	}
 	load := float64(value) / gossipLoadScale
-	engine.loadReport = Report{Held: -1, Queue: -1, Util: load, Memory: -1, Disks: -1}
+	engine.loadReport = Report{InFlight: -1, Queued: -1, Utilization: load, MemoryUtilization: -1, DiskUtilization: -1}
 	engine.reportedAt, engine.checkedAt = c.now, c.now
 	c.markAlive(engine)
 }
--- a/admission/gossip_test.go
+++ b/admission/gossip_test.go
@@ -20,8 +20,9 @@
 	if n := len(actionsOf[HealthCheck](asked)); n != 4 {
 		t.Fatalf("%d engines were asked", n)
 	}
-	b.step(HealthCheckResult{Engine: 1, Status: OK, Report: &Report{Util: 0.5, Held: -1, Queue: -1, Memory: -1,
-		Disks: -1}})
+	b.step(HealthCheckResult{Engine: 1, Status: OK, Report: &Report{Utilization: 0.5, InFlight: -1, Queued: -1,
+		MemoryUtilization: -1,
+		DiskUtilization:   -1}})
 	if early := b.advance(5 * housekeepingInterval); len(actionsOf[SendGossip](early)) > 0 {
 		t.Fatal("told before the burst was in")
 	}
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -92,7 +92,7 @@
 // recordHealth takes in what an outcome says of its engine: an answer clears it, refused connections and resets eject
 // it. A lost connection to an engine that answers on another says nothing of it.
 func (c *Controller) recordHealth(engine *engineState, attempt *attemptState, event Outcome) {
-	if event.Alive {
+	if event.EngineAlive {
 		return
 	}
 	switch event.Status {
--- a/admission/outlier_test.go
+++ b/admission/outlier_test.go
@@ -110,7 +110,7 @@
 		for i := range ejectAfterResets {
 			id := fmt.Sprint("r", i)
 			b.step(Request{ID: id, Timeout: 4 * sec, TableGroup: -1, Work: 50 * ms})
-			b.step(Outcome{ID: id, Engine: 1, Status: Reset, Alive: alive})
+			b.step(Outcome{ID: id, Engine: 1, Status: Reset, EngineAlive: alive})
 			b.step(ClientDisconnected{ID: id})
 		}
 		if e := b.controller.engines[0]; alive != (e.consecutiveFailures == 0) {
@@ -154,7 +154,8 @@
 		for _, snd := range actionsOf[Send](b.step(ev...)) {
 			r := b.controller.requests[snd.ID]
 			o := Outcome{ID: snd.ID, Engine: snd.Engine, Attempt: len(r.attempts) - 1, Status: OK, Latency: 40 * ms,
-				Work: r.Work, Report: &Report{Held: 1, Queue: -1, Util: 0.1, Memory: -1, Disks: -1}}
+				Work: r.Work, Report: &Report{InFlight: 1, Queued: -1, Utilization: 0.1, MemoryUtilization: -1,
+					DiskUtilization: -1}}
 			at := b.now + 40*ms
 			if r.Class == 1 && int(snd.Engine) <= hanging {
 				sends[int((b.now-began)/(5*sec))]++
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -128,16 +128,18 @@
 }
 
 func allReported(m *machine) *admission.Report {
-	return &admission.Report{Held: m.threads, Queue: math.Max(0, m.threads-2*m.cores), Util: m.threads / m.cores,
-		Memory: m.memory / 8192, Disks: 0.1}
+	return &admission.Report{InFlight: m.threads, Queued: math.Max(0, m.threads-2*m.cores),
+		Utilization:       m.threads / m.cores,
+		MemoryUtilization: m.memory / 8192, DiskUtilization: 0.1}
 }
 
 func heldReported(m *machine) *admission.Report {
-	return &admission.Report{Held: m.threads, Queue: -1, Util: -1, Memory: -1, Disks: -1}
+	return &admission.Report{InFlight: m.threads, Queued: -1, Utilization: -1, MemoryUtilization: -1, DiskUtilization: -1}
 }
 
 func useReported(m *machine) *admission.Report {
-	return &admission.Report{Held: -1, Queue: -1, Util: m.threads / m.cores, Memory: -1, Disks: math.Min(1, m.threads/40)}
+	return &admission.Report{InFlight: -1, Queued: -1, Utilization: m.threads / m.cores, MemoryUtilization: -1,
+		DiskUtilization: math.Min(1, m.threads/40)}
 }
 
 // recordedClasses cover each field of a class.
--- a/admission/selection_test.go
+++ b/admission/selection_test.go
@@ -35,7 +35,7 @@
 			util = 0.7
 		}
 		o := outcomeOf(s, 0, OK)
-		o.Report = &Report{Util: util, Held: -1, Queue: -1, Memory: -1, Disks: -1}
+		o.Report = &Report{Utilization: util, InFlight: -1, Queued: -1, MemoryUtilization: -1, DiskUtilization: -1}
 		b.step(o)
 		b.now += 10 * ms
 	}
@@ -95,8 +95,9 @@
 	sent := map[uint32]int{}
 	for i := range 600 {
 		for _, e := range b.controller.engines {
-			e.reportedAt, e.loadReport = b.now, Report{Util: 0.2 + 0.5*float64(e.ID-1), Held: -1, Queue: -1, Memory: -1,
-				Disks: -1}
+			e.reportedAt, e.loadReport = b.now, Report{Utilization: 0.2 + 0.5*float64(e.ID-1), InFlight: -1, Queued: -1,
+				MemoryUtilization: -1,
+				DiskUtilization:   -1}
 		}
 		for _, s := range actionsOf[Send](b.step(newRequest(fmt.Sprint("d", i), 0))) {
 			sent[s.Engine]++
--- a/admission/simulation_test.go
+++ b/admission/simulation_test.go
@@ -319,7 +319,7 @@
 	latency := time.Duration(float64(work) / attempt.threads * slowdown * (0.8 + 0.4*w.random.float()))
 	ok := admission.Outcome{Status: admission.OK, Closed: true, Latency: latency}
 	if w.tellsWork {
-		ok.Work, ok.NeedMB = work, attempt.memory
+		ok.Work, ok.MemoryMB = work, attempt.memory
 	}
 	w.settle(attempt, request, a.Timeout, latency, ok)
 }
@@ -347,7 +347,7 @@
 		end(3*time.Millisecond, admission.Outcome{Status: admission.Errored, Latency: 3 * time.Millisecond})
 	case m.mood == resetting && chance < 0.6, chance < 0.008:
 		alive := w.random.float() < 0.3
-		end(latency/2, admission.Outcome{Status: admission.Reset, Alive: alive, Latency: latency / 2})
+		end(latency/2, admission.Outcome{Status: admission.Reset, EngineAlive: alive, Latency: latency / 2})
 	case chance < 0.012:
 		end(0, admission.Outcome{Status: admission.NotSent})
 	case chance < 0.016:
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -100,7 +100,7 @@
 	c.Start(newExchange(), 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
 	end := <-s
 	assert.Equal(t, admission.Reset, end.Status, "it may have run")
-	assert.True(t, end.Alive, "the engine has answered since")
+	assert.True(t, end.EngineAlive, "the engine has answered since")
 	assert.Equal(t, 4, e.count("GET 0"), "resets do not prove that the engine is gone")
 	assert.Equal(t, 1, e.count("DELETE"), "a POST that its machine holds unread is withdrawn")
 	assert.Zero(t, c.options.Counters.Get("lost_attempt"), "the attempt waited for its query to expire")
@@ -120,7 +120,7 @@
 	c.Start(newExchange(), 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
 	end := <-s
 	assert.Equal(t, admission.Reset, end.Status, "it may have run")
-	assert.True(t, end.Alive)
+	assert.True(t, end.EngineAlive)
 	assert.Zero(t, c.options.Counters.Get("lost_attempt"), "the attempt waited for its query to expire")
 	assert.Equal(t, []int{1, 1}, []int{e.count("GET 0"), e.count("DELETE")})
 	e.mu.Lock()
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -144,5 +144,5 @@
 
 // utilReport is a load report of the utilization alone.
 func utilReport(util float64) *admission.Report {
-	return &admission.Report{Held: -1, Queue: -1, Util: util, Memory: -1, Disks: -1}
+	return &admission.Report{InFlight: -1, Queued: -1, Utilization: util, MemoryUtilization: -1, DiskUtilization: -1}
 }
--- a/internal/engine/load_report.go
+++ b/internal/engine/load_report.go
@@ -16,7 +16,8 @@
 		return nil
 	}
 	report := &admission.Report{
-		Held: notReported, Queue: notReported, Util: notReported, Memory: notReported, Disks: notReported,
+		InFlight: notReported, Queued: notReported, Utilization: notReported, MemoryUtilization: notReported,
+		DiskUtilization: notReported,
 	}
 	for len(text) > 0 {
 		var pair []byte
@@ -28,15 +29,15 @@
 		}
 		switch string(bytes.TrimSpace(name)) {
 		case "inflight", "outstanding":
-			report.Held = number
+			report.InFlight = number
 		case "queue", "backlog":
-			report.Queue = number
+			report.Queued = number
 		case "util", "utilization":
-			report.Util = number
+			report.Utilization = number
 		case "x0":
-			report.Memory = number
+			report.MemoryUtilization = number
 		case "x1":
-			report.Disks = number
+			report.DiskUtilization = number
 		}
 	}
 	return report
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -32,7 +32,7 @@
 
 func (s *told) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
 	s.lines <- fmt.Sprintf("end id=%s attempt=%d engine=%d status=%d alive=%t work=%d need=%016x report=%s rows=%q\n",
-		o.ID, o.Attempt, o.Engine, int(o.Status), o.Alive, int64(o.Work), math.Float64bits(o.NeedMB),
+		o.ID, o.Attempt, o.Engine, int(o.Status), o.EngineAlive, int64(o.Work), math.Float64bits(o.MemoryMB),
 		reportText(o.Report), rows)
 }
 
@@ -54,7 +54,7 @@
 		return "none"
 	}
 	var b strings.Builder
-	for _, f := range []float64{r.Held, r.Queue, r.Util, r.Memory, r.Disks} {
+	for _, f := range []float64{r.InFlight, r.Queued, r.Utilization, r.MemoryUtilization, r.DiskUtilization} {
 		fmt.Fprintf(&b, "%016x,", math.Float64bits(f))
 	}
 	return b.String()
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -79,7 +79,7 @@
 // withdrawnStatus is the status of an attempt whose POST was withdrawn: only its connection was lost, and the engine
 // is alive.
 func (a *attempt) withdrawnStatus() admission.Status {
-	a.outcome.Alive = true
+	a.outcome.EngineAlive = true
 	if a.isCancelled() {
 		return admission.Cancelled
 	}
--- a/internal/engine/response_test.go
+++ b/internal/engine/response_test.go
@@ -87,7 +87,7 @@
 	assert.Equal(t, "done 0.5", string(r.progressKind)+" "+string(r.progressValue))
 	assert.Equal(t, []any{4, 2, 12.5, 96.0}, []any{r.pageCount, r.pageNumber, r.workMs, r.memoryMB})
 	rep := parseLoadReport(r.loadReport)
-	assert.Equal(t, []float64{7, 0.61, -1}, []float64{rep.Held, rep.Util, rep.Queue})
+	assert.Equal(t, []float64{7, 0.61, -1}, []float64{rep.InFlight, rep.Utilization, rep.Queued})
 	assert.Nil(t, parseLoadReport(nil))
 	for _, text := range []string{"util:NaN", "util", "util:+1", "util:-1", "util:Inf", "util:1e999", "x:1"} {
 		assert.Equal(t, utilReport(-1), parseLoadReport([]byte(text)), text)
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -19,7 +19,7 @@
 // lost ends the attempt: half a result must not reach a client.
 func (a *attempt) readResult(r response) (admission.Status, []byte) {
 	a.outcome.Work = time.Duration(r.workMs * float64(time.Millisecond))
-	a.outcome.NeedMB = r.memoryMB
+	a.outcome.MemoryMB = r.memoryMB
 	a.outcome.Report = parseLoadReport(r.loadReport)
 	pageCount := r.pageCount
 	// The rows outlive the connection's buffer: this is the one copy of them on the engines' side.
--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -43,7 +43,8 @@
 }
 
 func newSimulation(size record.Size, rate int, stretch time.Duration) *simulation {
-	return &simulation{size: size, rate: rate, stretch: stretch, now: 1000 * time.Second, threads: make([]int, size.Engines+1)}
+	return &simulation{size: size, rate: rate, stretch: stretch, now: 1000 * time.Second,
+		threads: make([]int, size.Engines+1)}
 }
 
 // simulatedFront is one controller with what its clients and databases are told.
@@ -144,7 +145,8 @@
 	s.asked++
 	id := fmt.Sprintf("%016x", s.asked)
 	f.open[id] = &simulatedStatement{class: class}
-	s.step(f, admission.Request{ID: id, Class: class, Timeout: f.classes[class].Deadline, Work: s.stretch * simulatedWork[class], MemoryMB: 16,
+	s.step(f, admission.Request{ID: id, Class: class, Timeout: f.classes[class].Deadline,
+		Work: s.stretch * simulatedWork[class], MemoryMB: 16,
 		TableGroup: f.random.IntN(tableGroups)})
 }
 
@@ -157,8 +159,10 @@
 		case admission.HealthCheck:
 			f.probes++
 			f.probed[action.Engine] = true
-			s.later(simulatedProbe, f, admission.HealthCheckResult{Engine: action.Engine, Status: admission.OK, Latency: simulatedProbe,
-				Report: &admission.Report{Held: -1, Queue: -1, Util: s.use(action.Engine), Memory: -1, Disks: -1}})
+			s.later(simulatedProbe, f, admission.HealthCheckResult{Engine: action.Engine, Status: admission.OK,
+				Latency: simulatedProbe,
+				Report: &admission.Report{InFlight: -1, Queued: -1, Utilization: s.use(action.Engine), MemoryUtilization: -1,
+					DiskUtilization: -1}})
 		case admission.SetTimer:
 			s.later(action.Delay, f, admission.Timer{Token: action.Token})
 		case admission.Reject:
@@ -194,8 +198,9 @@
 	}
 	work := time.Duration(float64(s.stretch*simulatedWork[statement.class]) * f.random.ExpFloat64())
 	took := simulatedTrip + time.Duration(crowd*float64(work)/float64(threads))
-	s.laterEnd(took, f, admission.Outcome{ID: send.ID, Attempt: statement.attempts, Engine: send.Engine, Status: admission.OK, Latency: took,
-		Closed: true, Work: work, NeedMB: 16}, threads)
+	s.laterEnd(took, f, admission.Outcome{ID: send.ID, Attempt: statement.attempts, Engine: send.Engine,
+		Status: admission.OK, Latency: took,
+		Closed: true, Work: work, MemoryMB: 16}, threads)
 	statement.attempts++
 }
 
@@ -209,7 +214,8 @@
 	}
 }
 
-// pendingEvent is an event that comes to a front end at a time; those of one time come in the order in which they were made.
+// pendingEvent is an event that comes to a front end at a time; those of one time come in the order in which they were
+// made.
 type pendingEvent struct {
 	at      time.Duration
 	order   uint64
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -80,7 +80,8 @@
 	if v == "" || v == noValue {
 		return nil
 	}
-	report := &admission.Report{Held: unknown, Queue: unknown, Util: unknown, Memory: unknown, Disks: unknown}
+	report := &admission.Report{InFlight: unknown, Queued: unknown, Utilization: unknown, MemoryUtilization: unknown,
+		DiskUtilization: unknown}
 	for _, pair := range strings.Split(v, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		f, err := strconv.ParseFloat(value, 64)
@@ -90,15 +91,15 @@
 		}
 		switch name {
 		case "outstanding":
-			report.Held = f
+			report.InFlight = f
 		case "backlog":
-			report.Queue = f
+			report.Queued = f
 		case "utilization":
-			report.Util = f
+			report.Utilization = f
 		case "x0":
-			report.Memory = f
+			report.MemoryUtilization = f
 		case "x1":
-			report.Disks = f
+			report.DiskUtilization = f
 		}
 	}
 	return report
@@ -117,7 +118,7 @@
 	}
 	if stats := r.optionalNumber("stats"); stats > 0 {
 		o.Work = time.Duration(stats/statsScale) * time.Millisecond
-		o.NeedMB = float64(stats%statsScale) * memoryUnitMB
+		o.MemoryMB = float64(stats%statsScale) * memoryUnitMB
 	}
 	return o
 }
