--- a/internal/faulttest/catalogue.go
+++ b/internal/faulttest/catalogue.go
@@ -40,7 +40,7 @@
 	// sameListGap is how far apart the log lines of one list are at most. They come one by one: no engine between two of
 	// them is no instant without engines.
 	sameListGap = 3 * time.Millisecond
-	// lowService is the share of the service below which a second is told of.
+	// lowService is the share of the service below which a second is logged.
 	lowService = 0.9
 	// maxPropagation is the longest time that the histogram of changes holds.
 	maxPropagation = time.Minute
@@ -96,7 +96,7 @@
 	}
 }
 
-// recordDrains records which drains an answer of the catalogue has told. A stale answer may tell a drain that was
+// recordDrains records which drains an answer of the catalogue commands. A stale answer may name a drain that was
 // cancelled, which is no command.
 func (r *catalogueRun) recordDrains(_ string, list []consul.Instance) {
 	now := time.Now()
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -12,7 +12,7 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// The exit codes with which a front end ends as the fleet has told it: to be started again, or once it is undrained.
+// The exit codes with which a front end ends as the fleet has granted: to be started again, or once it is undrained.
 const (
 	exitRestart = 75
 	exitDrained = 76
--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -120,7 +120,7 @@
 		if result.Rejected == nil {
 			return result.Permit, true
 		}
-		r.options.logf("drain of %s refused: %v", name, result.Rejected)
+		r.options.logf("drain of %s rejected: %v", name, result.Rejected)
 		if !sleep(ctx, time.Second) {
 			return 0, false
 		}
--- a/internal/faulttest/rollout_link_faults.go
+++ b/internal/faulttest/rollout_link_faults.go
@@ -23,9 +23,9 @@
 
 func restoreLink(l *cluster.Link) { l.Set(cluster.LinkFault{}) }
 
-// disturb sets links in trouble for a while.
-func (r *rolloutRun) disturb(ctx context.Context, rng *rand.Rand, selected linkSelector, trouble cluster.LinkFault) {
-	r.network.Each(selected, func(l *cluster.Link) { l.Set(trouble) })
+// disturb sets a fault of links for a while.
+func (r *rolloutRun) disturb(ctx context.Context, rng *rand.Rand, selected linkSelector, fault cluster.LinkFault) {
+	r.network.Each(selected, func(l *cluster.Link) { l.Set(fault) })
 	sleep(ctx, drawDuration(rng, time.Second, 6*time.Second))
 	r.network.Each(selected, restoreLink)
 }
--- a/internal/scale/capacity/rows_front_end.go
+++ b/internal/scale/capacity/rows_front_end.go
@@ -2,21 +2,21 @@
 
 import "beechcart/internal/scale/record"
 
-// The mechanisms of the control side, with their files.
+// The mechanisms of the control side, with their packages or files.
 const (
-	byGossip    = "gossip of all with all: internal/fleet/gossip.go"
-	byCalls     = "watch and counts over HTTP: internal/fleet/member.go"
-	byMember    = "internal/fleet/gossip.go, internal/fleet/member.go"
-	byLog       = "replicated log: internal/fleet/keeper.go"
+	byGossip    = "gossip of all with all: internal/fleet"
+	byCalls     = "watch and counts over HTTP: internal/fleet"
+	byMember    = "internal/fleet"
+	byLog       = "replicated log: internal/fleet"
 	byMachine   = "state machine: decision/rollout"
-	byHandler   = "HTTP calls of a replica: internal/fleet/api.go"
+	byHandler   = "HTTP calls of a replica: internal/fleet"
 	byList      = "change log or Consul: internal/source"
 	bySubset    = "updateSubset: admission/subset.go"
 	bySessions  = "client sessions: internal/mysql"
 	byExchange  = "a statement's way: internal/mysql, internal/dispatch, internal/engine"
-	byFiles     = "files, SIGHUP by hand: cmd/gateway/run.go"
-	byStart     = "start of a process: cmd/gateway/run.go"
-	bySuspicion = "gossip, and the leader's periodic check: internal/fleet/lead.go"
+	byFiles     = "files, SIGHUP by hand: cmd/gateway/endpoints.go"
+	byStart     = "start of a process: cmd/gateway/server.go"
+	bySuspicion = "gossip, and the leader's periodic check: internal/fleet"
 )
 
 // Who set a budget.
--- a/internal/scale/capacity/rows_gossip.go
+++ b/internal/scale/capacity/rows_gossip.go
@@ -67,7 +67,7 @@
 	return rows
 }
 
-// afterRows are what runs record of the time after a trouble.
+// afterRows are what runs record of the time after a fault.
 func afterRows(name, prefix string) []Row {
 	return []Row{
 		{What: name + ": control traffic in the 5 s after, sent and received", Unit: BytesPerSecond, Mechanism: byMember,
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	costAfterFor = 5 * time.Second  // the window after a fault whose cost is told
+	costAfterFor = 5 * time.Second  // the window after a fault whose cost is reported
 	quietWithin  = 60 * time.Second // how long a fleet is watched after a fault
 	quietFor     = 5 * time.Second  // so long all must hear of all to count as quiet
 )
@@ -17,7 +17,7 @@
 	Name    string  `json:"name"`
 	Played  string  `json:"played"`  // what was done, to whom
 	Members int     `json:"members"` // that it was done to
-	Seconds float64 `json:"seconds"` // that the trouble lasted
+	Seconds float64 `json:"seconds"` // that the fault lasted
 	// from its end until every member was known and heard of all, and that stayed; null: not within the run
 	QuietAfterSeconds *float64 `json:"quiet_after_seconds"`
 	// in the 5 s after its end; hosts that were started again in them are not in it
@@ -28,27 +28,27 @@
 	DrainInForce float64 `json:"drain_in_force_seconds"`
 	// that drain was not in force everywhere within the bound
 	DrainLost bool `json:"drain_lost"`
-	// members without a drain that was made during the trouble, at its end; null: none was made
+	// members without a drain that was made during the fault, at its end; null: none was made
 	HeldBack *int `json:"drain_during_held_back"`
-	// from the trouble's end until that drain was in force everywhere
+	// from the fault's end until that drain was in force everywhere
 	CaughtUpSeconds *float64 `json:"drain_caught_up_seconds"`
 
 	Notice *Notice `json:"notice,omitempty"` // of the faults that measure how long until their members are suspected
 
-	during *change // the drain that was made during the trouble
+	during *change // the drain that was made during the fault
 }
 
-// HeardSample tells of how many members the others hear, at a time after the trouble's end.
+// HeardSample tells of how many members the others hear, at a time after the fault's end.
 type HeardSample struct {
 	Seconds float64 `json:"seconds"`
 	Least   int     `json:"least"`
 	Mean    float64 `json:"mean"`
 	Known   int     `json:"known"`
-	// that have not reported since the trouble's end, and are not in the other figures
+	// that have not reported since the fault's end, and are not in the other figures
 	Silent int `json:"silent_hosts"`
 }
 
-// fault is one kind of trouble: play lets it begin and end, and tells what was done. All is well again but for what
+// fault is one kind of fault: play lets it begin and end, and tells what was done. All is well again but for what
 // the fleet itself has to mend.
 type fault struct {
 	name string
@@ -114,7 +114,7 @@
 	return found, ctx.Err()
 }
 
-// awaitQuiet follows who hears of whom from the end of a trouble until all have heard of all for quietFor, or
+// awaitQuiet follows who hears of whom from the end of a fault until all have heard of all for quietFor, or
 // quietWithin is over.
 func (r *run) awaitQuiet(ctx context.Context, over time.Time, found *FaultResult) {
 	unquiet := over // the last time at which it was not
--- a/internal/scale/fault_cut.go
+++ b/internal/scale/fault_cut.go
@@ -60,7 +60,7 @@
 	return &change{engine: engine, sent: accepted.sent}, nil
 }
 
-// catchUp tells when a drain that was made during a trouble was in force everywhere after it, and ends the drain. One
+// catchUp tells when a drain that was made during a fault was in force everywhere after it, and ends the drain. One
 // that is not in force everywhere by now is lost.
 func (r *run) catchUp(ctx context.Context, over time.Time, found *FaultResult) {
 	during := found.during
--- a/internal/scale/fault_pause.go
+++ b/internal/scale/fault_pause.go
@@ -78,7 +78,7 @@
 		return errNoHosts
 	}
 	found.Members = membersOf(hosts[:1])
-	found.Played = fmt.Sprintf("%s with %d members stands still for %v", hosts[0].plan.name, found.Members, stopFor)
+	found.Played = fmt.Sprintf("%s with %d members is stopped for %v", hosts[0].plan.name, found.Members, stopFor)
 	watch := r.watchSuspicion(ctx, namesOf(hosts[0]), stopFor)
 	err := stopHosts(ctx, hosts[:1], stopFor)
 	found.Notice = watch.await()
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -57,7 +57,7 @@
 	return h
 }
 
-// start starts all members, and returns where errors of those that can't join are told.
+// start starts all members, and returns where errors of those that can't join are sent.
 func (h *host) start(ctx context.Context) <-chan error {
 	failed := make(chan error, len(h.members))
 	for i, member := range h.members {
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -21,7 +21,7 @@
 	mostSeconds  = 600
 )
 
-// The estimate of a run's memory, from which a size that does not fit is refused: resident bytes, rounded up from
+// The estimate of a run's memory, from which a size that does not fit is rejected: resident bytes, rounded up from
 // what runs took.
 const (
 	memoryPerMember  = 8 << 20
--- a/internal/scale/parts/reload.go
+++ b/internal/scale/parts/reload.go
@@ -23,7 +23,7 @@
 // of the list is all that changes.
 func measureReload(ctx context.Context, o *Options, c *collector) error {
 	c.note("each reload moves the front end to a change log at another address that holds the same events; what " +
-		"SIGHUP puts in force is the source of the list alone (cmd/gateway/run.go: reload)")
+		"SIGHUP puts in force is the source of the list alone (cmd/gateway/endpoints.go)")
 	c.note("each sample is the mean of %d reloads; the CPU counts from the signal until the new source's next event "+
 		"is in force", reloads)
 	return o.each(ctx, c, record.FrontEnd, func(p sizeRun) error { return measureReloadAt(ctx, o, p) })
--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -97,7 +97,7 @@
 	return all
 }
 
-// unanswered is the share of statements that were refused or failed, or are open still.
+// unanswered is the share of statements that were rejected or failed, or are open still.
 func (s *simulation) unanswered() float64 { return 1 - float64(s.answered)/float64(max(1, s.asked)) }
 
 // run plays on for so long.
--- a/internal/scale/primary.go
+++ b/internal/scale/primary.go
@@ -45,7 +45,7 @@
 }
 
 // primaryChange plays one kill and starts the killed replica again from its disk. Where nobody leads in the first
-// place there is nothing to kill, and what is told is how long that was waited for.
+// place there is nothing to kill, and what is reported is how long that was waited for.
 func (r *run) primaryChange(ctx context.Context) (seconds float64, err error) {
 	began := time.Now()
 	leader, err := r.leader(ctx)
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -145,7 +145,7 @@
 	return list
 }
 
-// signal sends a signal to the process, and remembers whether it stands still.
+// signal sends a signal to the process, and remembers whether it is stopped.
 func (h *hostProcess) signal(signal syscall.Signal) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -157,7 +157,7 @@
 		h.stopped = true
 	case syscall.SIGCONT:
 		h.stopped = false
-	default: // does not change whether it stands still
+	default: // does not change whether it is stopped
 	}
 	return h.process.Signal(signal)
 }
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -44,7 +44,7 @@
 	return samples, nil
 }
 
-// lawsTried are the laws that a sweep's quantities are fitted with; the one with the least residual is told.
+// lawsTried are the laws that a sweep's quantities are fitted with; the one with the least residual is reported.
 var lawsTried = []record.Law{record.Constant, record.InMembers, record.InEngines, record.InProduct}
 
 // NamedFit is the fit of a quantity.
