--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -21,35 +21,37 @@
 
 // fleetCommands are the commands of the fleet, with the flags that they share.
 type fleetCommands struct {
-	settings string // path of the operators' settings
-	id       string // of the command; empty: drawn
-	by       string // who enters the command, for the audit
-	json     bool
-	wait     bool
-	timeout  time.Duration // of wait
+	settingsPath string // path of the operators' settings
+	commandID    string // of the command; empty: drawn
+	requestedBy  string // who enters the command, for the audit
+	json         bool
+	wait         bool
+	timeout      time.Duration // of wait
 }
 
 func fleetCommand() *cobra.Command {
 	var f fleetCommands
 	root := &cobra.Command{
-		Use: "fleet", Short: "Who of the fleet is out, drains, and releases",
-		Long: "The commands ask the front ends that keep the agreed log, which the settings name (fleet.keepers).\n" +
-			"Exit codes: 0 done, 1 refused (the reason names the budget and who holds it), 2 no keeper could be asked: it is not known\n" +
-			"whether the command was taken; repeat it with the same --id, and it is done once.",
+		Use: "fleet", Short: "Who of the fleet is unavailable, drains, and releases",
+		Long: "The commands call the control replicas that the settings name (fleet.keepers).\n" +
+			"Exit codes: 0 done, 1 rejected (the reason names the budget and who uses it), 2 no control replica could be\n" +
+			"called: it is unknown whether the command was executed; repeat it with the same --id, and it is executed once.",
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&f.settings, "settings", os.Getenv("BEECHCART_SETTINGS"), "operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS)")
+	flags.StringVar(&f.settingsPath, "settings", os.Getenv("BEECHCART_SETTINGS"),
+		"operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS)")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
-	flags.StringVar(&f.id, "id", "", "id of the command, so that a repeat does it once; none: drawn, and printed if the answer is lost")
-	flags.StringVar(&f.by, "by", os.Getenv("USER"), "who asks, for the audit")
-	root.AddCommand(f.statusCommand(), f.auditCommand(), f.initCommand(), f.drainCommand(), f.undrainCommand(), f.forgetCommand(),
-		f.wantedCommand(), f.releaseCommand())
+	flags.StringVar(&f.commandID, "id", "",
+		"id of the command, so that a repeat is executed once; none: drawn, and printed if the answer is lost")
+	flags.StringVar(&f.requestedBy, "by", os.Getenv("USER"), "who requests it, for the audit")
+	root.AddCommand(f.statusCommand(), f.auditCommand(), f.initCommand(), f.drainCommand(), f.undrainCommand(),
+		f.removeCommand(), f.targetRevisionCommand(), f.releaseCommand())
 	return root
 }
 
 // client returns a client of the control replicas that the settings name.
 func (f *fleetCommands) client() (*fleet.Client, error) {
-	settings, err := operatorconfig.Load(f.settings)
+	settings, err := operatorconfig.Load(f.settingsPath)
 	if err == nil {
 		err = settings.ResolveFiles()
 	}
@@ -62,7 +64,10 @@
 	options := &fleet.Options{Key: settings.Fleet.Key, DialOverrides: settings.Fleet.DialOverrides}
 	for _, replica := range settings.Fleet.ControlReplicas {
 		options.ControlReplicas = append(options.ControlReplicas, fleet.ReplicaAddress{
-			Name: replica.Name, LogAddress: replica.LogAddress, APIAddress: replica.APIAddress, GossipAddress: replica.GossipAddress,
+			Name:          replica.Name,
+			LogAddress:    replica.LogAddress,
+			APIAddress:    replica.APIAddress,
+			GossipAddress: replica.GossipAddress,
 		})
 	}
 	return fleet.NewClient(options), nil
@@ -77,16 +82,16 @@
 	return client.Status()
 }
 
-// apply enters a command. A refusal is an answer of no.
+// apply sends a command. A rejection is an answer of no.
 func (f *fleetCommands) apply(c *cobra.Command, command rollout.Command) (rollout.Result, error) {
 	client, err := f.client()
 	if err != nil {
 		return rollout.Result{}, err
 	}
-	f.identify(&command)
+	f.addIdentity(&command)
 	result, err := client.Apply(command)
 	switch {
-	case isRefused(err):
+	case isRejected(err):
 		return result, noError{err}
 	case err != nil:
 		return result, fmt.Errorf("%w\nit is not known whether it was taken; repeat with --id %s", err, command.ID)
@@ -101,27 +106,27 @@
 	return result, nil
 }
 
-// identify sets the id of a command and who enters it.
-func (f *fleetCommands) identify(command *rollout.Command) {
-	if command.ID = f.id; command.ID == "" {
+// addIdentity sets the id of a command and who enters it.
+func (f *fleetCommands) addIdentity(command *rollout.Command) {
+	if command.ID = f.commandID; command.ID == "" {
 		id := make([]byte, 8)
 		_, _ = rand.Read(id)
 		command.ID = hex.EncodeToString(id)
 	}
-	if command.RequestedBy = f.by; command.RequestedBy == "" {
+	if command.RequestedBy = f.requestedBy; command.RequestedBy == "" {
 		command.RequestedBy = "unknown"
 	}
 }
 
-// isRefused tells whether a control replica was asked and refused.
-func isRefused(err error) bool {
-	var refused *fleet.RejectedError
-	return errors.As(err, &refused)
+// isRejected tells whether a control replica was called and has rejected the call.
+func isRejected(err error) bool {
+	var rejected *fleet.RejectedError
+	return errors.As(err, &rejected)
 }
 
-// refusalAsNo makes a refusal an answer of no.
-func refusalAsNo(err error) error {
-	if isRefused(err) {
+// rejectionAsNo makes a rejection an answer of no.
+func rejectionAsNo(err error) error {
+	if isRejected(err) {
 		return noError{err}
 	}
 	return err
@@ -146,7 +151,7 @@
 			now, err := check(status)
 			if text := strings.Join(now.waitFor, "\n  "); text != printed && text != "" {
 				printed = text
-				fmt.Fprintf(c.ErrOrStderr(), "%s waits for:\n  %s\n", time.Now().Format("15:04:05"), text)
+				c.PrintErrf("%s waits for:\n  %s\n", time.Now().Format(time.TimeOnly), text)
 			}
 			if now.done || err != nil {
 				return err
@@ -171,13 +176,13 @@
 
 func (f *fleetCommands) initCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "init", Short: "Begin a fleet, once: all keepers are up, and none has a log yet", Args: cobra.NoArgs,
+		Use: "init", Short: "Begin a fleet, once: all control replicas are up, and none has a log yet", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			client, err := f.client()
 			if err != nil {
 				return err
 			}
-			return refusalAsNo(client.Init())
+			return rejectionAsNo(client.Init())
 		},
 	}
 }
--- a/cmd/gatewayctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -11,24 +11,26 @@
 )
 
 func (f *fleetCommands) drainCommand() *cobra.Command {
-	c := f.holderCommand("drain", "Take a front end or an engine out, where the budget has room",
+	c := f.subjectCommand("drain", "Drain a front end or an engine, where the budget allows it",
 		func(h *rollout.Subject) rollout.Command { return rollout.Command{Drain: h} })
 	f.addWaitFlags(c)
 	return c
 }
 
 func (f *fleetCommands) undrainCommand() *cobra.Command {
-	return f.holderCommand("undrain", "Let it come back",
+	return f.subjectCommand("undrain", "End the drain",
 		func(h *rollout.Subject) rollout.Command { return rollout.Command{Undrain: h} })
 }
 
-func (f *fleetCommands) forgetCommand() *cobra.Command {
-	return f.holderCommand("forget", "Say that it is gone for good: what it holds is free",
+func (f *fleetCommands) removeCommand() *cobra.Command {
+	return f.subjectCommand("forget", "Remove it: it is gone for good, and frees what it holds",
 		func(h *rollout.Subject) rollout.Command { return rollout.Command{RemoveMember: h} })
 }
 
-// holderCommand is a command on one front end or engine. With --wait it returns once that may be stopped.
-func (f *fleetCommands) holderCommand(use, short string, command func(*rollout.Subject) rollout.Command) *cobra.Command {
+// subjectCommand is a command on one front end or engine. With --wait it returns once that may be stopped.
+func (f *fleetCommands) subjectCommand(
+	use, short string, command func(*rollout.Subject) rollout.Command,
+) *cobra.Command {
 	return &cobra.Command{
 		Use: use + " front-end|engine NAME", Short: short,
 		Args: func(_ *cobra.Command, args []string) error {
@@ -39,30 +41,32 @@
 		},
 		Example: "  gatewayctl fleet " + use + " engine s-00c41f7a",
 		RunE: func(c *cobra.Command, args []string) error {
-			holder := rollout.Subject{Name: args[1], Engine: args[0] == "engine"}
-			result, err := f.apply(c, command(&holder))
+			subject := rollout.Subject{Name: args[1], Engine: args[0] == "engine"}
+			result, err := f.apply(c, command(&subject))
 			if err != nil || !f.wait {
 				return err
 			}
-			err = f.waitUntil(c, func(status fleet.Status) (progress, error) { return drainProgress(status, holder, result.Permit) })
+			err = f.waitUntil(c, func(status fleet.Status) (progress, error) {
+				return drainProgress(status, subject, result.Permit)
+			})
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%s may be stopped\n", holder.Name)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "%s may be stopped\n", subject.Name)
 			return err
 		},
 	}
 }
 
-// drainProgress tells whether a holder that is drained under a permit may be stopped.
-func drainProgress(status fleet.Status, holder rollout.Subject, number uint64) (progress, error) {
+// drainProgress tells whether a front end or an engine that is drained under a permit may be stopped.
+func drainProgress(status fleet.Status, subject rollout.Subject, number uint64) (progress, error) {
 	permit := status.State.Permits[number]
 	if permit == nil {
-		return progress{}, noError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number, holder.Name)}
+		return progress{}, noError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number, subject.Name)}
 	}
-	if holder.Engine {
-		return progress{permit.DrainedAt > 0, status.DrainBlockers[holder.Name]}, nil
+	if subject.Engine {
+		return progress{permit.DrainedAt > 0, status.DrainBlockers[subject.Name]}, nil
 	}
-	member := status.State.Members[holder.Name]
-	return progress{member != nil && member.Phase == rollout.Terminated, []string{holder.Name + " to end"}}, nil
+	member := status.State.Members[subject.Name]
+	return progress{member != nil && member.Phase == rollout.Terminated, []string{subject.Name + " to end"}}, nil
 }
--- a/cmd/gatewayctl/fleet_release.go
+++ b/cmd/gatewayctl/fleet_release.go
@@ -14,30 +14,32 @@
 )
 
 func (f *fleetCommands) releaseCommand() *cobra.Command {
-	root := &cobra.Command{Use: "release", Short: "Bring the fleet to a revision, in waves, with halt and way back"}
+	root := &cobra.Command{Use: "release", Short: "Bring the fleet to a revision, in waves, with halt and rollback"}
 	root.AddCommand(f.releasePlanCommand(), f.releaseStartCommand(), f.releaseStatusCommand(),
-		f.releaseStepCommand("halt", "Let nobody more go out; with --wait until all that were told to go are seen out",
+		f.releaseActionCommand("halt", "Let no more members shut down; with --wait until all that were told to have reported",
 			rollout.Command{Halt: &rollout.Halt{Cause: "by an operator"}}, rollout.Halted),
-		f.releaseStepCommand("resume", "Go on with a release that was halted", rollout.Command{Resume: &struct{}{}}, rollout.Done),
-		f.releaseStepCommand("back", "Bring all back to the old revision", rollout.Command{Rollback: &struct{}{}}, rollout.Done))
+		f.releaseActionCommand("resume", "Go on with a release that was halted",
+			rollout.Command{Resume: &struct{}{}}, rollout.Done),
+		f.releaseActionCommand("back", "Roll all members back to the previous revision",
+			rollout.Command{Rollback: &struct{}{}}, rollout.Done))
 	return root
 }
 
 // releaseFlags are the flags of the commands that describe a release.
 type releaseFlags struct {
-	waves, from string
-	soak        time.Duration
+	waves, previousRevision string
+	soak                    time.Duration
 }
 
 func (r *releaseFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&r.waves, "waves", "0.02,0.25,1", "shares of the fleet, rising to 1; the first is the canary")
 	c.Flags().DurationVar(&r.soak, "soak", 5*time.Minute, "how long each wave serves before the next")
-	c.Flags().StringVar(&r.from, "from", "", "the revision of the way back; none: what most serve on")
+	c.Flags().StringVar(&r.previousRevision, "from", "", "the revision of a rollback; none: what most members serve on")
 }
 
 // start returns the release of a revision that the flags describe.
 func (r *releaseFlags) start(revision string) (rollout.StartRelease, error) {
-	start := rollout.StartRelease{Revision: revision, PreviousRevision: r.from, Soak: r.soak}
+	start := rollout.StartRelease{Revision: revision, PreviousRevision: r.previousRevision, Soak: r.soak}
 	for _, text := range strings.Split(r.waves, ",") {
 		share, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil {
@@ -51,7 +53,7 @@
 func (f *fleetCommands) releasePlanCommand() *cobra.Command {
 	var flags releaseFlags
 	c := &cobra.Command{
-		Use: "plan REVISION", Short: "Show waves and the longest time, and touch nothing", Args: cobra.ExactArgs(1),
+		Use: "plan REVISION", Short: "Show waves and the longest time, and change nothing", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			start, err := flags.start(args[0])
 			if err != nil {
@@ -63,7 +65,7 @@
 			}
 			waves, err := client.Plan(start)
 			if err != nil {
-				return refusalAsNo(err)
+				return rejectionAsNo(err)
 			}
 			if f.json {
 				return printJSON(c.OutOrStdout(), waves)
@@ -81,7 +83,8 @@
 	longest := time.Duration(0)
 	for i, wave := range waves {
 		longest += wave.MaxDuration
-		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%s\n", i+1, len(wave.Members), wave.MaxUnavailable, wave.MaxDuration, clip(strings.Join(wave.Members, " ")))
+		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%s\n", i+1, len(wave.Members), wave.MaxUnavailable, wave.MaxDuration,
+			clip(strings.Join(wave.Members, " ")))
 	}
 	fmt.Fprintf(t, "in all\t\t\t%v\n", longest)
 	return t.Flush()
@@ -99,7 +102,7 @@
 func (f *fleetCommands) releaseStartCommand() *cobra.Command {
 	var flags releaseFlags
 	c := &cobra.Command{
-		Use: "start REVISION", Short: "Begin a release", Args: cobra.ExactArgs(1),
+		Use: "start REVISION", Short: "Start a release", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			start, err := flags.start(args[0])
 			if err != nil {
@@ -117,8 +120,8 @@
 	return c
 }
 
-// releaseProgress tells whether a release is done. One that a later one has replaced is done too; one that was halted is an
-// answer of no.
+// releaseProgress tells whether a release is done. One that a later one has replaced is done too; one that was halted
+// is an answer of no.
 func releaseProgress(status fleet.Status, number uint64) (progress, error) {
 	release := status.State.Release
 	switch {
@@ -150,8 +153,11 @@
 	}
 }
 
-// releaseStepCommand is a command on the release that is active. With --wait it returns once the release is in that state.
-func (f *fleetCommands) releaseStepCommand(use, short string, command rollout.Command, done rollout.ReleaseState) *cobra.Command {
+// releaseActionCommand is a command on the release that is active. With --wait it returns once the release is in that
+// state.
+func (f *fleetCommands) releaseActionCommand(
+	use, short string, command rollout.Command, done rollout.ReleaseState,
+) *cobra.Command {
 	c := &cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/gatewayctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -51,17 +51,19 @@
 	}
 }
 
-func (f *fleetCommands) wantedCommand() *cobra.Command {
+func (f *fleetCommands) targetRevisionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "wanted NAME", Short: "Print the revision that a front end is to be started on; exit code 1 while it is drained", Args: cobra.ExactArgs(1),
-		Long: "What starts programs at an installation asks this before it starts a front end that has ended with code 75 or 76,\n" +
-			"and switches the link to the revision's folder. Exit code 1: it is drained; ask again.",
+		Use:   "wanted NAME",
+		Short: "Print the revision that a front end is to be started on; exit code 1 while it is drained",
+		Args:  cobra.ExactArgs(1),
+		Long: "What starts programs at an installation asks this before it starts a front end that has ended with code\n" +
+			"75 or 76, and switches the link to the revision's folder. Exit code 1: it is drained; ask again.",
 		RunE: func(c *cobra.Command, args []string) error {
 			status, err := f.status()
 			if err != nil {
 				return err
 			}
-			revision, err := wantedRevision(&status.State, args[0])
+			revision, err := targetRevision(&status.State, args[0])
 			if err != nil {
 				return err
 			}
@@ -71,8 +73,8 @@
 	}
 }
 
-// wantedRevision returns the revision that a front end is to be started on. It is an answer of no while it is drained.
-func wantedRevision(state *rollout.State, name string) (string, error) {
+// targetRevision returns the revision that a front end is to be started on. It is an answer of no while it is drained.
+func targetRevision(state *rollout.State, name string) (string, error) {
 	member := state.Members[name]
 	if member == nil {
 		return "", noError{fmt.Errorf("there is no front end %s", name)}
@@ -85,15 +87,16 @@
 	return member.TargetRevision, nil
 }
 
-// writeStatus prints a status for people.
+// writeStatus prints a status for people. Errors of the table's writes are those of its Flush.
 func writeStatus(w io.Writer, status fleet.Status) error {
 	t := newTable(w)
-	agreed := "agreed"
+	quorum := "agreed"
 	if status.LeaderAddress == "" {
-		agreed = "NO AGREEMENT: nobody goes out, and all serve on"
+		quorum = "NO AGREEMENT: nobody goes out, and all serve on"
 	}
-	fmt.Fprintf(t, "log of %s: entry %d, %d keepers, %s\n\n", status.Replica, status.AppliedIndex, len(status.Servers), agreed)
-	permits := permitsByHolder(&status.State)
+	_, _ = fmt.Fprintf(t, "log of %s: entry %d, %d keepers, %s\n\n",
+		status.Replica, status.AppliedIndex, len(status.Servers), quorum)
+	permits := permitsBySubject(&status.State)
 	writeMembers(t, status, permits)
 	writeEngines(t, status, permits)
 	writeBudgets(t, status)
@@ -101,8 +104,8 @@
 	return t.Flush()
 }
 
-// permitsByHolder returns the permits by who holds them.
-func permitsByHolder(state *rollout.State) map[rollout.Subject]*rollout.Permit {
+// permitsBySubject returns the permits by who holds them.
+func permitsBySubject(state *rollout.State) map[rollout.Subject]*rollout.Permit {
 	permits := map[rollout.Subject]*rollout.Permit{}
 	for _, permit := range state.Permits {
 		permits[rollout.Subject{Name: permit.Subject, Engine: permit.Engine}] = permit
@@ -111,7 +114,7 @@
 }
 
 func writeMembers(w io.Writer, status fleet.Status, permits map[rollout.Subject]*rollout.Permit) {
-	fmt.Fprintln(w, "FRONT END\tROOM\tREVISION\tSTATE\tPERMIT\tSINCE")
+	_, _ = fmt.Fprintln(w, "FRONT END\tROOM\tREVISION\tSTATE\tPERMIT\tSINCE")
 	for _, name := range slices.Sorted(maps.Keys(status.State.Members)) {
 		member := status.State.Members[name]
 		phase, held := string(member.Phase), ""
@@ -122,12 +125,12 @@
 			held = fmt.Sprintf("%d %s %s", permit.Number, permit.Purpose, permit.Revision)
 		}
 		since := (time.Duration(time.Now().UnixNano()) - member.ChangedAt).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, member.Zone, member.Revision, phase, held, since)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, member.Zone, member.Revision, phase, held, since)
 	}
 }
 
 func writeEngines(w io.Writer, status fleet.Status, permits map[rollout.Subject]*rollout.Permit) {
-	fmt.Fprintln(w, "\nENGINE\tROOM\tCORES\tSTATE\tPERMIT\tWAITS FOR")
+	_, _ = fmt.Fprintln(w, "\nENGINE\tROOM\tCORES\tSTATE\tPERMIT\tWAITS FOR")
 	for _, name := range slices.Sorted(maps.Keys(status.State.Engines)) {
 		engine := status.State.Engines[name]
 		held, waits := "", ""
@@ -137,7 +140,7 @@
 				waits = "may be stopped"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%g\t%s\t%s\t%s\n", name, engine.Zone, engine.Cores, engineState(engine), held, waits)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%g\t%s\t%s\t%s\n", name, engine.Zone, engine.Cores, engineState(engine), held, waits)
 	}
 }
 
@@ -152,9 +155,10 @@
 }
 
 func writeBudgets(w io.Writer, status fleet.Status) {
-	fmt.Fprintln(w, "\nBUDGET\tOF\tMAY BE OUT\tARE OUT")
+	_, _ = fmt.Fprintln(w, "\nBUDGET\tOF\tMAY BE OUT\tARE OUT")
 	for _, budget := range status.Budgets {
-		fmt.Fprintf(w, "%s\t%s, %d\t%d\t%s\n", budget.Subjects, budget.Scope, budget.Total, budget.Limit, strings.Join(budget.Unavailable, " "))
+		_, _ = fmt.Fprintf(w, "%s\t%s, %d\t%d\t%s\n",
+			budget.Subjects, budget.Scope, budget.Total, budget.Limit, strings.Join(budget.Unavailable, " "))
 	}
 }
 
@@ -162,7 +166,7 @@
 	t := newTable(w)
 	for _, line := range lines {
 		at := time.Unix(0, int64(line.At)).Format(time.RFC3339)
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\n", line.Number, at, line.Actor, line.Action, line.From, line.To)
+		_, _ = fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\n", line.Number, at, line.Actor, line.Action, line.From, line.To)
 	}
 	return t.Flush()
 }
@@ -171,7 +175,7 @@
 func writeRelease(w io.Writer, status fleet.Status) {
 	release := status.State.Release
 	if release == nil {
-		fmt.Fprintln(w, "\nno release yet")
+		_, _ = fmt.Fprintln(w, "\nno release yet")
 		return
 	}
 	way, target := "to "+release.Revision+" from "+release.PreviousRevision, release.Revision
@@ -184,12 +188,13 @@
 			onTarget++
 		}
 	}
-	fmt.Fprintf(w, "\nrelease %d %s: %s, wave %d of %d, %d of %d on it, by %s\n", release.Number, way, release.State,
-		release.Wave+1, len(release.Waves), onTarget, len(status.State.Members), release.StartedBy)
+	_, _ = fmt.Fprintf(w, "\nrelease %d %s: %s, wave %d of %d, %d of %d on it, by %s\n",
+		release.Number, way, release.State, release.Wave+1, len(release.Waves),
+		onTarget, len(status.State.Members), release.StartedBy)
 	if release.HaltCause != "" {
-		fmt.Fprintf(w, "  halted: %s\n", release.HaltCause)
+		_, _ = fmt.Fprintf(w, "  halted: %s\n", release.HaltCause)
 	}
 	for _, line := range status.ReleaseBlockers {
-		fmt.Fprintf(w, "  waits for %s\n", line)
+		_, _ = fmt.Fprintf(w, "  waits for %s\n", line)
 	}
 }
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"testing"
 	"time"
 
@@ -12,7 +11,7 @@
 	"beechcart/internal/fleet"
 )
 
-func TestWantedRevision(t *testing.T) {
+func TestTargetRevision(t *testing.T) {
 	state := &rollout.State{
 		Members: map[string]*rollout.Member{"n0": {TargetRevision: "r2"}, "n1": {TargetRevision: "r2"}},
 		Permits: map[uint64]*rollout.Permit{
@@ -21,36 +20,41 @@
 			3: {Subject: "n0", Purpose: rollout.Drain, Cancelled: true},
 		},
 	}
-	revision, err := wantedRevision(state, "n0")
+	revision, err := targetRevision(state, "n0")
 	require.NoError(t, err)
 	assert.Equal(t, "r2", revision)
 	for name, want := range map[string]string{"n1": "n1 is drained by ops", "n2": "there is no front end n2"} {
-		_, err := wantedRevision(state, name)
-		assert.True(t, errors.As(err, new(noError)), name)
-		assert.EqualError(t, err, want)
+		_, err := targetRevision(state, name)
+		require.ErrorAs(t, err, new(noError), name)
+		require.EqualError(t, err, want)
 	}
 }
 
 func TestDrainProgress(t *testing.T) {
 	status := fleet.Status{DrainBlockers: map[string][]string{"e0": {"n0 has a query on it"}}}
-	status.State.Permits = map[uint64]*rollout.Permit{1: {Subject: "e0", Engine: true}, 2: {Subject: "e1", Engine: true, DrainedAt: 1}, 3: {Subject: "n0"}, 4: {Subject: "n1"}}
+	status.State.Permits = map[uint64]*rollout.Permit{
+		1: {Subject: "e0", Engine: true},
+		2: {Subject: "e1", Engine: true, DrainedAt: 1},
+		3: {Subject: "n0"},
+		4: {Subject: "n1"},
+	}
 	status.State.Members = map[string]*rollout.Member{"n0": {Phase: rollout.Serving}, "n1": {Phase: rollout.Terminated}}
 	for _, k := range []struct {
-		holder rollout.Subject
-		permit uint64
-		want   progress
+		subject rollout.Subject
+		permit  uint64
+		want    progress
 	}{
 		{rollout.Subject{Name: "e0", Engine: true}, 1, progress{false, []string{"n0 has a query on it"}}},
 		{rollout.Subject{Name: "e1", Engine: true}, 2, progress{done: true}},
 		{rollout.Subject{Name: "n0"}, 3, progress{false, []string{"n0 to end"}}},
 		{rollout.Subject{Name: "n1"}, 4, progress{true, []string{"n1 to end"}}},
 	} {
-		got, err := drainProgress(status, k.holder, k.permit)
+		got, err := drainProgress(status, k.subject, k.permit)
 		require.NoError(t, err)
-		assert.Equal(t, k.want, got, k.holder.Name)
+		assert.Equal(t, k.want, got, k.subject.Name)
 	}
 	_, err := drainProgress(status, rollout.Subject{Name: "e0", Engine: true}, 9)
-	assert.True(t, errors.As(err, new(noError)), "a permit that was lifted is an answer of no")
+	require.ErrorAs(t, err, new(noError), "a permit that was lifted is an answer of no")
 }
 
 func TestReleaseProgress(t *testing.T) {
@@ -67,8 +71,8 @@
 	assert.True(t, got.done)
 	for _, state := range []rollout.ReleaseState{rollout.Halting, rollout.Halted} {
 		_, err = at(state)
-		assert.True(t, errors.As(err, new(noError)))
-		assert.EqualError(t, err, "halted: errors")
+		require.ErrorAs(t, err, new(noError))
+		require.EqualError(t, err, "halted: errors")
 	}
 	got, err = releaseProgress(status, 2)
 	require.NoError(t, err)
@@ -76,10 +80,13 @@
 }
 
 func TestReleaseFlags(t *testing.T) {
-	flags := releaseFlags{waves: "0.02, 0.25,1", from: "r1", soak: time.Minute}
+	flags := releaseFlags{waves: "0.02, 0.25,1", previousRevision: "r1", soak: time.Minute}
 	start, err := flags.start("r2")
 	require.NoError(t, err)
-	assert.Equal(t, rollout.StartRelease{Revision: "r2", PreviousRevision: "r1", Waves: []float64{0.02, 0.25, 1}, Soak: time.Minute}, start)
+	want := rollout.StartRelease{
+		Revision: "r2", PreviousRevision: "r1", Waves: []float64{0.02, 0.25, 1}, Soak: time.Minute,
+	}
+	assert.Equal(t, want, start)
 	flags.waves = "0.02,x"
 	_, err = flags.start("r2")
 	assert.ErrorContains(t, err, `waves: found "x"`)
--- a/cmd/gatewayctl/recorded_fleet_test.go
+++ b/cmd/gatewayctl/recorded_fleet_test.go
@@ -104,7 +104,9 @@
 // set.
 func TestRecordedFleetJSON(t *testing.T) {
 	replica := &fakeReplica{values: map[string]json.RawMessage{
-		"/status": filledFleetValue[fleet.Status](t), "/plan": filledFleetValue[[]rollout.Wave](t), "/apply": filledFleetValue[rollout.Result](t),
+		"/status": filledFleetValue[fleet.Status](t),
+		"/plan":   filledFleetValue[[]rollout.Wave](t),
+		"/apply":  filledFleetValue[rollout.Result](t),
 	}}
 	accepted := struct {
 		Permit  uint64 `json:"permit"`
