--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,22 +27,34 @@
 	otherKey = "fedcba9876543210"
 )
 
-// options are those of a fleet of one control replica.
-func options(t *testing.T) *Options {
+// freeAddress returns a loopback address at which nothing listens, over TCP or UDP: gossip needs both.
+func freeAddress(t *testing.T) string {
 	t.Helper()
-	free := func() string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	for range 100 {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer l.Close()
-		return l.Addr().String()
+		address := listener.Addr().String()
+		packets, err := net.ListenPacket("udp", address)
+		require.NoError(t, listener.Close())
+		if err == nil {
+			require.NoError(t, packets.Close())
+			return address
+		}
 	}
+	require.Fail(t, "no port is free over TCP and UDP")
+	return ""
+}
+
+// options are those of a fleet of one control replica.
+func options(t *testing.T) *Options {
+	t.Helper()
 	o := &Options{
-		Name: "n0", Zone: "room-a", Revision: "r1", GossipAddress: free(), Key: testKey,
+		Name: "n0", Zone: "room-a", Revision: "r1", GossipAddress: freeAddress(t), Key: testKey,
 		LogDirectory: filepath.Join(t.TempDir(), "log"), Settings: rollout.Defaults(),
 		Log: slog.New(slog.DiscardHandler),
 	}
 	o.ControlReplicas = []ReplicaAddress{{
-		Name: "n0", LogAddress: free(), APIAddress: free(), GossipAddress: o.GossipAddress,
+		Name: "n0", LogAddress: freeAddress(t), APIAddress: freeAddress(t), GossipAddress: o.GossipAddress,
 	}}
 	return o
 }
