--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -44,8 +44,8 @@
 }
 
 func newSimulation(size record.Size, rate int, stretch time.Duration) *simulation {
-	return &simulation{size: size, rate: rate, stretch: stretch, now: 1000 * time.Second, threads: make([]int,
-		size.Engines+1)}
+	return &simulation{size: size, rate: rate, stretch: stretch, now: 1000 * time.Second,
+		threads: make([]int, size.Engines+1)}
 }
 
 // simulatedFrontEnd is one controller with what its clients and databases are told.
@@ -97,7 +97,7 @@
 	return all
 }
 
-// unanswered is the share of statements that were refused or failed, or are open still.
+// unanswered is the share of statements that were rejected or failed, or are open still.
 func (s *simulation) unanswered() float64 { return 1 - float64(s.answered)/float64(max(1, s.asked)) }
 
 // run plays on for so long.
@@ -162,8 +162,8 @@
 			f.probed[action.Engine] = true
 			s.later(simulatedProbe, f, admission.HealthCheckResult{Engine: action.Engine, Status: admission.OK,
 				Latency: simulatedProbe,
-				Report: &admission.Report{InFlight: -1, Queued: -1, Utilization: s.use(action.Engine),
-					MemoryUtilization: -1, DiskUtilization: -1}})
+				Report: &admission.Report{InFlight: -1, Queued: -1, Utilization: s.use(action.Engine), MemoryUtilization: -1,
+					DiskUtilization: -1}})
 		case admission.SetTimer:
 			s.later(action.Delay, f, admission.Timer{Token: action.Token})
 		case admission.Reject:
@@ -215,8 +215,8 @@
 	}
 }
 
-// pendingEvent is an event that comes to a front end at a time; those of one time come in the order in which they
-// were made.
+// pendingEvent is an event that comes to a front end at a time; those of one time come in the order in which they were
+// made.
 type pendingEvent struct {
 	at      time.Duration
 	order   uint64
