--- a/cmd/gatewayctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -23,7 +23,7 @@
 }
 
 func (f *fleetCommands) removeCommand() *cobra.Command {
-	return f.subjectCommand("forget", "Remove it: it is gone for good, and frees what it holds",
+	return f.subjectCommand("forget", "Remove it, as it will never come back, with what it holds",
 		func(h *rollout.Subject) rollout.Command { return rollout.Command{RemoveMember: h} })
 }
 
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -54,7 +54,7 @@
 		assert.Equal(t, k.want, got, k.subject.Name)
 	}
 	_, err := drainProgress(status, rollout.Subject{Name: "e0", Engine: true}, 9)
-	require.ErrorAs(t, err, new(noError), "a permit that was lifted is an answer of no")
+	require.ErrorAs(t, err, new(noError), "a permit that has ended is an answer of no")
 }
 
 func TestReleaseProgress(t *testing.T) {
--- a/decision/rollout/oracle_test.go
+++ b/decision/rollout/oracle_test.go
@@ -46,7 +46,7 @@
 	return b
 }
 
-// The oracle counts anew, from the state alone, who is available and what budgets are used.
+// The oracle counts by itself, from the state alone, who is available and what budgets are used.
 
 func (f *randomFleet) hasPermit(subject Subject) bool {
 	for _, permit := range f.machine.Permits {
--- a/decision/rollout/random_fleet_test.go
+++ b/decision/rollout/random_fleet_test.go
@@ -145,22 +145,22 @@
 		}
 		return tick()
 	}
-	holder, incarnation := permit.Subject, f.incarnations[permit.Subject]
+	member, incarnation := permit.Subject, f.incarnations[permit.Subject]
 	switch kind {
 	case 7, 8, 9, 10:
-		return Command{ActivatePermit: &PermitReference{holder, incarnation, permit.Number}}
+		return Command{ActivatePermit: &PermitReference{member, incarnation, permit.Number}}
 	case 12: // as the process before
-		return Command{ActivatePermit: &PermitReference{holder, incarnation - 1, permit.Number}}
+		return Command{ActivatePermit: &PermitReference{member, incarnation - 1, permit.Number}}
 	case 13:
-		return Command{ReturnPermit: &PermitReference{holder, incarnation, permit.Number}}
+		return Command{ReturnPermit: &PermitReference{member, incarnation, permit.Number}}
 	case 14, 15, 16: // who was told to shut down does, and comes back
 		if permit.ActivatedAt == 0 {
 			return tick()
 		}
 		if f.rng.IntN(2) == 0 {
-			return f.report(holder, incarnation, f.sequences[holder]+1, Draining)
+			return f.report(member, incarnation, f.sequences[member]+1, Draining)
 		}
-		return f.report(holder, incarnation+1, 1, Serving)
+		return f.report(member, incarnation+1, 1, Serving)
 	}
 	return tick()
 }
--- a/decision/rollout/recorded_test.go
+++ b/decision/rollout/recorded_test.go
@@ -221,7 +221,7 @@
 		name, r.room(name), len(name), 8+r.rng.IntN(3), incarnation, seq, revision, phase)
 }
 
-// next is the word of the process that comes after a member's own.
+// next is the report of the process that comes after a member's own.
 func (r *seededRun) next(name, phase string) string {
 	member := r.view.Members[name]
 	revision := member.Wanted
@@ -300,7 +300,7 @@
 	return r.next(p.Holder, "serving")
 }
 
-// empty is a member's word on the engine of a permit, now and then of an older process.
+// empty is a member's report on the engine of a permit, now and then of an older process.
 func (r *seededRun) empty(name string, permit uint64) string {
 	incarnation := max(1, r.view.Members[name].Incarnation) - uint64(r.rng.IntN(100)/99)
 	return fmt.Sprintf(`{"empty":{"name":%q,"incarnation":%d,"permit":%d}}`, name, incarnation, permit)
@@ -313,7 +313,7 @@
 		name, r.room(name), process, r.rng.IntN(6) > 0, r.rng.IntN(6) > 0)
 }
 
-func (r *seededRun) holder() string {
+func (r *seededRun) subject() string {
 	if p, ok := r.permit(); ok && r.rng.IntN(4) == 0 {
 		return fmt.Sprintf(`{"name":%q,"engine":%v}`, p.Holder, p.Engine)
 	}
@@ -326,15 +326,15 @@
 func (r *seededRun) byOperator() string {
 	switch r.rng.IntN(16) {
 	case 0, 1:
-		return r.operator(`{"drain":%s}`, r.holder())
+		return r.operator(`{"drain":%s}`, r.subject())
 	case 2, 3:
 		if p, ok := r.permit(); ok {
 			return r.operator(`{"undrain":{"name":%q,"engine":%v}}`, p.Holder, p.Engine)
 		}
-		return r.operator(`{"undrain":%s}`, r.holder())
+		return r.operator(`{"undrain":%s}`, r.subject())
 	case 4:
 		if r.rng.IntN(3) == 0 {
-			return r.operator(`{"forget":%s}`, r.holder())
+			return r.operator(`{"forget":%s}`, r.subject())
 		}
 	case 5, 6, 7:
 		return r.operator(`{"start":{"revision":"r%d","waves":[0.1,0.5,1],"soak":%d}}`,
@@ -362,7 +362,7 @@
 func (r *seededRun) settings() string {
 	set := rollout.Defaults()
 	require.NoError(r.t, json.Unmarshal([]byte(recordedSettings), &set))
-	set.Engines.Max = r.rng.IntN(3) // 0 is refused
+	set.Engines.Max = r.rng.IntN(3) // 0 is rejected
 	text, err := json.Marshal(set)
 	require.NoError(r.t, err)
 	return string(text)
@@ -403,7 +403,7 @@
 	return `{"tick":{}}`
 }
 
-// rare is a word that disturbs: a crash, an older word, a doubt.
+// rare is a message that disturbs: a crash, a stale report, a suspicion.
 func (r *seededRun) rare(name string) string {
 	member := r.view.Members[name]
 	switch r.rng.IntN(4) {
@@ -422,8 +422,8 @@
 	"judge":{"alpha":0.05,"tolerance":1.25,"least":60,"dispersion":2},
 	"not_back":9000000000,"crash_loop":1,"keep_ids":20,"keep_audit":30,"keep_gone":3}`
 
-// look hashes what the machine tells beside its answers.
-func (r *seededRun) look() {
+// hashViews hashes what the state machine tells beside its answers.
+func (r *seededRun) hashViews() {
 	due, ok := r.machine.NextDeadline()
 	var plan rollout.StartRelease
 	require.NoError(r.t, json.Unmarshal([]byte(`{"revision":"p","waves":[0.2,1],"soak":1000}`), &plan))
@@ -461,7 +461,7 @@
 				r.refresh()
 			}
 			if step%16 == 0 {
-				r.look()
+				r.hashViews()
 			}
 			r.apply(r.draw())
 		}
--- a/decision/rollout/release_test.go
+++ b/decision/rollout/release_test.go
@@ -119,8 +119,8 @@
 	assert.Equal(t, Done, f.machine.Release.State)
 }
 
-// A revision that can't start leaves its canary out: the release halts by time, and the way back brings the member home
-// although no process of the new revision ever spoke.
+// A revision that can't start leaves its canary away: the release halts by time, and the rollback brings the member
+// back although no process of the new revision ever spoke.
 func TestRollbackFromARevisionThatCannotStart(t *testing.T) {
 	f := newTestFleet(t, 6, nil)
 	f.apply(Command{StartRelease: &StartRelease{Revision: "broken", Waves: []float64{0.1, 1}}})
@@ -241,7 +241,7 @@
 	assert.Nil(t, f.machine.Permits[p])
 }
 
-// An operator's drain of a front end holds through a crash, and ends with the member's own word.
+// An operator's drain of a front end holds through a crash, and ends with the member's own report.
 func TestFrontEndDrainHolds(t *testing.T) {
 	f := newTestFleet(t, 3, nil)
 	p := f.apply(Command{ID: "a", RequestedBy: "ann", Drain: &Subject{Name: "n1"}}).Permit
--- /dev/null
+++ b/internal/fleet/recorded_calls_test.go
@@ -0,0 +1,311 @@
+package fleet
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"beechcart/decision/rollout"
+	"beechcart/internal/recorded"
+)
+
+// exchange is one call of the replicas' HTTP interface.
+type exchange struct {
+	Method string `json:"method"`
+	Path   string `json:"path"`
+	Body   string `json:"body,omitempty"`
+	Status int    `json:"status"`
+	Answer string `json:"answer"`
+}
+
+// ask makes calls at a replica. Its addresses, and how far its log is, are replaced in what is recorded.
+func ask(t *testing.T, o *Options, calls []exchange) []exchange {
+	t.Helper()
+	me := o.ControlReplicas[0]
+	names := strings.NewReplacer(me.APIAddress, "ASK", me.LogAddress, "LOG", me.GossipAddress, "GOSSIP")
+	index := regexp.MustCompile(`"index":\d+`)
+	done := []exchange{}
+	for _, e := range calls {
+		body := strings.NewReplacer("LOG", me.LogAddress).Replace(e.Body)
+		request, err := http.NewRequest(e.Method, "http://"+me.APIAddress+e.Path, strings.NewReader(body))
+		require.NoError(t, err)
+		request.Header.Set("X-Key", o.Key)
+		if e.Path == "/status?wrong-key" {
+			request.Header.Set("X-Key", "another")
+		}
+		response, err := http.DefaultClient.Do(request)
+		require.NoError(t, err)
+		answer, err := io.ReadAll(response.Body)
+		require.NoError(t, err)
+		require.NoError(t, response.Body.Close())
+		e.Status, e.Answer = response.StatusCode, index.ReplaceAllString(names.Replace(string(answer)), `"index":0`)
+		done = append(done, e)
+	}
+	return done
+}
+
+func lines[T any](t *testing.T, values []T) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	encoder := json.NewEncoder(&out)
+	encoder.SetEscapeHTML(false)
+	for _, value := range values {
+		require.NoError(t, encoder.Encode(value))
+	}
+	return out.Bytes()
+}
+
+// fillCounts sets every field of a report of counts.
+func fillCounts(t *testing.T) string {
+	t.Helper()
+	var report WindowCounts
+	n := 0
+	var fill func(reflect.Value)
+	fill = func(v reflect.Value) {
+		n++
+		switch v.Kind() {
+		case reflect.Struct:
+			for i := range v.NumField() {
+				fill(v.Field(i))
+			}
+		case reflect.String:
+			v.SetString(fmt.Sprint("text-", n))
+		case reflect.Int64:
+			v.SetInt(int64(n))
+		case reflect.Float64:
+			v.SetFloat(float64(n) + 0.25)
+		default:
+			require.Fail(t, "no value for a "+v.Kind().String())
+		}
+	}
+	fill(reflect.ValueOf(&report).Elem())
+	text, err := json.Marshal(report)
+	require.NoError(t, err)
+	return string(text)
+}
+
+// checkAnswers makes each call of the HTTP interface, at a replica that leads and at one that belongs to no fleet.
+func checkAnswers(t *testing.T, o *Options) {
+	t.Helper()
+	post := func(path, body string) exchange { return exchange{Method: http.MethodPost, Path: path, Body: body} }
+	get := func(path string) exchange { return exchange{Method: http.MethodGet, Path: path} }
+	calls := []exchange{
+		get("/status"), get("/status?wrong-key"),
+		get("/watch?name=n0&have="), get("/watch?name=n3&have=x"), get("/watch?name=n9&have="),
+		post("/plan", `{"revision":"r4","waves":[0.2,1],"soak":1000000000}`),
+		post("/plan", `{"revision":"r4","waves":[0.2]}`),
+		post("/counts", fillCounts(t)), post("/counts", `{"odd":1}`), post("/init", `{}`),
+		post("/join", `{"Name":"n0","ID":"`+recordedIdentity+`","Log":"LOG"}`),
+		post("/join", `{"Name":"n9","ID":"n9.00","Log":"127.0.0.1:1"}`),
+		post("/apply", `{"odd":1}`), post("/apply", `{"id":"c2","by":"ann","at":0,"drain":{"name":"e1","engine":true}}`),
+		post("/apply", `{"at":0,"say":{"name":"n0","room":"room-a","kind":"std-12","weight":100,"incarnation":10,"seq":2,`+
+			`"revision":"r1","phase":"serving"}}`),
+		post("/apply", `{"at":0,"say":{"name":"n0","room":"room-a","weight":100,"incarnation":9,"seq":1,`+
+			`"revision":"r1","phase":"gone"}}`),
+		post("/apply", `{"id":"d1","by":"ann","at":0,"drain":{"name":"n9"}}`),
+		post("/apply", `{"id":"d2","by":"ann","at":0,"drain":{"name":"e0","engine":true}}`),
+		post("/apply", `{"at":0,"begin":{"name":"n0","incarnation":10,"permit":99}}`),
+		post("/apply", `{"id":"d3","by":"ann","at":0,"start":{"revision":"r5","waves":[1],"soak":0}}`),
+		post("/apply", `{"id":"d4","by":"ann","at":0,"resume":{}}`),
+		post("/apply", `{"id":"d5","by":"ann","at":0,"halt":{"cause":"x"}}`),
+	}
+	done := ask(t, o, calls)
+
+	alone := options(t)
+	replica, err := OpenReplica(alone)
+	require.NoError(t, err)
+	t.Cleanup(replica.Close)
+	done = append(done, ask(t, alone, []exchange{
+		get("/status"), get("/watch?name=n0&have="), post("/apply", `{"at":0,"tick":{}}`),
+		post("/join", `{"Name":"n0","ID":"n0.00","Log":"LOG"}`), post("/counts", fillCounts(t)),
+	})...)
+	recorded.Compare(t, "answers.jsonl", lines(t, done))
+}
+
+// fakeReplica records the calls that it gets, each once, and answers them.
+type fakeReplica struct {
+	mu    sync.Mutex
+	calls map[string]bool
+	note  func(string) string // changes what is noted
+	reply func(path, body string) string
+}
+
+func (f *fakeReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	f.mu.Lock()
+	f.calls[f.note(strings.Join([]string{r.Method, r.URL.String(), r.Header.Get("X-Key"), string(body)}, " "))] = true
+	answer := f.reply(r.URL.Path, string(body))
+	f.mu.Unlock()
+	_, _ = io.WriteString(w, answer)
+}
+
+func (f *fakeReplica) sorted() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	all := []string{}
+	for call := range f.calls {
+		all = append(all, call)
+	}
+	slices.Sort(all)
+	return all
+}
+
+// serveFake starts a fake replica at the address where options have the first one asked.
+func serveFake(t *testing.T, o *Options, reply func(path, body string) string) *fakeReplica {
+	t.Helper()
+	f := &fakeReplica{calls: map[string]bool{}, reply: reply, note: func(call string) string { return call }}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	server := httptest.NewUnstartedServer(f)
+	server.Listener = l
+	server.Start()
+	t.Cleanup(server.Close)
+	o.ControlReplicas[0].APIAddress = l.Addr().String()
+	return f
+}
+
+// What operators' clients send.
+func TestRecordedClientCalls(t *testing.T) {
+	o := options(t)
+	f := serveFake(t, o, func(string, string) string { return `{"value":{}}` })
+	client := NewClient(o)
+	for _, text := range commandTexts() {
+		_, err := client.Apply(parseCommand(t, text))
+		require.NoError(t, err)
+	}
+	var start rollout.StartRelease
+	require.NoError(t, json.Unmarshal([]byte(`{"revision":"r4","from":"r1","waves":[0.2,1],"soak":1000000000}`), &start))
+	_, err := client.Plan(start)
+	require.Error(t, err, "the fake's answer is no list")
+	_, err = client.Status()
+	require.NoError(t, err)
+	require.NoError(t, client.Init())
+	recorded.Compare(t, "client.txt", []byte(strings.Join(f.sorted(), "\n")+"\n"))
+}
+
+// A replica that can't carry a call out names the leader, which the client asks next.
+func TestRecordedRedirect(t *testing.T) {
+	leader := options(t)
+	f := serveFake(t, leader, func(string, string) string { return `{"value":{"permit":5}}` })
+	follower := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		_, _ = fmt.Fprintf(w, `{"error":"fleet: no keeper leads","leader":%q}`, leader.ControlReplicas[0].APIAddress)
+	}))
+	defer follower.Close()
+	o := options(t)
+	o.ControlReplicas[0].APIAddress = strings.TrimPrefix(follower.URL, "http://")
+	result, err := NewClient(o).Apply(parseCommand(t, `{"at":0,"tick":{}}`))
+	require.NoError(t, err)
+	assert.Equal(t, uint64(5), result.Permit)
+	assert.Len(t, f.sorted(), 1)
+}
+
+// What a member sends from its start to its end, by way of an engine's drain and a permit of its own. It numbers its
+// process after the one that its file names.
+func TestRecordedMemberCalls(t *testing.T) {
+	o := options(t)
+	o.Kind, o.CapacityPerSecond = "std-12", 100
+	const process = "4000000000000000001"
+	require.NoError(t, os.WriteFile(o.LogDirectory+".process", []byte("4000000000000000000\n"), 0o600))
+	o.Name = "n1" // it keeps no log
+	view := `{"view":{"known":true,"incarnation":` + process + `,"seq":2,"phase":"serving","doubted":false,` +
+		`"wanted":"r1","permit":{"number":7,"holder":"n1","for":"restart","revision":"r2","release":1,"granted":5,` +
+		`"incarnation":` + process + `},` +
+		`"drains":[{"engine":"e0","permit":3,"said":false}],"release":1,"target":"r2"},"have":"abc","applied":9}`
+	f := serveFake(t, o, func(path, body string) string {
+		switch {
+		case path == "/watch":
+			time.Sleep(5 * time.Millisecond)
+			return `{"value":` + view + `}`
+		case strings.Contains(body, `"begin"`):
+			return `{"value":{"permit":7,"go":true}}`
+		case strings.Contains(body, `"say"`):
+			return `{"value":{"applied":9,"drained":["e0"]}}`
+		}
+		return `{"value":{}}`
+	})
+	member, err := Join(*o, idleFront{})
+	require.NoError(t, err)
+	<-member.Registered()
+	member.SetPhase(rollout.Serving)
+	select {
+	case permission := <-member.Shutdowns():
+		assert.Equal(t, "{7 restart r2}", fmt.Sprint(permission))
+	case <-time.After(20 * time.Second):
+		require.Fail(t, "not told to shut down")
+	}
+	member.Close(20 * time.Second)
+	calls := slices.DeleteFunc(f.sorted(), func(call string) bool { return strings.Contains(call, "/counts") })
+	recorded.Compare(t, "member.txt", []byte(strings.Join(calls, "\n")+"\n"))
+	written, err := os.ReadFile(o.LogDirectory + ".process")
+	require.NoError(t, err)
+	assert.Equal(t, process+"\n", string(written))
+}
+
+// What a replica sends that is to be added to the log.
+func TestRecordedJoinCall(t *testing.T) {
+	o := options(t)
+	require.NoError(t, os.MkdirAll(o.LogDirectory, 0o700))
+	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "identity"), []byte(recordedIdentity+"\n"), 0o600))
+	others := options(t)
+	f := serveFake(t, others, func(string, string) string { return `{}` })
+	f.note = func(call string) string { return strings.ReplaceAll(call, o.ControlReplicas[0].LogAddress, "LOG") }
+	for _, name := range []string{"n1", "n2"} {
+		other := others.ControlReplicas[0]
+		other.Name = name
+		o.ControlReplicas = append(o.ControlReplicas, other)
+	}
+	replica, err := OpenReplica(o)
+	require.NoError(t, err)
+	require.Eventually(t, func() bool { return len(f.sorted()) > 0 }, 20*time.Second, time.Millisecond)
+	replica.Close()
+	recorded.Compare(t, "join.txt", []byte(strings.Join(f.sorted(), "\n")+"\n"))
+}
+
+// The files that a replica leaves beside its log, and the handshake with which a connection of the log begins.
+func TestRecordedFiles(t *testing.T) {
+	o := options(t)
+	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
+	member, err := Join(*o, idleFront{})
+	require.NoError(t, err)
+	defer member.Close(0)
+	identity, err := os.ReadFile(filepath.Join(o.LogDirectory, "identity"))
+	require.NoError(t, err)
+	assert.Regexp(t, `^n0\.[0-9a-f]{12}\n$`, string(identity))
+
+	c, err := net.Dial("tcp", o.ControlReplicas[0].LogAddress)
+	require.NoError(t, err)
+	defer c.Close()
+	require.NoError(t, c.SetDeadline(time.Now().Add(20*time.Second)))
+	_, err = fmt.Fprintf(c, "%s %s\n", strings.TrimSpace(string(identity)), o.Key)
+	require.NoError(t, err)
+	answer := make([]byte, 1)
+	_, err = io.ReadFull(c, answer)
+	require.NoError(t, err)
+	assert.Equal(t, "+", string(answer))
+
+	require.NoError(t, os.WriteFile(o.DiskFaultFile, []byte("sync"), 0o600))
+	require.Error(t, NewClient(o).Init())
+	var mark []byte
+	require.Eventually(t, func() bool {
+		mark, err = os.ReadFile(filepath.Join(o.LogDirectory, "doubtful"))
+		return err == nil && len(mark) > 0
+	}, 20*time.Second, time.Millisecond)
+	assert.Equal(t, "sync "+o.DiskFaultFile+": input/output error\n", string(mark))
+}
