--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -25,7 +25,7 @@
 	registrationTimeout = 3 * time.Second
 )
 
-// fleetMember connects the front end and its member of the fleet: it is the membership of the one and the fleet.Front
+// fleetMember connects the front end and its member of the fleet: it is the membership of the one and the fleet.FrontEnd
 // of the other.
 type fleetMember struct {
 	member         *fleet.Member
@@ -112,10 +112,10 @@
 // Close implements membership.
 func (m *fleetMember) Close() { m.member.Close(fleetCloseTimeout) }
 
-// Exclude implements fleet.Front.
-func (m *fleetMember) Exclude(engines map[string]bool) { m.feed.Exclude(engines) }
+// Exclude implements fleet.FrontEnd.
+func (m *fleetMember) Exclude(engines fleet.EngineSet) { m.feed.Exclude(engines) }
 
-// Drained implements fleet.Front.
+// Drained implements fleet.FrontEnd.
 func (m *fleetMember) Drained(name string) bool {
 	for _, e := range m.feed.Endpoints() {
 		if e.Name == name {
@@ -125,7 +125,7 @@
 	return true
 }
 
-// Engines implements fleet.Front.
+// Engines implements fleet.FrontEnd.
 func (m *fleetMember) Engines() (engines []rollout.Engine) {
 	for _, e := range m.feed.Endpoints() {
 		reported := rollout.Engine{
@@ -144,7 +144,7 @@
 	return engines
 }
 
-// RequestCounts implements fleet.Front.
+// RequestCounts implements fleet.FrontEnd.
 func (m *fleetMember) RequestCounts() rollout.RequestCounts { return requestCounts(m.counters.Map()) }
 
 // requestCounts counts requests by their answers, each once it has ended. Requests are not counted as they begin: a
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -8,10 +8,13 @@
 	"beechcart/decision/rollout"
 )
 
+// EngineSet is a set of engines by name.
+type EngineSet map[string]bool
+
 // FrontEnd is what a member needs of its front end. Its methods are safe for concurrent use, and none blocks.
 type FrontEnd interface {
 	// Exclude keeps the engines of these names from getting more queries; the last call holds.
-	Exclude(engines map[string]bool)
+	Exclude(engines EngineSet)
 	// Drained tells whether an engine is excluded and has no query of this front end; true also where it is not known.
 	Drained(engine string) bool
 	// Engines returns the engines as the endpoint list describes them. Only control replicas call it.
@@ -32,6 +35,7 @@
 	shutdowns     chan ShutdownGrant
 	registered    chan struct{} // closed once the log has this process and its drains are in force here
 	statusChanged chan struct{} // holds one value while there is a status to report
+	statusTaken   chan struct{} // holds one value after a replica has taken a status
 	stop          chan struct{} // closed by Close
 	done          sync.WaitGroup
 
@@ -64,6 +68,7 @@
 		shutdowns:        make(chan ShutdownGrant, 1),
 		registered:       make(chan struct{}),
 		statusChanged:    make(chan struct{}, 1),
+		statusTaken:      make(chan struct{}, 1),
 		stop:             make(chan struct{}),
 		requestedPermits: map[uint64]bool{},
 		phase:            rollout.Starting,
@@ -112,25 +117,21 @@
 		m.sequence++
 	}
 	m.mu.Unlock()
-	m.notifyStatusChanged()
+	notify(m.statusChanged)
 }
 
-func (m *Member) notifyStatusChanged() {
+// notify leaves a value in a channel that holds one, unless there is one already.
+func notify(channel chan<- struct{}) {
 	select {
-	case m.statusChanged <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
 
-// closePollInterval is how often Close looks whether the last status was taken.
-const closePollInterval = 5 * time.Millisecond
-
 // Close reports that the process has terminated, for at most that long, and ends the member and its goroutines.
 func (m *Member) Close(within time.Duration) {
 	m.SetPhase(rollout.Terminated)
-	for end := time.Now().Add(within); time.Now().Before(end) && m.statusPending(); {
-		time.Sleep(closePollInterval)
-	}
+	m.awaitStatusTaken(within)
 	close(m.stop)
 	m.done.Wait()
 	m.gossip.close()
@@ -139,6 +140,19 @@
 	}
 }
 
+// awaitStatusTaken returns once a replica has taken the last status, or after that long.
+func (m *Member) awaitStatusTaken(within time.Duration) {
+	timer := time.NewTimer(within)
+	defer timer.Stop()
+	for m.statusPending() {
+		select {
+		case <-m.statusTaken:
+		case <-timer.C:
+			return
+		}
+	}
+}
+
 // statusPending tells whether there is a status that no replica has taken.
 func (m *Member) statusPending() bool {
 	m.mu.Lock()
@@ -148,7 +162,7 @@
 
 // exclude puts drains in force, unless the replica that tells of them is behind the one that told of those in force: it
 // may know of no drain yet.
-func (m *Member) exclude(appliedIndex uint64, engines map[string]bool) bool {
+func (m *Member) exclude(appliedIndex uint64, engines EngineSet) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if appliedIndex < m.appliedIndex {
--- a/internal/fleet/member_loops.go
+++ b/internal/fleet/member_loops.go
@@ -37,10 +37,11 @@
 		if rejected := result.Rejected; rejected != nil && rejected.Code != rollout.StaleMessage {
 			m.log.Error("status rejected", "phase", string(status.Phase), "error", rejected.Error())
 		}
-		m.exclude(result.Applied, nameSet(result.Drained))
+		m.exclude(result.Applied, engineSet(result.Drained))
 		m.mu.Lock()
 		m.acknowledged = max(m.acknowledged, status.StatusSequence)
 		m.mu.Unlock()
+		notify(m.statusTaken)
 		first.Do(func() { close(m.registered) })
 	}
 }
@@ -56,8 +57,8 @@
 	return status, m.acknowledged < m.sequence
 }
 
-func nameSet(names []string) map[string]bool {
-	set := map[string]bool{}
+func engineSet(names []string) EngineSet {
+	set := EngineSet{}
 	for _, name := range names {
 		set[name] = true
 	}
@@ -98,8 +99,8 @@
 	}
 }
 
-func (v MemberView) drainedEngines() map[string]bool {
-	engines := map[string]bool{}
+func (v MemberView) drainedEngines() EngineSet {
+	engines := EngineSet{}
 	for _, drain := range v.Drains {
 		engines[drain.Engine] = true
 	}
@@ -136,7 +137,7 @@
 	} else {
 		m.acknowledged = 0
 	}
-	m.notifyStatusChanged()
+	notify(m.statusChanged)
 	return m.phase
 }
 
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -299,7 +299,7 @@
 // idleFront is a front end without engines or requests.
 type idleFront struct{}
 
-func (idleFront) Exclude(map[string]bool)              {}
+func (idleFront) Exclude(EngineSet)                    {}
 func (idleFront) Drained(string) bool                  { return true }
 func (idleFront) Engines() []rollout.Engine            { return nil }
 func (idleFront) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
--- a/internal/scale/hollow_front.go
+++ b/internal/scale/hollow_front.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"beechcart/decision/rollout"
+	"beechcart/internal/fleet"
 )
 
 // hollowFront is what a hollow member stands for: a front end that has nothing out at any engine, and counts requests
@@ -23,8 +24,8 @@
 	return &hollowFront{engines: engines, rate: rate, started: time.Now(), inForce: map[string]time.Time{}}
 }
 
-// Exclude implements fleet.Front.
-func (f *hollowFront) Exclude(engines map[string]bool) {
+// Exclude implements fleet.FrontEnd.
+func (f *hollowFront) Exclude(engines fleet.EngineSet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for engine := range f.inForce {
@@ -39,13 +40,13 @@
 	}
 }
 
-// Drained implements fleet.Front.
+// Drained implements fleet.FrontEnd.
 func (f *hollowFront) Drained(string) bool { return true }
 
-// Engines implements fleet.Front.
+// Engines implements fleet.FrontEnd.
 func (f *hollowFront) Engines() []rollout.Engine { return f.engines }
 
-// RequestCounts implements fleet.Front.
+// RequestCounts implements fleet.FrontEnd.
 func (f *hollowFront) RequestCounts() rollout.RequestCounts {
 	return rollout.RequestCounts{Requests: int64(f.rate * time.Since(f.started).Seconds())}
 }
