--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -25,8 +25,8 @@
 	registrationTimeout = 3 * time.Second
 )
 
-// fleetMember connects the front end and its member of the fleet: it is the membership of the one and the fleet.FrontEnd
-// of the other.
+// fleetMember connects the front end and its member of the fleet: it is the membership of the one and the
+// fleet.FrontEnd of the other.
 type fleetMember struct {
 	member         *fleet.Member
 	feed           *source.Feed
