--- a/cmd/gateway/endpoints.go
+++ b/cmd/gateway/endpoints.go
@@ -61,14 +61,15 @@
 		// The events of the change log are numbered: it goes on from the last one, and after another source from the first.
 		if previous == operatorconfig.SourceConsul {
 			f.changeLog = endpoints.NewChangeLog(c.platform.Names)
+			f.feed.Follow(changelog.New(f.engines, c.platform.ChangeLog, f.changeLog, f.log))
+			break
 		}
-		s := changelog.New(f.engines, c.platform.ChangeLog, f.changeLog, f.log)
-		f.feed.Follow(s, previous != operatorconfig.SourceConsul)
+		f.feed.Continue(changelog.New(f.engines, c.platform.ChangeLog, f.changeLog, f.log))
 	case f.consul != nil:
 		next.Inherit(f.consul)
-		f.feed.Follow(next, true)
+		f.feed.Continue(next)
 	default:
-		f.feed.Follow(next, false)
+		f.feed.Follow(next)
 	}
 	if f.cache != nil {
 		f.cache.Flush()
--- a/internal/source/changelog/changelog.go
+++ b/internal/source/changelog/changelog.go
@@ -1,4 +1,4 @@
-// Package changelog makes the engine list from the platform's change log.
+// Package changelog makes the endpoint list from the platform's change log.
 package changelog
 
 import (
@@ -12,34 +12,36 @@
 
 // Source follows the change log at one address.
 type Source struct {
-	fleet   *engine.Client
-	addr    string
-	changes *endpoints.ChangeLog
-	log     *slog.Logger
-	lost    bool // polls fail
+	client    *engine.Client
+	address   string
+	changeLog *endpoints.ChangeLog // owned by Run while it runs
+	log       *slog.Logger
+	lost      bool // the last poll has failed
 }
 
-// New returns a Source that goes on after the last event that changes holds.
-func New(fleet *engine.Client, addr string, changes *endpoints.ChangeLog, log *slog.Logger) *Source {
-	return &Source{fleet: fleet, addr: addr, changes: changes, log: log}
+// New returns a Source that goes on after the last event that changeLog has read.
+func New(client *engine.Client, address string, changeLog *endpoints.ChangeLog, log *slog.Logger) *Source {
+	return &Source{client: client, address: address, changeLog: changeLog, log: log}
 }
 
 // Run polls until ctx ends.
 func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
-	s.fleet.FollowChangeLog(ctx, s.addr, s.changes.Seq(), func(text []byte) (int64, error) {
-		lists, err := s.changes.Read(text)
+	read := func(text []byte) (int64, error) {
+		lists, err := s.changeLog.Read(text)
 		for _, l := range lists {
 			take(l)
 		}
-		// Guards against passing over events for good: what is asked for is what comes after those that are held.
-		if err == nil && s.changes.Behind() {
-			err = fmt.Errorf("change log: events after %d are told of and did not come", s.changes.Seq())
+		// The next poll begins after the last event that was read, so announced events that did not come are asked for again.
+		if err == nil && s.changeLog.Behind() {
+			err = fmt.Errorf("change log: events after %d are told of and did not come", s.changeLog.Seq())
 		}
-		return s.changes.Seq(), err
-	}, s.state)
+		return s.changeLog.Seq(), err
+	}
+	s.client.FollowChangeLog(ctx, s.address, s.changeLog.Seq(), read, s.logOutcome)
 }
 
-func (s *Source) state(err error) {
+// logOutcome logs the first poll that fails, and the first that succeeds again.
+func (s *Source) logOutcome(err error) {
 	switch {
 	case err != nil && !s.lost:
 		s.log.Warn("change log lost", "error", err)
--- a/internal/source/feed.go
+++ b/internal/source/feed.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"context"
 	"log/slog"
-	"maps"
 	"slices"
 	"sync"
 	"time"
@@ -13,225 +12,171 @@
 	"beechcart/internal/endpoints"
 )
 
-// Handover is the reason of engines that the source before named and the new one does not.
-const Handover = "not named by the new source"
-
-// Feed follows one source at a time and hands its lists on. Its methods are for one goroutine.
+// Feed follows one source at a time and passes its lists on. Its methods are for one goroutine, but for those that
+// say otherwise.
 type Feed struct {
-	ctx    context.Context
-	take   func(endpoints.List)
-	log    *slog.Logger
-	linger time.Duration
-
-	leave context.CancelFunc
-	left  chan struct{} // closed when the source in hand has returned
-
-	mu    sync.Mutex
-	known map[uint32]listed // the engines that are not gone
-	gen   int               // of the source in hand
-	tells StatusReporter    // the source in hand, where it tells more than its lists
-	moved bool              // its first list is still to come, and another source's engines are known
-	veto  map[string]bool   // names of engines that get nothing more, whatever the list says
+	ctx         context.Context // ends all sources
+	take        func(endpoints.List)
+	log         *slog.Logger
+	drainPeriod time.Duration // of engines that a new source does not name
+
+	stopCurrent    context.CancelFunc // nil before the first source
+	currentStopped chan struct{}      // closed when the current source has returned
+
+	mu              sync.Mutex
+	known           map[uint32]knownEndpoint // guarded by mu; the endpoints that are not gone
+	generation      int                      // guarded by mu; of the current source
+	reporter        StatusReporter           // guarded by mu; the current source where it is one
+	handoverPending bool                     // guarded by mu; a new source's first list is still to come
+	excluded        NameSet                  // guarded by mu
 }
 
-type listed struct {
+// knownEndpoint is an endpoint and the generation of the source that has named it last.
+type knownEndpoint struct {
 	endpoints.Endpoint
-	gen int
+	generation int
 }
 
-// NewFeed returns a Feed that hands lists to take, one at a time. Engines that a new source does not name drain for
-// linger, so that what runs there can still be asked for, and are gone then.
-func NewFeed(ctx context.Context, take func(endpoints.List), linger time.Duration, log *slog.Logger) *Feed {
-	return &Feed{ctx: ctx, take: take, log: log, linger: linger, known: map[uint32]listed{}}
+// NewFeed returns a Feed that passes lists to take, one at a time. Engines that a new source does not name drain for
+// drainPeriod, so that the queries running there can still be polled, and are gone then.
+func NewFeed(
+	ctx context.Context, take func(endpoints.List), drainPeriod time.Duration, log *slog.Logger,
+) *Feed {
+	return &Feed{ctx: ctx, take: take, log: log, drainPeriod: drainPeriod, known: map[uint32]knownEndpoint{}}
 }
 
-// Publish hands on a list from before the first source.
+// Publish passes on a list that was known before the first source.
 func (f *Feed) Publish(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hand(l)
-}
-
-// Excluded is the reason of engines that the fleet drains.
-const Excluded = "drained by word of the fleet"
-
-// Exclude lets the engines of these names drain, whatever the list says, until a later call leaves them out. It may be called from
-// any goroutine.
-func (f *Feed) Exclude(names map[string]bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if maps.Equal(names, f.veto) {
-		return
-	}
-	was := f.veto
-	f.veto = maps.Clone(names)
-	var l endpoints.List
-	for _, e := range f.known {
-		if was[e.Name] != names[e.Name] {
-			l.Endpoints = append(l.Endpoints, e.Endpoint)
-		}
-	}
-	if len(l.Endpoints) > 0 {
-		slices.SortFunc(l.Endpoints, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-		f.hand(l)
-	}
-}
-
-// vetoed is the list as the planner may have it.
-func (f *Feed) vetoed(l endpoints.List) endpoints.List {
-	if len(f.veto) == 0 {
-		return l
-	}
-	l.Endpoints = slices.Clone(l.Endpoints)
-	for i, e := range l.Endpoints {
-		if f.veto[e.Name] && e.State == admission.Ready {
-			l.Endpoints[i].State, l.Endpoints[i].Reason = admission.Draining, Excluded
-		}
-	}
-	return l
+	f.publish(l)
 }
 
-// Endpoints lists the engines that are not gone, as their source tells. It may be called from any goroutine.
-func (f *Feed) Endpoints() []endpoints.Endpoint {
+// Follow stops the current source and follows another one, whose first list replaces all that is known.
+func (f *Feed) Follow(s Source) {
+	f.Stop()
 	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := make([]endpoints.Endpoint, 0, len(f.known))
-	for _, e := range f.known {
-		out = append(out, e.Endpoint)
-	}
-	slices.SortFunc(out, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	f.generation++
+	f.handoverPending = len(f.known) > 0
+	generation := f.generation
+	f.reporter, _ = s.(StatusReporter)
+	f.mu.Unlock()
+	f.run(s, generation)
 }
 
-// Follow moves to a source at once. continues tells that it goes on where the one before left off, as the same change
-// log at another address does; otherwise its first list replaces all that is known.
-func (f *Feed) Follow(s Source, continues bool) {
-	if f.leave != nil {
-		f.leave()
-		<-f.left
-	}
+// Continue stops the current source and follows one that goes on where it has left off, as the same change log at
+// another address does.
+func (f *Feed) Continue(s Source) {
+	f.Stop()
 	f.mu.Lock()
-	if !continues {
-		f.gen++
-		f.moved = len(f.known) > 0
-	}
-	gen := f.gen
-	f.tells, _ = s.(StatusReporter)
+	generation := f.generation
+	f.reporter, _ = s.(StatusReporter)
 	f.mu.Unlock()
-	ctx, leave := context.WithCancel(f.ctx)
-	left := make(chan struct{})
-	f.leave, f.left = leave, left
-	go func() {
-		defer close(left)
-		s.Run(ctx, func(l endpoints.List) { f.from(gen, l) })
-	}()
+	f.run(s, generation)
 }
 
-// Stop ends the source in hand and returns once it has.
+// Stop stops the current source and returns once it has returned.
 func (f *Feed) Stop() {
-	if f.leave != nil {
-		f.leave()
-		<-f.left
+	if f.stopCurrent != nil {
+		f.stopCurrent()
+		<-f.currentStopped
 	}
 }
 
-func (f *Feed) from(gen int, l endpoints.List) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.moved && l.Complete {
-		f.moved = false
-		l = f.handover(gen, l)
-	}
-	f.hand(l)
-}
-
-// handover makes the first list of a new source a change of what is known. Guards against attempts that lose their
-// engine only because another authority names it otherwise.
-func (f *Feed) handover(gen int, l endpoints.List) endpoints.List {
-	l.Complete = false
-	l.Endpoints = slices.Clone(l.Endpoints)
-	named := map[uint32]bool{}
-	for _, e := range l.Endpoints {
-		named[e.ID] = true
-	}
-	var old []uint32
-	for id, e := range f.known {
-		if !named[id] {
-			e.State, e.Reason = admission.Draining, Handover
-			l.Endpoints = append(l.Endpoints, e.Endpoint)
-			old = append(old, id)
-		}
-	}
-	f.log.Info("another source of the list", "engines", len(named), "draining", len(old))
-	if len(old) > 0 {
-		time.AfterFunc(f.linger, func() { f.forget(gen, old) })
-	}
-	return l
+// run runs a source until it is stopped, or the feed's context ends.
+func (f *Feed) run(s Source, generation int) {
+	ctx, stop := context.WithCancel(f.ctx)
+	stopped := make(chan struct{})
+	f.stopCurrent, f.currentStopped = stop, stopped
+	go func() {
+		defer close(stopped)
+		s.Run(ctx, func(l endpoints.List) { f.receive(generation, l) })
+	}()
 }
 
-// forget drops the engines of a source before that the one in hand has not named since.
-func (f *Feed) forget(gen int, old []uint32) {
+// receive takes a list of the source of a generation.
+func (f *Feed) receive(generation int, l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var l endpoints.List
-	for _, id := range old {
-		if e, ok := f.known[id]; ok && e.gen < gen && f.ctx.Err() == nil {
-			e.State, e.Reason = admission.Removed, Handover
-			l.Endpoints = append(l.Endpoints, e.Endpoint)
-		}
-	}
-	if len(l.Endpoints) > 0 {
-		f.hand(l)
+	if f.handoverPending && l.Complete {
+		f.handoverPending = false
+		l = f.handover(generation, l)
 	}
+	f.publish(l)
 }
 
-// hand logs a list, remembers it and hands it on.
-func (f *Feed) hand(l endpoints.List) {
+// publish logs a list, remembers it and passes it on; the lock is held.
+func (f *Feed) publish(l endpoints.List) {
 	if l.Complete {
 		clear(f.known)
 	}
-	told := f.vetoed(l)
+	passed := f.applyExclusions(l)
 	for i, e := range l.Endpoints {
-		args := []any{"engine", e.Name, "id", e.ID, "state", told.Endpoints[i].State.String(), "address", e.Address}
-		if reason := told.Endpoints[i].Reason; reason != "" {
-			args = append(args, "reason", reason)
-		}
-		f.log.Info("engine listed", args...)
-		gen := f.gen
+		f.logEndpoint(passed.Endpoints[i])
+		generation := f.generation
 		if e.Reason == Handover {
-			gen = f.known[e.ID].gen
+			generation = f.known[e.ID].generation
 		}
-		f.known[e.ID] = listed{e, gen}
+		f.known[e.ID] = knownEndpoint{e, generation}
 		if e.State == admission.Removed {
 			delete(f.known, e.ID)
 		}
 	}
-	f.take(told)
+	f.take(passed)
 }
 
-// Statuses tells what is believed of each engine: by the source in hand, and for engines that it does not tell of, by
-// the lists so far. It may be called from any goroutine.
+func (f *Feed) logEndpoint(e endpoints.Endpoint) {
+	args := []any{"engine", e.Name, "id", e.ID, "state", e.State.String(), "address", e.Address}
+	if e.Reason != "" {
+		args = append(args, "reason", e.Reason)
+	}
+	f.log.Info("engine listed", args...)
+}
+
+// Endpoints returns the endpoints that are not gone, as their source has named them. It is safe for concurrent use.
+func (f *Feed) Endpoints() []endpoints.Endpoint {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	list := make([]endpoints.Endpoint, 0, len(f.known))
+	for _, e := range f.known {
+		list = append(list, e.Endpoint)
+	}
+	sortByName(list)
+	return list
+}
+
+// Statuses returns what the current source knows of each engine and, for engines that it does not report, what the
+// lists so far have said. It is safe for concurrent use.
 func (f *Feed) Statuses() []EngineStatus {
 	f.mu.Lock()
-	tells := f.tells
+	reporter := f.reporter
 	f.mu.Unlock()
-	var out []EngineStatus
-	if tells != nil {
-		out = tells.Statuses()
+	var statuses []EngineStatus
+	if reporter != nil {
+		statuses = reporter.Statuses()
 	}
-	told := map[uint32]bool{}
-	for _, b := range out {
-		told[b.ID] = true
+	reported := map[uint32]bool{}
+	for _, s := range statuses {
+		reported[s.ID] = true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.known {
-		if told[e.ID] {
-			continue
+		if !reported[e.ID] {
+			statuses = append(statuses, statusOf(e.Endpoint))
 		}
-		out = append(out, EngineStatus{Name: e.Name, ID: e.ID, Address: e.Address, State: e.State.String(), Reason: e.Reason,
-			Cell: e.Cell, Weight: e.Units, SinceMS: e.Started.Milliseconds()})
 	}
-	slices.SortFunc(out, func(a, b EngineStatus) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(statuses, func(a, b EngineStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return statuses
+}
+
+func statusOf(e endpoints.Endpoint) EngineStatus {
+	return EngineStatus{
+		Name: e.Name, ID: e.ID, Address: e.Address, State: e.State.String(), Reason: e.Reason, Cell: e.Cell,
+		Weight: e.Units, SinceMS: e.Started.Milliseconds(),
+	}
+}
+
+func sortByName(list []endpoints.Endpoint) {
+	slices.SortFunc(list, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/source/feed_test.go
+++ b/internal/source/feed_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"log/slog"
 	"sync"
 	"testing"
@@ -15,10 +14,10 @@
 	"beechcart/internal/endpoints"
 )
 
-// scripted hands on lists as a test sends them.
-type scripted chan endpoints.List
+// scriptedSource passes on the lists that a test sends.
+type scriptedSource chan endpoints.List
 
-func (s scripted) Run(ctx context.Context, take func(endpoints.List)) {
+func (s scriptedSource) Run(ctx context.Context, take func(endpoints.List)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -29,33 +28,39 @@
 	}
 }
 
-type taken struct {
+// takenLists keeps the lists that a feed passes on.
+type takenLists struct {
 	mu    sync.Mutex
 	lists []endpoints.List
 }
 
-func (t *taken) take(l endpoints.List) {
-	t.mu.Lock()
-	t.lists = append(t.lists, l)
-	t.mu.Unlock()
+func (l *takenLists) take(list endpoints.List) {
+	l.mu.Lock()
+	l.lists = append(l.lists, list)
+	l.mu.Unlock()
 }
 
 // wait returns the nth list, counted from 0.
-func (t *taken) wait(tt *testing.T, n int) endpoints.List {
-	require.Eventually(tt, func() bool {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		return len(t.lists) > n
+func (l *takenLists) wait(t *testing.T, n int) endpoints.List {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return len(l.lists) > n
 	}, 10*time.Second, time.Millisecond)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.lists[n]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lists[n]
+}
+
+func entry(name string, id uint32, s admission.State) endpoints.Endpoint {
+	return endpoints.Endpoint{Engine: admission.Engine{ID: id, State: s}, Name: name, Address: "127.0.0.1:1"}
 }
 
 func named(complete bool, ids ...uint32) endpoints.List {
 	l := endpoints.List{Complete: complete}
 	for _, id := range ids {
-		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Engine: admission.Engine{ID: id}, Name: string(rune('a' + id)), Address: "127.0.0.1:1"})
+		l.Endpoints = append(l.Endpoints, entry(string(rune('a'+id)), id, admission.Ready))
 	}
 	return l
 }
@@ -68,47 +73,50 @@
 	return m
 }
 
-// Guards against attempts that lose their engine as another source names it otherwise, or does not name it.
-func TestAnotherSourceDrainsWhatItDoesNotName(t *testing.T) {
+// Attempts must not lose their engine because another source names it otherwise, or does not name it.
+func TestNewSourceDrainsUnnamedEngines(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var got taken
-	f := NewFeed(ctx, got.take, 20*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	var got takenLists
+	f := NewFeed(ctx, got.take, 20*time.Millisecond, slog.New(slog.DiscardHandler))
 	f.Publish(named(true, 1, 2, 3))
-	one, two := make(scripted), make(scripted)
-	f.Follow(one, true)
+	one, two := make(scriptedSource), make(scriptedSource)
+	f.Continue(one)
 	one <- named(false, 4)
-	require.Equal(t, named(false, 4), got.wait(t, 1), "a source that continues hands on what it tells")
-	f.Follow(two, false)
+	require.Equal(t, named(false, 4), got.wait(t, 1), "a source that continues passes on its lists")
+	f.Follow(two)
 	two <- named(true, 2, 7)
 	l := got.wait(t, 2)
 	assert.False(t, l.Complete)
-	assert.Equal(t, map[uint32]admission.State{2: admission.Ready, 7: admission.Ready, 1: admission.Draining, 3: admission.Draining,
+	assert.Equal(t, map[uint32]admission.State{
+		2: admission.Ready, 7: admission.Ready, 1: admission.Draining, 3: admission.Draining,
 		4: admission.Draining}, states(l))
 	assert.Len(t, f.Statuses(), 5)
-	assert.Equal(t, map[uint32]admission.State{1: admission.Removed, 3: admission.Removed, 4: admission.Removed}, states(got.wait(t, 3)))
+	removed := map[uint32]admission.State{1: admission.Removed, 3: admission.Removed, 4: admission.Removed}
+	assert.Equal(t, removed, states(got.wait(t, 3)))
 	assert.Len(t, f.Statuses(), 2)
 	f.Stop()
 }
 
-func TestAnEngineThatTheNewSourceNamesLaterStays(t *testing.T) {
+func TestEngineThatTheNewSourceNamesLaterStays(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var got taken
-	f := NewFeed(ctx, got.take, 50*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	var got takenLists
+	f := NewFeed(ctx, got.take, 50*time.Millisecond, slog.New(slog.DiscardHandler))
 	f.Publish(named(true, 1, 2))
-	s := make(scripted)
-	f.Follow(s, false)
+	s := make(scriptedSource)
+	f.Follow(s)
 	s <- named(true, 7)
 	s <- named(false, 1)
 	assert.Equal(t, map[uint32]admission.State{2: admission.Removed}, states(got.wait(t, 3)))
 	f.Stop()
 }
 
-// An engine that the fleet drains gets nothing more, whatever its list says meanwhile, and is as the list says after it.
-func TestVetoOutlivesTheList(t *testing.T) {
+// An excluded engine drains whatever its list says, and is in the state of its list once it is no longer excluded.
+func TestExclusionOutlivesTheList(t *testing.T) {
 	var got []endpoints.List
-	f := NewFeed(context.Background(), func(l endpoints.List) { got = append(got, l) }, time.Second, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	take := func(l endpoints.List) { got = append(got, l) }
+	f := NewFeed(context.Background(), take, time.Second, slog.New(slog.DiscardHandler))
 	state := func(name string) admission.State {
 		for i := len(got) - 1; i >= 0; i-- {
 			for _, e := range got[i].Endpoints {
@@ -119,20 +127,21 @@
 		}
 		return -1
 	}
-	entry := func(name string, id uint32, s admission.State) endpoints.Endpoint {
-		return endpoints.Endpoint{Engine: admission.Engine{ID: id, State: s}, Name: name, Address: "127.0.0.1:1"}
-	}
-	f.Publish(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{entry("a", 1, admission.Ready), entry("b", 2, admission.Ready)}})
+	f.Publish(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{
+		entry("a", 1, admission.Ready), entry("b", 2, admission.Ready),
+	}})
 	f.Exclude(map[string]bool{"a": true})
 	assert.Equal(t, admission.Draining, state("a"))
 	assert.Equal(t, admission.Ready, state("b"))
 	n := len(got)
 	f.Exclude(map[string]bool{"a": true})
-	assert.Len(t, got, n, "nothing new, nothing told")
-	f.Publish(endpoints.List{Endpoints: []endpoints.Endpoint{entry("a", 1, admission.Ready), entry("b", 2, admission.Removed)}})
-	assert.Equal(t, admission.Draining, state("a"), "a list that calls it ready")
+	assert.Len(t, got, n, "the same exclusions change nothing")
+	f.Publish(endpoints.List{Endpoints: []endpoints.Endpoint{
+		entry("a", 1, admission.Ready), entry("b", 2, admission.Removed),
+	}})
+	assert.Equal(t, admission.Draining, state("a"), "a list in which it is ready")
 	assert.Equal(t, admission.Removed, state("b"))
-	assert.Equal(t, admission.Ready, f.Endpoints()[0].State, "what its source says is remembered")
+	assert.Equal(t, admission.Ready, f.Endpoints()[0].State, "the state of its source is kept")
 	f.Exclude(nil)
 	assert.Equal(t, admission.Ready, state("a"))
 }
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -1,5 +1,5 @@
-// Package source is where the engine list comes from: the change log of the platform, a Consul catalogue, and in time
-// others. Each is a package below or beside this one that offers a Source.
+// Package source is where the endpoint list comes from: the platform's change log, a Consul catalogue, or another
+// authority. Each is a package below this one that implements [Source]. A [Feed] follows one of them at a time.
 package source
 
 import (
@@ -8,20 +8,20 @@
 	"beechcart/internal/endpoints"
 )
 
-// Source follows one authority on the engine list.
+// Source follows one authority on the endpoint list.
 type Source interface {
-	// Run hands on each list as it comes, in order, until ctx ends, and returns only then. It outlives every trouble
-	// of the authority. take must not be called after Run has returned.
+	// Run hands each list to take as it arrives, in order, until ctx ends, and returns only then. It retries whatever
+	// fails at the authority. take must not be called after Run has returned.
 	Run(ctx context.Context, take func(endpoints.List))
 }
 
-// StatusReporter is a Source that can tell what it believes of each engine, and why.
+// StatusReporter is a Source that can report what it knows of each engine, and why.
 type StatusReporter interface {
-	// Statuses may be called from any goroutine.
+	// Statuses is safe for concurrent use.
 	Statuses() []EngineStatus
 }
 
-// EngineStatus is what a Source believes of one engine, in words for people and programs.
+// EngineStatus is what a Source knows of one engine, for people and programs.
 type EngineStatus struct {
 	Name    string  `json:"name"`
 	ID      uint32  `json:"id"`
@@ -32,5 +32,8 @@
 	Kind    string  `json:"kind,omitempty"`
 	Cell    int     `json:"cell"`
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // Unix time since when the process is taken to run; 0: long ago
+	SinceMS int64   `json:"since_ms"` // Unix time since which the process has been running; 0: long ago
 }
+
+// NameSet is a set of engines' names.
+type NameSet map[string]bool
