--- a/internal/source/consul/decode.go
+++ b/internal/source/consul/decode.go
@@ -3,114 +3,100 @@
 import (
 	"errors"
 	"fmt"
-	"net"
-	"strconv"
-	"strings"
-	"time"
 
 	"github.com/valyala/fastjson"
 
 	"beechcart/decision/discovery"
 )
 
-// The bounds of one answer.
+// Limits of one response.
 const (
-	mostElement  = 1 << 20
-	mostElements = 100_000
-	mostDepth    = 32
+	maxElementBytes = 1 << 20
+	maxElements     = 100_000
+	maxDepth        = 32
 )
 
 var errShape = errors.New("consul: the answer is not a list of service instances")
 
-// Mapping tells where the fields of an engine stand in a service instance. A place is "meta:KEY", "node_meta:KEY",
-// "tag:PREFIX" (the rest of the first tag with that prefix), "datacenter" or "" (nowhere).
-type Mapping struct {
-	Zone, Kind, Cell, Weight, Mark, Started string
+// decoderState is where a decoder is in the list.
+type decoderState int
 
-	DrainTag  string // an engine with this tag drains
-	DrainMeta string // an engine whose meta has this key, with any value but "", "0", "false" or "no", drains
-}
-
-// DefaultMapping is in force where nothing else is set.
-func DefaultMapping() Mapping {
-	return Mapping{Zone: "meta:zone", Kind: "meta:kind", Cell: "meta:cell", Mark: "meta:start", Started: "meta:started_ms",
-		DrainTag: "draining", DrainMeta: "draining"}
-}
-
-// Check names the first place that can't be one.
-func (m Mapping) Check() error {
-	for _, p := range [][2]string{{"zone", m.Zone}, {"kind", m.Kind}, {"cell", m.Cell}, {"weight", m.Weight},
-		{"mark", m.Mark}, {"started", m.Started}} {
-		where, key, _ := strings.Cut(p[1], ":")
-		switch {
-		case p[1] == "" || p[1] == "datacenter":
-		case (where == "meta" || where == "node_meta" || where == "tag") && key != "":
-		default:
-			return fmt.Errorf(`%s: %q is none of "meta:KEY", "node_meta:KEY", "tag:PREFIX", "datacenter", ""`, p[0], p[1])
-		}
-	}
-	return nil
-}
+const (
+	beforeList decoderState = iota
+	beforeElement
+	inElement
+	afterElement
+	afterList
+)
 
-// decoder reads the answer of /v1/health/service/NAME as it comes. It holds one element of the list at a time, so a
-// list of thousands of engines with much metadata costs the memory of one.
+// decoder reads the response of /v1/health/service/NAME as it arrives. It holds one element of the list at a time, so
+// that a list of thousands of engines with much metadata needs the memory of one.
 type decoder struct {
 	mapping Mapping
 	parser  fastjson.Parser
 	element []byte
-	state   int // 0: before the list, 1: before an element, 2: in one, 3: after one, 4: after the list
-	depth   int
-	quoted  bool
-	escaped bool
+	state   decoderState
+	depth   int  // of braces and brackets in the element
+	quoted  bool // in a string
+	escaped bool // behind a backslash in a string
 	list    []discovery.Endpoint
 }
 
 func newDecoder(m Mapping) *decoder { return &decoder{mapping: m} }
 
-// Write takes a piece of the answer.
+// Write takes a piece of the response.
 func (d *decoder) Write(p []byte) (int, error) {
-	begin := 0 // of the piece of an element within p
+	start := 0 // in p, of the current element or its rest
 	for i, c := range p {
-		if d.state == 2 {
-			done, err := d.inside(c)
-			if err != nil {
+		if d.state != inElement {
+			if err := d.betweenElements(c); err != nil {
 				return 0, err
 			}
-			if done {
-				d.element = append(d.element, p[begin:i+1]...)
-				if err := d.take(); err != nil {
-					return 0, err
-				}
-				d.state = 3
+			if d.state == inElement {
+				start = i
 			}
 			continue
 		}
-		if c == ' ' || c == '\n' || c == '\r' || c == '\t' {
-			continue
+		ended, err := d.follow(c)
+		if err != nil {
+			return 0, err
 		}
-		switch {
-		case d.state == 0 && c == '[':
-			d.state = 1
-		case (d.state == 1 || d.state == 3) && c == ']' && (d.state == 3 || len(d.list) == 0):
-			d.state = 4
-		case d.state == 3 && c == ',':
-			d.state = 1
-		case d.state == 1 && c == '{':
-			d.state, d.depth, begin = 2, 1, i
-		default:
-			return 0, errShape
+		if ended {
+			d.element = append(d.element, p[start:i+1]...)
+			if err := d.addElement(); err != nil {
+				return 0, err
+			}
+			d.state = afterElement
 		}
 	}
-	if d.state == 2 {
-		if d.element = append(d.element, p[begin:]...); len(d.element) > mostElement {
-			return 0, fmt.Errorf("consul: an instance has more than %d bytes", mostElement)
+	if d.state == inElement {
+		if d.element = append(d.element, p[start:]...); len(d.element) > maxElementBytes {
+			return 0, fmt.Errorf("consul: an instance has more than %d bytes", maxElementBytes)
 		}
 	}
 	return len(p), nil
 }
 
-// inside follows one byte of an element; true at its end. What is inside is left to the parser.
-func (d *decoder) inside(c byte) (bool, error) {
+// betweenElements follows one byte outside of the elements.
+func (d *decoder) betweenElements(c byte) error {
+	switch {
+	case c == ' ' || c == '\n' || c == '\r' || c == '\t':
+	case d.state == beforeList && c == '[':
+		d.state = beforeElement
+	case d.state == afterElement && c == ']', d.state == beforeElement && c == ']' && len(d.list) == 0:
+		d.state = afterList
+	case d.state == afterElement && c == ',':
+		d.state = beforeElement
+	case d.state == beforeElement && c == '{':
+		d.state, d.depth = inElement, 1
+	default:
+		return errShape
+	}
+	return nil
+}
+
+// follow follows one byte of an element, and reports whether it is the last one. The parser reads what is inside.
+func (d *decoder) follow(c byte) (ended bool, err error) {
 	switch {
 	case d.escaped:
 		d.escaped = false
@@ -119,7 +105,7 @@
 	case c == '"':
 		d.quoted = true
 	case c == '{' || c == '[':
-		if d.depth++; d.depth > mostDepth {
+		if d.depth++; d.depth > maxDepth {
 			return false, errShape
 		}
 	case c == '}' || c == ']':
@@ -129,16 +115,17 @@
 	return false, nil
 }
 
-func (d *decoder) take() error {
-	if len(d.list) == mostElements {
-		return fmt.Errorf("consul: more than %d instances", mostElements)
+// addElement parses the current element and adds it to the list.
+func (d *decoder) addElement() error {
+	if len(d.list) == maxElements {
+		return fmt.Errorf("consul: more than %d instances", maxElements)
 	}
-	v, err := d.parser.ParseBytes(d.element)
+	instance, err := d.parser.ParseBytes(d.element)
 	d.element = d.element[:0]
 	if err != nil {
 		return fmt.Errorf("consul: %w", err)
 	}
-	e, err := d.mapping.entry(v)
+	e, err := d.mapping.endpoint(instance)
 	if err != nil {
 		return err
 	}
@@ -146,94 +133,10 @@
 	return nil
 }
 
-// finish returns the list once the whole answer has been written.
+// finish returns the list once the whole response has been written.
 func (d *decoder) finish() ([]discovery.Endpoint, error) {
-	if d.state != 4 {
+	if d.state != afterList {
 		return nil, errShape
 	}
 	return d.list, nil
 }
-
-// entry reads one instance. Its strings are copies: they outlive the buffer.
-func (m *Mapping) entry(v *fastjson.Value) (discovery.Endpoint, error) {
-	node, service := v.Get("Node"), v.Get("Service")
-	if node.GetStringBytes("Node") == nil || service.GetStringBytes("ID") == nil {
-		return discovery.Endpoint{}, errShape
-	}
-	id := string(service.GetStringBytes("ID"))
-	host := string(service.GetStringBytes("Address"))
-	if host == "" {
-		host = string(node.GetStringBytes("Address"))
-	}
-	e := discovery.Endpoint{
-		Key:  string(node.GetStringBytes("Node")) + "/" + id,
-		Addr: net.JoinHostPort(host, strconv.Itoa(service.GetInt("Port"))),
-		Zone: m.find(m.Zone, v), Kind: m.find(m.Kind, v), Incarnation: m.find(m.Mark, v),
-		CreateIndex: service.GetUint64("CreateIndex"), ModifyIndex: service.GetUint64("ModifyIndex"),
-		Weight: 1, Passing: true,
-	}
-	e.Cell, _ = strconv.Atoi(m.find(m.Cell, v))
-	if ms, err := strconv.ParseInt(m.find(m.Started, v), 10, 64); err == nil && ms > 0 && ms < 1<<52 {
-		e.StartedAt = time.Duration(ms) * time.Millisecond
-	}
-	warning := false
-	for _, c := range v.GetArray("Checks") {
-		check := string(c.GetStringBytes("CheckID"))
-		switch status := string(c.GetStringBytes("Status")); {
-		case check == "_node_maintenance", check == "_service_maintenance:"+id:
-			e.Drain = true
-		case status == "passing":
-		case status == "warning":
-			warning = true
-		default:
-			e.Passing = false // critical, or a state of a later catalogue
-		}
-	}
-	if place := "Passing"; service.Exists("Weights") {
-		if warning {
-			place = "Warning"
-		}
-		e.Weight = service.GetFloat64("Weights", place)
-	}
-	if w, err := strconv.ParseFloat(m.find(m.Weight, v), 64); err == nil {
-		e.Weight = w
-	}
-	e.Drain = e.Drain || m.drains(service)
-	return e, nil
-}
-
-func (m *Mapping) drains(service *fastjson.Value) bool {
-	for _, t := range service.GetArray("Tags") {
-		if tag, err := t.StringBytes(); err == nil && m.DrainTag != "" && string(tag) == m.DrainTag {
-			return true
-		}
-	}
-	if m.DrainMeta == "" {
-		return false
-	}
-	switch strings.ToLower(string(service.GetStringBytes("Meta", m.DrainMeta))) {
-	case "", "0", "false", "no":
-		return false
-	}
-	return true
-}
-
-// find reads the field at a place; empty where there is none.
-func (m *Mapping) find(place string, v *fastjson.Value) string {
-	where, key, _ := strings.Cut(place, ":")
-	switch where {
-	case "meta":
-		return string(v.GetStringBytes("Service", "Meta", key))
-	case "node_meta":
-		return string(v.GetStringBytes("Node", "Meta", key))
-	case "datacenter":
-		return string(v.GetStringBytes("Node", "Datacenter"))
-	case "tag":
-		for _, t := range v.GetArray("Service", "Tags") {
-			if rest, ok := strings.CutPrefix(string(t.GetStringBytes()), key); ok {
-				return rest
-			}
-		}
-	}
-	return ""
-}
--- a/internal/source/consul/decode_test.go
+++ b/internal/source/consul/decode_test.go
@@ -14,13 +14,23 @@
 	"beechcart/decision/poll"
 )
 
-const instance = `{"Node":{"ID":"4-f","Node":"foobar","Address":"10.1.10.12","Datacenter":"dc1","Meta":{"rack":"r\"}7"}},
-"Service":{"ID":"e1","Service":"engine","Tags":["primary","room=b"],"Address":"","Port":8000,"Weights":{"Passing":10,"Warning":1},
+// instance is a service instance with the status of a check left open.
+const instance = `{"Node":{"ID":"4-f","Node":"foobar","Address":"10.1.10.12","Datacenter":"dc1",
+"Meta":{"rack":"r\"}7"}},
+"Service":{"ID":"e1","Service":"engine","Tags":["primary","room=b"],"Address":"","Port":8000,
+"Weights":{"Passing":10,"Warning":1},
 "Meta":{"zone":"a","kind":"std","cell":"3","start":"p1","started_ms":"1500"},"CreateIndex":12,"ModifyIndex":14},
 "Checks":[{"Node":"foobar","CheckID":"serfHealth","Status":"passing","ServiceID":""},
 {"Node":"foobar","CheckID":"service:e1","Status":"%s","Output":"]},{","ServiceID":"e1"}]}`
 
+// wantInstance is what instance is read as, with a status of passing.
+var wantInstance = discovery.Endpoint{
+	Key: "foobar/e1", Addr: "10.1.10.12:8000", Zone: "a", Kind: "std", Cell: 3, Weight: 10, CreateIndex: 12,
+	ModifyIndex: 14, Incarnation: "p1", StartedAt: 1500 * time.Millisecond, Passing: true,
+}
+
 func decode(t *testing.T, m Mapping, text string) []discovery.Endpoint {
+	t.Helper()
 	d := newDecoder(m)
 	_, err := d.Write([]byte(text))
 	require.NoError(t, err)
@@ -30,13 +40,12 @@
 }
 
 func TestDecode(t *testing.T) {
-	want := discovery.Endpoint{Key: "foobar/e1", Addr: "10.1.10.12:8000", Zone: "a", Kind: "std", Cell: 3, Weight: 10, CreateIndex: 12,
-		ModifyIndex: 14, Incarnation: "p1", StartedAt: 1500 * time.Millisecond, Passing: true}
+	want := wantInstance
 	text := "[\n" + fmt.Sprintf(instance, "passing") + ", " + fmt.Sprintf(instance, "passing") + " ]\n"
 	assert.Equal(t, []discovery.Endpoint{want, want}, decode(t, DefaultMapping(), text))
 	assert.Empty(t, decode(t, DefaultMapping(), " [ ] "))
 
-	// Split at every byte, the answer reads the same.
+	// The response reads the same, wherever it is split.
 	for i := range text {
 		d := newDecoder(DefaultMapping())
 		for _, p := range []string{text[:i], text[i:]} {
@@ -50,34 +59,37 @@
 }
 
 func TestMapping(t *testing.T) {
+	const ownAddress = `"Address":"","Port"`
+	const firstCheck = `"serfHealth","Status":"passing"`
 	for name, k := range map[string]struct {
-		status, from, to string // a replacement in the instance
-		mapping          func(*Mapping)
-		check            func(t *testing.T, e discovery.Endpoint)
+		status   string
+		from, to string // a replacement in the instance
+		mapping  func(m *Mapping)
+		want     func(e *discovery.Endpoint) // what is other than in wantInstance
 	}{
-		"own address": {"passing", `"Address":"","Port"`, `"Address":"10.9.9.9","Port"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.Equal(t, "10.9.9.9:8000", e.Addr) }},
-		"ipv6":        {"passing", `"Address":"","Port"`, `"Address":"::1","Port"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.Equal(t, "[::1]:8000", e.Addr) }},
-		"warning": {"warning", "", "", nil, func(t *testing.T, e discovery.Endpoint) {
-			assert.True(t, e.Passing)
-			assert.EqualValues(t, 1, e.Weight)
-		}},
-		"critical":     {"critical", "", "", nil, func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Passing) }},
-		"later status": {"resting", "", "", nil, func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Passing) }},
-		"service maintenance": {"passing", `"serfHealth","Status":"passing"`, `"_service_maintenance:e1","Status":"critical"`, nil,
-			func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain); assert.True(t, e.Passing) }},
-		"another's maintenance": {"passing", `"serfHealth","Status":"passing"`, `"_service_maintenance:e2","Status":"critical"`, nil,
-			func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Drain) }},
-		"node maintenance": {"passing", `"serfHealth","Status":"passing"`, `"_node_maintenance","Status":"critical"`, nil,
-			func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain) }},
-		"drain tag":       {"passing", `"primary"`, `"draining"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain) }},
-		"drain meta":      {"passing", `"zone":"a"`, `"draining":"yes"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.True(t, e.Drain) }},
-		"drain meta, off": {"passing", `"zone":"a"`, `"draining":"False"`, nil, func(t *testing.T, e discovery.Endpoint) { assert.False(t, e.Drain) }},
+		"own address": {"passing", ownAddress, `"Address":"10.9.9.9","Port"`, nil,
+			func(e *discovery.Endpoint) { e.Addr = "10.9.9.9:8000" }},
+		"ipv6": {"passing", ownAddress, `"Address":"::1","Port"`, nil,
+			func(e *discovery.Endpoint) { e.Addr = "[::1]:8000" }},
+		"warning":      {"warning", "", "", nil, func(e *discovery.Endpoint) { e.Weight = 1 }},
+		"critical":     {"critical", "", "", nil, func(e *discovery.Endpoint) { e.Passing = false }},
+		"later status": {"resting", "", "", nil, func(e *discovery.Endpoint) { e.Passing = false }},
+		"service maintenance": {"passing", firstCheck, `"_service_maintenance:e1","Status":"critical"`, nil,
+			func(e *discovery.Endpoint) { e.Drain = true }},
+		"another's maintenance": {"passing", firstCheck, `"_service_maintenance:e2","Status":"critical"`, nil,
+			func(e *discovery.Endpoint) { e.Passing = false }},
+		"node maintenance": {"passing", firstCheck, `"_node_maintenance","Status":"critical"`, nil,
+			func(e *discovery.Endpoint) { e.Drain = true }},
+		"drain tag": {"passing", `"primary"`, `"draining"`, nil, func(e *discovery.Endpoint) { e.Drain = true }},
+		"drain meta": {"passing", `"zone":"a"`, `"draining":"yes"`, nil,
+			func(e *discovery.Endpoint) { e.Zone, e.Drain = "", true }},
+		"drain meta, off": {"passing", `"zone":"a"`, `"draining":"False"`, nil,
+			func(e *discovery.Endpoint) { e.Zone = "" }},
 		"places": {"passing", "", "", func(m *Mapping) {
 			m.Zone, m.Kind, m.Mark, m.Weight = "tag:room=", "node_meta:rack", "datacenter", "meta:cell"
-		},
-			func(t *testing.T, e discovery.Endpoint) {
-				assert.Equal(t, []any{"b", `r"}7`, "dc1", 3.0}, []any{e.Zone, e.Kind, e.Incarnation, e.Weight})
-			}},
+		}, func(e *discovery.Endpoint) {
+			e.Zone, e.Kind, e.Incarnation, e.Weight = "b", `r"}7`, "dc1", 3
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := DefaultMapping()
@@ -86,18 +98,23 @@
 			}
 			text := fmt.Sprintf(instance, k.status)
 			require.Contains(t, text, k.from)
-			k.check(t, decode(t, m, "["+strings.Replace(text, k.from, k.to, 1)+"]")[0])
+			want := wantInstance
+			k.want(&want)
+			got := decode(t, m, "["+strings.Replace(text, k.from, k.to, 1)+"]")
+			assert.Equal(t, []discovery.Endpoint{want}, got)
 		})
 	}
-	assert.ErrorContains(t, Mapping{Zone: "meta:"}.Check(), "zone")
-	assert.ErrorContains(t, Mapping{Cell: "room"}.Check(), `cell: "room" is none of`)
+	require.ErrorContains(t, Mapping{Zone: "meta:"}.Check(), "zone")
+	require.ErrorContains(t, Mapping{Cell: "room"}.Check(), `cell: "room" is none of`)
 }
 
-// Guards against an answer that is used in part, or that takes all memory.
+// A malformed response is an error as a whole, and takes a bounded amount of memory.
 func TestDecodeMalformed(t *testing.T) {
 	one := fmt.Sprintf(instance, "passing")
-	for _, text := range []string{"", "{}", "null", "[", "[" + one, "[" + one + ",", "[" + one + ",]", "[" + one + one + "]", "[]x", "[1]",
-		`[{}]`, `[{"Node":{"Node":"a"},"Service":{}}]`, `[{"Node":{"Node":"a"}]`, `[{"Node":"` + strings.Repeat("x", mostElement+1),
+	for _, text := range []string{"", "{}", "null", "[", "[" + one, "[" + one + ",", "[" + one + ",]",
+		"[" + one + one + "]", "[]x", "[1]",
+		`[{}]`, `[{"Node":{"Node":"a"},"Service":{}}]`, `[{"Node":{"Node":"a"}]`, `[{"Node":"` + strings.Repeat("x",
+			maxElementBytes+1),
 		"[" + strings.Repeat(`{"a":`, 50), "<html>"} {
 		d := newDecoder(DefaultMapping())
 		_, err := d.Write([]byte(text))
@@ -135,8 +152,10 @@
 }
 
 func TestPath(t *testing.T) {
-	o := Options{Service: "en/gine", Datacenter: "dc1", Namespace: "ns", Tag: "a b", Filter: `"x" in Service.Tags`, Passing: true, Consistency: "stale"}
-	assert.Equal(t, "/v1/health/service/en%2Fgine?dc=dc1&filter=%22x%22+in+Service.Tags&index=7&ns=ns&tag=a+b&wait=1500ms&passing&stale",
+	o := Options{Service: "en/gine", Datacenter: "dc1", Namespace: "ns", Tag: "a b", Filter: `"x" in Service.Tags`,
+		Passing: true, Consistency: "stale"}
+	assert.Equal(t, "/v1/health/service/en%2Fgine?dc=dc1&filter=%22x%22+in+Service.Tags&index=7&ns=ns&tag=a+b"+
+		"&wait=1500ms&passing&stale",
 		o.path(poll.Request{Index: 7, Wait: 1500 * time.Millisecond}))
 	assert.Equal(t, "/v1/health/service/e?", (&Options{Service: "e", Consistency: "default"}).path(poll.Request{}))
 }
--- a/internal/source/consul/recorded_test.go
+++ b/internal/source/consul/recorded_test.go
@@ -19,16 +19,20 @@
 		for _, checks := range []string{`[]`, `null`,
 			`[{"CheckID":"serfHealth","Status":"passing"},{"CheckID":"c","Status":"warning"}]`,
 			`[{"CheckID":"c","Status":"critical"},{"CheckID":"d","Status":"warning"}]`, `[{"CheckID":"c","Status":"resting"}]`,
-			`[{"CheckID":"_node_maintenance","Status":"critical"}]`, `[{"CheckID":"_service_maintenance:e%d","Status":"critical"}]`,
+			`[{"CheckID":"_node_maintenance","Status":"critical"}]`,
+			`[{"CheckID":"_service_maintenance:e%d","Status":"critical"}]`,
 			`[{"CheckID":"_service_maintenance:other","Status":"critical"}]`} {
-			for _, service := range []string{`"Tags":["a","draining"],"Weights":{"Passing":10,"Warning":1},"Meta":{"zone":"z","kind":"k","cell":"4","start":"p","started_ms":"1500"}`,
-				`"Tags":["room=b"],"Weights":{"Passing":0.25,"Warning":0},"Meta":{"draining":"Yes","cell":"x","started_ms":"-4","rate":"7.5"}`,
+			for _, service := range []string{`"Tags":["a","draining"],"Weights":{"Passing":10,"Warning":1},
+				"Meta":{"zone":"z","kind":"k","cell":"4","start":"p","started_ms":"1500"}`,
+				`"Tags":["room=b"],"Weights":{"Passing":0.25,"Warning":0},
+				"Meta":{"draining":"Yes","cell":"x","started_ms":"-4","rate":"7.5"}`,
 				`"Tags":null,"Meta":{"draining":"No","started_ms":"9999999999999999999","rate":"NaN"}`} {
 				n++
 				if strings.Contains(checks, "%d") {
 					checks = fmt.Sprintf(checks, n)
 				}
-				list = append(list, fmt.Sprintf(`{"Node":{"Node":"n%d","Address":"10.0.0.%d","Datacenter":"dc%d","Meta":{"rack":"r]%d"}},
+				list = append(list, fmt.Sprintf(`{"Node":{"Node":"n%d","Address":"10.0.0.%d","Datacenter":"dc%d",
+					"Meta":{"rack":"r]%d"}},
 					"Service":{"ID":"e%d","Address":%q,"Port":%d,%s,"CreateIndex":%d,"ModifyIndex":%d},"Checks":%s}`,
 					n/2, n%250, n%3, n, n, address, 8000+n, service, 100+n, 200+n, checks))
 			}
@@ -40,7 +44,8 @@
 // The endpoints that an answer is read as, with each of some mappings, are the recorded ones.
 func TestRecordedAnswer(t *testing.T) {
 	other := DefaultMapping()
-	other.Zone, other.Kind, other.Cell, other.Weight, other.Mark = "node_meta:rack", "tag:room=", "", "meta:rate", "datacenter"
+	other.Zone, other.Kind, other.Cell, other.Weight, other.Mark = "node_meta:rack", "tag:room=", "", "meta:rate",
+		"datacenter"
 	other.DrainTag, other.DrainMeta = "room=b", ""
 	text := []byte(answer())
 	var out bytes.Buffer
@@ -64,7 +69,8 @@
 
 func writeEntry(out *bytes.Buffer, mapping int, e discovery.Endpoint) {
 	fmt.Fprintf(out, "%d %q %q %q %q %d %x %d %d %q %d %t %t\n", mapping, e.Key, e.Addr, e.Zone, e.Kind, e.Cell,
-		math.Float64bits(e.Weight), e.CreateIndex, e.ModifyIndex, e.Incarnation, e.StartedAt.Nanoseconds(), e.Drain, e.Passing)
+		math.Float64bits(e.Weight), e.CreateIndex, e.ModifyIndex, e.Incarnation, e.StartedAt.Nanoseconds(), e.Drain,
+		e.Passing)
 }
 
 // instanceWith is an answer of one instance, with a further field of that value.
@@ -77,8 +83,10 @@
 	deep := func(n int) string { return strings.Repeat(`{"a":`, n) + "1" + strings.Repeat("}", n) }
 	long := func(n int) string { return `"` + strings.Repeat("x", n) + `"` }
 	var out strings.Builder
-	for i, text := range []string{``, `{}`, `[`, `[]`, `[1]`, `[{}]`, `[{"Node":{"Node":"n"},"Service":{}}]`, `[]x`, `[{"Node":nope}]`,
-		instanceWith(`1`), instanceWith(`1`) + "x", strings.Replace(instanceWith(`1`), "}]", "},]", 1), instanceWith(deep(31)),
+	for i, text := range []string{``, `{}`, `[`, `[]`, `[1]`, `[{}]`, `[{"Node":{"Node":"n"},"Service":{}}]`, `[]x`,
+		`[{"Node":nope}]`,
+		instanceWith(`1`), instanceWith(`1`) + "x", strings.Replace(instanceWith(`1`), "}]", "},]", 1),
+		instanceWith(deep(31)),
 		instanceWith(deep(32)), instanceWith(long(1<<20 - 100)), instanceWith(long(1 << 20))} {
 		d := newDecoder(DefaultMapping())
 		_, err := d.Write([]byte(text))
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -1,7 +1,7 @@
-// Package consul makes the engine list from a Consul catalogue, by blocking queries on the health of one service
-// (GET /v1/health/service/NAME: developer.hashicorp.com/consul/api-docs/health). One answer holds node, service and
-// checks of each instance, so that neither the catalogue nor the state of checks is asked apart. When and where to ask
-// is decided by decision/poll, what to believe by decision/discovery; this package carries bytes.
+// Package consul makes the endpoint list from a Consul catalogue, by blocking queries on the health of one service
+// (GET /v1/health/service/NAME: developer.hashicorp.com/consul/api-docs/health). One response holds the node, the
+// service and the checks of each instance. decision/poll decides when and which server is asked, decision/discovery
+// what to believe of a response; this package carries bytes.
 package consul
 
 import (
@@ -14,7 +14,6 @@
 	"sync"
 	"time"
 
-	"beechcart/admission"
 	"beechcart/decision/discovery"
 	"beechcart/decision/poll"
 	"beechcart/internal/endpoints"
@@ -23,109 +22,117 @@
 	"beechcart/internal/source"
 )
 
-// tokenEvery is how often a token file is looked at while calls are held.
-const tokenEvery = 500 * time.Millisecond
+// tokenCheckInterval is how often the token file is read while requests are denied.
+const tokenCheckInterval = 500 * time.Millisecond
 
-// Store keeps the last good list.
+// pollerStream is the second half of the poller's random seed.
+const pollerStream = 0x6c6973747321
+
+// Store stores the last good list.
 type Store interface {
-	// Load returns the list kept last, and when it was kept.
-	Load() (list []discovery.Endpoint, kept time.Time, err error)
-	// Save keeps a list; it may put it off, and must not block for long.
+	// Load returns the list that was stored last, and when it was stored.
+	Load() (list []discovery.Endpoint, stored time.Time, err error)
+	// Save stores a list; it may delay that, and does not block for long.
 	Save(list []discovery.Endpoint)
 }
 
 // Source follows one catalogue.
 type Source struct {
-	opt      Options
-	addrs    []address
-	names    platformconfig.Names
-	store    Store // nil: none
-	counters *invariant.Counters
-	log      *slog.Logger
-	now      func() time.Duration // Unix time, monotonic
+	options   Options
+	addresses []address
+	names     platformconfig.Names
+	store     Store // nil: none
+	counters  *invariant.Counters
+	log       *slog.Logger
+	now       func() time.Duration // Unix time, monotonic
 
-	mu       sync.Mutex
-	set      *discovery.EndpointSet
-	restored bool
-	before   *Source // the one that this one takes over from
+	mu          sync.Mutex
+	set         *discovery.EndpointSet // changed under mu, by Run alone
+	restored    bool
+	predecessor *Source // the one that this one takes over from
 
-	poller  *poll.Poller
-	client  client
-	token   string
-	lost    bool // calls fail
-	denied  bool
-	started bool // a list has been handed on
+	// Owned by Run.
+	poller    *poll.Poller
+	client    client
+	token     string
+	lost      bool // requests fail
+	denied    bool
+	published bool // a list has been passed on
 }
 
 // New returns a Source, or an error that names the setting that can't be used. store may be nil.
-func New(opt Options, names platformconfig.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64) (*Source, error) {
-	s := &Source{opt: opt, names: names, store: store, counters: counters, log: log, now: unixClock()}
-	s.client.opt = &s.opt
-	if opt.Service == "" {
-		return nil, fmt.Errorf("consul: service: no name is given")
+func New(
+	options Options, names platformconfig.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64,
+) (*Source, error) {
+	s := &Source{options: options, names: names, store: store, counters: counters, log: log, now: unixClock()}
+	s.client.options = &s.options
+	if err := s.configure(seed); err != nil {
+		return nil, fmt.Errorf("consul: %w", err)
 	}
-	for _, text := range opt.Addresses {
-		a, err := parseAddress(text)
-		if err != nil {
-			return nil, fmt.Errorf("consul: %w", err)
-		}
-		if a.tls && !canTLS {
-			return nil, fmt.Errorf("consul: addresses: %s: this build has no TLS (tag lean)", text)
-		}
-		s.addrs = append(s.addrs, a)
+	return s, nil
+}
+
+// configure checks the options and makes what they configure.
+func (s *Source) configure(seed uint64) (err error) {
+	if s.options.Service == "" {
+		return errNoService
 	}
-	if err := opt.Mapping.Check(); err != nil {
-		return nil, fmt.Errorf("consul: map: %w", err)
+	if s.addresses, err = s.options.parseAddresses(); err != nil {
+		return err
 	}
-	var err error
-	if s.set, err = discovery.New(opt.Membership); err != nil {
-		return nil, fmt.Errorf("consul: %w", err)
+	if err = s.options.Mapping.Check(); err != nil {
+		return fmt.Errorf("map: %w", err)
 	}
-	if s.poller, err = poll.New(opt.Poll, len(s.addrs), rand.New(rand.NewPCG(seed, 0x6c6973747321))); err != nil {
-		return nil, fmt.Errorf("consul: %w", err)
+	if s.set, err = discovery.New(s.options.Membership); err != nil {
+		return err
 	}
-	if _, err := opt.readToken(); err != nil {
-		return nil, fmt.Errorf("consul: %w", err)
+	random := rand.New(rand.NewPCG(seed, pollerStream))
+	if s.poller, err = poll.New(s.options.Poll, len(s.addresses), random); err != nil {
+		return err
 	}
-	return s, nil
+	_, err = s.options.readToken()
+	return err
 }
 
-// Inherit takes over what another Source believes once this one runs; the other must have returned from Run by then.
-// Drains, doubts and penalties hold on: another catalogue's first answer may be wrong like any other.
-func (s *Source) Inherit(old *Source) { s.before = old }
+// Inherit takes over what another Source knows once this one runs; the other must have returned from Run by then. Its
+// drains, suspicions and penalties stay in force: the first response of another catalogue may be wrong like any
+// other.
+func (s *Source) Inherit(predecessor *Source) { s.predecessor = predecessor }
 
 func (s *Source) inherit() {
-	old := s.before
-	if s.before = nil; old == nil {
+	old := s.predecessor
+	if s.predecessor = nil; old == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old.mu.Lock()
 	defer old.mu.Unlock()
-	s.set, s.now, s.started, s.restored = old.set, old.now, old.started, true
-	_ = s.set.Configure(s.opt.Membership) // New has checked it
+	s.set, s.now, s.published, s.restored = old.set, old.now, old.published, true
+	_ = s.set.Configure(s.options.Membership) // New has checked it
 	s.set.Switch(s.now())
 	s.poller.RetryNow(s.now())
 }
 
-// unixClock is Unix time that never jumps.
+// unixClock returns a clock of Unix time that never jumps.
 func unixClock() func() time.Duration {
 	start := time.Now()
-	base := time.Duration(start.UnixNano())
-	return func() time.Duration { return base + time.Since(start) }
+	startUnix := time.Duration(start.UnixNano())
+	return func() time.Duration { return startUnix + time.Since(start) }
 }
 
-// Statuses tells what is believed of each engine, by name.
+// Statuses returns what is known of each engine, by name.
 func (s *Source) Statuses() []source.EngineStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []source.EngineStatus
+	var statuses []source.EngineStatus
 	for _, c := range s.set.Current() {
-		out = append(out, source.EngineStatus{Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason),
-			Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.StartedAt.Milliseconds()})
+		statuses = append(statuses, source.EngineStatus{
+			Name: c.Key, ID: c.ID, Address: c.Addr, State: c.State.String(), Reason: string(c.Reason), Zone: c.Zone,
+			Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, SinceMS: c.StartedAt.Milliseconds(),
+		})
 	}
-	return out
+	return statuses
 }
 
 // Run reads the catalogue until ctx ends.
@@ -133,17 +140,17 @@
 	defer s.client.close()
 	s.inherit()
 	s.restore(take)
-	s.token, _ = s.opt.readToken()
+	s.token, _ = s.options.readToken()
 	for ctx.Err() == nil {
-		call := s.poller.Next()
-		s.wait(ctx, call.NotBefore, take)
+		request := s.poller.Next()
+		s.wait(ctx, request.NotBefore, take)
 		if ctx.Err() != nil {
 			return
 		}
-		if call = s.poller.Next(); call.NotBefore > s.now() {
+		if request = s.poller.Next(); request.NotBefore > s.now() {
 			continue
 		}
-		s.ask(ctx, call, take)
+		s.poll(ctx, request, take)
 	}
 }
 
@@ -153,7 +160,7 @@
 		return
 	}
 	s.restored = true
-	list, kept, err := s.store.Load()
+	list, stored, err := s.store.Load()
 	if err != nil {
 		s.log.Warn("last good list not used", "error", err)
 		return
@@ -161,14 +168,15 @@
 	if len(list) == 0 {
 		return
 	}
-	s.log.Info("last good list used", "engines", len(list), "age", time.Since(kept).Round(time.Millisecond).String())
+	age := time.Since(stored).Round(time.Millisecond).String()
+	s.log.Info("last good list used", "engines", len(list), "age", age)
 	s.mu.Lock()
-	a := s.set.Restore(s.now(), list)
+	update := s.set.Restore(s.now(), list)
 	s.mu.Unlock()
-	s.carry(a, take)
+	s.publish(update, take)
 }
 
-// wait sleeps until a call is due, and carries out what time alone changes.
+// wait returns when a request is due, and applies what changes with time alone.
 func (s *Source) wait(ctx context.Context, due time.Duration, take func(endpoints.List)) {
 	for ctx.Err() == nil {
 		now := s.now()
@@ -180,8 +188,8 @@
 		if next, ok := s.set.Next(); ok && next < until {
 			until = next
 		}
-		if s.denied && s.opt.TokenFile != "" {
-			until = min(until, now+tokenEvery)
+		if s.denied && s.options.TokenFile != "" {
+			until = min(until, now+tokenCheckInterval)
 		}
 		timer := time.NewTimer(until - now)
 		select {
@@ -189,15 +197,16 @@
 		case <-timer.C:
 		}
 		timer.Stop()
-		if s.denied && s.newToken() {
+		if s.denied && s.updateToken() {
 			s.poller.RetryNow(s.now())
 			return
 		}
 	}
 }
 
-func (s *Source) newToken() bool {
-	token, err := s.opt.readToken()
+// updateToken reads the token file, and reports whether it has another token.
+func (s *Source) updateToken() bool {
+	token, err := s.options.readToken()
 	if err != nil || token == s.token {
 		return false
 	}
@@ -205,30 +214,33 @@
 	return true
 }
 
+// advance applies what changes with time alone.
 func (s *Source) advance(now time.Duration, take func(endpoints.List)) {
 	s.mu.Lock()
-	var a discovery.Update
+	var update discovery.Update
 	if next, ok := s.set.Next(); ok && next <= now {
-		a = s.set.Advance(now)
+		update = s.set.Advance(now)
 	}
 	s.mu.Unlock()
-	s.carry(a, take)
+	s.publish(update, take)
 }
 
-// ask makes one call. What time alone changes meanwhile is carried out while it waits.
-func (s *Source) ask(ctx context.Context, call poll.Request, take func(endpoints.List)) {
-	s.newToken()
+// pollOutcome is what a request has ended with.
+type pollOutcome struct {
+	response response
+	err      error
+}
+
+// poll sends one request, and applies what changes with time alone while it waits for the response.
+func (s *Source) poll(ctx context.Context, request poll.Request, take func(endpoints.List)) {
+	s.updateToken()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	type ended struct {
-		r   reply
-		err error
-	}
-	done := make(chan ended, 1)
+	done := make(chan pollOutcome, 1)
 	token := s.token
-	go func() {
-		r, err := s.client.ask(ctx, s.addrs[call.Address], call, token)
-		done <- ended{r, err}
+	go func() { // ends with the request: ctx ends it, and done has room
+		r, err := s.client.do(ctx, s.addresses[request.Address], request, token)
+		done <- pollOutcome{r, err}
 	}()
 	s.counters.Add("catalogue_calls", 1)
 	for {
@@ -241,94 +253,57 @@
 		select {
 		case <-due:
 			s.advance(s.now(), take)
-		case e := <-done:
+		case outcome := <-done:
 			if ctx.Err() != nil {
 				return // the source ends
 			}
-			s.ended(call, e.r, e.err, take)
+			s.handleOutcome(request, outcome, take)
 			return
 		}
 	}
 }
 
-func (s *Source) ended(call poll.Request, r reply, err error, take func(endpoints.List)) {
-	at := s.addrs[call.Address].hostPort
-	if err != nil {
-		s.counters.Add("catalogue_failed", 1)
-		var late net.Error
-		result := poll.Result{Outcome: poll.Failed, TimedOut: errors.As(err, &late) && late.Timeout()}
-		if denied(err) {
-			result.Outcome = poll.Denied
-			s.counters.Add("catalogue_denied", 1)
-			if !s.denied {
-				s.log.Error("catalogue denies the read", "address", at, "error", err)
-			}
-			s.denied = true
-		} else if !s.lost {
-			s.log.Warn("catalogue lost", "address", at, "error", err)
-		}
-		s.lost = true
-		s.poller.HandleResult(s.now(), result)
+func (s *Source) handleOutcome(request poll.Request, outcome pollOutcome, take func(endpoints.List)) {
+	server := s.addresses[request.Address].hostPort
+	if outcome.err != nil {
+		s.handleFailure(server, outcome.err)
 		return
 	}
 	if s.lost || s.denied {
-		s.log.Info("catalogue back", "address", at)
+		s.log.Info("catalogue back", "address", server)
 		s.lost, s.denied = false, false
 	}
-	s.mu.Lock()
-	a := s.set.Observe(s.now(), r.Observation)
-	doubt := s.set.Suspicious()
-	s.mu.Unlock()
-	s.carry(a, take)
-	if len(a.Changes) > 0 && s.store != nil && !doubt {
-		s.store.Save(s.set.Snapshot())
-	}
-	s.poller.HandleResult(s.now(), poll.Result{Index: r.Index, BusyTime: time.Since(r.began), Latency: r.took, AwaitsConfirmation: doubt})
+	s.handleResponse(outcome.response, take)
 }
 
-// carry hands an answer on: the first as a whole list, the later ones as changes.
-func (s *Source) carry(a discovery.Update, take func(endpoints.List)) {
-	for _, n := range a.Notices {
-		s.counters.Add("notice_"+counterName(n.Kind), 1)
-		s.log.Warn("catalogue", "says", string(n.Kind), "engines", n.Count, "detail", n.Detail)
-	}
-	if len(a.Changes) == 0 {
-		return
-	}
-	s.counters.Add("catalogue_changes", int64(len(a.Changes)))
-	list := endpoints.List{Complete: !s.started}
-	s.started = true
-	for _, c := range a.Changes {
-		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{
-			Engine: admission.Engine{ID: c.ID, Kind: platformconfig.IndexOf(s.names.Kinds, c.Kind), Zone: platformconfig.IndexOf(s.names.Zones, c.Zone),
-				Cell: c.Cell, State: states[c.State], Units: c.Weight, Started: c.StartedAt},
-			Name: c.Key, Address: c.Addr, Reason: string(c.Reason),
-		})
+func (s *Source) handleFailure(server string, err error) {
+	s.counters.Add("catalogue_failed", 1)
+	var netError net.Error
+	result := poll.Result{Outcome: poll.Failed, TimedOut: errors.As(err, &netError) && netError.Timeout()}
+	if isDenied(err) {
+		result.Outcome = poll.Denied
+		s.counters.Add("catalogue_denied", 1)
+		if !s.denied {
+			s.log.Error("catalogue denies the read", "address", server, "error", err)
+		}
+		s.denied = true
+	} else if !s.lost {
+		s.log.Warn("catalogue lost", "address", server, "error", err)
 	}
-	take(list)
-}
-
-var states = map[discovery.State]admission.State{
-	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Removed: admission.Removed,
+	s.lost = true
+	s.poller.HandleResult(s.now(), result)
 }
 
-// counterName makes one word of a notice.
-func counterName(k discovery.NoticeKind) string {
-	switch k {
-	case discovery.NoticeListSuspect:
-		return "doubt_begun"
-	case discovery.NoticeSuspicionCleared:
-		return "doubt_cleared"
-	case discovery.NoticeListConfirmed:
-		return "doubt_confirmed"
-	case discovery.NoticeSuspicionExpired:
-		return "doubt_expired"
-	case discovery.NoticeEmptyList:
-		return "empty_kept"
-	case discovery.NoticeUntrusted:
-		return "old_word"
-	case discovery.NoticeIndexReset:
-		return "index_reset"
+func (s *Source) handleResponse(r response, take func(endpoints.List)) {
+	s.mu.Lock()
+	update := s.set.Observe(s.now(), r.Observation)
+	suspicious := s.set.Suspicious()
+	s.mu.Unlock()
+	s.publish(update, take)
+	if len(update.Changes) > 0 && s.store != nil && !suspicious {
+		s.store.Save(s.set.Snapshot())
 	}
-	return "malformed"
+	s.poller.HandleResult(s.now(), poll.Result{
+		Index: r.Index, BusyTime: time.Since(r.headAt), Latency: r.latency, AwaitsConfirmation: suspicious,
+	})
 }
--- a/internal/source/consul/tls.go
+++ b/internal/source/consul/tls.go
@@ -14,22 +14,22 @@
 	"beechcart/internal/http1"
 )
 
-// canTLS tells whether https can be used.
+// canTLS reports whether this build has TLS.
 const canTLS = true
 
-// secure reads the files anew for each connection, so that new keys need no restart.
+// secure returns what secures a connection. It reads the files for each connection, so that new keys need no restart.
 func (o *Options) secure(at address) (http1.Secure, error) {
-	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: o.ServerName}
-	if conf.ServerName == "" {
-		conf.ServerName = strings.Trim(at.hostPort[:strings.LastIndexByte(at.hostPort, ':')], "[]")
+	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: o.ServerName}
+	if config.ServerName == "" {
+		config.ServerName = strings.Trim(at.hostPort[:strings.LastIndexByte(at.hostPort, ':')], "[]")
 	}
 	if o.CAFile != "" {
 		pem, err := os.ReadFile(o.CAFile)
 		if err != nil {
 			return nil, fmt.Errorf("ca_file: %w", err)
 		}
-		conf.RootCAs = x509.NewCertPool()
-		if !conf.RootCAs.AppendCertsFromPEM(pem) {
+		config.RootCAs = x509.NewCertPool()
+		if !config.RootCAs.AppendCertsFromPEM(pem) {
 			return nil, fmt.Errorf("ca_file: %s holds no certificate", o.CAFile)
 		}
 	}
@@ -38,13 +38,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("cert_file: %w", err)
 		}
-		conf.Certificates = []tls.Certificate{pair}
+		config.Certificates = []tls.Certificate{pair}
 	}
 	return func(ctx context.Context, raw net.Conn) (net.Conn, error) {
-		c := tls.Client(raw, conf)
-		if err := c.HandshakeContext(ctx); err != nil {
+		conn := tls.Client(raw, config)
+		if err := conn.HandshakeContext(ctx); err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
-		return c, nil
+		return conn, nil
 	}, nil
 }
--- a/internal/source/consul/tls_lean.go
+++ b/internal/source/consul/tls_lean.go
@@ -8,9 +8,11 @@
 	"beechcart/internal/http1"
 )
 
-// canTLS tells whether https can be used.
+// canTLS reports whether this build has TLS.
 const canTLS = false
 
+var errNoTLS = errors.New("this build has no TLS (tag lean)")
+
 func (o *Options) secure(address) (http1.Secure, error) {
-	return nil, errors.New("this build has no TLS (tag lean)")
+	return nil, errNoTLS
 }
--- a/internal/source/endpointcache/recorded_test.go
+++ b/internal/source/endpointcache/recorded_test.go
@@ -20,8 +20,9 @@
 // kept is a list with every field of an entry, and when it was good.
 func kept() ([]discovery.Endpoint, time.Time) {
 	return []discovery.Endpoint{
-		{Key: "node-1/e1", Addr: "10.0.0.1:8000", Zone: "east", Kind: "std", Cell: 3, Weight: 2.5, CreateIndex: 1<<63 + 5, Incarnation: "start \"7\"",
-			StartedAt: 1_700_000_000_123 * time.Millisecond, Passing: true},
+		{Key: "node-1/e1", Addr: "10.0.0.1:8000", Zone: "east", Kind: "std", Cell: 3, Weight: 2.5, CreateIndex: 1<<63 + 5,
+			Incarnation: "start \"7\"",
+			StartedAt:   1_700_000_000_123 * time.Millisecond, Passing: true},
 		{Key: "node-2/e2", Addr: "[::1]:8001", Weight: 1, Drain: true, Passing: true},
 		{Key: "node-3/é\n", Addr: "10.0.0.3:8002", Cell: -1, Weight: 1e-9, StartedAt: -time.Second},
 	}, time.UnixMilli(1_790_000_000_456)
@@ -50,8 +51,10 @@
 	good := endpointcache.Encode(list, at)
 	var out strings.Builder
 	for i, text := range [][]byte{
-		nil, good[:9], good[:30], good[:len(good)-3], append(bytes.Clone(good), 'x'), bytes.Replace(good, []byte("node-1"), []byte("node-9"), 1),
-		[]byte("#!/bin/sh\n"), []byte("beechcart-list 2 0 0\n"), []byte("beechcart-list x 0 0\n"), []byte("beechcart-list 1 2\n{}"),
+		nil, good[:9], good[:30], good[:len(good)-3], append(bytes.Clone(good), 'x'), bytes.Replace(good, []byte("node-1"),
+			[]byte("node-9"), 1),
+		[]byte("#!/bin/sh\n"), []byte("beechcart-list 2 0 0\n"), []byte("beechcart-list x 0 0\n"),
+		[]byte("beechcart-list 1 2\n{}"),
 		endpointcache.Encode([]discovery.Endpoint{{Addr: "10.0.0.1:1"}}, at), good,
 	} {
 		dir := t.TempDir()
--- a/internal/source/endpointcache/lastgood_test.go
+++ b/internal/source/endpointcache/store_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"io"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -17,13 +16,14 @@
 )
 
 var list = []discovery.Endpoint{
-	{Key: "n1/e1", Addr: "10.0.0.1:80", Zone: "a", Kind: "std", Cell: 2, Weight: 1.5, CreateIndex: 1 << 60, Incarnation: "p", StartedAt: 5 * time.Second, Passing: true},
+	{Key: "n1/e1", Addr: "10.0.0.1:80", Zone: "a", Kind: "std", Cell: 2, Weight: 1.5, CreateIndex: 1 << 60,
+		Incarnation: "p", StartedAt: 5 * time.Second, Passing: true},
 	{Key: "n2/e2", Addr: "10.0.0.2:80", Weight: 1, Drain: true},
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var quiet = slog.New(slog.DiscardHandler)
 
-func TestKeepsAList(t *testing.T) {
+func TestStoreKeepsAList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	s := New(path, time.Hour, time.Hour, quiet)
 	got, _, err := s.Load()
@@ -42,8 +42,8 @@
 	assert.Equal(t, list, got)
 }
 
-// Guards against a file that is used in part: each is refused by name and moved aside.
-func TestRefusesWhatItCantUse(t *testing.T) {
+// A file is used as a whole or not at all: one that can't be used is renamed by the reason.
+func TestUnusableFileIsMovedAside(t *testing.T) {
 	good := Encode(list, time.Now())
 	flipped := bytes.Clone(good)
 	flipped[len(flipped)-9] ^= 1
@@ -69,10 +69,10 @@
 			_, _, err := New(path, 0, time.Hour, quiet).Load()
 			require.ErrorIs(t, err, k.why)
 			_, err = os.Stat(path)
-			assert.ErrorIs(t, err, os.ErrNotExist)
+			require.ErrorIs(t, err, os.ErrNotExist)
 			aside, err := os.ReadFile(path + "." + k.why.Error())
 			require.NoError(t, err)
-			assert.Equal(t, len(k.text), len(aside))
+			assert.Equal(t, string(k.text), string(aside))
 		})
 	}
 }
