--- a/cmd/gateway/news_test.go
+++ b/cmd/gateway/changelog_test.go
@@ -54,7 +54,7 @@
 			for n := range 5 {
 				state := []string{"draining", "ready"}[n%2]
 				before := strings.Count(r.log.String(), "state="+state)
-				told := r.tellDeaf(spoil, e.entry(state, 0))
+				told := r.publishUnheard(spoil, e.entry(state, 0))
 				require.Eventually(t, func() bool { return strings.Count(r.log.String(), "state="+state) > before },
 					time.Minute, time.Millisecond)
 				age = min(age, time.Since(told))
@@ -75,22 +75,22 @@
 			`"group":0,"status":"gone","weight":1,"since_ms":0}`, n))
 	}
 	require.Greater(t, len(strings.Join(list, "")), 512<<10)
-	r.tell(list...)
-	r.says("state=draining")
+	r.publish(list...)
+	r.waitForLog("state=draining")
 }
 
 // An old address that takes no connection holds up neither the reload nor the end behind it.
 func TestAReloadWaitsForNoAddressThatTakesNoConnection(t *testing.T) {
 	late, coming, _ := lateEngine(t)
 	e := newEngine(t, nil)
-	r := startAs(t, noProbes(true), e)
+	r := startAs(t, withoutHealthChecks(true), e)
 	address := strings.TrimPrefix(late.URL, "http://")
 	good := r.config
 	before, rest, _ := strings.Cut(good, `"changelog":"`)
 	old, _, _ := strings.Cut(rest, `"`)
 	r.write(before + `"changelog":"` + address + rest[len(old):])
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
-	r.says("changelog=" + address)
+	r.waitForLog("changelog=" + address)
 	require.Eventually(t, coming, 10*time.Second, time.Millisecond)
 	r.write(good)
 	age := time.Hour
--- a/cmd/gateway/client_test.go
+++ b/cmd/gateway/client_test.go
@@ -37,7 +37,7 @@
 	return string([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}) + payload
 }
 
-func (r *rig) raw() *client {
+func (r *testGateway) connect() *client {
 	c, err := net.Dial("tcp", r.addr)
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { c.Close() })
@@ -46,8 +46,8 @@
 }
 
 // dial opens a session and logs in.
-func (r *rig) dial() *client {
-	c := r.raw()
+func (r *testGateway) dial() *client {
+	c := r.connect()
 	c.send(1, login)
 	c.greeted()
 	return c
--- a/cmd/gateway/config_test.go
+++ b/cmd/gateway/config_test.go
@@ -17,11 +17,11 @@
 		`{"changelog":"127.0.0.1:1","seed":"xyz","settings":{}}`: "seed",
 		`{"changelog":"127.0.0.1:1",` +
 			`"settings":{"replicas_of_me":0}}`: "settings.replicas_of_me: 0 is not allowed: it must be 1 at least",
-		`{"changelog":"127.0.0.1:1","settings":{"services":[{"semantics":"x"}]}}`:    "semantics",
-		`{"changelog":"127.0.0.1:1","known":{"results":1},"settings":` + facts + `}`: "seq",
-		`{"settings":` + facts + `}`: "changelog",
+		`{"changelog":"127.0.0.1:1","settings":{"services":[{"semantics":"x"}]}}`:                      "semantics",
+		`{"changelog":"127.0.0.1:1","known":{"results":1},"settings":` + defaultPlatformSettings + `}`: "seq",
+		`{"settings":` + defaultPlatformSettings + `}`:                                                 "changelog",
 	} {
-		r := &rig{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
+		r := &testGateway{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
 		r.run(config)
 		require.EqualError(t, <-r.exit, "exit status 1", config)
 		assert.Contains(t, r.log.String(), want, config)
@@ -49,9 +49,9 @@
 			`services[0].semantics: "odd" is not known: it must be one of ["idempotency_key" "non_idempotent" "read_like"]`},
 		{`"skus":["std-12"]`, `"skus":"std-12"`, `skus: "std-12" is not allowed: it must be a list`},
 	} {
-		require.Contains(t, facts, k.was)
-		r := &rig{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
-		r.run(`{"changelog":"127.0.0.1:1","settings":` + strings.Replace(facts, k.was, k.is, 1) + `}`)
+		require.Contains(t, defaultPlatformSettings, k.was)
+		r := &testGateway{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
+		r.run(`{"changelog":"127.0.0.1:1","settings":` + strings.Replace(defaultPlatformSettings, k.was, k.is, 1) + `}`)
 		require.EqualError(t, <-r.exit, "exit status 1", k.is)
 		assert.Contains(t, r.log.String(), k.want)
 		assert.Equal(t, 1, strings.Count(r.log.String(), "\n"), r.log.String())
@@ -61,8 +61,8 @@
 		`{"sockets":"many"}`: `limits.sockets: "many" is not allowed: it must be a number from 0 on`,
 		`{"memory_mb":-1}`:   "limits.memory_mb: -1 is not allowed: it must be a number from 0 on",
 	} {
-		r := &rig{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
-		r.run(`{"changelog":"127.0.0.1:1","limits":` + limits + `,"settings":` + facts + `}`)
+		r := &testGateway{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
+		r.run(`{"changelog":"127.0.0.1:1","limits":` + limits + `,"settings":` + defaultPlatformSettings + `}`)
 		require.EqualError(t, <-r.exit, "exit status 1", limits)
 		assert.Contains(t, r.log.String(), want)
 	}
@@ -88,26 +88,27 @@
 		"one unsafe class": {`{"replicas_of_me":1,"services":[` + class("lookup", "non_idempotent",
 			300) + `]}`, 1024},
 		"ten classes":                  {`{"replicas_of_me":3,"me":2,"services":[` + strings.Join(ten, ",") + `]}`, 1024},
-		"a quarter of the descriptors": {facts, 64},
-		"no tenants": {strings.Replace(facts,
+		"a quarter of the descriptors": {defaultPlatformSettings, 64},
+		"no tenants": {strings.Replace(defaultPlatformSettings,
 			`"tenants":[{"allowance_per_s":1000,"fraction":1,"name":"south-grain"}]`, `"tenants":[]`, 1), 1024},
 		"no probes, no notes, no cancel": {strings.NewReplacer(`"tells_every":1000000000`,
-			`"tells_every":0`).Replace(noProbes(false)), 1024},
-		"a short grace": {strings.Replace(facts, `"drain_grace":500000000`, `"drain_grace":1000000`, 1),
+			`"tells_every":0`).Replace(withoutHealthChecks(false)), 1024},
+		"a short grace": {strings.Replace(defaultPlatformSettings, `"drain_grace":500000000`, `"drain_grace":1000000`, 1),
 			1024},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := newEngine(t, nil)
-			r := (&rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: k.facts}).start(k.sockets, e)
+			r := (&testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1),
+				platformSettings: k.facts}).start(k.sockets, e)
 			statement := fmt.Sprintf("\x03/* c=lookup,i=%016x,d=2000 */ SELECT a FROM sales_17.orders", 7)
 			c := r.dial()
 			c.send(0, statement)
 			a := c.read()
 			assert.Zero(t, a.code, a.text)
 			assert.Equal(t, 1, e.count("POST"))
-			r.tell(e.entry("draining", 0))
-			r.says("state=draining")
+			r.publish(e.entry("draining", 0))
+			r.waitForLog("state=draining")
 			require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, <-r.exit)
 		})
--- a/cmd/gateway/consul_test.go
+++ b/cmd/gateway/consul_test.go
@@ -29,7 +29,7 @@
 	"beechcart/internal/source"
 )
 
-// catalogue starts a stand-in Consul that names those engines.
+// catalogue starts a fake Consul that lists those engines.
 func catalogue(t *testing.T, conf *tls.Config, engines ...*engine) *consul.Server {
 	t.Helper()
 	s, err := consul.Start("127.0.0.1:0", conf)
@@ -51,7 +51,7 @@
 }
 
 // consulSettings writes operators' settings that read those catalogues, with further fields of the consul record.
-func (r *rig) consulSettings(more string, catalogues ...*consul.Server) {
+func (r *testGateway) consulSettings(more string, catalogues ...*consul.Server) {
 	var addrs []string
 	for _, c := range catalogues {
 		addrs = append(addrs, c.Addr)
@@ -66,13 +66,13 @@
 		"admin_socket":"` + r.settings + `.sock"}`)
 }
 
-func (r *rig) writeSettings(text string) {
+func (r *testGateway) writeSettings(text string) {
 	require.NoError(r.t, os.WriteFile(r.settings, []byte(text), 0o600))
 }
 
-func newRig(t *testing.T) *rig {
+func newRig(t *testing.T) *testGateway {
 	t.Helper()
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1)}
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1)}
 	dir, err := os.MkdirTemp("", "bc") // short: the path of a socket has a bound
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
@@ -81,7 +81,7 @@
 }
 
 // startConsul runs the program on the list of a catalogue; its change log names nobody.
-func startConsul(t *testing.T, more string, catalogues ...*consul.Server) *rig {
+func startConsul(t *testing.T, more string, catalogues ...*consul.Server) *testGateway {
 	t.Helper()
 	r := newRig(t)
 	r.consulSettings(more, catalogues...)
@@ -89,13 +89,13 @@
 }
 
 // served waits until a lookup is served.
-func (r *rig) served() {
+func (r *testGateway) served() {
 	c := r.dial()
 	require.Eventually(r.t, func() bool { return c.query("lookup", 2500).code == 0 }, 10*time.Second, 5*time.Millisecond)
 }
 
 // believes waits until the front end has that many engines in a state.
-func (r *rig) believes(state string, n int) {
+func (r *testGateway) believes(state string, n int) {
 	require.Eventually(r.t, func() bool {
 		v, err := admin.Call(r.settings+".sock", "list")
 		if err != nil {
@@ -140,16 +140,16 @@
 	// What is wrong with the catalogue now lifts no drain, and drops nobody.
 	s.SetFaults(consul.Faults{Stale: true, NoLeader: true})
 	s.SetFaults(consul.Faults{Empty: true})
-	r.says("empty list not obeyed")
+	r.waitForLog("empty list not obeyed")
 	s.SetFaults(consul.Faults{Truncated: true})
-	r.says("catalogue lost")
+	r.waitForLog("catalogue lost")
 	s.SetFaults(consul.Faults{Status: 500})
 	for range 50 {
 		require.Zero(t, c.query("lookup", 2500).code)
 	}
 	assert.Equal(t, before, a.count("POST"))
 	s.SetFaults(consul.Faults{})
-	r.says("catalogue back")
+	r.waitForLog("catalogue back")
 	s.SetMaintenance("n-"+a.name, a.name, consul.Maintenance{})
 	r.believes("ready", 2)
 }
@@ -179,7 +179,7 @@
 	require.NoError(t, os.WriteFile(r.settings+".list", []byte("beechcart-list 9 1 1\n"), 0o600))
 	r.log = &lockedBuffer{}
 	r.start(1024)
-	r.says("future")
+	r.waitForLog("future")
 	_, err := os.Stat(r.settings + ".list.future")
 	assert.NoError(t, err)
 }
@@ -199,13 +199,13 @@
 	hup := func(settings func(), says string) {
 		settings()
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
-		r.says(says)
+		r.waitForLog(says)
 	}
 	hup(func() { r.consulSettings("", one) }, "reloaded node=n0 source=consul")
-	r.says("not named by the new source")
+	r.waitForLog("not named by the new source")
 	hup(func() { r.writeSettings(`{"schema":1,"source":"con`) }, "reload failed")
 	hup(func() { r.consulSettings("", two) }, two.Addr+"]")
-	r.says("engine=n-" + spare.name)
+	r.waitForLog("engine=n-" + spare.name)
 	r.served()
 	hup(func() { r.writeSettings(`{"schema":1,"source":"changelog"}`) }, "reloaded node=n0 changelog=")
 	require.Eventually(t, func() bool { return strings.Count(r.log.String(), "another source of the list") == 2 },
@@ -239,12 +239,12 @@
 	r.start(1024)
 	r.served()
 	s.SetTokens("second-secret")
-	r.says("catalogue denies the read")
+	r.waitForLog("catalogue denies the read")
 	reads := s.Reads()
 	r.served()
 	assert.LessOrEqual(t, s.Reads(), reads+1, "a denied read is held, not hammered")
 	require.NoError(t, os.WriteFile(token, []byte("second-secret\n"), 0o600))
-	r.says("catalogue back")
+	r.waitForLog("catalogue back")
 	assert.NotContains(t, r.log.String(), "secret")
 	assert.Equal(t, 1, strings.Count(r.log.String(), "catalogue denies"))
 }
@@ -304,7 +304,7 @@
 
 	r = startConsul(t, fmt.Sprintf(`"addresses":["https://%s"],"ca_file":%q,"server_name":"other.test","cert_file":%q,`+
 		`"key_file":%q`, s.Addr, ca, cert, key))
-	r.says("catalogue lost")
+	r.waitForLog("catalogue lost")
 	assert.Contains(t, r.log.String(), "other.test")
 }
 
@@ -351,7 +351,7 @@
 func TestCommandLine(t *testing.T) {
 	config := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(config, []byte(`{"name":"n7","listen":"127.0.0.1:1","changelog":"127.0.0.1:1",`+
-		`"settings":`+facts+`}`), 0o600))
+		`"settings":`+defaultPlatformSettings+`}`), 0o600))
 	settings := filepath.Join(t.TempDir(), "settings.json")
 	for name, k := range map[string]struct {
 		settings string
--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crowd keeps so many clients that log in, ping once and stay; one that is closed comes again.
-func (r *rig) crowd(clients int) (leave func()) {
+// openIdleClients keeps so many clients that log in, ping once and stay; one that is closed comes again.
+func (r *testGateway) openIdleClients(clients int) (leave func()) {
 	const pause = 200 * time.Millisecond
 	over := make(chan struct{})
 	var all sync.WaitGroup
@@ -50,19 +50,19 @@
 }
 
 // openDescriptors is how many the process has now.
-func (r *rig) openDescriptors() int {
+func (r *testGateway) openDescriptors() int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
 	require.NoError(r.t, err)
 	return len(list)
 }
 
-// servedInTheEnd asks on new sessions until one request has its answer: while the sessions are full, one may be
+// waitServed asks on new sessions until one request has its answer: while the sessions are full, one may be
 // closed before it is read.
-func (r *rig) servedInTheEnd() {
+func (r *testGateway) waitServed() {
 	const patience = 15 * time.Second
 	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
 		require.True(r.t, time.Now().Before(end), "no request is served")
-		c := r.raw()
+		c := r.connect()
 		if _, err := io.WriteString(c.c, packet(1, login)+packet(0, statement("lookup", 2500))); err != nil {
 			continue
 		}
@@ -75,12 +75,12 @@
 	}
 }
 
-// probed asks until the engine gets a probe: requests earn them.
-func (r *rig) probed(e *engine) {
+// waitForHealthCheck asks until the engine gets a probe: requests earn them.
+func (r *testGateway) waitForHealthCheck(e *engine) {
 	const patience = 30 * time.Second
 	for before, end := e.probes.Load(), time.Now().Add(patience); e.probes.Load() == before; {
 		require.True(r.t, time.Now().Before(end), "no probe")
-		r.servedInTheEnd()
+		r.waitServed()
 	}
 }
 
@@ -96,10 +96,10 @@
 			old, release := heldEngine(t)
 			spare, fresh := newEngine(t, nil), newEngine(t, nil)
 			log := newChangeLog(t)
-			r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), feed: log.address}
+			r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), changeLogAddr: log.address}
 			log.changes = r.changes
 			r.start(sockets, old)
-			r.descriptors(sockets)
+			r.limitDescriptors(sockets)
 			var busy []*client
 			for range held {
 				c := r.dial()
@@ -107,27 +107,27 @@
 				busy = append(busy, c)
 			}
 			old.waitFor(t, "POST", held)
-			r.tell(old.entry("draining", 0), spare.entry("ready", 0))
-			r.says("engine=" + spare.name)
+			r.publish(old.entry("draining", 0), spare.entry("ready", 0))
+			r.waitForLog("engine=" + spare.name)
 
 			log.fail(o)
-			t.Cleanup(r.crowd(crowd))
-			r.counts("sessions_evicted", 1)
+			t.Cleanup(r.openIdleClients(crowd))
+			r.waitForCounter("sessions_evicted", 1)
 			most := 0
 			for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) {
 				most = max(most, r.openDescriptors())
 			}
-			r.servedInTheEnd()
-			r.probed(spare)
+			r.waitServed()
+			r.waitForHealthCheck(spare)
 
-			r.tell(spare.entry("draining", 0), fresh.entry("ready", 0))
+			r.publish(spare.entry("draining", 0), fresh.entry("ready", 0))
 			log.recover()
 			back := time.Now()
-			r.says("engine=" + fresh.name)
+			r.waitForLog("engine=" + fresh.name)
 			t.Log("most descriptors", most, "back after", time.Since(back), "accepts that failed",
 				strings.Count(r.log.String(), "accept conn failed"))
-			r.probed(fresh)
-			r.servedInTheEnd()
+			r.waitForHealthCheck(fresh)
+			r.waitServed()
 			assert.Positive(t, fresh.count("POST"))
 			close(release)
 			for _, c := range busy {
--- a/cmd/gateway/departure_test.go
+++ b/cmd/gateway/disconnect_matrix_test.go
@@ -57,8 +57,8 @@
 	return ids
 }
 
-// departure is a client that waits for a request and is about to leave.
-type departure struct {
+// disconnect is a client that waits for a request and is about to leave.
+type disconnect struct {
 	way   string
 	ids   []string // of all requests that it sent
 	leave func()
@@ -76,9 +76,9 @@
 	return rest[:16]
 }
 
-// depart sends requests over a session that is to leave in that way.
-func depart(r *rig, way string, c *client, leave func(), payloads ...string) *departure {
-	d := &departure{way: way, leave: leave}
+// sendAndDisconnect sends requests over a session that is to leave in that way.
+func sendAndDisconnect(r *testGateway, way string, c *client, leave func(), payloads ...string) *disconnect {
+	d := &disconnect{way: way, leave: leave}
 	var packets []string
 	for _, p := range payloads {
 		if strings.Contains(p, "i=") {
@@ -98,10 +98,10 @@
 	return d
 }
 
-// departures open a session for each way to leave, and send one request or several. One request of each is taken.
-func departures(r *rig, class string) (all []*departure) {
+// disconnects open a session for each way to leave, and send one request or several. One request of each is taken.
+func disconnects(r *testGateway, class string) (all []*disconnect) {
 	add := func(way string, c *client, leave func(), payloads ...string) {
-		all = append(all, depart(r, way, c, leave, payloads...))
+		all = append(all, sendAndDisconnect(r, way, c, leave, payloads...))
 	}
 	ask := func() string { return statement(class, 20000) }
 	closes := func(c *client) func() { return func() { assert.NoError(r.t, c.c.Close()) } }
@@ -133,9 +133,9 @@
 	add("close, half a packet behind", c, closes(c), ask(), ask())
 	c = r.dial()
 	add("close, 200 KB behind", c, closes(c), ask(), ask()+strings.Repeat(" ", 200<<10))
-	c = r.raw()
+	c = r.connect()
 	add("close during the login", c, closes(c), ask())
-	c = r.raw()
+	c = r.connect()
 	add("half-close during the login", c, halfCloses(c), ask())
 	return all
 }
@@ -144,11 +144,11 @@
 type obstacle struct {
 	class   string // of the requests
 	engines []*engine
-	start   func(r *rig)               // before the requests are sent
-	waiting func(r *rig, requests int) // returns once so many wait
-	latest  func() time.Time           // when they leave; nil: at once
-	remove  func(r *rig)
-	over    func(r *rig, requests int) // returns once what was out has ended; nil: nothing was
+	start   func(r *testGateway)               // before the requests are sent
+	waiting func(r *testGateway, requests int) // returns once so many wait
+	latest  func() time.Time                   // when they leave; nil: at once
+	remove  func(r *testGateway)
+	over    func(r *testGateway, requests int) // returns once what was out has ended; nil: nothing was
 }
 
 // drained keeps requests in the queue: no engine is ready.
@@ -157,12 +157,12 @@
 	old, ready := newEngine(t, posts.wrap(nil)), newEngine(t, posts.wrap(nil))
 	return &obstacle{
 		class: "load", engines: []*engine{old},
-		start: func(r *rig) {
-			r.tell(old.entry("draining", 0))
-			r.says("state=draining")
+		start: func(r *testGateway) {
+			r.publish(old.entry("draining", 0))
+			r.waitForLog("state=draining")
 		},
-		waiting: func(r *rig, requests int) { r.counts("taken", int64(requests)) },
-		remove:  func(r *rig) { r.tell(ready.entry("ready", 0)) },
+		waiting: func(r *testGateway, requests int) { r.waitForCounter("taken", int64(requests)) },
+		remove:  func(r *testGateway) { r.publish(ready.entry("ready", 0)) },
 	}
 }
 
@@ -174,14 +174,14 @@
 	remote := fmt.Appendf(nil, " 0100007F:%04X 02 ", e.Listener.Addr().(*net.TCPAddr).Port)
 	return &obstacle{
 		class: "lookup", engines: []*engine{e},
-		waiting: func(r *rig, requests int) {
+		waiting: func(r *testGateway, requests int) {
 			require.Eventually(t, func() bool {
 				list, err := os.ReadFile("/proc/net/tcp")
 				return err == nil && bytes.Count(list, remote) == requests
 			}, 10*time.Second, time.Millisecond)
 		},
-		remove: func(*rig) { open() },
-		over: func(r *rig, requests int) {
+		remove: func(*testGateway) { open() },
+		over: func(r *testGateway, requests int) {
 			require.Eventually(t, func() bool {
 				return r.counter("ended_moot")+int64(e.count("POST")) >= int64(requests)
 			}, 15*time.Second, 5*time.Millisecond)
@@ -202,14 +202,14 @@
 	other := newEngine(t, posts.wrap(nil))
 	return &obstacle{
 		class: "lookup", engines: []*engine{first},
-		waiting: func(r *rig, requests int) {
+		waiting: func(r *testGateway, requests int) {
 			first.waitFor(t, "POST", requests)
-			r.tell(first.entry("draining", 0), other.entry("ready", 0))
-			r.says("engine=" + other.name)
+			r.publish(first.entry("draining", 0), other.entry("ready", 0))
+			r.waitForLog("engine=" + other.name)
 			first.waitFor(t, call, requests)
 		},
-		remove: func(*rig) { close(open) },
-		over: func(r *rig, requests int) {
+		remove: func(*testGateway) { close(open) },
+		over: func(r *testGateway, requests int) {
 			require.Eventually(t, func() bool {
 				n := int64(0)
 				for _, status := range []string{"full", "timeout", "reset", "cancelled", "moot", "error"} {
@@ -303,7 +303,7 @@
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %t", name, cancel), func(t *testing.T) {
 				t.Parallel()
-				for !departuresAreHeard(t, obstacle, cancel, none) {
+				for !disconnectsAreHeard(t, obstacle, cancel, none) {
 					t.Log("the program was given no core: played again")
 				}
 			})
@@ -316,40 +316,40 @@
 func TestNoAttemptBeginsAfterAStandstillOverTheLeave(t *testing.T) {
 	for _, name := range []string{"in the queue", "in a dial", "between two attempts", "while a POST is taken back"} {
 		for _, cancel := range []bool{true, false} {
-			for order, stop := range map[string]standstill{"left first": leaveFirst, "free first": removalFirst} {
+			for order, stop := range map[string]pausePoint{"left first": leaveFirst, "free first": removalFirst} {
 				t.Run(fmt.Sprintf("%s, cancel %t, %s", name, cancel, order), func(t *testing.T) {
 					t.Parallel()
-					departuresAreHeard(t, obstacles[name], cancel, stop)
+					disconnectsAreHeard(t, obstacles[name], cancel, stop)
 				})
 			}
 		}
 	}
 }
 
-// standstill says whether the program has no core while its clients leave, and in which order it then finds what has
+// pausePoint says whether the program has no core while its clients leave, and in which order it then finds what has
 // happened.
-type standstill int
+type pausePoint int
 
 const (
-	none standstill = iota
+	none pausePoint = iota
 	leaveFirst
 	removalFirst // of the obstacle
 )
 
-// departuresAreHeard lets clients wait behind an obstacle and leave, and removes it once the bound is over. False:
+// disconnectsAreHeard lets clients wait behind an obstacle and leave, and removes it once the bound is over. False:
 // the program had no core between the two, and the play tells nothing.
-func departuresAreHeard(t *testing.T, build func(*testing.T, *postLog) *obstacle, cancel bool, stop standstill) bool {
+func disconnectsAreHeard(t *testing.T, build func(*testing.T, *postLog) *obstacle, cancel bool, stop pausePoint) bool {
 	t.Helper()
 	posts := newPostLog()
 	o := build(t, posts)
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: noProbes(cancel),
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), platformSettings: withoutHealthChecks(cancel),
 		settings: t.TempDir() + "/s.json"}
 	r.writeSettings(`{"schema":1,"clients":{"idle_ms":60000}}`)
 	r.start(1024, o.engines...)
 	if o.start != nil {
 		o.start(r)
 	}
-	clients := departures(r, o.class)
+	clients := disconnects(r, o.class)
 	witness := r.dial()
 	witness.ping()
 	o.waiting(r, len(clients))
@@ -358,7 +358,7 @@
 	}
 	goOn := func() {}
 	if stop != none {
-		goOn = r.standStill()
+		goOn = r.pause()
 	}
 	if stop == removalFirst {
 		o.remove(r)
@@ -396,7 +396,7 @@
 }
 
 // assertHeard asserts that no request of a client that has left was sent late, and names the way it left.
-func assertHeard(t *testing.T, clients []*departure, late []string) {
+func assertHeard(t *testing.T, clients []*disconnect, late []string) {
 	t.Helper()
 	for _, d := range clients {
 		if d.heard != nil {
--- a/cmd/gateway/leaving_test.go
+++ b/cmd/gateway/disconnect_test.go
@@ -20,43 +20,44 @@
 	relays "beechcart/internal/faulttest/cluster"
 )
 
-// noProbes are settings in which engines hear of nothing but queries, and connections may take long to come up.
-func noProbes(cancel bool) string {
+// withoutHealthChecks are settings in which engines hear of nothing but queries, and connections may take long to
+// come up.
+func withoutHealthChecks(cancel bool) string {
 	return strings.NewReplacer(`"probes":true`, `"probes":false`, `"via":"pull"`, `"via":"silent"`,
 		`"connect_timeout":250000000`, `"connect_timeout":8000000000`,
-		`"cancel":true`, fmt.Sprintf(`"cancel":%t`, cancel)).Replace(facts)
+		`"cancel":true`, fmt.Sprintf(`"cancel":%t`, cancel)).Replace(defaultPlatformSettings)
 }
 
 // leavings are the ways in which a client stops waiting.
-var leavings = map[string]func(r *rig, c *client){
-	"kill": func(r *rig, c *client) {
+var leavings = map[string]func(r *testGateway, c *client){
+	"kill": func(r *testGateway, c *client) {
 		k := r.dial()
 		k.send(0, fmt.Sprintf("\x03KILL QUERY %d", c.id))
 		assert.Zero(r.t, k.read().code)
 		assert.Equal(r.t, 1317, c.read().code)
 	},
-	"close": func(r *rig, c *client) { assert.NoError(r.t, c.c.Close()) },
-	"reset": func(r *rig, c *client) {
+	"close": func(r *testGateway, c *client) { assert.NoError(r.t, c.c.Close()) },
+	"reset": func(r *testGateway, c *client) {
 		assert.NoError(r.t, c.c.(*net.TCPConn).SetLinger(0))
 		assert.NoError(r.t, c.c.Close())
 	},
-	"half-close": func(r *rig, c *client) {
+	"half-close": func(r *testGateway, c *client) {
 		require.NoError(r.t, c.c.(*net.TCPConn).CloseWrite())
 		_, err := io.Copy(io.Discard, c.r)
 		assert.NoError(r.t, err, "the session is over: it ends without an answer")
 	},
 }
 
-// everyLeaving plays a case for each way of leaving, with and without leave to cancel.
-func everyLeaving(t *testing.T, play func(t *testing.T, facts string, leave func(r *rig, c *client))) {
+// forEachDisconnect plays a case for each way of leaving, with and without leave to cancel.
+func forEachDisconnect(t *testing.T, play func(t *testing.T, facts string, leave func(r *testGateway, c *client))) {
 	t.Helper()
 	for name, leave := range leavings {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %t", name, cancel), func(t *testing.T) {
 				t.Parallel()
-				play(t, noProbes(cancel), func(r *rig, c *client) {
+				play(t, withoutHealthChecks(cancel), func(r *testGateway, c *client) {
 					leave(r, c)
-					r.counts("left", 1)
+					r.waitForCounter("left", 1)
 				})
 			})
 		}
@@ -64,33 +65,33 @@
 }
 
 // control has a request served by a further engine: whatever waited for one ahead of it would have gone there first.
-func control(t *testing.T, r *rig) {
+func control(t *testing.T, r *testGateway) {
 	t.Helper()
 	e := newEngine(t, nil)
-	r.tell(e.entry("ready", 0))
+	r.publish(e.entry("ready", 0))
 	a := r.dial().query("load", 20000)
 	assert.Zero(t, a.code, a.text)
 	assert.Equal(t, 1, e.count("POST"), "the request of the client that had left was sent on")
 }
 
-func TestAClientThatLeftAQueueIsNotSentOn(t *testing.T) {
-	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+func TestAClientThatLeftAQueueIsNotForwarded(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, facts string, leave func(r *testGateway, c *client)) {
 		t.Helper()
 		e := newEngine(t, nil)
 		r := startAs(t, facts, e)
-		r.tell(e.entry("draining", 0))
-		r.says("state=draining")
+		r.publish(e.entry("draining", 0))
+		r.waitForLog("state=draining")
 		c := r.dial()
 		c.send(0, statement("load", 20000))
-		r.counts("taken", 1)
+		r.waitForCounter("taken", 1)
 		leave(r, c)
 		control(t, r)
 		assert.Zero(t, e.count("POST"))
 	})
 }
 
-func TestAClientThatLeftBetweenTwoAttemptsIsNotSentOn(t *testing.T) {
-	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+func TestAClientThatLeftBetweenTwoAttemptsIsNotForwarded(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, facts string, leave func(r *testGateway, c *client)) {
 		t.Helper()
 		full := make(chan struct{})
 		e := newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
@@ -107,10 +108,10 @@
 		c := r.dial()
 		c.send(0, statement("load", 20000))
 		e.waitFor(t, "POST", 1)
-		r.tell(e.entry("draining", 0)) // so that nothing can go out once the attempt has ended
-		r.says("state=draining")
+		r.publish(e.entry("draining", 0)) // so that nothing can go out once the attempt has ended
+		r.waitForLog("state=draining")
 		close(full)
-		r.counts("ended_full", 1)
+		r.waitForCounter("ended_full", 1)
 		leave(r, c)
 		control(t, r)
 		assert.Equal(t, 1, e.count("POST"))
@@ -119,8 +120,8 @@
 
 // The attempt is lost, and called over only 2 s after anything could have asked for it: its client leaves in that
 // pause.
-func TestAClientThatLeftInAPauseIsNotSentOn(t *testing.T) {
-	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+func TestAClientThatLeftInAPauseIsNotForwarded(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, facts string, leave func(r *testGateway, c *client)) {
 		t.Helper()
 		var first atomic.Pointer[engine]
 		left := make(chan struct{})
@@ -160,7 +161,7 @@
 			require.True(t, time.Now().Before(end), "the attempt does not end")
 			time.Sleep(5 * time.Millisecond)
 		}
-		r.tell(engines[0].entry("draining", 0), engines[1].entry("draining", 0))
+		r.publish(engines[0].entry("draining", 0), engines[1].entry("draining", 0))
 		require.Eventually(t, func() bool { return strings.Count(r.log.String(), "state=draining") == 2 }, 10*time.Second,
 			time.Millisecond)
 		control(t, r)
@@ -207,8 +208,8 @@
 	}
 }
 
-func TestAClientThatLeftWhileAConnectionComesUpIsNotSentOn(t *testing.T) {
-	everyLeaving(t, func(t *testing.T, facts string, leave func(r *rig, c *client)) {
+func TestAClientThatLeftWhileAConnectionComesUpIsNotForwarded(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, facts string, leave func(r *testGateway, c *client)) {
 		t.Helper()
 		e, coming, open := lateEngine(t)
 		r := startAs(t, facts, e)
@@ -217,7 +218,7 @@
 		require.Eventually(t, coming, 10*time.Second, time.Millisecond)
 		leave(r, c)
 		open()
-		r.counts("ended_moot", 1)
+		r.waitForCounter("ended_moot", 1)
 		assert.Zero(t, e.count("POST"))
 		a := r.dial().query("lookup", 20000)
 		assert.Zero(t, a.code, a.text)
@@ -228,20 +229,20 @@
 // A drain that comes while a connection comes up is obeyed as well.
 func TestADrainWhileAConnectionComesUpIsObeyed(t *testing.T) {
 	e, coming, open := lateEngine(t)
-	r := startAs(t, noProbes(true), e)
+	r := startAs(t, withoutHealthChecks(true), e)
 	c := r.dial()
 	c.send(0, statement("load", 20000))
 	require.Eventually(t, coming, 10*time.Second, time.Millisecond)
-	r.tell(e.entry("draining", 0))
-	r.says("state=draining")
+	r.publish(e.entry("draining", 0))
+	r.waitForLog("state=draining")
 	open()
-	r.counts("ended_moot", 1)
+	r.waitForCounter("ended_moot", 1)
 	assert.Zero(t, e.count("POST"))
 	leavings["kill"](r, c)
 }
 
 // What a client has sent before it went is not taken once it is known to have gone.
-func TestWhatAClientSentBeforeItWentIsNotSentOn(t *testing.T) {
+func TestWhatAClientSentBeforeItWentIsNotForwarded(t *testing.T) {
 	for _, leave := range []string{"close", "reset", "half-close"} {
 		t.Run(leave, func(t *testing.T) {
 			t.Parallel()
@@ -253,7 +254,7 @@
 			}
 			e.waitFor(t, "POST", 1)
 			leavings[leave](r, c)
-			r.counts("ended_cancelled", 1)
+			r.waitForCounter("ended_cancelled", 1)
 			assert.EqualValues(t, 1, r.counter("left"), "one was in hand")
 			assert.EqualValues(t, 1, r.counter("taken"))
 			assert.Equal(t, 1, e.count("POST"))
@@ -298,13 +299,13 @@
 		busy := func(c *client) {
 			n := r.counter("taken")
 			c.send(0, statement("load", 20000))
-			r.counts("taken", n+1)
+			r.waitForCounter("taken", n+1)
 		}
 		for range 50*2/5 - 2 { // with the session that start pinged on, and the one that is looked at
 			busy(r.dial())
 		}
 		connected := time.Now()
-		early := r.raw()
+		early := r.connect()
 		early.send(1, login)
 		early.greeted()
 		time.Sleep(1100 * time.Millisecond) // it has to be silent for so long
@@ -312,7 +313,7 @@
 		busy(r.dial()) // in place of the idle one
 		taken := r.counter("taken")
 		for range 2 {
-			p, err := r.raw().packet()
+			p, err := r.connect().packet()
 			if err == nil {
 				assert.EqualValues(t, 0xff, p[0], "all are at work")
 			}
@@ -322,7 +323,7 @@
 			close(release)
 			continue // the machine is too busy: half a query ends its session after 2.5 s
 		}
-		r.counts("taken", taken+1)
+		r.waitForCounter("taken", taken+1)
 		close(release)
 		assert.Zero(t, early.read().code)
 		assert.EqualValues(t, 2, r.counter("sessions_refused"))
@@ -335,8 +336,9 @@
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			const window = 1200 * time.Millisecond
-			settings := strings.Replace(noProbes(true), `"name":"lookup"`, fmt.Sprintf(`"memory_span":%d,"name":"lookup"`,
-				window), 1)
+			settings := strings.Replace(withoutHealthChecks(true), `"name":"lookup"`,
+				fmt.Sprintf(`"memory_span":%d,"name":"lookup"`,
+					window), 1)
 			settings = strings.Replace(settings, "read_like", "idempotency_key", 1)
 			asked := make(chan struct{})
 			first := newEngine(t, func(call string, w http.ResponseWriter, _ *http.Request) bool {
@@ -355,8 +357,8 @@
 			began := time.Now()
 			c.send(0, statement("lookup", 20000))
 			first.waitFor(t, "POST", 1)
-			r.tell(first.entry("draining", 0), second.entry("ready", 0))
-			r.says("engine=" + second.name)
+			r.publish(first.entry("draining", 0), second.entry("ready", 0))
+			r.waitForLog("engine=" + second.name)
 			close(asked)
 			require.Eventually(t, coming, 10*time.Second, time.Millisecond)
 			if late {
@@ -407,7 +409,7 @@
 		})
 		engines[i] = e
 	}
-	r := startAs(t, noProbes(true), engines[:]...)
+	r := startAs(t, withoutHealthChecks(true), engines[:]...)
 	a := r.dial().query("lookup", 20000)
 	assert.Zero(t, a.code, a.text)
 	assert.False(t, two.Load(), "it was asked of another engine while it ran")
@@ -430,7 +432,7 @@
 		}
 		return false
 	})
-	r := startAs(t, noProbes(true))
+	r := startAs(t, withoutHealthChecks(true))
 	way := relays.NewNetwork(1)
 	t.Cleanup(way.Close)
 	// for a connection, and again for what it brings
@@ -438,12 +440,12 @@
 	address, err := way.Route("front", "engine", lost.Listener.Addr().String(), relays.TCPOnly)
 	require.NoError(t, err)
 	entry := strings.Replace(lost.entry("ready", 0), lost.Listener.Addr().String(), address, 1)
-	r.tell(entry)
-	r.says("engine=" + lost.name)
+	r.publish(entry)
+	r.waitForLog("engine=" + lost.name)
 	c := r.dial()
 	c.send(0, statement("lookup", 20000))
 	lost.waitFor(t, "POST", 1)
-	r.tell(strings.Replace(entry, `"ready"`, `"draining"`, 1), other.entry("ready", 0))
+	r.publish(strings.Replace(entry, `"ready"`, `"draining"`, 1), other.entry("ready", 0))
 	assert.Zero(t, c.read().code)
 	assert.GreaterOrEqual(t, time.Duration(since.Load()), 2*time.Second, "the engine may still run it")
 }
--- a/cmd/gateway/helper_test.go
+++ b/cmd/gateway/helper_test.go
@@ -26,8 +26,8 @@
 
 func TestMain(m *testing.M) { testbinary.Main(m, &program, "-race", "-tags", "debug") }
 
-const facts = `{"discovery":"push","family_info":{"holds_tables":[false,true],"kind_memory_mb":[24576],
-"lanes_count":true,"overbooked":"overcommit","says_cost":true,"size_cores":[12],
+const defaultPlatformSettings = `{"discovery":"push","family_info":{"holds_tables":[false,true],
+"kind_memory_mb":[24576],"lanes_count":true,"overbooked":"overcommit","says_cost":true,"size_cores":[12],
 "tells_every":1000000000,"threads_by_class":[1,2],
 "waits_for_loads":[true,false]},"locality":"room-a","me":0,"replicas_of_me":1,"permissions":{"attempts_cap":3,
 "cancel":true,"conn_idle":30000000000,"connect_timeout":250000000,"max_retry_after":1000000000,"probes":true},
@@ -37,28 +37,28 @@
 {"deadline":25000000000,"late_worth":0.6,"name":"load","on_time":3000000000,"points":12,"semantics":"non_idempotent"}],
 "skus":["std-12"],"tenants":[{"allowance_per_s":1000,"fraction":1,"name":"south-grain"}],"zones":["room-a"]}`
 
-// rig is one front end with the change log that it follows.
-type rig struct {
+// testGateway is one front end process with the change log that it follows.
+type testGateway struct {
 	t    *testing.T
 	addr string
 	cmd  *exec.Cmd
 	log  *lockedBuffer
 	exit chan error
 
-	config, path string // as written last, and where
-	settings     string // the file of the operators' settings; empty: none
-	facts        string // the platform's settings; empty: facts
-	feed         string // the change log's address; empty: the rig serves it
+	config, path     string // as written last, and where
+	settings         string // the file of the operators' settings; empty: none
+	platformSettings string // the platform's settings; empty: defaultPlatformSettings
+	changeLogAddr    string // the change log's address; empty: the test serves it
 
-	mu     sync.Mutex
-	events []string
-	polls  int
-	cut    int                                          // so many polls of the change log are cut off
-	held   int                                          // polls that wait for news
-	deaf   int                                          // the polls up to this one hear nothing of the news
-	spoil  func(w http.ResponseWriter, q *http.Request) // what they get in its place
+	mu              sync.Mutex
+	events          []string
+	polls           int
+	pollsToCut      int                                          // so many polls of the change log are cut off
+	waitingPolls    int                                          // polls that wait for news
+	lastUnheardPoll int                                          // the polls up to this one hear nothing of the news
+	replacement     func(w http.ResponseWriter, q *http.Request) // what they get in its place
 
-	door *processstats.Client
+	stats *processstats.Client
 }
 
 type lockedBuffer struct {
@@ -79,29 +79,29 @@
 }
 
 // start runs the program with those engines in its list, and waits until it answers a ping.
-func start(t *testing.T, engines ...*engine) *rig {
+func start(t *testing.T, engines ...*engine) *testGateway {
 	t.Helper()
 	return startWith(t, 1024, engines...)
 }
 
 // startAs is start with other settings of the platform.
-func startAs(t *testing.T, facts string, engines ...*engine) *rig {
+func startAs(t *testing.T, facts string, engines ...*engine) *testGateway {
 	t.Helper()
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: facts}
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), platformSettings: facts}
 	return r.start(1024, engines...)
 }
 
 // startWith is start with that many descriptors.
-func startWith(t *testing.T, sockets int, engines ...*engine) *rig {
+func startWith(t *testing.T, sockets int, engines ...*engine) *testGateway {
 	t.Helper()
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1)}
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1)}
 	return r.start(sockets, engines...)
 }
 
-// start runs the program of the rig.
-func (r *rig) start(sockets int, engines ...*engine) *rig {
+// start runs the program.
+func (r *testGateway) start(sockets int, engines ...*engine) *testGateway {
 	t := r.t
-	feed := r.feed
+	feed := r.changeLogAddr
 	if feed == "" {
 		feed = serve(t, r.changes)
 	}
@@ -110,13 +110,13 @@
 	for _, e := range engines {
 		list = append(list, e.entry("ready", 0))
 	}
-	r.tell(list...)
-	if r.facts == "" {
-		r.facts = facts
+	r.publish(list...)
+	if r.platformSettings == "" {
+		r.platformSettings = defaultPlatformSettings
 	}
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
 		"sockets":%d},"changelog":%q,"known":{"seq":1,"results":[%s]},"settings":%s}`,
-		r.addr, sockets, feed, r.events[0], r.facts)
+		r.addr, sockets, feed, r.events[0], r.platformSettings)
 	r.run(config)
 	t.Cleanup(func() {
 		_ = r.cmd.Process.Kill()
@@ -124,7 +124,7 @@
 			t.Log(r.log.String())
 		}
 	})
-	r.says("msg=listening")
+	r.waitForLog("msg=listening")
 	_, rest, _ := strings.Cut(r.log.String(), "msg=listening node=n0 address=")
 	r.addr, _, _ = strings.Cut(rest, "\n")
 	for {
@@ -151,12 +151,12 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func (r *rig) write(config string) {
+func (r *testGateway) write(config string) {
 	r.config = config
 	require.NoError(r.t, os.WriteFile(r.path, []byte(config), 0o600))
 }
 
-func (r *rig) run(config string) {
+func (r *testGateway) run(config string) {
 	r.path = filepath.Join(r.t.TempDir(), "config.json")
 	r.write(config)
 	r.cmd = exec.Command(program)
@@ -166,26 +166,26 @@
 	require.NoError(r.t, err)
 	theirs := os.NewFile(uintptr(pair[1]), "door")
 	defer func() { _ = theirs.Close() }()
-	r.door = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
-	r.t.Cleanup(r.door.Close)
+	r.stats = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
+	r.t.Cleanup(r.stats.Close)
 	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, processstats.DescriptorEnv+"=3")
 	require.NoError(r.t, r.cmd.Start())
 	go func() { r.exit <- r.cmd.Wait() }()
 }
 
-// tell adds an event to the change log.
-func (r *rig) tell(entries ...string) {
+// publish adds an event to the change log.
+func (r *testGateway) publish(entries ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.append(entries...)
 }
 
-func (r *rig) append(entries ...string) {
+func (r *testGateway) append(entries ...string) {
 	r.events = append(r.events, fmt.Sprintf(`{"seq":%d,"fleet":{"index":1,"snapshot":false,"endpoints":[%s]}}`,
 		len(r.events)+1, strings.Join(entries, ",")))
 }
 
-func (r *rig) changes(w http.ResponseWriter, q *http.Request) {
+func (r *testGateway) changes(w http.ResponseWriter, q *http.Request) {
 	since, _ := strconv.Atoi(q.URL.Query().Get("since"))
 	wait, _ := strconv.Atoi(q.URL.Query().Get("timeout"))
 	r.mu.Lock()
@@ -194,20 +194,20 @@
 	r.mu.Unlock()
 	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); ; time.Sleep(2 * time.Millisecond) {
 		r.mu.Lock()
-		events, cut, deaf, spoil := r.events, r.cut > 0, nth <= r.deaf, r.spoil
+		events, cut, deaf, spoil := r.events, r.pollsToCut > 0, nth <= r.lastUnheardPoll, r.replacement
 		over := len(events) > since || time.Now().After(end) || q.Context().Err() != nil
 		switch wasHeld := held; {
 		case cut || deaf || over:
 			held = false
 			if wasHeld {
-				r.held--
+				r.waitingPolls--
 			}
 		case !held:
 			held = true
-			r.held++
+			r.waitingPolls++
 		}
 		if cut {
-			r.cut--
+			r.pollsToCut--
 		}
 		r.mu.Unlock()
 		switch {
@@ -224,24 +224,24 @@
 	}
 }
 
-// tellDeaf adds an event while a poll waits for news, and lets that poll, and all before it, get something else in
-// its place. It returns when the event stood in the change log.
-func (r *rig) tellDeaf(spoil func(w http.ResponseWriter, q *http.Request), entries ...string) time.Time {
+// publishUnheard adds an event while a poll waits for news, and lets that poll, and all before it, get something else
+// in its place. It returns when the event stood in the change log.
+func (r *testGateway) publishUnheard(spoil func(w http.ResponseWriter, q *http.Request), entries ...string) time.Time {
 	require.Eventually(r.t, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.held != 1 {
+		if r.waitingPolls != 1 {
 			return false
 		}
-		r.deaf, r.spoil = r.polls, spoil
+		r.lastUnheardPoll, r.replacement = r.polls, spoil
 		r.append(entries...)
 		return true
 	}, 10*time.Second, time.Millisecond)
 	return time.Now()
 }
 
-// counts waits until a counter of the program has come to n.
-func (r *rig) counts(name string, n int64) {
+// waitForCounter waits until a counter of the program has come to n.
+func (r *testGateway) waitForCounter(name string, n int64) {
 	end := time.Now().Add(15 * time.Second)
 	for r.counter(name) < n {
 		require.True(r.t, time.Now().Before(end), "%s is %d", name, r.counter(name))
@@ -249,14 +249,14 @@
 	}
 }
 
-func (r *rig) counter(name string) int64 {
-	f, err := r.door.Stats()
+func (r *testGateway) counter(name string) int64 {
+	f, err := r.stats.Stats()
 	require.NoError(r.t, err)
 	return f.Counters[name]
 }
 
-// says waits until the program has logged the text.
-func (r *rig) says(text string) {
+// waitForLog waits until the program has logged the text.
+func (r *testGateway) waitForLog(text string) {
 	require.Eventually(r.t, func() bool { return strings.Contains(r.log.String(), text) },
 		10*time.Second, 5*time.Millisecond, text)
 }
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harmless are the codes that tell a client that a repeat is harmless.
-var harmless = []int{1040, 1203, 1226}
+// retrySafeCodes are the codes that tell a client that a repeat is harmless.
+var retrySafeCodes = []int{1040, 1203, 1226}
 
 func TestServesAllPagesUnchanged(t *testing.T) {
 	e := newEngine(t, nil)
 	e.pages = []string{"a\tb\tc\n\t\t\n", "d\t\u00e9\tf\n", strings.Repeat("x", 200) + "\t1\t2\n"}
-	c := start(t, e).raw()
+	c := start(t, e).connect()
 	// Login and first query come joined, and cut in the middle, before the greeting is read.
 	all := packet(1, login) + packet(0, statement("lookup", 2500))
 	for _, part := range []string{all[:50], all[50:]} {
@@ -45,7 +45,7 @@
 func TestGrantsReachTheEngine(t *testing.T) {
 	for grants, want := range map[bool]string{true: "24", false: ""} {
 		e := newEngine(t, nil)
-		r := startAs(t, strings.Replace(facts, `"lanes_count":true`,
+		r := startAs(t, strings.Replace(defaultPlatformSettings, `"lanes_count":true`,
 			fmt.Sprintf(`"lanes_count":true,"takes_grants":%t,"most_grant":0.25`, grants), 1), e)
 		require.Zero(t, r.dial().query("lookup", 2500).code)
 		assert.Equal(t, want, e.heads[0].Get("X-Reserve"), "half over the estimate of 16 MB, where the platform takes grants")
@@ -89,7 +89,7 @@
 			assert.Equal(t, k.code, a.code, a.text)
 			assert.Equal(t, k.posts, e.count("POST"))
 			if k.code != 0 {
-				assert.NotContains(t, harmless, a.code)
+				assert.NotContains(t, retrySafeCodes, a.code)
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 		asked.Store(time.Now().UnixNano())
 		return slow(call, w, q)
 	})
-	r := startAs(t, strings.Replace(facts, `"cancel":true`, `"cancel":false`, 1), e)
+	r := startAs(t, strings.Replace(defaultPlatformSettings, `"cancel":true`, `"cancel":false`, 1), e)
 	assert.Equal(t, 1105, r.dial().query("lookup", 1000).code)
 	assert.Eventually(t, func() bool { return time.Now().UnixNano()-asked.Load() > int64(time.Second) }, 10*time.Second,
 		10*time.Millisecond)
@@ -191,7 +191,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := r.raw()
+			c := r.connect()
 			_, err := io.WriteString(c.c, in)
 			require.NoError(t, err)
 			began := time.Now()
@@ -215,7 +215,7 @@
 	busy, early, late := r.dial(), asked(), asked()
 	busy.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 1)
-	mute := r.raw()
+	mute := r.connect()
 	time.Sleep(1100 * time.Millisecond) // it has to be silent for so long
 	for range 50*2/5 - 5 {              // with the session that start pinged on
 		asked()
@@ -232,7 +232,7 @@
 	asked()
 	require.Eventually(t, func() bool { return ended(early) }, 10*time.Second, time.Millisecond)
 	assert.False(t, ended(late))
-	fresh := r.raw() // it is about to ask
+	fresh := r.connect() // it is about to ask
 	asked()
 	assert.True(t, ended(late))
 	fresh.send(1, login)
@@ -254,7 +254,7 @@
 	}
 	e.waitFor(t, "DELETE", 1)
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-	r.says("sessions_flooded=1")
+	r.waitForLog("sessions_flooded=1")
 }
 
 // A close with input unread resets the connection, and the error that was just written may be lost.
@@ -271,8 +271,8 @@
 }
 
 func TestLeavingClientsEndTheirQueries(t *testing.T) {
-	for name, leave := range map[string]func(t *testing.T, r *rig, c *client){
-		"kill": func(t *testing.T, r *rig, c *client) {
+	for name, leave := range map[string]func(t *testing.T, r *testGateway, c *client){
+		"kill": func(t *testing.T, r *testGateway, c *client) {
 			t.Helper()
 			k := r.dial()
 			k.send(0, fmt.Sprintf("\x03KILL QUERY %d", c.id))
@@ -281,7 +281,7 @@
 			k.send(0, "\x03KILL QUERY 4000000000")
 			assert.Equal(t, 1094, k.read().code)
 		},
-		"close": func(_ *testing.T, _ *rig, c *client) { c.c.Close() },
+		"close": func(_ *testing.T, _ *testGateway, c *client) { c.c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEngine(t, slow)
@@ -308,21 +308,21 @@
 	assert.Zero(t, one.read().code)
 }
 
-func TestDrainStopsSendsAndRefusalCarriesThePause(t *testing.T) {
+func TestDrainStopsSendsAndRejectionCarriesRetryAfter(t *testing.T) {
 	e := newEngine(t, nil)
 	r := start(t, e)
 	c := r.dial()
 	require.Zero(t, c.query("lookup", 2500).code)
 	r.mu.Lock()
-	r.cut = 2 // the poll has to survive cuts
+	r.pollsToCut = 2 // the poll has to survive cuts
 	r.mu.Unlock()
-	r.tell(e.entry("draining", 0))
-	r.says("state=draining")
+	r.publish(e.entry("draining", 0))
+	r.waitForLog("state=draining")
 	a := c.query("lookup", 2500)
-	assert.Contains(t, harmless, a.code, a.text)
+	assert.Contains(t, retrySafeCodes, a.code, a.text)
 	assert.Regexp(t, `; w=[1-9]\d*$`, a.text, "clients read the pause there")
 	assert.Equal(t, 1, e.count("POST"))
-	r.says("change log back")
+	r.waitForLog("change log back")
 }
 
 func TestReloadMovesTheChangeLogAtOnce(t *testing.T) {
@@ -345,7 +345,7 @@
 	reload := func(config, says string) {
 		r.write(config)
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
-		r.says(says)
+		r.waitForLog(says)
 	}
 	good := r.config
 	reload(good[:len(good)/2], "reload failed")
@@ -357,9 +357,9 @@
 	assert.EqualValues(t, 1, firstSince.Load(), "the number of the last event is kept")
 	assert.EqualValues(t, 1, old.Load())
 	assert.NotContains(t, r.log.String(), "change log lost", "a poll that was dropped on purpose is no loss")
-	r.tell(e.entry("draining", 0))
-	r.says("state=draining")
-	assert.Contains(t, harmless, r.dial().query("lookup", 2500).code)
+	r.publish(e.entry("draining", 0))
+	r.waitForLog("state=draining")
+	assert.Contains(t, retrySafeCodes, r.dial().query("lookup", 2500).code)
 }
 
 func TestStopsAfterAnsweringAll(t *testing.T) {
@@ -369,7 +369,7 @@
 	early.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 1)
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-	r.says("stopping")
+	r.waitForLog("stopping")
 	late := r.dial() // connections keep coming for a while
 	late.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 2)
@@ -396,9 +396,9 @@
 	e.waitFor(t, "POST", 2)
 	began := time.Now()
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-	assert.Contains(t, harmless, lookup.read().code, "another front end can serve it")
+	assert.Contains(t, retrySafeCodes, lookup.read().code, "another front end can serve it")
 	assert.Equal(t, 1105, load.read().code)
-	r.says("msg=stopped")
+	r.waitForLog("msg=stopped")
 	assert.Less(t, time.Since(began), 3700*time.Millisecond, "the platform kills it then")
 }
 
@@ -426,7 +426,7 @@
 		"time is no number": {hello + packet(0, "\x03/* c=lookup,i=0000000000000001,d=NaN */ SELECT 1"), 1064},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := r.raw()
+			c := r.connect()
 			_, err := io.WriteString(c.c, k.in)
 			require.NoError(t, err)
 			if strings.HasPrefix(k.in, hello) {
--- a/cmd/gateway/standing_test.go
+++ b/cmd/gateway/pause_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// status is a field of what the machine tells of the process.
-func (r *rig) status(field string) string {
+// processStatus is a field of what the machine tells of the process.
+func (r *testGateway) processStatus(field string) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	require.NoError(r.t, err)
 	_, rest, _ := strings.Cut(string(text), field+":")
@@ -24,10 +24,10 @@
 	return strings.TrimSpace(line)
 }
 
-// standStill stops the process, as a machine that is short of time does; the function that it returns lets it go on.
-func (r *rig) standStill() (goOn func()) {
+// pause stops the process, as a machine that is short of time does; the function that it returns lets it go on.
+func (r *testGateway) pause() (goOn func()) {
 	require.NoError(r.t, r.cmd.Process.Signal(syscall.SIGSTOP))
-	require.Eventually(r.t, func() bool { return strings.HasPrefix(r.status("State"), "T") }, 10*time.Second,
+	require.Eventually(r.t, func() bool { return strings.HasPrefix(r.processStatus("State"), "T") }, 10*time.Second,
 		time.Millisecond)
 	return func() { require.NoError(r.t, r.cmd.Process.Signal(syscall.SIGCONT)) }
 }
@@ -38,7 +38,7 @@
 // of its stop over.
 func TestWhatTheMachineHoldsAtAStopIsAnswered(t *testing.T) {
 	t.Run("requests on open sessions", func(t *testing.T) {
-		heldAtAStop(t, func(r *rig) (send func(), answers func()) {
+		answeredAfterStop(t, func(r *testGateway) (send func(), answers func()) {
 			all := make([]*client, several)
 			for i := range all {
 				all[i] = r.dial()
@@ -57,11 +57,11 @@
 		})
 	})
 	t.Run("connections", func(t *testing.T) {
-		heldAtAStop(t, func(r *rig) (send func(), answers func()) {
+		answeredAfterStop(t, func(r *testGateway) (send func(), answers func()) {
 			all := make([]*client, 300)
 			return func() {
 					for i := range all {
-						all[i] = r.raw()
+						all[i] = r.connect()
 						_, err := io.WriteString(all[i].c, packet(1, login)+packet(0, statement("lookup", 2500)))
 						require.NoError(t, err)
 					}
@@ -75,16 +75,17 @@
 	})
 }
 
-// heldAtAStop sends while the program stands still in a stop, and lets it go on once the time of the stop is over.
-func heldAtAStop(t *testing.T, prepare func(r *rig) (send func(), answers func())) {
+// answeredAfterStop sends while the program stands still in a stop, and lets it go on once the time of the stop is
+// over.
+func answeredAfterStop(t *testing.T, prepare func(r *testGateway) (send func(), answers func())) {
 	t.Helper()
 	for {
 		r := start(t, newEngine(t, nil))
 		send, answers := prepare(r)
 		term := time.Now()
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-		r.says("msg=stopping")
-		goOn := r.standStill()
+		r.waitForLog("msg=stopping")
+		goOn := r.pause()
 		send()
 		if time.Since(term) > 700*time.Millisecond { // the machine is too busy: requests come for 0.6 s
 			goOn()
@@ -115,16 +116,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for !cameBeforeTheEnd(t, k.prepare, k.lasts) { // a machine too busy for the order
+			for !requestsBeforeIdleTimeout(t, k.prepare, k.lasts) { // a machine too busy for the order
 			}
 		})
 	}
 }
 
-// cameBeforeTheEnd lets requests come just before idle sessions end, each session prepared first.
-func cameBeforeTheEnd(t *testing.T, prepare func(*client), lasts time.Duration) bool {
+// requestsBeforeIdleTimeout lets requests come just before idle sessions end, each session prepared first.
+func requestsBeforeIdleTimeout(t *testing.T, prepare func(*client), lasts time.Duration) bool {
 	t.Helper()
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), settings: t.TempDir() + "/s.json"}
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), settings: t.TempDir() + "/s.json"}
 	r.writeSettings(`{"schema":1,"clients":{"idle_ms":1500}}`)
 	r.start(1024, newEngine(t, nil))
 	began := time.Now()
@@ -135,7 +136,7 @@
 	}
 	last := time.Now()
 	time.Sleep(time.Until(began.Add(lasts - 200*time.Millisecond)))
-	goOn := r.standStill()
+	goOn := r.pause()
 	for _, c := range all {
 		c.send(0, statement("lookup", 2500))
 	}
@@ -167,15 +168,15 @@
 					if reads {
 						go func() { _, _ = io.Copy(io.Discard, c.c) }()
 					}
-					before, chunk := r.peak(), []byte(strings.Repeat(unit, 64<<10/len(unit)))
+					before, chunk := r.peakMemoryKB(), []byte(strings.Repeat(unit, 64<<10/len(unit)))
 					for sent := 0; ; sent += len(chunk) {
 						require.Less(t, sent, 1<<30, "it is never closed")
 						if _, err := c.c.Write(chunk); err != nil {
 							break
 						}
 					}
-					r.counts("sessions_flooded", 1)
-					most = min(most, r.peak()-before)
+					r.waitForCounter("sessions_flooded", 1)
+					most = min(most, r.peakMemoryKB()-before)
 				}
 				t.Log("memory in KB", most)
 				assert.Less(t, most, 40<<10)
@@ -184,15 +185,15 @@
 	}
 }
 
-// peak is the most memory that the process has had, in KB.
-func (r *rig) peak() int {
-	n, err := strconv.Atoi(strings.TrimSuffix(r.status("VmHWM"), " kB"))
+// peakMemoryKB is the most memory that the process has had, in KB.
+func (r *testGateway) peakMemoryKB() int {
+	n, err := strconv.Atoi(strings.TrimSuffix(r.processStatus("VmHWM"), " kB"))
 	require.NoError(r.t, err)
 	return n
 }
 
 // A client that is refused has often sent its first request by then: the refusal is not lost to a reset.
-func TestARefusalIsNotLost(t *testing.T) {
+func TestARejectionIsNotLost(t *testing.T) {
 	e, release := heldEngine(t)
 	defer close(release)
 	r := startWith(t, 50, e)
@@ -200,10 +201,10 @@
 		c := r.dial()
 		c.send(0, statement("load", 20000))
 	}
-	r.counts("taken", 50*2/5)
+	r.waitForCounter("taken", 50*2/5)
 	for range 5 {
-		goOn := r.standStill()
-		c := r.raw()
+		goOn := r.pause()
+		c := r.connect()
 		_, err := io.WriteString(c.c, packet(1, login)+packet(0, statement("lookup", 2500)+strings.Repeat(" ", 200<<10)))
 		require.NoError(t, err)
 		goOn()
@@ -214,8 +215,8 @@
 	assert.EqualValues(t, 5, r.counter("sessions_refused"))
 }
 
-// descriptors lets the process open none numbered as high.
-func (r *rig) descriptors(most uint64) {
+// limitDescriptors lets the process open none numbered as high.
+func (r *testGateway) limitDescriptors(most uint64) {
 	require.NoError(r.t, unix.Prlimit(r.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: 1024}, nil))
 }
 
@@ -224,19 +225,19 @@
 	for _, probes := range []bool{true, false} {
 		t.Run(fmt.Sprint("probes ", probes), func(t *testing.T) {
 			engines := []*engine{newEngine(t, nil), newEngine(t, nil), newEngine(t, nil), newEngine(t, nil)}
-			settings := facts
+			settings := defaultPlatformSettings
 			if !probes {
-				settings = noProbes(true)
+				settings = withoutHealthChecks(true)
 			}
 			r := startAs(t, settings, engines...)
 			c := r.dial()
 			require.Zero(t, c.query("lookup", 2500).code)
-			r.descriptors(0)
+			r.limitDescriptors(0)
 			for range 12 {
 				assert.Equal(t, 1040, c.query("lookup", 1000).code, "it never ran")
 			}
 			assert.Positive(t, r.counter("no_socket"))
-			r.descriptors(1024)
+			r.limitDescriptors(1024)
 			for range 12 {
 				assert.Zero(t, c.query("lookup", 2500).code)
 			}
--- a/cmd/gateway/restart_test.go
+++ b/cmd/gateway/restart_test.go
@@ -49,9 +49,9 @@
 	t.Helper()
 	const processes = 20
 	e, log := newEngine(t, nil), newChangeLog(t)
-	all := make([]*rig, processes)
+	all := make([]*testGateway, processes)
 	for i := range all {
-		r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), feed: log.address}
+		r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), changeLogAddr: log.address}
 		if i == 0 {
 			log.changes = r.changes // all follow the list of the first
 		}
@@ -74,7 +74,7 @@
 		r.run(strings.Replace(r.config, "127.0.0.1:0", r.addr, 1))
 	}
 	for i, r := range all {
-		started.Go(func() { took[i] = r.readyAfter(began) })
+		started.Go(func() { took[i] = r.readyDelay(began) })
 	}
 	started.Wait()
 	ready := 0
@@ -100,9 +100,9 @@
 	return true
 }
 
-// readyAfter is how long after that instant the program has said that it listens, and has answered a ping; over
+// readyDelay is how long after that instant the program has said that it listens, and has answered a ping; over
 // readyBound where it has not by then.
-func (r *rig) readyAfter(began time.Time) time.Duration {
+func (r *testGateway) readyDelay(began time.Time) time.Duration {
 	for ; time.Since(began) <= readyBound; time.Sleep(5 * time.Millisecond) {
 		if strings.Contains(r.log.String(), "msg=listening") && answersPing(r.addr) {
 			break
@@ -133,7 +133,7 @@
 }
 
 // runDelay is how long the threads of the process have waited for a core, in all.
-func (r *rig) runDelay() (sum time.Duration) {
+func (r *testGateway) runDelay() (sum time.Duration) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", r.cmd.Process.Pid))
 	require.NoError(r.t, err)
 	for _, path := range threads {
--- a/cmd/gateway/stopping_test.go
+++ b/cmd/gateway/shutdown_test.go
@@ -24,7 +24,7 @@
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP,
 		syscall.SIGHUP, syscall.SIGTERM} {
 		require.NoError(t, r.cmd.Process.Signal(s))
-		r.says("msg=stopping")
+		r.waitForLog("msg=stopping")
 	}
 	late := r.dial()
 	late.send(0, statement("load", 20000))
@@ -44,7 +44,7 @@
 	require.NoError(t, syscall.Mkfifo(r.path, 0o600))
 	signal := func(s syscall.Signal) {
 		require.NoError(t, r.cmd.Process.Signal(s))
-		require.Eventually(t, func() bool { return strings.Trim(r.status("ShdPnd"), "0") == "" }, 10*time.Second,
+		require.Eventually(t, func() bool { return strings.Trim(r.processStatus("ShdPnd"), "0") == "" }, 10*time.Second,
 			time.Millisecond)
 	}
 	signal(syscall.SIGHUP)
@@ -61,14 +61,14 @@
 	require.NoError(t, os.Remove(r.path))
 	r.write(r.config)
 	require.NoError(t, held.Close())
-	r.says("msg=stopping")
+	r.waitForLog("msg=stopping")
 	require.NoError(t, <-r.exit)
 	assert.Contains(t, r.log.String(), "reload failed", "half a configuration")
 }
 
 // withLog starts the program once more, with the configuration of a rig, and returns the end of its log that is read,
 // once it listens.
-func (r *rig) withLog() (cmd *exec.Cmd, read *os.File, second *rig) {
+func (r *testGateway) withLog() (cmd *exec.Cmd, read *os.File, second *testGateway) {
 	read, write, err := os.Pipe()
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { _ = read.Close() })
@@ -83,7 +83,7 @@
 	}
 	_, address, found := strings.Cut(lines.Text(), "address=")
 	require.True(r.t, found)
-	return cmd, read, &rig{t: r.t, addr: address}
+	return cmd, read, &testGateway{t: r.t, addr: address}
 }
 
 // The program outlives who reads its log.
@@ -92,8 +92,8 @@
 	r := start(t, e)
 	cmd, read, second := r.withLog()
 	require.NoError(t, read.Close())
-	r.tell(e.entry("ready", 7)) // a line each
-	r.tell(e.entry("ready", 0))
+	r.publish(e.entry("ready", 7)) // a line each
+	r.publish(e.entry("ready", 0))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	for range 3 {
 		c := second.dial()
@@ -116,9 +116,9 @@
 		for range 100 {
 			list = append(list, e.entry(state, 0))
 		}
-		r.tell(list...)
+		r.publish(list...)
 	}
-	r.tell(e.entry("draining", 0), other.entry("ready", 0))
+	r.publish(e.entry("draining", 0), other.entry("ready", 0))
 	for end := time.Now().Add(10 * time.Second); other.count("POST") == 0; {
 		require.True(t, time.Now().Before(end), "the list is held up")
 		require.Zero(t, second.dial().query("lookup", 2500).code)
@@ -137,7 +137,8 @@
 func TestNobodyHoldsUpAnEndWithShortDeadlines(t *testing.T) {
 	short := strings.NewReplacer(`"deadline":25000000000`, `"deadline":300000000`, `"deadline":2500000000`,
 		`"deadline":300000000`,
-		`"on_time":500000000`, `"on_time":100000000`, `"on_time":3000000000`, `"on_time":200000000`).Replace(facts)
+		`"on_time":500000000`, `"on_time":100000000`, `"on_time":3000000000`,
+		`"on_time":200000000`).Replace(defaultPlatformSettings)
 	age := time.Hour
 	for range 3 { // the least of three: a busy machine only adds to it
 		e := newEngine(t, slow)
@@ -149,7 +150,7 @@
 		began := time.Now()
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
 		assert.Equal(t, 1105, c.read().code)
-		r.says("msg=stopped") // the race detector's own end takes a second more
+		r.waitForLog("msg=stopped") // the race detector's own end takes a second more
 		age = min(age, time.Since(began))
 		require.NoError(t, <-r.exit)
 	}
@@ -157,29 +158,29 @@
 }
 
 // A client that stops waiting during a stop is heard: what it waited for is sent nowhere.
-func TestAClientThatLeavesDuringAStopIsNotSentOn(t *testing.T) {
+func TestAClientThatLeavesDuringAStopIsNotForwarded(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", cancel), func(t *testing.T) {
 			t.Parallel()
-			for !leavesDuringAStop(t, cancel) { // a machine too busy to leave before the stop ends
+			for !disconnectsDuringShutdown(t, cancel) { // a machine too busy to leave before the stop ends
 			}
 		})
 	}
 }
 
-// leavesDuringAStop plays the case once; false when the stop had ended before the client could leave.
-func leavesDuringAStop(t *testing.T, cancel bool) bool {
+// disconnectsDuringShutdown plays the case once; false when the stop had ended before the client could leave.
+func disconnectsDuringShutdown(t *testing.T, cancel bool) bool {
 	t.Helper()
 	held, release := heldEngine(t)
 	defer close(release)
-	r := startAs(t, noProbes(cancel), held)
+	r := startAs(t, withoutHealthChecks(cancel), held)
 	busy, c, idle := r.dial(), r.dial(), r.dial()
 	busy.send(0, statement("load", 20000))
 	held.waitFor(t, "POST", 1)
-	r.tell(held.entry("draining", 0))
-	r.says("state=draining")
+	r.publish(held.entry("draining", 0))
+	r.waitForLog("state=draining")
 	c.send(0, statement("load", 20000))
-	r.counts("taken", 2)
+	r.waitForCounter("taken", 2)
 	began := time.Now()
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	assert.Equal(t, -1, idle.read().code, "idle sessions are closed from here on")
@@ -188,8 +189,8 @@
 	}
 	leavings["kill"](r, c)
 	e := newEngine(t, nil)
-	r.tell(e.entry("ready", 0))
-	r.says("engine=" + e.name)
+	r.publish(e.entry("ready", 0))
+	r.waitForLog("engine=" + e.name)
 	require.NoError(t, <-r.exit) // what is held is answered by the end of the stop
 	assert.Equal(t, 1105, busy.read().code)
 	assert.Zero(t, e.count("POST"))
@@ -198,10 +199,11 @@
 
 // A stop while the program starts is a stop.
 func TestASignalBeforeTheFirstSessionEndsWell(t *testing.T) {
-	r := &rig{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), facts: facts, addr: "127.0.0.1:0"}
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), platformSettings: defaultPlatformSettings,
+		addr: "127.0.0.1:0"}
 	feed := serve(t, r.changes)
-	r.tell()
-	r.run(fmt.Sprintf(`{"name":"n0","listen":%q,"changelog":%q,"settings":%s}`, r.addr, feed, r.facts))
+	r.publish()
+	r.run(fmt.Sprintf(`{"name":"n0","listen":%q,"changelog":%q,"settings":%s}`, r.addr, feed, r.platformSettings))
 	require.Eventually(t, func() bool { // the program takes the signal itself from here on
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 		if err != nil {
