--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -44,8 +44,8 @@
 }
 
 func newSimulation(size record.Size, rate int, stretch time.Duration) *simulation {
-	return &simulation{size: size, rate: rate, stretch: stretch, now: 1000 * time.Second, threads: make([]int,
-		size.Engines+1)}
+	return &simulation{size: size, rate: rate, stretch: stretch, now: 1000 * time.Second,
+		threads: make([]int, size.Engines+1)}
 }
 
 // simulatedFrontEnd is one controller with what its clients and databases are told.
@@ -162,7 +162,8 @@
 			f.probed[action.Engine] = true
 			s.later(simulatedProbe, f, admission.HealthCheckResult{Engine: action.Engine, Status: admission.OK,
 				Latency: simulatedProbe,
-				Report:  &admission.Report{Held: -1, Queue: -1, Util: s.use(action.Engine), Memory: -1, Disks: -1}})
+				Report: &admission.Report{InFlight: -1, Queued: -1, Utilization: s.use(action.Engine), MemoryUtilization: -1,
+					DiskUtilization: -1}})
 		case admission.SetTimer:
 			s.later(action.Delay, f, admission.Timer{Token: action.Token})
 		case admission.Reject:
@@ -200,7 +201,7 @@
 	took := simulatedTrip + time.Duration(crowd*float64(work)/float64(threads))
 	s.laterEnd(took, f, admission.Outcome{ID: send.ID, Attempt: statement.attempts, Engine: send.Engine,
 		Status: admission.OK, Latency: took,
-		Closed: true, Work: work, NeedMB: 16}, threads)
+		Closed: true, Work: work, MemoryMB: 16}, threads)
 	statement.attempts++
 }
 
@@ -214,8 +215,8 @@
 	}
 }
 
-// pendingEvent is an event that comes to a front end at a time; those of one time come in the order in which they
-// were made.
+// pendingEvent is an event that comes to a front end at a time; those of one time come in the order in which they were
+// made.
 type pendingEvent struct {
 	at      time.Duration
 	order   uint64
