--- a/cmd/gatewayctl/bench.go
+++ b/cmd/gatewayctl/bench.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	if risen := baseline.Compare(counts); len(risen) > 0 {
-		return noError{errors.New(strings.Join(risen, "\n"))}
+		return negativeAnswerError{errors.New(strings.Join(risen, "\n"))}
 	}
 	_, err = fmt.Fprintln(c.OutOrStdout(), "every count is within its baseline")
 	return err
--- a/cmd/gatewayctl/config.go
+++ b/cmd/gatewayctl/config.go
@@ -43,7 +43,7 @@
 				return printValidation(c, err)
 			}
 			if err != nil {
-				return asNo(err)
+				return asNegativeAnswer(err)
 			}
 			_, err = fmt.Fprintln(c.OutOrStdout(), settingsFile(args)+": good")
 			return err
@@ -64,7 +64,7 @@
 		return err
 	}
 	if len(list) > 0 {
-		return noError{}
+		return negativeAnswerError{}
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			v, err := cuefile.Read(settingsFile(args))
 			if err != nil {
-				return asNo(err)
+				return asNegativeAnswer(err)
 			}
 			text, err := format.Node(v.Syntax(cue.Final(), cue.Concrete(true)))
 			if err != nil {
@@ -96,7 +96,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := cuefile.Build(settingsFile(args))
 			if err != nil {
-				return asNo(err)
+				return asNegativeAnswer(err)
 			}
 			if output == "" || output == "-" {
 				_, err = c.OutOrStdout().Write(text)
@@ -120,11 +120,11 @@
 	}
 }
 
-// asNo turns errors in a settings file into a negative answer.
-func asNo(err error) error {
+// asNegativeAnswer turns errors in a settings file into a negative answer.
+func asNegativeAnswer(err error) error {
 	var list cuefile.ValidationErrors
 	if errors.As(err, &list) {
-		return noError{err}
+		return negativeAnswerError{err}
 	}
 	return err
 }
--- a/cmd/gatewayctl/faulttest.go
+++ b/cmd/gatewayctl/faulttest.go
@@ -89,7 +89,7 @@
 	}
 	if err == nil && !report.Passed {
 		report.WriteViolations(c.ErrOrStderr())
-		err = noError{fmt.Errorf("%d violations", len(report.Violations))}
+		err = negativeAnswerError{fmt.Errorf("%d violations", len(report.Violations))}
 	}
 	return err
 }
--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -92,14 +92,14 @@
 	result, err := client.Apply(command)
 	switch {
 	case isRejected(err):
-		return result, noError{err}
+		return result, negativeAnswerError{err}
 	case err != nil:
 		return result, fmt.Errorf("%w\nit is not known whether it was taken; repeat with --id %s", err, command.ID)
 	case result.Rejected != nil:
 		if f.json {
 			_ = printJSON(c.OutOrStdout(), result)
 		}
-		return result, noError{result.Rejected}
+		return result, negativeAnswerError{result.Rejected}
 	case f.json && !f.wait:
 		return result, printJSON(c.OutOrStdout(), result)
 	}
@@ -127,7 +127,7 @@
 // rejectionAsNo makes a rejection an answer of no.
 func rejectionAsNo(err error) error {
 	if isRejected(err) {
-		return noError{err}
+		return negativeAnswerError{err}
 	}
 	return err
 }
@@ -158,7 +158,7 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			return noError{fmt.Errorf("not done within %v", f.timeout)}
+			return negativeAnswerError{fmt.Errorf("not done within %v", f.timeout)}
 		}
 		select {
 		case <-c.Context().Done():
--- a/cmd/gatewayctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -62,7 +62,8 @@
 func drainProgress(status fleet.Status, subject rollout.Subject, number uint64) (progress, error) {
 	permit := status.State.Permits[number]
 	if permit == nil {
-		return progress{}, noError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number, subject.Name)}
+		return progress{}, negativeAnswerError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number,
+			subject.Name)}
 	}
 	if subject.Engine {
 		return progress{permit.DrainedAt > 0, status.DrainBlockers[subject.Name]}, nil
--- a/cmd/gatewayctl/fleet_release.go
+++ b/cmd/gatewayctl/fleet_release.go
@@ -128,7 +128,7 @@
 	case release == nil || release.Number != number:
 		return progress{done: true}, nil
 	case release.State == rollout.Halted || release.State == rollout.Halting:
-		return progress{waitFor: status.ReleaseBlockers}, noError{fmt.Errorf("halted: %s", release.HaltCause)}
+		return progress{waitFor: status.ReleaseBlockers}, negativeAnswerError{fmt.Errorf("halted: %s", release.HaltCause)}
 	}
 	return progress{release.State == rollout.Done, status.ReleaseBlockers}, nil
 }
--- a/cmd/gatewayctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -77,11 +77,11 @@
 func targetRevision(state *rollout.State, name string) (string, error) {
 	member := state.Members[name]
 	if member == nil {
-		return "", noError{fmt.Errorf("there is no front end %s", name)}
+		return "", negativeAnswerError{fmt.Errorf("there is no front end %s", name)}
 	}
 	for _, permit := range state.Permits {
 		if permit.Subject == name && !permit.Engine && permit.Purpose == rollout.Drain && !permit.Cancelled {
-			return "", noError{fmt.Errorf("%s is drained by %s", name, permit.RequestedBy)}
+			return "", negativeAnswerError{fmt.Errorf("%s is drained by %s", name, permit.RequestedBy)}
 		}
 	}
 	return member.TargetRevision, nil
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, "r2", revision)
 	for name, want := range map[string]string{"n1": "n1 is drained by ops", "n2": "there is no front end n2"} {
 		_, err := targetRevision(state, name)
-		require.ErrorAs(t, err, new(noError), name)
+		require.ErrorAs(t, err, new(negativeAnswerError), name)
 		require.EqualError(t, err, want)
 	}
 }
@@ -54,7 +54,7 @@
 		assert.Equal(t, k.want, got, k.subject.Name)
 	}
 	_, err := drainProgress(status, rollout.Subject{Name: "e0", Engine: true}, 9)
-	require.ErrorAs(t, err, new(noError), "a permit that was lifted is an answer of no")
+	require.ErrorAs(t, err, new(negativeAnswerError), "a permit that was lifted is an answer of no")
 }
 
 func TestReleaseProgress(t *testing.T) {
@@ -71,7 +71,7 @@
 	assert.True(t, got.done)
 	for _, state := range []rollout.ReleaseState{rollout.Halting, rollout.Halted} {
 		_, err = at(state)
-		require.ErrorAs(t, err, new(noError))
+		require.ErrorAs(t, err, new(negativeAnswerError))
 		require.EqualError(t, err, "halted: errors")
 	}
 	got, err = releaseProgress(status, 2)
--- a/cmd/gatewayctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -69,7 +69,7 @@
 	}
 	endpoints, writtenAt, err := endpointcache.ReadFile(l.file)
 	if err != nil {
-		return nil, noError{fmt.Errorf("%s: %w", l.file, err)}
+		return nil, negativeAnswerError{fmt.Errorf("%s: %w", l.file, err)}
 	}
 	if !l.json {
 		age := time.Since(writtenAt).Round(time.Second)
--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -22,12 +22,13 @@
 
 // The exit codes.
 const (
-	exitNo     = 1 // the answer is no: a rule is violated, a file is not good
-	exitFailed = 2 // it could not run: a wrong command line, nothing to read
+	exitNegativeAnswer = 1 // the answer is no: a rule is violated, a file is not good
+	exitFailed         = 2 // it could not run: a wrong command line, nothing to read
 )
 
-// noError is an answer of no, as against a command that could not run. Its text, if any, is printed as it is.
-type noError struct{ error }
+// negativeAnswerError is an answer of no, as against a command that could not run. Its text, if any, is printed as it
+// is.
+type negativeAnswerError struct{ error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -50,7 +51,7 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.ExecuteContext(ctx)
-	var no noError
+	var no negativeAnswerError
 	switch {
 	case err == nil:
 		return 0
@@ -58,7 +59,7 @@
 		if no.error != nil {
 			_, _ = fmt.Fprintln(errs, no.error)
 		}
-		return exitNo
+		return exitNegativeAnswer
 	}
 	_, _ = fmt.Fprintln(errs, "gatewayctl:", err)
 	return exitFailed
--- a/cmd/gatewayctl/scale_page.go
+++ b/cmd/gatewayctl/scale_page.go
@@ -47,7 +47,8 @@
 				_, err = fmt.Fprintf(c.OutOrStdout(), "%s: as the recordings have it\n", page)
 				return err
 			case check:
-				return noError{fmt.Errorf("%s differs from the recordings under %s: run gatewayctl scale page", page, dir)}
+				return negativeAnswerError{fmt.Errorf("%s differs from the recordings under %s: run gatewayctl scale page", page,
+					dir)}
 			}
 			return renameio.WriteFile(filepath.Clean(page), []byte(rendered), 0o644)
 		},
--- a/cmd/gatewayctl/scale_page_test.go
+++ b/cmd/gatewayctl/scale_page_test.go
@@ -31,7 +31,7 @@
 	require.NoError(t, os.WriteFile(page, changed, 0o600))
 
 	_, err = runScalePage(t, "--check", "--page", page, "--recordings", recordings)
-	var no noError
+	var no negativeAnswerError
 	require.ErrorAs(t, err, &no, "a page that differs is an answer of no")
 	after, err := os.ReadFile(page)
 	require.NoError(t, err)
--- a/cmd/gatewayctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -134,7 +134,7 @@
 	for _, m := range result.Missed {
 		missed = append(missed, errors.New("missed: "+m.String()))
 	}
-	return noError{errors.Join(missed...)}
+	return negativeAnswerError{errors.Join(missed...)}
 }
 
 // writeScale prints a result as a table.
--- a/internal/fake/consul/consul_test.go
+++ b/internal/fake/consul/consul_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-func TestSpeaksToThePublishedClient(t *testing.T) {
+func TestServesThePublishedClient(t *testing.T) {
 	s := startServer(t)
 	c := client(t, s, "")
 	require.NoError(t, c.Agent().ServiceRegister(&api.AgentServiceRegistration{
--- a/internal/faulttest/rollout_test.go
+++ b/internal/faulttest/rollout_test.go
@@ -68,7 +68,8 @@
 	assert.Empty(t, Check(Classes, r, runs, f.drainsByRequest(r), nil), "the drain was lifted before")
 }
 
-// drainedFleet starts six front ends, three of them keepers, that have agreed on the drain of e1 under the permit.
+// drainedFleet starts six front ends, three of them control replicas, that have agreed on the drain of e1 under the
+// permit.
 func drainedFleet(t *testing.T, seed uint64) (ctx context.Context, f *rolloutRun, permit uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
@@ -97,9 +98,9 @@
 	assert.Greater(t, served, len(requests)*95/100, "of %d requests", len(requests))
 }
 
-// Two of three keepers stand still: all serve on, nothing goes out, and agreement is back soon after them with all
-// that was agreed. Then two disks are lost, one after the other.
-func TestKeepersAreLost(t *testing.T) {
+// Two of three control replicas are stopped: all serve on, none shuts down, and agreement is back soon after them
+// with all that was agreed. Then two disks are lost, one after the other.
+func TestControlReplicasAreLost(t *testing.T) {
 	ctx, f, permit := drainedFleet(t, 5)
 
 	n0, n1 := f.cluster.Members[0], f.cluster.Members[1]
@@ -161,7 +162,7 @@
 // The disk of a keeper is full while another one is killed, so that it would have to vote; then a sync fails; then
 // two. Its front end serves on through all of it. Without the mends the full disk ended the process: the library
 // panics on a term that it can't write.
-func TestDisksOfKeepersFail(t *testing.T) {
+func TestDisksOfControlReplicasFail(t *testing.T) {
 	ctx, f, permit := drainedFleet(t, 6)
 	n0 := f.cluster.Members[0]
 	leader := func() string {
