--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -146,7 +146,7 @@
 func (c *rolloutChecker) checkHalts(p cluster.Process) {
 	for _, halt := range c.haltPeriods {
 		if p.DrainingAt.After(halt.from) && p.DrainingAt.Before(halt.to) {
-			c.violate(AfterHalt, p.DrainingAt, "%s went out %v after a halt was acknowledged", p.Member,
+			c.violate(AfterHalt, p.DrainingAt, "%s shut down %v after a halt was acknowledged", p.Member,
 				p.DrainingAt.Sub(halt.from))
 		}
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	if len(unavailable) >= maxUnavailable || len(inZone) >= maxUnavailableInZone {
-		c.violate(OverBudget, p.DrainingAt, "%s went out while %s were out, %s of its room",
+		c.violate(OverBudget, p.DrainingAt, "%s shut down while %s were unavailable, %s of its zone",
 			p.Member, strings.Join(unavailable, " "), strings.Join(inZone, " "))
 	}
 }
--- a/internal/scale/fault_pause.go
+++ b/internal/scale/fault_pause.go
@@ -42,7 +42,7 @@
 	return names
 }
 
-// stopHosts lets hosts stand still for a while.
+// stopHosts stops hosts for a while.
 func stopHosts(ctx context.Context, hosts []*hostProcess, stand time.Duration) error {
 	for _, h := range hosts {
 		if err := h.signal(syscall.SIGSTOP); err != nil {
@@ -58,12 +58,12 @@
 	return nil
 }
 
-// injectPause lets a share of all hosts stand still together for a moment: long enough for their members to be
+// injectPause stops a share of all hosts together for a moment: long enough for their members to be
 // suspected.
 func injectPause(ctx context.Context, r *run, found *FaultResult) error {
 	hosts := r.hostsOfShare(r.shuffledHosts(), r.options.PauseShare)
 	found.Members = membersOf(hosts)
-	found.Played = fmt.Sprintf("%d hosts with %d members stand still together for %d ms", len(hosts), found.Members,
+	found.Played = fmt.Sprintf("%d hosts with %d members are stopped together for %d ms", len(hosts), found.Members,
 		r.options.PauseMillis)
 	return stopHosts(ctx, hosts, time.Duration(r.options.PauseMillis)*time.Millisecond)
 }
@@ -71,7 +71,7 @@
 // stopFor is how long the stop fault stops a host.
 const stopFor = 10 * time.Second
 
-// injectStop lets one host stand still for longer than its members are waited for.
+// injectStop stops one host for longer than its members are waited for.
 func injectStop(ctx context.Context, r *run, found *FaultResult) error {
 	hosts := r.shuffledHosts()
 	if len(hosts) == 0 {
--- a/internal/scale/parts/parts.go
+++ b/internal/scale/parts/parts.go
@@ -42,7 +42,7 @@
 	TrafficFronts int           // most front ends whose traffic is simulated at each size
 	TrafficTime   time.Duration // simulated, of those
 	FleetTime     time.Duration // simulated, of whole fleets
-	Progress      func(string)  // told of each step; may be nil
+	Progress      func(string)  // gets each step; may be nil
 }
 
 // Defaults are the options of a recording.
--- a/internal/scale/parts/replicahost.go
+++ b/internal/scale/parts/replicahost.go
@@ -34,7 +34,7 @@
 
 // ServeReplica runs a control log of one replica in this process, without membership and without a leader's periodic
 // check, until in ends. It reads a ReplicaConfig and writes a line once it leads. It is a process of its own so that
-// its CPU can be told from its clients'.
+// its CPU can be told apart from its clients'.
 func ServeReplica(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReader(in)
 	line, err := reader.ReadBytes('\n')
--- a/internal/scale/parts/simulation.go
+++ b/internal/scale/parts/simulation.go
@@ -48,7 +48,7 @@
 		threads: make([]int, size.Engines+1)}
 }
 
-// simulatedFrontEnd is one controller with what its clients and databases are told.
+// simulatedFrontEnd is one controller with what its clients and databases know.
 type simulatedFrontEnd struct {
 	controller *admission.Controller
 	classes    []admission.Class
