--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -113,7 +113,7 @@
 func (m *fleetMember) Close() { m.member.Close(fleetCloseTimeout) }
 
 // Exclude implements fleet.FrontEnd.
-func (m *fleetMember) Exclude(engines fleet.EngineSet) { m.feed.Exclude(engines) }
+func (m *fleetMember) Exclude(engines fleet.EngineSet) { m.feed.Exclude(source.NameSet(engines)) }
 
 // Drained implements fleet.FrontEnd.
 func (m *fleetMember) Drained(name string) bool {
