--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -44,6 +44,7 @@
 // sourceFile is what a Go file declares and imports.
 type sourceFile struct {
 	names   map[string]bool // Name, and Type.Member for methods and fields
+	strings map[string]bool // values of string literals
 	imports []string        // packages of this project, from its root
 }
 
@@ -78,7 +79,15 @@
 }
 
 func declarations(parsed *ast.File) *sourceFile {
-	file := &sourceFile{names: map[string]bool{}}
+	file := &sourceFile{names: map[string]bool{}, strings: map[string]bool{}}
+	ast.Inspect(parsed, func(node ast.Node) bool {
+		if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if value, err := strconv.Unquote(literal.Value); err == nil {
+				file.strings[value] = true
+			}
+		}
+		return true
+	})
 	for _, spec := range parsed.Imports {
 		if name, err := strconv.Unquote(spec.Path.Value); err == nil && strings.HasPrefix(name, module) {
 			file.imports = append(file.imports, strings.TrimPrefix(name, module))
@@ -254,3 +263,27 @@
 		require.Equal(t, []string{entry[1]}, declaredIn, entry[2])
 	}
 }
+
+// TestOnCallNamesLogLines fails for a log line of the on-call page that no code logs.
+func TestOnCallNamesLogLines(t *testing.T) {
+	files := readTree(t)
+	_, section, ok := strings.Cut(readPage(t, "docs/oncall.md"), "\n## Log lines\n")
+	require.True(t, ok)
+	section, _, ok = strings.Cut(section, "\n## ")
+	require.True(t, ok)
+	lines := 0
+	for _, row := range regexp.MustCompile("(?m)^\\| (`[^|]*`) \\|").FindAllStringSubmatch(section, -1) {
+		for _, quoted := range regexp.MustCompile("`([^`]*)`").FindAllStringSubmatch(row[1], -1) {
+			lines++
+			logged := false
+			for name, file := range files {
+				logged = logged || (!strings.HasSuffix(name, "_test.go") && file.strings[quoted[1]])
+			}
+			// The head of the table names the field itself.
+			if !logged && quoted[1] != "msg" {
+				t.Errorf("%q: no code logs it", quoted[1])
+			}
+		}
+	}
+	require.Greater(t, lines, 20, "the table was read")
+}
