--- a/cmd/gatewayctl/recorded_fleet_test.go
+++ b/cmd/gatewayctl/recorded_fleet_test.go
@@ -18,71 +18,15 @@
 
 	"beechcart/decision/rollout"
 	"beechcart/internal/fleet"
+	"beechcart/internal/recorded"
 )
 
-// checkRecorded compares bytes with those that a file of testdata/recorded holds. A missing file is written where
-// RECORD=1 is set, and fails the test elsewhere; one that exists is never written.
-func checkRecorded(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "recorded", name)
-	want, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, got, 0o644))
-		return
-	}
-	require.NoError(t, err)
-	require.Equal(t, string(want), string(got), name)
-}
-
-// fill sets every exported field that v reaches, in the order of their declaration, to a value of its own.
-func fillFleetValue(v reflect.Value, n *int) {
-	*n++
-	switch v.Kind() {
-	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fillFleetValue(v.Elem(), n)
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				fillFleetValue(v.Field(i), n)
-			}
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fillFleetValue(v.Index(0), n)
-		fillFleetValue(v.Index(1), n)
-	case reflect.Array:
-		for i := range v.Len() {
-			fillFleetValue(v.Index(i), n)
-		}
-	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fillFleetValue(key, n)
-		fillFleetValue(value, n)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
-	case reflect.String:
-		v.SetString(fmt.Sprint("text-", *n))
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(*n))
-	case reflect.Uint64:
-		v.SetUint(uint64(*n))
-	case reflect.Float64:
-		v.SetFloat(float64(*n) + 0.25)
-	default:
-		panic("recorded: no value for a " + v.Kind().String())
-	}
-}
-
 // filledFleetValue is the JSON text of a value with every field set.
 func filledFleetValue[T any](t *testing.T) json.RawMessage {
 	t.Helper()
 	var value T
-	n := 0
-	fillFleetValue(reflect.ValueOf(&value).Elem(), &n)
+	var filler recorded.Filler
+	filler.Fill(reflect.ValueOf(&value).Elem())
 	text, err := json.Marshal(value)
 	require.NoError(t, err)
 	return text
@@ -146,5 +90,5 @@
 		run(args)
 	}
 	assert.NotContains(t, out.String(), dir, "no path of this machine is recorded")
-	checkRecorded(t, "fleet-json.txt", out.Bytes())
+	recorded.Compare(t, "fleet-json.txt", out.Bytes())
 }
--- a/decision/rollout/recorded_test.go
+++ b/decision/rollout/recorded_test.go
@@ -18,48 +18,6 @@
 	"beechcart/internal/recorded"
 )
 
-// fill sets every exported field that v reaches, in the order of their declaration, to a value of its own.
-func fill(v reflect.Value, n *int) {
-	*n++
-	switch v.Kind() {
-	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i), n)
-			}
-		}
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0), n)
-		fill(v.Index(1), n)
-	case reflect.Array:
-		for i := range v.Len() {
-			fill(v.Index(i), n)
-		}
-	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(value, n)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
-	case reflect.String:
-		v.SetString(fmt.Sprint("text-", *n))
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(*n))
-	case reflect.Uint64:
-		v.SetUint(uint64(*n))
-	case reflect.Float64:
-		v.SetFloat(float64(*n) + 0.25)
-	default:
-		panic("recorded: no value for a " + v.Kind().String())
-	}
-}
-
 // rewrite reads a JSON text into a new value of the type and writes it.
 func rewrite[T any](t *testing.T, text []byte) []byte {
 	t.Helper()
@@ -78,12 +36,12 @@
 	command := reflect.TypeOf(rollout.Command{})
 	var lines bytes.Buffer
 	for i := shared; i < command.NumField(); i++ {
-		n := 100 * i
+		filler := recorded.Filler{Count: 100 * i}
 		value := reflect.New(command).Elem()
 		for field := range shared {
-			fill(value.Field(field), &n)
+			filler.Fill(value.Field(field))
 		}
-		fill(value.Field(i), &n)
+		filler.Fill(value.Field(i))
 		text, err := json.Marshal(value.Interface())
 		require.NoError(t, err)
 		assert.Equal(t, string(text), string(rewrite[rollout.Command](t, text)))
@@ -95,8 +53,8 @@
 // An answer with every field set, as the HTTP interface of replicas sends it.
 func TestRecordedResult(t *testing.T) {
 	var result rollout.Result
-	n := 0
-	fill(reflect.ValueOf(&result).Elem(), &n)
+	var filler recorded.Filler
+	filler.Fill(reflect.ValueOf(&result).Elem())
 	text, err := json.Marshal(result)
 	require.NoError(t, err)
 	assert.Equal(t, string(text), string(rewrite[rollout.Result](t, text)))
@@ -106,8 +64,8 @@
 // A snapshot with every field set is read and written as it was.
 func TestRecordedSnapshot(t *testing.T) {
 	var state rollout.State
-	n := 0
-	fill(reflect.ValueOf(&state).Elem(), &n)
+	var filler recorded.Filler
+	filler.Fill(reflect.ValueOf(&state).Elem())
 	state.Version, state.Settings = 1, rollout.Defaults()
 	text, err := json.Marshal(state)
 	require.NoError(t, err)
