--- a/admission/simulation_test.go
+++ b/admission/simulation_test.go
@@ -11,25 +11,9 @@
 	"github.com/stretchr/testify/require"
 
 	"beechcart/admission"
+	"beechcart/internal/recorded"
 )
 
-// randomSource is SplitMix64.
-type randomSource uint64
-
-func (s *randomSource) float() float64 {
-	*s += 0x9e3779b97f4a7c15
-	z := uint64(*s)
-	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
-	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
-	return float64((z^(z>>31))>>11) / (1 << 53)
-}
-
-func (s *randomSource) below(n int) int { return int(s.float() * float64(n)) }
-
-func (s *randomSource) exponential(mean time.Duration) time.Duration {
-	return time.Duration(-math.Log(1-s.float()) * float64(mean))
-}
-
 // happening is something that the simulation does at a time; those of one time go in the order they were planned in.
 type happening struct {
 	at    time.Duration
@@ -115,7 +99,7 @@
 type world struct {
 	recordedRun
 	recorder
-	random   randomSource
+	random   recorded.Random
 	now      time.Duration
 	agenda   agenda
 	order    int
@@ -134,7 +118,7 @@
 
 func play(t *testing.T, run recordedRun, seed uint64) string {
 	t.Helper()
-	w := &world{recordedRun: run, random: randomSource(seed), now: 100 * time.Second}
+	w := &world{recordedRun: run, random: recorded.Random(seed), now: 100 * time.Second}
 	w.hash = sha256.New()
 	for range run.engines {
 		w.addEngine(0)
@@ -150,7 +134,7 @@
 		w.after(run.listAfter, func() { w.tell(g, admission.EndpointsChanged{Kind: admission.Persisted, Engines: w.list()}) })
 		w.after(time.Millisecond, func() { w.arrive(g) })
 	}
-	w.after(w.random.exponential(time.Second), w.trouble)
+	w.after(w.random.Exponential(time.Second), w.trouble)
 	w.after(3*time.Second, w.change)
 	if run.flood {
 		w.after(run.length/2, func() {
@@ -198,7 +182,7 @@
 	case admission.Send:
 		w.send(g, a)
 	case admission.Reject:
-		if request := g.requests[a.ID]; w.random.float() < 0.7 && a.RetryAfter > 0 {
+		if request := g.requests[a.ID]; w.random.Float() < 0.7 && a.RetryAfter > 0 {
 			w.after(a.RetryAfter, func() { w.repeat(g, request, a.RetryAfter) })
 		}
 	case admission.Cancel:
@@ -217,7 +201,7 @@
 		w.after(a.Delay, func() { w.tell(g, admission.Timer{Token: a.Token}) })
 	case admission.WatchEndpoints:
 		w.after(10*time.Millisecond, func() {
-			if w.listErrors && w.random.float() < 0.6 {
+			if w.listErrors && w.random.Float() < 0.6 {
 				w.tell(g, admission.EndpointsChanged{Kind: admission.ListError})
 				return
 			}
@@ -232,30 +216,30 @@
 	if int(w.now/time.Second)%6 == 5 {
 		gap /= 5
 	}
-	w.after(w.random.exponential(gap), func() { w.arrive(g) })
+	w.after(w.random.Exponential(gap), func() { w.arrive(g) })
 	w.take(g, w.request(g))
 }
 
 func (w *world) request(g *frontEnd) admission.Request {
 	w.requests++
-	class := w.random.below(len(w.settings.Classes))
-	if w.random.float() < 0.5 {
+	class := w.random.Below(len(w.settings.Classes))
+	if w.random.Float() < 0.5 {
 		class = 0
 	}
 	described := &w.settings.Classes[class]
 	request := admission.Request{
-		ID: fmt.Sprint(g.number, ".", w.requests), Class: class, Tenant: w.random.below(len(w.settings.Tenants)+1) - 1,
-		Timeout: described.Deadline, TableGroup: w.random.below(4) - 1, Write: w.random.float() < 0.2,
+		ID: fmt.Sprint(g.number, ".", w.requests), Class: class, Tenant: w.random.Below(len(w.settings.Tenants)+1) - 1,
+		Timeout: described.Deadline, TableGroup: w.random.Below(4) - 1, Write: w.random.Float() < 0.2,
 	}
-	if w.random.float() < 0.6 {
-		request.Key = fmt.Sprint("key", w.random.below(6))
+	if w.random.Float() < 0.6 {
+		request.Key = fmt.Sprint("key", w.random.Below(6))
 	}
-	if w.random.float() < 0.7 {
+	if w.random.Float() < 0.7 {
 		request.Work = w.work(class)
-		request.MemoryMB = 100 + 900*w.random.float()
+		request.MemoryMB = 100 + 900*w.random.Float()
 	}
-	if w.random.float() < 0.1 {
-		request.Timeout = time.Duration(float64(request.Timeout) * w.random.float())
+	if w.random.Float() < 0.1 {
+		request.Timeout = time.Duration(float64(request.Timeout) * w.random.Float())
 	}
 	return request
 }
@@ -284,16 +268,16 @@
 func (w *world) take(g *frontEnd, request admission.Request) {
 	g.requests[request.ID] = request
 	w.tell(g, request)
-	if w.random.float() < 0.05 {
+	if w.random.Float() < 0.05 {
 		id := request.ID
-		w.after(w.random.exponential(300*time.Millisecond), func() { w.tell(g, admission.ClientDisconnected{ID: id}) })
+		w.after(w.random.Exponential(300*time.Millisecond), func() { w.tell(g, admission.ClientDisconnected{ID: id}) })
 	}
 }
 
 // work is the estimated work of a class: each is four times as heavy as the one before.
 func (w *world) work(class int) time.Duration {
 	mean := 20 * math.Pow(4, float64(class%4)) * float64(time.Millisecond)
-	return time.Duration(mean * (0.5 + w.random.float()))
+	return time.Duration(mean * (0.5 + w.random.Float()))
 }
 
 func (w *world) send(g *frontEnd, a admission.Send) {
@@ -301,13 +285,13 @@
 	class := &w.settings.Classes[request.Class]
 	m := w.machine(a.Engine)
 	attempt := &running{frontEnd: g, id: a.ID, number: len(g.attempts[a.ID]), on: m,
-		threads: float64(class.Threads), memory: 50 + 400*w.random.float()}
+		threads: float64(class.Threads), memory: 50 + 400*w.random.Float()}
 	g.attempts[a.ID] = append(g.attempts[a.ID], attempt)
 	work := w.work(request.Class)
 	if request.Work > 0 {
 		work = time.Duration(float64(request.Work) * 1.3)
 	}
-	if w.random.float() < 0.03 {
+	if w.random.Float() < 0.03 {
 		work *= 12 // a bad plan
 	}
 	m.threads += attempt.threads
@@ -316,7 +300,7 @@
 	if m.mood == crawling {
 		slowdown *= 6
 	}
-	latency := time.Duration(float64(work) / attempt.threads * slowdown * (0.8 + 0.4*w.random.float()))
+	latency := time.Duration(float64(work) / attempt.threads * slowdown * (0.8 + 0.4*w.random.Float()))
 	ok := admission.Outcome{Status: admission.OK, Closed: true, Latency: latency}
 	if w.tellsWork {
 		ok.Work, ok.MemoryMB = work, attempt.memory
@@ -335,7 +319,7 @@
 		w.after(delay, func() { w.end(attempt, outcome) })
 	}
 	const never = time.Hour
-	m, chance := attempt.on, w.random.float()
+	m, chance := attempt.on, w.random.Float()
 	switch {
 	case m.entry.State == admission.Removed || m.mood == refusing:
 		end(2*time.Millisecond, admission.Outcome{Status: admission.ConnectFailed})
@@ -346,7 +330,7 @@
 	case m.mood == erring && chance < 0.8, chance < 0.004:
 		end(3*time.Millisecond, admission.Outcome{Status: admission.Errored, Latency: 3 * time.Millisecond})
 	case m.mood == resetting && chance < 0.6, chance < 0.008:
-		alive := w.random.float() < 0.3
+		alive := w.random.Float() < 0.3
 		end(latency/2, admission.Outcome{Status: admission.Reset, EngineAlive: alive, Latency: latency / 2})
 	case chance < 0.012:
 		end(0, admission.Outcome{Status: admission.NotSent})
@@ -365,13 +349,13 @@
 // notes sends the progress notes of an attempt, all but the last fifth of them.
 func (w *world) notes(attempt *running, latency time.Duration) {
 	every := w.settings.ProgressInterval
-	if every <= 0 || w.random.float() < 0.05 {
+	if every <= 0 || w.random.Float() < 0.05 {
 		return
 	}
 	for at := every; at < latency; at += every {
 		note := admission.Progress{ID: attempt.id, Attempt: attempt.number, Engine: attempt.on.entry.ID,
 			Kind: admission.ProgressFraction, Value: float64(at) / float64(latency)}
-		if w.random.float() < 0.1 {
+		if w.random.Float() < 0.1 {
 			note.Kind = admission.Spills
 		}
 		w.after(at, func() {
@@ -416,17 +400,17 @@
 
 // trouble gives one engine another mood, for a while.
 func (w *world) trouble() {
-	m := w.machines[w.random.below(len(w.machines))]
-	m.mood = mood(1 + w.random.below(int(crawling)))
-	w.after(time.Second+w.random.exponential(3*time.Second), func() { m.mood = sound })
-	w.after(w.random.exponential(2*time.Second), w.trouble)
+	m := w.machines[w.random.Below(len(w.machines))]
+	m.mood = mood(1 + w.random.Below(int(crawling)))
+	w.after(time.Second+w.random.Exponential(3*time.Second), func() { m.mood = sound })
+	w.after(w.random.Exponential(2*time.Second), w.trouble)
 }
 
 // change drains an engine, which leaves later, takes one away at once, restarts one, or adds a fresh one.
 func (w *world) change() {
-	w.after(w.random.exponential(4*time.Second), w.change)
-	m := w.machines[w.random.below(len(w.machines))]
-	switch chance := w.random.float(); {
+	w.after(w.random.Exponential(4*time.Second), w.change)
+	m := w.machines[w.random.Below(len(w.machines))]
+	switch chance := w.random.Float(); {
 	case chance < 0.3:
 		m.entry.State = admission.Draining
 		w.after(2*time.Second, func() {
@@ -434,8 +418,8 @@
 			w.news(m)
 		})
 		away := 6 * time.Second
-		if w.random.float() < 0.3 {
-			away = time.Duration(80+w.random.below(80)) * time.Second
+		if w.random.Float() < 0.3 {
+			away = time.Duration(80+w.random.Below(80)) * time.Second
 		}
 		w.after(away, func() {
 			m.entry.State = admission.Ready
