--- /dev/null
+++ b/docs/edge_names_test.go
@@ -0,0 +1,147 @@
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"unicode"
+	"unicode/utf8"
+
+	"github.com/stretchr/testify/require"
+)
+
+// cueComment is a comment of the CUE schema.
+var cueComment = regexp.MustCompile(`(?m)//.*$`)
+
+// edgeNames reads docs/edge-names.txt: the names of each package, by its directory.
+func edgeNames(t *testing.T) map[string][]string {
+	t.Helper()
+	names := map[string][]string{}
+	directory := ""
+	for _, line := range strings.Split(readPage(t, "docs/edge-names.txt"), "\n") {
+		switch {
+		case line == "" || strings.HasPrefix(line, "# "):
+		case strings.HasPrefix(line, "["):
+			directory = strings.Trim(line, "[]")
+		case line != "#":
+			names[directory] = append(names[directory], line)
+		}
+	}
+	return names
+}
+
+// packageTexts returns the string literals and struct tags of a package without its tests, and its CUE schema without
+// comments.
+func packageTexts(t *testing.T, directory string) []string {
+	t.Helper()
+	entries, err := os.ReadDir(directory)
+	require.NoError(t, err)
+	var texts []string
+	for _, entry := range entries {
+		name := filepath.Join(directory, entry.Name())
+		switch {
+		case strings.HasSuffix(name, "_test.go"):
+		case strings.HasSuffix(name, ".go"):
+			literals, err := stringLiterals(name)
+			require.NoError(t, err)
+			texts = append(texts, literals...)
+		case strings.HasSuffix(name, ".cue"):
+			text, err := os.ReadFile(name)
+			require.NoError(t, err)
+			texts = append(texts, cueComment.ReplaceAllString(string(text), ""))
+		}
+	}
+	return texts
+}
+
+// stringLiterals returns the values of all string literals of a Go file, imports excepted.
+func stringLiterals(name string) ([]string, error) {
+	parsed, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return nil, err
+	}
+	var literals []string
+	ast.Inspect(parsed, func(node ast.Node) bool {
+		if _, ok := node.(*ast.ImportSpec); ok {
+			return false
+		}
+		literal, ok := node.(*ast.BasicLit)
+		if !ok || (literal.Kind != token.STRING && literal.Kind != token.CHAR) {
+			return true
+		}
+		value, err := strconv.Unquote(literal.Value)
+		if err == nil {
+			literals = append(literals, value)
+		}
+		return true
+	})
+	return literals, nil
+}
+
+// containsWord reports whether a text contains a name that is not a part of a longer word.
+func containsWord(text, name string) bool {
+	first, _ := utf8.DecodeRuneInString(name)
+	last, _ := utf8.DecodeLastRuneInString(name)
+	for from := 0; ; {
+		at := strings.Index(text[from:], name)
+		if at < 0 {
+			return false
+		}
+		at += from
+		before, _ := utf8.DecodeLastRuneInString(text[:at])
+		after, _ := utf8.DecodeRuneInString(text[at+len(name):])
+		if !(inWord(first) && inWord(before)) && !(inWord(last) && inWord(after)) {
+			return true
+		}
+		from = at + 1
+	}
+}
+
+func inWord(r rune) bool { return r == '_' || unicode.IsLetter(r) || unicode.IsDigit(r) }
+
+// TestEdgeNamesExist fails for a name of docs/edge-names.txt that is gone from its package. Other programs, stored data
+// and operators' settings use these names.
+func TestEdgeNamesExist(t *testing.T) {
+	names := edgeNames(t)
+	total := 0
+	for directory, list := range names {
+		texts := packageTexts(t, filepath.Join(root, directory))
+		for _, name := range list {
+			total++
+			found := false
+			for _, text := range texts {
+				found = found || containsWord(text, name)
+			}
+			if !found {
+				t.Errorf("%s: %q is in no string, struct tag or schema of the package", directory, name)
+			}
+		}
+	}
+	require.Greater(t, total, 1500, "the list was read")
+}
+
+// TestContainsWord shows that a longer word does not count as the name.
+func TestContainsWord(t *testing.T) {
+	for _, test := range []struct {
+		name, text, word string
+		want             bool
+	}{
+		{"whole literal", "may_stop", "may_stop", true},
+		{"in a struct tag", `json:"may_stop,omitempty"`, "may_stop", true},
+		{"part of a longer word", "may_stop_at", "may_stop", false},
+		{"second occurrence", "stops stop", "stop", true},
+		{"prefix of a constructed name", "ended_", "ended_", true},
+		{"path", "GET /status", "/status", true},
+		{"absent", "status", "state", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			require.Equal(t, test.want, containsWord(test.text, test.word))
+		})
+	}
+}
