--- a/admission/queue.go
+++ b/admission/queue.go
@@ -6,45 +6,48 @@
 	"time"
 )
 
-// The queue ranks. What is deferred goes only while nothing preferred is in turn in its class.
+// The queue ranks. A deferred request is sent only while no preferred request of its class is eligible.
 const (
-	preferredRank = iota // within its tenant's quota and in time
-	deferredRank         // over the quota or past its objective
+	preferredRank = iota // within the tenant's quota and not past the latency objective
+	deferredRank         // over the quota or past the latency objective
 	queueRanks
 )
 
-// The shared limit on queued requests: so many per own thread, and minQueueLimit at least.
+// The limit on the queued requests of all tenants together is queuedPerThread times the front end's thread limit, and
+// at least minQueueLimit.
 const (
 	queuedPerThread = 12
 	minQueueLimit   = 32
 )
 
-// maxQueueLookahead is how many requests of one queue are looked at behind one that no engine has capacity for.
+// maxQueueLookahead is how many eligible requests of one queue nextAdmissible examines, so that a request that no
+// engine has capacity for does not block those behind it.
 const maxQueueLookahead = 8
 
-// The deficit of a tenant is limited to deficitLimit times the heaviest class, and grows by a quantum of one in
-// quantaPerLimit of the limit a turn.
+// The deficit of a tenant is limited to deficitLimit times the mean work of the heaviest class times the weight of the
+// tenant. Each turn adds a quantum of the limit divided by quantaPerLimit.
 const (
 	deficitLimit   = 4
 	quantaPerLimit = 32
 )
 
-// maxPassesPerTenant bounds the round robin of one step.
+// maxPassesPerTenant limits the turns of the round robin in one call of admit, as an average per tenant and queue rank.
 const maxPassesPerTenant = 400
 
-// deferredPenalty puts what is deferred behind all that is preferred, whatever their weights per work.
+// deferredPenalty is subtracted from the priority weight per work of deferred requests in shedLoad, so that deferred
+// requests are shed before all preferred ones.
 const deferredPenalty = 1e9
 
-// keyQueue is the unfinished requests of one key of an Ordered class, in order of arrival.
+// keyQueue holds the unfinished requests of one key of an Ordered class, in order of arrival.
 type keyQueue struct {
 	requests     []*requestState
-	coolingUntil time.Duration // none goes before
+	coolingUntil time.Duration // no request of the key is sent before
 }
 
-// admit sends what may go by deficit round robin over the tenants, preferred requests first.
+// admit sends the admissible requests by deficit round robin over the tenants, preferred requests first.
 func (c *Controller) admit() {
 	for rank := range queueRanks {
-		idle := 0 // tenants in a row with nothing to send
+		idle := 0 // consecutive tenants without an admissible request
 		for pass := 0; idle < len(c.tenants) && pass < maxPassesPerTenant*len(c.tenants); pass++ {
 			tenant := c.tenants[c.nextTenant%len(c.tenants)]
 			if c.serveTenant(tenant, rank) {
@@ -57,8 +60,9 @@
 	}
 }
 
-// serveTenant gives a tenant its quantum and sends what its deficit covers. It reports whether the tenant had anything
-// to send. A deficit is kept where engines have no capacity, and lost where nothing waits.
+// serveTenant adds a quantum to the deficit of a tenant that has an admissible request, and sends the requests that the
+// deficit covers. It reports whether the tenant had an admissible request. A tenant without one keeps its deficit while
+// its requests wait for capacity, and loses the deficit when its queues are empty.
 func (c *Controller) serveTenant(tenant *tenantState, rank int) bool {
 	request, engine := c.nextAdmissible(tenant, rank)
 	if request == nil {
@@ -81,19 +85,20 @@
 	return true
 }
 
-// nextAdmissible is the tenant's next request of the rank that may go, and its engine; nil where there is none. The
-// class with the highest weight per work goes first, and the oldest request of a class.
+// nextAdmissible returns the tenant's next request of the rank that can be sent now and the engine for the request, or
+// nil if there is none. The class with the highest priority weight per work comes first, and within a class the oldest
+// request.
 func (c *Controller) nextAdmissible(tenant *tenantState, rank int) (*requestState, *engineState) {
 	for _, class := range c.classOrder {
-		if rank == deferredRank && c.hasPreferredInTurn(class) {
+		if rank == deferredRank && c.hasEligiblePreferred(class) {
 			continue
 		}
-		looked := 0
+		examined := 0
 		for _, request := range tenant.queues[class][rank] {
 			if !c.inTurn(request) {
 				continue
 			}
-			if looked++; looked > maxQueueLookahead {
+			if examined++; examined > maxQueueLookahead {
 				break
 			}
 			if !c.withinLimits(request) {
@@ -107,8 +112,8 @@
 	return nil, nil
 }
 
-// hasPreferredInTurn reports whether a preferred request of the class waits that is in turn.
-func (c *Controller) hasPreferredInTurn(class int) bool {
+// hasEligiblePreferred reports whether any tenant has an eligible preferred request of the class in its queue.
+func (c *Controller) hasEligiblePreferred(class int) bool {
 	for _, tenant := range c.tenants {
 		if slices.ContainsFunc(tenant.queues[class][preferredRank], c.inTurn) {
 			return true
@@ -117,8 +122,9 @@
 	return false
 }
 
-// inTurn reports whether neither the order of its key nor the retry budget holds a request back. What is not in turn
-// holds back no other: a deferred first of a key would wait for its own successors.
+// inTurn reports whether a request is eligible: neither the order of its key nor the retry budget holds the request
+// back. An ineligible request does not hold back others: a deferred request at the head of its key would otherwise wait
+// for its preferred successors, which wait for the head.
 func (c *Controller) inTurn(request *requestState) bool {
 	if request.ordered() {
 		queue := c.keyQueues[request.Key]
@@ -129,7 +135,7 @@
 	return len(request.attempts) == 0 || c.withinRetryBudget(request, 0)
 }
 
-// rank is the queue rank of a request. It must not change while the request is queued.
+// rank returns the queue rank of the request. The rank must not change while the request is queued.
 func (r *requestState) rank() int {
 	if r.overQuota || r.pastObjective {
 		return deferredRank
@@ -149,7 +155,7 @@
 	c.queuedRequests++
 }
 
-// enqueueFirst puts a request that is retried at the head of its queue.
+// enqueueFirst puts a request that is to be retried at the head of its queue.
 func (c *Controller) enqueueFirst(request *requestState) {
 	queue := c.queueOf(request)
 	*queue = slices.Insert(*queue, 0, request)
@@ -157,20 +163,20 @@
 	c.queuedRequests++
 }
 
-// dequeue takes a request out of its queue, if it is in it.
+// dequeue removes the request from its queue, if the request is queued.
 func (c *Controller) dequeue(request *requestState) {
 	if !request.queued {
 		return
 	}
 	queue := c.queueOf(request)
-	if at := slices.Index(*queue, request); at >= 0 {
-		*queue = slices.Delete(*queue, at, at+1)
+	if index := slices.Index(*queue, request); index >= 0 {
+		*queue = slices.Delete(*queue, index, index+1)
 	}
 	request.queued = false
 	c.queuedRequests--
 }
 
-// ordered reports whether the request is bound to the order of its key.
+// ordered reports whether the requests of the request's key run one at a time, in order of arrival.
 func (r *requestState) ordered() bool { return r.classSettings.Ordered && r.Key != "" }
 
 func (c *Controller) joinKeyQueue(request *requestState) {
@@ -190,34 +196,35 @@
 	if queue == nil || !request.ordered() {
 		return
 	}
-	if at := slices.Index(queue.requests, request); at >= 0 {
-		queue.requests = slices.Delete(queue.requests, at, at+1)
+	if index := slices.Index(queue.requests, request); index >= 0 {
+		queue.requests = slices.Delete(queue.requests, index, index+1)
 	}
 }
 
-// forgetIdleKeys drops the queues of keys that neither hold a request nor cool down.
+// forgetIdleKeys deletes the queues of keys that hold no request and whose cooldown is over.
 func (c *Controller) forgetIdleKeys() {
-	for key, queue := range c.keyQueues { // the order of the map reaches no action
+	for key, queue := range c.keyQueues { // the iteration order affects no action
 		if len(queue.requests) == 0 && c.now >= queue.coolingUntil {
 			delete(c.keyQueues, key)
 		}
 	}
 }
 
-// delaysSameKey reports whether a request that is in time waits behind this one for their key.
+// delaysSameKey reports whether an unanswered request of the same key that is not past its objective waits behind this
+// one.
 func (c *Controller) delaysSameKey(request *requestState) bool {
 	queue := c.keyQueues[request.Key]
 	if queue == nil || !request.ordered() {
 		return false
 	}
-	at := slices.Index(queue.requests, request)
-	return at >= 0 && slices.ContainsFunc(queue.requests[at+1:], func(other *requestState) bool {
+	index := slices.Index(queue.requests, request)
+	return index >= 0 && slices.ContainsFunc(queue.requests[index+1:], func(other *requestState) bool {
 		return !other.pastObjective && !other.answered
 	})
 }
 
-// shedLoad rejects the last request of one queue: of the deferred ones if there are any, then of the class with the
-// least weight per work, then of the longest queue.
+// shedLoad gives a final answer to the last request of one queue: of a deferred queue if there is one with requests,
+// then the request with the lowest priority weight per expected work, then the one in the longest queue.
 func (c *Controller) shedLoad() {
 	var worst *requestState
 	lowest, longest := math.Inf(1), 0
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -5,28 +5,30 @@
 	"testing"
 )
 
-func TestOrderByKey(t *testing.T) {
+// TestRequestsOfKeyRunInOrder: requests of one key of an Ordered class run one at a time in order of arrival, and none
+// is sent within KeyCooldown of an attempt that may have run.
+func TestRequestsOfKeyRunInOrder(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Ordered, s.Classes[0].LatencyObjective = true, 4*sec
 	b := startController(t, s, newEngines(4))
 	keyed := func(id string) Request { r := newRequest(id, 0); r.Key = "k"; return r }
-	snd := oneAction[Send](t, b.step(keyed("a"), keyed("b")))
-	if snd.ID != "a" {
-		t.Fatalf("first out is %s", snd.ID)
+	first := oneAction[Send](t, b.step(keyed("a"), keyed("b")))
+	if first.ID != "a" {
+		t.Fatalf("first request sent is %s, want a", first.ID)
 	}
-	nxt := oneAction[Send](t, b.step(outcomeOf(snd, 0, OK)))
-	if nxt.ID != "b" {
-		t.Fatalf("second out is %s", nxt.ID)
+	second := oneAction[Send](t, b.step(outcomeOf(first, 0, OK)))
+	if second.ID != "b" {
+		t.Fatalf("second request sent is %s, want b", second.ID)
 	}
 	b.step(keyed("c"), ClientDisconnected{ID: "b"})
-	if acts := b.step(); len(actionsOf[Send](acts)) > 0 {
-		t.Fatal("sent while an earlier attempt had no outcome")
+	if actions := b.step(); len(actionsOf[Send](actions)) > 0 {
+		t.Fatal("request sent while an earlier attempt of its key had no outcome")
 	}
-	if acts := b.step(outcomeOf(nxt, 0, TimedOut)); len(actionsOf[Send](acts)) > 0 {
-		t.Fatal("sent before the key had rested")
+	if actions := b.step(outcomeOf(second, 0, TimedOut)); len(actionsOf[Send](actions)) > 0 {
+		t.Fatal("request sent during the cooldown of its key")
 	}
-	if acts := b.advance(980 * ms); len(actionsOf[Send](acts)) > 0 {
-		t.Fatal("sent before the key had rested")
+	if actions := b.advance(980 * ms); len(actionsOf[Send](actions)) > 0 {
+		t.Fatal("request sent during the cooldown of its key")
 	}
 	oneAction[Send](t, b.advance(60*ms))
 }
@@ -34,63 +36,66 @@
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
 	b.controller.tenants[0].weight = 2
-	out := fillEngines(b)
-	got := [2]int{}
-	for n := 0; len(out) > 0 && n < 36; n++ {
+	inFlight := fillEngines(b)
+	sent := [2]int{}
+	for n := 0; len(inFlight) > 0 && n < 36; n++ {
 		b.now += 10 * ms
-		o := outcomeOf(out[0], 0, OK)
-		o.Work, o.Latency = 100*ms, 100*ms
-		out = out[1:]
-		for _, s := range actionsOf[Send](b.step(o)) {
-			out = append(out, s)
-			got[b.controller.requests[s.ID].Tenant]++
+		outcome := outcomeOf(inFlight[0], 0, OK)
+		outcome.Work, outcome.Latency = 100*ms, 100*ms
+		inFlight = inFlight[1:]
+		for _, send := range actionsOf[Send](b.step(outcome)) {
+			inFlight = append(inFlight, send)
+			sent[b.controller.requests[send.ID].Tenant]++
 		}
 	}
-	if r := float64(got[0]) / float64(got[1]); r < 1.5 || r > 2.6 {
-		t.Fatalf("weights 2 to 1 gave %v", got)
+	if ratio := float64(sent[0]) / float64(sent[1]); ratio < 1.5 || ratio > 2.6 {
+		t.Fatalf("sends by tenant at weights 2 and 1: %v, want a ratio of 1.5 to 2.6", sent)
 	}
 }
 
-func TestFloodDoesNotLockOthersOut(t *testing.T) {
+// TestFloodDoesNotBlockOtherTenants: a request is sent soon although another tenant has filled the engines and the
+// queue.
+func TestFloodDoesNotBlockOtherTenants(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
-	var out []Send
+	var inFlight []Send
 	for i := range 80 {
-		r := newRequest(fmt.Sprint("f", i), 1)
-		r.Timeout = 20 * sec
-		out = append(out, actionsOf[Send](b.step(r))...)
+		request := newRequest(fmt.Sprint("f", i), 1)
+		request.Timeout = 20 * sec
+		inFlight = append(inFlight, actionsOf[Send](b.step(request))...)
 	}
 	lone := newRequest("lone", 1)
 	lone.Tenant, lone.Timeout = 1, 20*sec
 	b.step(lone)
 	for n := range 12 {
-		for _, s := range actionsOf[Send](b.step(outcomeOf(out[n], 0, OK))) {
-			if s.ID == "lone" {
+		for _, send := range actionsOf[Send](b.step(outcomeOf(inFlight[n], 0, OK))) {
+			if send.ID == "lone" {
 				return
 			}
-			out = append(out, s)
+			inFlight = append(inFlight, send)
 		}
 	}
-	t.Fatal("the other tenant's request did not go within 12 ends")
+	t.Fatal("the other tenant's request was not sent within 12 outcomes")
 }
 
-func TestSharedQueueIsBounded(t *testing.T) {
+func TestQueuedRequestsAreLimited(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(1))
-	refused := 0
+	rejected := 0
 	for i := range 2000 {
-		r := newRequest(fmt.Sprint("q", i), 1)
-		r.Timeout, r.Work = 20*sec, 2*sec
-		refused += len(actionsOf[Reject](b.step(r)))
+		request := newRequest(fmt.Sprint("q", i), 1)
+		request.Timeout, request.Work = 20*sec, 2*sec
+		rejected += len(actionsOf[Reject](b.step(request)))
 	}
 	if b.controller.queuedRequests > max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)) ||
-		refused == 0 {
-		t.Fatalf("%d queued, depth %d, %d rejected", b.controller.queuedRequests,
-			max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), refused)
+		rejected == 0 {
+		t.Fatalf("%d requests queued, limit %d; %d rejected, want at least 1", b.controller.queuedRequests,
+			max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), rejected)
 	}
 }
 
-// TestLateHeadOfAKeyGoesBeforeItsSuccessors: a head grown late has the second rank, its successors the first.
-// Waiting for those, which wait for it, it stood still until all of them were late.
-func TestLateHeadOfAKeyGoesBeforeItsSuccessors(t *testing.T) {
+// TestLateHeadOfKeyIsSentBeforeSuccessors guards against a deadlock within a key. A late head of a key is deferred,
+// while its successors are preferred. If the head waited for these preferred requests, which wait for the head, none
+// would be sent until all were late.
+func TestLateHeadOfKeyIsSentBeforeSuccessors(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered = true
 	b := startController(t, s, nil)
@@ -99,19 +104,19 @@
 	}
 	b.step(keyed("head"))
 	b.advance(3 * sec)
-	if r := b.controller.requests["head"]; r == nil || !r.pastObjective {
-		t.Fatal("the head is not late: the test shows nothing")
+	if head := b.controller.requests["head"]; head == nil || !head.pastObjective {
+		t.Fatal("precondition not met: the head of the key is not past its objective")
 	}
 	b.step(keyed("next"))
-	acts := b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(2)})
-	if snd := oneAction[Send](t, acts); snd.ID != "head" {
-		t.Fatalf("sent %s", snd.ID)
+	actions := b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(2)})
+	if send := oneAction[Send](t, actions); send.ID != "head" {
+		t.Fatalf("sent %s, want head", send.ID)
 	}
 }
 
-// TestWaitingKeysHoldNothingBack: what waits behind its key, or for a key at rest, does not keep other keys of
-// its class from being looked at.
-func TestWaitingKeysHoldNothingBack(t *testing.T) {
+// TestWaitingKeysDoNotBlockOtherKeys: requests that wait for an earlier request of their key, or for the cooldown of
+// their key, do not keep requests of other keys of the class from being sent.
+func TestWaitingKeysDoNotBlockOtherKeys(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered = true
 	b := startController(t, s, newEngines(4))
@@ -123,16 +128,17 @@
 		b.step(keyed(fmt.Sprint("behind", i), "k"))
 	}
 	oneAction[Send](t, b.step(keyed("other", "l")))
-	acts := b.step(Outcome{ID: "head", Engine: head.Engine, Status: TimedOut, Closed: true})
-	if n := len(actionsOf[Send](acts)); n != 0 {
-		t.Fatal("sent while the key rests")
+	actions := b.step(Outcome{ID: "head", Engine: head.Engine, Status: TimedOut, Closed: true})
+	if sends := len(actionsOf[Send](actions)); sends != 0 {
+		t.Fatal("request sent during the cooldown of its key")
 	}
 	oneAction[Send](t, b.step(keyed("third", "m")))
 }
 
-// TestLateRequestOfAKeyGivesWay: in a crowded key the first would be late one after the other; a late one is rejected
-// where one in time waits behind it, and kept where none does.
-func TestLateRequestOfAKeyGivesWay(t *testing.T) {
+// TestLateHeadOfKeyIsRejectedForSuccessor: a late head of a key is rejected if a request that is not late waits behind
+// it, and stays queued otherwise. If late heads always stayed, one request after the other of a busy key would become
+// late.
+func TestLateHeadOfKeyIsRejectedForSuccessor(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered, s.Classes[1].LateWeight = true, 0.5
 	b := startController(t, s, nil)
@@ -142,13 +148,13 @@
 	b.step(keyed("head", "k"), keyed("alone", "l"))
 	b.advance(3 * sec)
 	if !b.controller.requests["alone"].pastObjective {
-		t.Fatal("not late: the test shows nothing")
+		t.Fatal("precondition not met: the request alone is not past its objective")
 	}
 	b.step(keyed("next", "k"))
-	if r := oneAction[Reject](t, b.advance(2*housekeepingInterval)); r.ID != "head" {
-		t.Fatalf("rejected %s", r.ID)
+	if reject := oneAction[Reject](t, b.advance(2*housekeepingInterval)); reject.ID != "head" {
+		t.Fatalf("rejected %s, want head", reject.ID)
 	}
-	if snd := actionsOf[Send](b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(4)})); len(snd) != 2 {
-		t.Fatalf("want next and alone sent: %v", snd)
+	if sends := actionsOf[Send](b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(4)})); len(sends) != 2 {
+		t.Fatalf("sent %v, want next and alone", sends)
 	}
 }
