--- a/admission/quota.go
+++ b/admission/quota.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// A tenant's tokens are limited to so many seconds of its rate and a reserve, as arrivals come by chance.
+// A tenant's bucket holds up to quotaBurstSeconds of the tenant's rate plus quotaTokenReserve tokens, as random
+// arrivals come in bursts.
 const (
 	quotaBurstSeconds = 2
 	quotaTokenReserve = 3.0
 )
 
-// arrivalRateDecay is the time constant over which arrivals are smoothed; longer than most bursts.
+// arrivalRateDecay is the time constant of the smoothed arrival rates. It is longer than most bursts.
 const arrivalRateDecay = 15 * time.Second
 
-// minObservation is the least time over which a rate of arrivals is reckoned.
+// minObservation is the shortest time over which an arrival rate is estimated.
 const minObservation = 2 * time.Second
 
-// overQuota takes a token for the request from its tenant's bucket, and reports whether there was none. The bucket
-// fills at this front end's part of the tenant's rate.
+// overQuota takes a token for the request from its tenant's bucket, and reports whether the bucket was empty. The
+// bucket fills at this front end's share of the tenant's rate.
 func (c *Controller) overQuota(request *requestState) bool {
 	if request.Tenant >= len(c.settings.Tenants) || c.settings.Tenants[request.Tenant].RequestsPerSecond <= 0 {
 		return false
@@ -36,8 +37,8 @@
 	return false
 }
 
-// arrivalRate is the rate at which requests of a tenant arrive here, a second, smoothed. The division makes up for the
-// time before the first step, which the smoothing takes for one without requests.
+// arrivalRate returns the smoothed rate at which requests of a tenant arrive at this front end, in requests per second.
+// The division corrects for the time before the first step, which the smoothing counts as time without arrivals.
 func (c *Controller) arrivalRate(tenant *tenantState) float64 {
 	tenant.arrivalRate *= math.Exp(-float64(c.now-tenant.arrivalRateAt) / float64(arrivalRateDecay))
 	tenant.arrivalRateAt = c.now
@@ -45,10 +46,11 @@
 	return tenant.arrivalRate / (1 - math.Exp(-observed.Seconds()/arrivalRateDecay.Seconds()))
 }
 
-// quotaShare is the part of this front end over an equal part, by the rate that arrives here and the one that an equal
-// part of the quotas allows. Overload and clients' retries bring more than an equal part everywhere, so that only
-// what is far above it tells of a front end with more clients. The parts of all front ends together stay below the
-// equal parts and what arrives. A burst of one tenant longer than arrivalRateDecay is taken for clients.
+// quotaShare returns this front end's share of the quotas relative to an equal share, given the arrival rate here and
+// the rate that an equal share of the quotas allows. Overload and clients' retries raise the rate above an equal share
+// at every front end, so only a rate far above an equal share indicates a front end with more clients. The rates that
+// all front ends allow together stay below the sum of the quotas and the arrivals. A burst of one tenant that is longer
+// than arrivalRateDecay counts as more clients.
 func (c *Controller) quotaShare(rate, equal float64) float64 {
 	if c.settings.Replicas < subsetMinReplicas || equal <= 0 {
 		return 1
@@ -57,7 +59,7 @@
 	return math.Max(1, math.Min(ratio, 2*(ratio-2)))
 }
 
-// fleetQuotaShare is the quotaShare over all tenants together.
+// fleetQuotaShare returns the quotaShare for all tenants together.
 func (c *Controller) fleetQuotaShare() float64 {
 	rate, equal := 0.0, 0.0
 	for i, tenant := range c.settings.Tenants {
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// TestFrontEndsWithUnequalClients: a front end with ten times its equal part of the clients is not taken for a flood
-// and runs as much more, over a longer subset; one with an equal part, or with a little, has what it had.
-func TestFrontEndsWithUnequalClients(t *testing.T) {
+// TestFrontEndWithMoreClientsGetsLargerShare: a front end with ten times an equal share of the clients gets a quota, a
+// thread limit and a subset that are larger to match, and is not limited as if a tenant exceeded its quota. A front end
+// with an equal or a smaller share of the clients gets an equal share of all three.
+func TestFrontEndWithMoreClientsGetsLargerShare(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 100
 	s.Tenants = []Tenant{{Quota: 1, RequestsPerSecond: 100}}
-	load := func(every time.Duration) (over, n int, c *Controller) {
+	run := func(interval time.Duration) (overQuotaCount, arrivals int, c *Controller) {
 		b := startController(t, s, newEngines(40))
-		for ; b.now < 130*sec; b.now += every {
+		for ; b.now < 130*sec; b.now += interval {
 			id := fmt.Sprint(b.now)
-			acts := b.step(newRequest(id, 0))
-			if r := b.controller.requests[id]; b.now > 110*sec && r != nil && r.overQuota {
-				over++
+			actions := b.step(newRequest(id, 0))
+			if request := b.controller.requests[id]; b.now > 110*sec && request != nil && request.overQuota {
+				overQuotaCount++
 			}
-			n++
-			for _, snd := range actionsOf[Send](acts) {
-				b.step(outcomeOf(snd, 0, OK))
+			arrivals++
+			for _, send := range actionsOf[Send](actions) {
+				b.step(outcomeOf(send, 0, OK))
 			}
 		}
-		return over, n, b.controller
+		return overQuotaCount, arrivals, b.controller
 	}
-	over, n, busy := load(100 * ms)
-	if over*10 > n {
-		t.Errorf("%d of %d are over the quota at a busy front end", over, n)
+	overQuotaCount, arrivals, busy := run(100 * ms)
+	if overQuotaCount*10 > arrivals {
+		t.Errorf("%d of %d requests are over the quota at the busy front end, want at most a tenth", overQuotaCount, arrivals)
 	}
-	_, _, usual := load(sec)
-	_, _, idle := load(5 * sec)
+	_, _, usual := run(sec)
+	_, _, idle := run(5 * sec)
 	if busy.subset.quotaShare < 8 || busy.subset.quotaShare > 12 || usual.subset.quotaShare != 1 ||
 		idle.subset.quotaShare != 1 {
-		t.Errorf("parts of %.1f, %.1f and %.1f times an equal one", busy.subset.quotaShare, usual.subset.quotaShare,
-			idle.subset.quotaShare)
+		t.Errorf("quota shares at 10, 1 and 0.2 requests/s: %.1f, %.1f and %.1f; want 8 to 12, 1 and 1",
+			busy.subset.quotaShare, usual.subset.quotaShare, idle.subset.quotaShare)
 	}
 	if busy.fleet.threadLimit < 5*usual.fleet.threadLimit || busy.subset.size < 5*usual.subset.size {
-		t.Errorf("the bound is %.1f against %.1f, the subset %.0f against %.0f",
+		t.Errorf("thread limits %.1f and %.1f, subset sizes %.0f and %.0f at the busy and the usual front end; want 5 to 1",
 			busy.fleet.threadLimit, usual.fleet.threadLimit, busy.subset.size, usual.subset.size)
 	}
 	if busy.engineShare != usual.engineShare || busy.subset.equalSize != usual.subset.equalSize {
-		t.Error("the part of an engine, which bounds a warming one, has grown")
+		t.Error("the share of an engine, which limits sends to a warming one, differs from that of the usual front end")
 	}
 }
--- a/admission/tenant.go
+++ b/admission/tenant.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// tenantState is what the controller keeps of one tenant.
+// tenantState is the controller's state of one tenant.
 type tenantState struct {
 	queues  [][2][]*requestState // by class and queue rank
 	weight  float64              // in the deficit round robin
-	deficit float64              // work that it may still send in its turn, in seconds over all threads
+	deficit float64              // work that the tenant may still send, in seconds over all threads
 
-	threads     float64 // of its attempts in flight
-	memory      float64 // reserved by them, in MB
-	smallMemory float64 // by those of small classes
+	threads     float64 // of the tenant's attempts in flight
+	memory      float64 // reserved by these attempts, in MB
+	smallMemory float64 // reserved by those of small classes, in MB
 
-	tokens        float64 // requests that are within its quota
+	tokens        float64 // of the quota: one admits a request as within the quota
 	tokensAt      time.Duration
-	arrivalRate   float64 // requests a second, as of arrivalRateAt; read it with Controller.arrivalRate
+	arrivalRate   float64 // requests per second as of arrivalRateAt; Controller.arrivalRate returns the current rate
 	arrivalRateAt time.Duration
 }
 
@@ -25,7 +25,7 @@
 	return &tenantState{queues: make([][2][]*requestState, classes), weight: 1, tokens: math.Inf(1)}
 }
 
-// idle reports whether none of its requests waits.
+// idle reports whether all queues of the tenant are empty.
 func (t *tenantState) idle() bool {
 	for _, ranks := range t.queues {
 		if len(ranks[0])+len(ranks[1]) > 0 {
