--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// reportLag is the age of what a load report shows: attempts sent within it before a report are not in it yet.
+// reportLag is the age of the load that a report shows: a report does not include attempts sent less than reportLag
+// before it.
 const reportLag = 150 * time.Millisecond
 
-// The time constants over which reports lose their weight, slowdowns of engines not heard from go to that of all, and
-// own threads are smoothed.
+// Time constants.
 const (
-	reportDecay         = 1500 * time.Millisecond
-	slowdownDecay       = 5 * time.Second
-	averageThreadsDecay = 3 * time.Second
+	reportDecay         = 1500 * time.Millisecond // of the weight of a load report
+	slowdownDecay       = 5 * time.Second         // of an engine's slowdown towards that of all engines
+	averageThreadsDecay = 3 * time.Second         // of the smoothed own threads at an engine
 )
 
-// Loads, as threads in use over cores: an engine or the fleet is calm below calmLoad and under pressure above
-// pressureLoad. No load counts as more than maxLoad.
+// Loads are threads in use divided by cores. An engine or the fleet is calm below calmLoad and under pressure above
+// pressureLoad. The average load of the fleet is capped at maxLoad.
 const (
 	calmLoad     = 0.6
 	pressureLoad = 0.85
 	maxLoad      = 2
 )
 
-// The thread factor of an engine, in threads per core: where it starts, its bounds, by how much it grows with an answer
-// in time, to what part it is cut with a slow one or a rejection, and how often slow ones may cut it.
+// The thread factor of an engine is the number of threads per core that the engine is allowed. It grows by
+// threadFactorStep with an answer in time. A rejection or a slow answer multiplies it by threadFactorCut, slow answers
+// at most once per threadFactorCutInterval.
 const (
 	initialThreadFactor     = 1.4
 	minThreadFactor         = 0.7
@@ -38,57 +39,60 @@
 	threadFactorCutInterval = 400 * time.Millisecond
 )
 
-// targetSlowdown is the slowdown of answers, against calm engines, that the thread factor aims at.
+// targetSlowdown is the slowdown of answers, relative to calm engines, up to which the thread factor grows.
 const targetSlowdown = 2.4
 
-// slowdownSmoothing is the weight of an answer in the slowdown of its engine.
+// slowdownSmoothing is the weight of one answer in the smoothed slowdown of its engine.
 const slowdownSmoothing = 0.12
 
-// The limits on threads and memory of a front end: over its part of the fleet's by so many standard deviations of its
-// own threads while the fleet is calm, and by a factor under pressure; wider by a factor for small classes, lest rare
-// heavy requests starve them.
+// A front end's limits on threads and memory exceed its share of the fleet: by limitDeviations standard deviations of
+// its own threads while the fleet is not under pressure, and by pressureLimitFactor otherwise. The limits of small
+// classes are wider by smallClassLimitFactor, so that rare heavy requests do not starve them.
 const (
-	calmLimitDeviations   = 2.0
+	limitDeviations       = 2.0
 	pressureLimitFactor   = 1.2
 	smallClassLimitFactor = 1.5
 )
 
-// smallClassFraction is the work of a small class over that of the heaviest, at most: one part in so many.
-const smallClassFraction = 4
+// smallClassDivisor defines small classes: those whose mean work is less than the mean work of the heaviest class
+// divided by smallClassDivisor.
+const smallClassDivisor = 4
 
-// The fraction of an engine's memory that grants may fill, and the part of it that is open to classes that aren't
-// small: small requests would wait long for it.
+// Reservations may fill memoryFillLimit of an engine's memory, as a fraction. Classes that are not small may fill only
+// heavyMemoryFraction of that, as small requests would wait long for memory that heavy requests hold.
 const (
 	memoryFillLimit     = 0.95
 	heavyMemoryFraction = 0.85
 )
 
-// The freshness from which a load report decides on its own.
+// The reportFreshness above which a load report is relied on.
 const (
-	freshForThreads = 0.5
-	freshForMemory  = 0.4
+	freshForThreads = 0.5 // to apply a concurrency limit of less than one request
+	freshForMemory  = 0.4 // to count the reported free memory
 )
 
-// ownLoadFactor times a front end's part of an engine is how far its next attempt weighs in the engine's load.
+// ownLoadFactor times a front end's share of an engine is the weight, at most 1, of the front end's next attempt in the
+// engine's load.
 const ownLoadFactor = 3
 
-// randomDrawLifetime is how long the draw for fractions of a request holds.
+// randomDrawLifetime is how long fractionDraw returns the same number.
 const randomDrawLifetime = 2 * time.Second
 
-// fleetSummary is what the engines amount to.
+// fleetSummary sums up the engines of the pool.
 type fleetSummary struct {
-	engines        int // in the list and not draining
-	usable         int // of these, not ejected
+	engines        int // listed and not draining
+	usable         int // listed, not draining and not ejected
 	cores          float64
 	averageLoad    float64
 	medianSlowdown float64
 
-	threadLimit       float64 // on own threads of all tenants
-	tenantThreadLimit float64 // on those of one tenant
-	tenantMemoryLimit float64 // on its memory, in MB
+	threadLimit       float64 // on this front end's threads, for all tenants
+	tenantThreadLimit float64 // on this front end's threads, for one tenant
+	tenantMemoryLimit float64 // on the memory that this front end reserves, for one tenant, in MB
 }
 
-// summarizeFleet sums the fleet up, once a step, and renews what follows from it.
+// summarizeFleet renews the summary of the fleet, and the order of classes and the subset, which depend on it. It runs
+// once per step.
 func (c *Controller) summarizeFleet() {
 	c.subset.quotaShare = c.fleetQuotaShare()
 	fleet := c.measureFleet()
@@ -98,8 +102,8 @@
 	c.updateSubset()
 }
 
-// measureFleet counts the engines and sums up their load. The initial sums stand for a load of one half before any
-// engine was heard of.
+// measureFleet counts the engines and averages their load. The initial sums give an average load of one half before
+// the first report.
 func (c *Controller) measureFleet() fleetSummary {
 	c.slowdowns = c.slowdowns[:0]
 	fleet := fleetSummary{}
@@ -116,8 +120,8 @@
 		}
 		fleet.usable++
 		attempts += float64(len(engine.attempts))
-		engine.slowdown += (c.allEngines.slowdown - engine.slowdown) * c.sinceSummary(slowdownDecay)
-		engine.averageThreads += (engine.threads - engine.averageThreads) * c.sinceSummary(averageThreadsDecay)
+		engine.slowdown += (c.allEngines.slowdown - engine.slowdown) * c.smoothingWeight(slowdownDecay)
+		engine.averageThreads += (engine.threads - engine.averageThreads) * c.smoothingWeight(averageThreadsDecay)
 		c.slowdowns = append(c.slowdowns, engine.slowdown)
 		if engine.reportedAt >= 0 || c.settings.LoadReporting == NoLoadReports {
 			weight := engine.cores * math.Max(c.reportFreshness(engine), 1e-3)
@@ -126,20 +130,21 @@
 		}
 	}
 	if attempts > 0 {
-		c.meanThreads += (c.threads/attempts - c.meanThreads) * c.sinceSummary(arrivalRateDecay)
+		c.meanThreads += (c.threads/attempts - c.meanThreads) * c.smoothingWeight(arrivalRateDecay)
 	}
 	fleet.averageLoad = math.Min(weightedLoad/weights, maxLoad)
 	fleet.medianSlowdown = median(c.slowdowns, 1)
 	return fleet
 }
 
-// sinceSummary is the time since the last summary over a time constant, 1 at most.
-func (c *Controller) sinceSummary(decay time.Duration) float64 {
+// smoothingWeight returns the weight of a new value in an average with the time constant: the time since the last
+// summary divided by the time constant, at most 1.
+func (c *Controller) smoothingWeight(decay time.Duration) float64 {
 	return math.Min(float64(c.now-c.summarizedAt)/float64(decay), 1)
 }
 
-// addLimits sums up the limits on threads and memory. What is in flight on engines that are out of use adds to the
-// limits what it takes from them.
+// addLimits adds up the limits on threads and memory over all engines. Attempts in flight on unavailable or ejected
+// engines raise the limits by what they reserve, so that they leave the capacity of the other engines free.
 func (c *Controller) addLimits(fleet *fleetSummary) {
 	for _, engine := range c.engines {
 		limit := c.concurrencyLimit(engine)
@@ -151,7 +156,7 @@
 		}
 		fleet.threadLimit += limit / c.engineShare / float64(c.settings.Replicas) * c.subset.quotaShare
 		fleet.tenantMemoryLimit += engine.memoryMB / float64(c.settings.Replicas) * c.subset.quotaShare
-		if c.isCalm(engine, 1, fleet.averageLoad) {
+		if c.isBelowPressure(engine, 1, fleet.averageLoad) {
 			limit = math.Max(limit, engine.threads+engine.cores)
 		}
 		fleet.tenantThreadLimit += limit
@@ -166,12 +171,13 @@
 	slices.SortStableFunc(c.classOrder, func(a, b int) int { return cmp.Compare(weightPerWork(b), weightPerWork(a)) })
 }
 
-// withinLimits reports whether a request keeps to the limits that don't depend on its engine. Small classes are
-// limited among themselves: the part of a front end may be less than one heavy request.
+// withinLimits reports whether a request is within the limits of the front end and of its tenant, which do not depend
+// on the engine. Small classes count only against each other, as one heavy request may exceed the front end's share of
+// the fleet.
 func (c *Controller) withinLimits(request *requestState) bool {
 	fleet, tenant := &c.fleet, request.tenant
 	requestThreads := float64(request.classSettings.Threads)
-	factor := 1 + calmLimitDeviations*math.Sqrt(requestThreads/math.Max(fleet.threadLimit, 1e-3))
+	factor := 1 + limitDeviations*math.Sqrt(requestThreads/math.Max(fleet.threadLimit, 1e-3))
 	if fleet.averageLoad > pressureLoad {
 		factor = pressureLimitFactor
 	}
@@ -190,8 +196,9 @@
 	return fleet.tenantMemoryLimit == 0 || memory == 0 || memory+c.expectedMemory(request) <= memoryLimit
 }
 
-// fractionDraw is a random number in [0, 1) by which a limit of a fraction of a request lets one through with as much
-// probability. It holds for a while, so that asking again gains nothing.
+// fractionDraw returns a random number in [0, 1) for limits that are a fraction of a request: such a limit admits one
+// request with a probability of that fraction. The number is kept for randomDrawLifetime, so that repeated checks do
+// not raise the probability.
 func (c *Controller) fractionDraw() float64 {
 	if c.now >= c.randomDrawUntil {
 		c.randomDraw, c.randomDrawUntil = c.random.float64(), c.now+randomDrawLifetime
@@ -199,13 +206,13 @@
 	return c.randomDraw
 }
 
-// hasCapacity reports whether an engine takes one more request, by threads and by memory.
+// hasCapacity reports whether an engine has threads and memory for the request.
 func (c *Controller) hasCapacity(engine *engineState, request *requestState) bool {
 	return c.hasThreads(engine, request) && c.hasMemory(engine, request)
 }
 
-// hasThreads holds the request to the concurrency limit of the engine, which binds only under pressure, and where it is
-// below one request, only with a fresh report of the engine.
+// hasThreads reports whether the request fits the concurrency limit of the engine. The limit applies only while the
+// engine is under pressure. A limit of less than one request applies only with a fresh load report.
 func (c *Controller) hasThreads(engine *engineState, request *requestState) bool {
 	threads := float64(request.classSettings.Threads)
 	limit := c.concurrencyLimit(engine)
@@ -215,10 +222,12 @@
 	if limit < threads && c.reportFreshness(engine) <= freshForThreads {
 		return true
 	}
-	return c.isCalm(engine, threads, c.fleet.averageLoad) || engine.threads+c.fractionDraw()*threads <= limit
+	return c.isBelowPressure(engine, threads, c.fleet.averageLoad) || engine.threads+c.fractionDraw()*threads <= limit
 }
 
-// hasMemory holds the request to this front end's part of the engine's memory, or to what the engine reports as free.
+// hasMemory reports whether the request fits this front end's share of the engine's memory, or the memory that the
+// engine reports as free if that is more. An engine that has no attempt of this front end in flight, or whose memory is
+// not known, always has memory.
 func (c *Controller) hasMemory(engine *engineState, request *requestState) bool {
 	fill, reserved := memoryFillLimit, engine.memory
 	if c.isSmall(request.Class) {
@@ -234,29 +243,32 @@
 	return engine.threads == 0 || engine.memoryMB <= 0 || c.expectedMemory(request) <= free
 }
 
-// isCalm reports whether an engine is not under pressure with so many threads more, as far as the load is ours.
-func (c *Controller) isCalm(engine *engineState, threads, averageLoad float64) bool {
+// isBelowPressure reports whether an engine stays below pressure with the additional threads, which count by this front
+// end's share of the engine. A warming engine is under pressure at a lower load. A busy disk, queued requests and slow
+// answers are pressure at any load.
+func (c *Controller) isBelowPressure(engine *engineState, threads, averageLoad float64) bool {
 	load := c.engineLoad(engine, averageLoad) + threads*math.Min(1, ownLoadFactor*c.engineShare)/engine.cores
 	return load <= pressureLoad*c.warmth(engine) && engine.loadReport.DiskUtilization < pressureLoad &&
 		engine.loadReport.Queued <= 0 && engine.slowdown < targetSlowdown
 }
 
-// concurrencyLimit is the limit on own threads at an engine: its cores times the threads per core that it has lately
-// carried well, this front end's part of that, and what its slow start leaves.
+// concurrencyLimit returns the limit on this front end's threads at an engine: the cores times the thread factor, times
+// the warmth of the engine and this front end's share of the engine.
 func (c *Controller) concurrencyLimit(engine *engineState) float64 {
 	return engine.cores * math.Min(engine.threadFactor, c.allEngines.threadFactor) * c.warmth(engine) * c.engineShare
 }
 
-// engineLoad estimates the load of an engine: what it reported, which fades with age to the average, and own attempts
-// sent since.
+// engineLoad estimates the load of an engine: the reported load, which decays towards the average with the age of the
+// report, plus own attempts that the report does not show yet.
 func (c *Controller) engineLoad(engine *engineState, averageLoad float64) float64 {
 	unreported, _ := engine.unreportedSends()
 	freshness := c.reportFreshness(engine)
 	return freshness*c.reportedLoad(engine) + (1-freshness)*averageLoad + unreported/engine.cores
 }
 
-// reportedLoad is the load by the last report: the use, or what the requests in flight need over what the engine
-// carries well, whichever is more. Where neither is reported, own threads over our part of the engine stand in.
+// reportedLoad returns the load by the last report: the utilization, or the threads of the requests in flight relative
+// to the threads that the engine carries well, whichever is more. If the report has neither, this front end's threads
+// divided by its share of the engine replace the threads of the requests in flight.
 func (c *Controller) reportedLoad(engine *engineState) float64 {
 	threads := engine.averageThreads / c.engineShare
 	if engine.loadReport.InFlight >= 0 {
@@ -267,7 +279,7 @@
 	return math.Max(engine.loadReport.Utilization, threads/engine.cores/c.allEngines.threadFactor)
 }
 
-// reportFreshness is the weight of an engine's last report: 1 while it is new, and less with age.
+// reportFreshness returns the weight of an engine's last report: 1 for a new one, falling to 0 with age; 0 without one.
 func (c *Controller) reportFreshness(engine *engineState) float64 {
 	if engine.reportedAt < 0 {
 		return 0
@@ -275,7 +287,7 @@
 	return math.Exp(-float64(max(0, c.now-engine.reportedAt-reportLag)) / float64(reportDecay))
 }
 
-// unreportedSends sums up the threads and the memory of own attempts that the last report doesn't show yet.
+// unreportedSends adds up the threads and the memory, in MB, of own attempts that the last report does not show yet.
 func (e *engineState) unreportedSends() (threads, memory float64) {
 	for _, ref := range e.attempts {
 		if attempt := ref.attempt(); e.reportedAt < 0 || attempt.sentAt > e.reportedAt-reportLag {
@@ -286,12 +298,12 @@
 	return threads, memory
 }
 
-// isSmall reports whether the mean work of a class is well below that of the heaviest.
+// isSmall reports whether a class is small: see smallClassDivisor.
 func (c *Controller) isSmall(class int) bool {
-	return c.estimates[class].work < c.heaviestWork()/smallClassFraction
+	return c.estimates[class].work < c.heaviestWork()/smallClassDivisor
 }
 
-// heaviestWork is the largest mean work of a class.
+// heaviestWork returns the mean work of the heaviest class, in seconds over all threads.
 func (c *Controller) heaviestWork() (heaviest float64) {
 	for i := range c.estimates {
 		heaviest = max(heaviest, c.estimates[i].work)
@@ -299,8 +311,9 @@
 	return heaviest
 }
 
-// adjustThreadFactor takes in the slowdown of an answer, as a logarithm: the thread factor grows by a step while
-// answers are in time and is cut when they are slow, whatever takes the capacity.
+// adjustThreadFactor updates the smoothed slowdown of an engine with that of an answer, given as a logarithm. The
+// thread factor grows by a step while the slowdown is at most targetSlowdown, and is cut while the slowdown is higher,
+// whatever uses up the engine's capacity.
 func (c *Controller) adjustThreadFactor(engine *engineState, logSlowdown float64) {
 	engine.slowdown *= math.Exp((logSlowdown - math.Log(engine.slowdown)) * slowdownSmoothing)
 	if engine.slowdown <= targetSlowdown {
@@ -315,7 +328,7 @@
 	e.threadFactor = math.Max(minThreadFactor, e.threadFactor*threadFactorCut)
 }
 
-// median is the lower median of the values, which it sorts, or fallback where there are none.
+// median sorts the values and returns their lower median, or fallback if there are none.
 func median(values []float64, fallback float64) float64 {
 	if len(values) == 0 {
 		return fallback
--- a/admission/capacity_test.go
+++ b/admission/capacity_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-func TestStuckAttemptsDoNotUseUpTheLimits(t *testing.T) {
+// TestStuckAttemptsDoNotUseUpLimits: attempts that hang on ejected engines leave the limits free for the other engines.
+func TestStuckAttemptsDoNotUseUpLimits(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(4))
-	for i := range 30 { // everything on engines 1 and 2 hangs
-		for _, s := range actionsOf[Send](b.step(newRequest(fmt.Sprint("a", i), 0))) {
-			if s.Engine > 2 {
-				b.step(outcomeOf(s, 0, OK))
+	for i := range 30 { // attempts on engines 1 and 2 get no outcome
+		for _, send := range actionsOf[Send](b.step(newRequest(fmt.Sprint("a", i), 0))) {
+			if send.Engine > 2 {
+				b.step(outcomeOf(send, 0, OK))
 			}
 		}
 	}
@@ -21,182 +22,184 @@
 		b.controller.enginesByID[id].threads += 1000
 		b.controller.tenants[0].threads += 1000
 	}
-	if s := oneAction[Send](t, b.step(newRequest("z", 0))); s.Engine < 3 {
-		t.Fatalf("sent to the ejected engine %d", s.Engine)
+	if send := oneAction[Send](t, b.step(newRequest("z", 0))); send.Engine < 3 {
+		t.Fatalf("sent to the ejected engine %d", send.Engine)
 	}
 }
 
-func TestOldReportsFadeToTheAverage(t *testing.T) {
+func TestOldReportsDecayToAverage(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(3))
-	for id, util := range map[uint32]float64{1: 0.1, 2: 0.9} {
+	for id, utilization := range map[uint32]float64{1: 0.1, 2: 0.9} {
 		b.step(HealthCheckResult{Engine: id, Status: OK,
-			Report: &Report{Utilization: util, InFlight: -1, Queued: -1, MemoryUtilization: -1, DiskUtilization: -1}})
+			Report: &Report{Utilization: utilization, InFlight: -1, Queued: -1, MemoryUtilization: -1, DiskUtilization: -1}})
 	}
 	b.controller.summarizeFleet()
-	avg := b.controller.fleet.averageLoad
-	if l := b.controller.engineLoad(b.controller.enginesByID[3], avg); l != avg {
-		t.Fatalf("an engine not heard from counts as %v, the average is %v", l, avg)
+	average := b.controller.fleet.averageLoad
+	if load := b.controller.engineLoad(b.controller.enginesByID[3], average); load != average {
+		t.Fatalf("load of an engine without a report is %v, want the average of %v", load, average)
 	}
-	if l := b.controller.engineLoad(b.controller.enginesByID[1], avg); l > 0.11 {
-		t.Fatalf("a new report of 0.1 counts as %v", l)
+	if load := b.controller.engineLoad(b.controller.enginesByID[1], average); load > 0.11 {
+		t.Fatalf("load right after a report of 0.1 is %v, want at most 0.11", load)
 	}
 	b.now += 20 * sec
 	b.step()
-	if l := b.controller.engineLoad(b.controller.enginesByID[1], avg); l < avg-0.01 || l > avg+0.01 {
-		t.Fatalf("an old report counts as %v, the average is %v", l, avg)
+	if load := b.controller.engineLoad(b.controller.enginesByID[1], average); load < average-0.01 || load > average+0.01 {
+		t.Fatalf("load 20 s after the last report is %v, want the average of %v", load, average)
 	}
 }
 
-func TestMemoryLimitOfATenant(t *testing.T) {
+func TestMemoryLimitOfTenant(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
-	r := newRequest("a", 1)
-	r.Timeout, r.MemoryMB = 20*sec, 6000
-	b.step(r)
-	held := b.controller.tenants[0].memory
-	b.controller.tenants[0].memory = 2*16384 - 100 // the tenant holds nearly all of the fleet's memory
-	r.ID = "b"
-	if l := actionsOf[Send](b.step(r)); len(l) > 0 {
-		t.Fatal("sent past the memory cap")
-	}
-	b.controller.tenants[0].memory = held
+	request := newRequest("a", 1)
+	request.Timeout, request.MemoryMB = 20*sec, 6000
+	b.step(request)
+	reserved := b.controller.tenants[0].memory
+	b.controller.tenants[0].memory = 2*16384 - 100 // nearly all of the fleet's memory
+	request.ID = "b"
+	if sends := actionsOf[Send](b.step(request)); len(sends) > 0 {
+		t.Fatal("request sent beyond the memory limit of its tenant")
+	}
+	b.controller.tenants[0].memory = reserved
 	oneAction[Send](t, b.step())
 }
 
-// TestLimitsBelowOneRequest: all front ends together run about the fleet's bound, though each one's part of it is
-// under one request.
+// TestLimitsBelowOneRequest: the threads of all front ends together are close to the limit of the fleet, although the
+// share of each front end is less than one request.
 func TestLimitsBelowOneRequest(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 300
-	running, lump := 0.0, 2.0/(20*8*initialThreadFactor/300)
-	for g, b := range newFrontEnds(t, s, newEngines(20)) {
+	inFlight, requestFraction := 0.0, 2.0/(20*8*initialThreadFactor/300)
+	for me, b := range newFrontEnds(t, s, newEngines(20)) {
 		for i := range 20 {
-			r := newRequest(fmt.Sprint(g, "-", i), 1)
-			r.Work, r.Timeout = 3*sec, 20*sec
-			b.step(r)
+			request := newRequest(fmt.Sprint(me, "-", i), 1)
+			request.Work, request.Timeout = 3*sec, 20*sec
+			b.step(request)
 		}
-		running += b.controller.threads
+		inFlight += b.controller.threads
 	}
-	if bound := 20 * 8 * initialThreadFactor * (1 + calmLimitDeviations*math.Sqrt(lump)); running < bound*0.7 ||
-		running > bound*1.3 {
-		t.Fatalf("%v threads run, the bound of all is %v", running, bound)
+	if limit := 20 * 8 * initialThreadFactor * (1 + limitDeviations*math.Sqrt(requestFraction)); inFlight < limit*0.7 ||
+		inFlight > limit*1.3 {
+		t.Fatalf("%v threads in flight at all front ends, want 0.7 to 1.3 times the limit of %v", inFlight, limit)
 	}
 }
 
-// TestOwnThreadsCountAsFarAsTheLoadIsOwn: a request's own threads close an engine that reads busy to a
-// front end of few, whose sends make the load, and not to one of many.
-func TestOwnThreadsCountAsFarAsTheLoadIsOwn(t *testing.T) {
-	for n, calm := range map[int]bool{1: false, 300: true} {
+// TestOwnThreadsCountByShareOfLoad: the threads of the next request put a busy engine under pressure for a single front
+// end, whose attempts are the whole load, but not for one of many front ends.
+func TestOwnThreadsCountByShareOfLoad(t *testing.T) {
+	for replicas, belowPressure := range map[int]bool{1: false, 300: true} {
 		s := baseSettings()
-		s.Replicas = n
+		s.Replicas = replicas
 		b := startController(t, s, newEngines(20))
-		e := b.controller.enginesByID[1]
-		e.loadReport, e.reportedAt = Report{Utilization: 0.7, InFlight: -1, Queued: -1, MemoryUtilization: -1,
+		engine := b.controller.enginesByID[1]
+		engine.loadReport, engine.reportedAt = Report{Utilization: 0.7, InFlight: -1, Queued: -1, MemoryUtilization: -1,
 			DiskUtilization: -1}, b.now
-		if b.controller.isCalm(e, 3, 0.7) != calm {
-			t.Fatalf("%d front ends: calm %v", n, !calm)
+		if b.controller.isBelowPressure(engine, 3, 0.7) != belowPressure {
+			t.Fatalf("%d front ends: engine below pressure is %v, want the opposite", replicas, !belowPressure)
 		}
 	}
 }
 
-// Small classes have slack to spare: at the top priority they ran at full speed while the heavy, whose aim is
-// nearer to their work, took 3.4 times theirs (kumamoto-head-later, big-1).
+// TestSmallClassesLeaveCapacityToHeavyOnes: the priority of small classes is only one above that of heavy classes. At
+// the highest priority of the engines, small requests ran at full speed while heavy ones, whose latency objective is
+// closer to their work, took 3.4 times theirs (kumamoto-head-later, big-1).
 func TestSmallClassesLeaveCapacityToHeavyOnes(t *testing.T) {
 	s := baseSettings()
 	s.PrioritiesSupported = true
 	b := startController(t, s, newEngines(2))
-	lane := map[int]int{}
+	priorities := map[int]int{}
 	for class := range 2 {
 		b.controller.estimates[class].work, b.controller.estimates[class].answers = []float64{0.1, 4}[class], 100
-		lane[class] = 1
-		r := newRequest(fmt.Sprint("c", class), class)
-		r.Work, r.Timeout = time.Duration(b.controller.estimates[class].work*float64(sec)), 20*sec
-		for _, a := range b.step(r) {
-			if tm, ok := a.(Terms); ok {
-				lane[class] = tm.Priority
+		priorities[class] = 1
+		request := newRequest(fmt.Sprint("c", class), class)
+		request.Work, request.Timeout = time.Duration(b.controller.estimates[class].work*float64(sec)), 20*sec
+		for _, action := range b.step(request) {
+			if terms, ok := action.(Terms); ok {
+				priorities[class] = terms.Priority
 			}
 		}
 	}
-	if lane[0] != lane[1]+1 {
-		t.Fatalf("priorities by class: %v", lane)
+	if priorities[0] != priorities[1]+1 {
+		t.Fatalf("priorities by class: %v, want that of class 0 one above that of class 1", priorities)
 	}
 }
 
-// TestOwnThreadsStandInForUnreportedLoad: where reports tell only the line for memory, one own request of one front end
-// among many does not read as a full engine, while threads that stay do.
-func TestOwnThreadsStandInForUnreportedLoad(t *testing.T) {
+// TestOwnThreadsReplaceUnreportedLoad: the reports carry only the number of queued requests. One request of one front
+// end among many does not count as a fully loaded engine, while threads that stay in flight do.
+func TestOwnThreadsReplaceUnreportedLoad(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 60
 	b := startController(t, s, newEngines(12))
-	e := b.controller.engines[b.controller.subset.first]
-	e.loadReport, e.reportedAt = Report{InFlight: -1, Queued: 0, Utilization: -1, MemoryUtilization: -1,
+	engine := b.controller.engines[b.controller.subset.first]
+	engine.loadReport, engine.reportedAt = Report{InFlight: -1, Queued: 0, Utilization: -1, MemoryUtilization: -1,
 		DiskUtilization: -1}, b.now
 	b.step(newRequest("a", 0))
 	b.advance(100 * ms)
-	if load := b.controller.reportedLoad(e); load > 0.3 {
-		t.Fatalf("one request reads as a load of %.2f", load)
+	if load := b.controller.reportedLoad(engine); load > 0.3 {
+		t.Fatalf("one request counts as a load of %.2f, want at most 0.3", load)
 	}
-	e.threads = e.cores * 2 * b.controller.engineShare
+	engine.threads = engine.cores * 2 * b.controller.engineShare
 	b.advance(3 * averageThreadsDecay)
-	if load := b.controller.reportedLoad(e); load < 1 {
-		t.Fatalf("two threads a core read as a load of %.2f", load)
+	if load := b.controller.reportedLoad(engine); load < 1 {
+		t.Fatalf("two threads per core count as a load of %.2f, want at least 1", load)
 	}
 }
 
-// TestHeavyRequestDoesNotLockSmallOnesOut: one heavy request is more than this front end's part of the fleet's threads
-// and memory, and small ones still go.
-func TestHeavyRequestDoesNotLockSmallOnesOut(t *testing.T) {
+// TestHeavyRequestDoesNotBlockSmallOnes: small requests are sent although one heavy request exceeds this front end's
+// share of the fleet's threads and memory.
+func TestHeavyRequestDoesNotBlockSmallOnes(t *testing.T) {
 	s := baseSettings()
 	s.Replicas, s.Classes[1].Threads = 60, 4
 	b := startController(t, s, newEngines(12))
-	for _, e := range b.controller.engines {
-		e.loadReport, e.reportedAt = Report{InFlight: -1, Queued: 0, Utilization: 1, MemoryUtilization: -1,
+	for _, engine := range b.controller.engines {
+		engine.loadReport, engine.reportedAt = Report{InFlight: -1, Queued: 0, Utilization: 1, MemoryUtilization: -1,
 			DiskUtilization: -1}, b.now
 	}
 	b.controller.randomDrawUntil, b.controller.randomDraw = b.now+20*sec, 0.1
 	b.step(Request{ID: "heavy", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 8 * sec, MemoryMB: 4000})
 	if b.controller.threads < b.controller.fleet.threadLimit {
-		t.Fatal("the heavy request is within our part: the test shows nothing")
+		t.Fatal("precondition not met: the heavy request is within the thread limit")
 	}
 	small := newRequest("small", 0)
 	small.MemoryMB = 100
 	oneAction[Send](t, b.step(small))
 }
 
-// TestRequestsInFlightTellOverload: use ends at full; an engine that holds more threads than it carries well is under
-// more pressure than its use tells, also where it jams at little use.
-func TestRequestsInFlightTellOverload(t *testing.T) {
+// TestRequestsInFlightShowOverload: the utilization of an engine cannot exceed 1. An engine with more threads in flight
+// than it carries well has a higher load than its utilization, also if its requests block each other at a low
+// utilization.
+func TestRequestsInFlightShowOverload(t *testing.T) {
 	s := baseSettings()
 	b := startController(t, s, newEngines(4))
 	b.controller.meanThreads = 2
-	for _, x := range []struct{ util, held, least, most float64 }{
+	for _, c := range []struct{ utilization, inFlight, lowest, highest float64 }{
 		{1, 2, 1, 1}, {1, 20, 2, 4}, {0.3, 20, 2, 4}, {-1, 20, 2, 4}, {0.3, -1, 0.3, 0.3},
 	} {
-		e := b.controller.engines[0]
-		e.loadReport, e.reportedAt = Report{InFlight: x.held, Queued: -1, Utilization: x.util, MemoryUtilization: -1,
-			DiskUtilization: -1}, b.now
-		if load := b.controller.reportedLoad(e); load < x.least || load > x.most {
-			t.Errorf("use %.1f and %.0f held read as %.2f", x.util, x.held, load)
+		engine := b.controller.engines[0]
+		engine.loadReport, engine.reportedAt = Report{InFlight: c.inFlight, Queued: -1, Utilization: c.utilization,
+			MemoryUtilization: -1, DiskUtilization: -1}, b.now
+		if load := b.controller.reportedLoad(engine); load < c.lowest || load > c.highest {
+			t.Errorf("utilization %.1f and %.0f requests in flight count as a load of %.2f", c.utilization, c.inFlight, load)
 		}
 	}
 }
 
-// TestSmallClassesHaveTheirOwnMemory: a heavy request holds more than our part of an engine's memory, and more than
-// half of the tenant's, and small ones still go there, until they hold as much themselves.
-func TestSmallClassesHaveTheirOwnMemory(t *testing.T) {
+// TestSmallClassesHaveSeparateMemory: an engine on which a heavy request reserves more than this front end's share of
+// the memory still has memory for small requests, until small requests reserve that share themselves.
+func TestSmallClassesHaveSeparateMemory(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 60
 	b := startController(t, s, newEngines(12))
-	e := b.controller.engines[b.controller.subset.first]
-	r := &requestState{Request: newRequest("s", 0), classSettings: &b.controller.settings.Classes[0],
+	engine := b.controller.engines[b.controller.subset.first]
+	request := &requestState{Request: newRequest("s", 0), classSettings: &b.controller.settings.Classes[0],
 		tenant: b.controller.tenants[0]}
-	r.MemoryMB = 100
-	part := e.memoryMB * b.controller.engineShare
+	request.MemoryMB = 100
+	share := engine.memoryMB * b.controller.engineShare
 	b.controller.estimates[1].work = 4
-	e.threads, e.memory = 2, 2*part
-	if !b.controller.hasCapacity(e, r) {
-		t.Fatal("a heavy request keeps the small out")
+	engine.threads, engine.memory = 2, 2*share
+	if !b.controller.hasCapacity(engine, request) {
+		t.Fatal("no capacity for a small request beside a heavy one")
 	}
-	if e.smallMemory = part; b.controller.hasCapacity(e, r) {
-		t.Fatal("the small pass our part by themselves")
+	if engine.smallMemory = share; b.controller.hasCapacity(engine, request) {
+		t.Fatal("small requests exceed the front end's share of the engine's memory")
 	}
 }
