--- a/admission/settings.go
+++ b/admission/settings.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Idempotency says what a repeat of a request may do.
+// Idempotency says whether a request may run more than once.
 type Idempotency int
 
 // The idempotency of a class.
 const (
 	Idempotent        Idempotency = iota // may be repeated freely
-	IdempotentWithKey                    // repeats are discarded within a group of engines, for a while
+	IdempotentWithKey                    // repeats are discarded in a scope of engines within a window
 	NonIdempotent                        // must never run twice
 )
 
@@ -25,14 +25,14 @@
 	ScopeCell
 )
 
-// MemoryShortage says what an engine does when the memory that was granted exceeds what it has.
+// MemoryShortage says what an engine does when the memory granted to requests exceeds the memory that the engine has.
 type MemoryShortage int
 
 // The ways in which an engine handles a shortage of memory.
 const (
 	WaitForMemory MemoryShortage = iota // the request waits in the engine's queue
-	SpillToDisk                         // it gets what is left, and spills to disk
-	Overcommit                          // it is admitted, and all slow down
+	SpillToDisk                         // the request gets the memory that is left, and spills to disk
+	Overcommit                          // the request is admitted, and all requests slow down
 )
 
 // LoadReporting says how load reports reach the front end.
@@ -47,7 +47,7 @@
 
 // Class describes one class of request.
 type Class struct {
-	// An answer earns the full weight within LatencyObjective plus ObjectivePerWork times the work per thread, and
+	// An answer earns PriorityWeight within LatencyObjective plus ObjectivePerWork times the work per thread, and
 	// PriorityWeight times LateWeight after that.
 	LatencyObjective time.Duration
 	ObjectivePerWork float64
@@ -63,8 +63,8 @@
 	OnlyKinds           []int         // empty: any kind
 	Stream              bool
 	Threads             int  // that a request occupies on its engine; at least 1
-	LocksTables         bool // locks its table group on its engine while it runs
-	WaitsForLocks       bool // waits while its table group is locked there
+	LocksTables         bool // a request locks its table group on its engine while it runs
+	WaitsForLocks       bool // a request waits while its table group is locked on its engine
 }
 
 // Kind describes one kind of machine.
@@ -87,9 +87,10 @@
 	Window     time.Duration
 }
 
-// SlowStart describes engines that have just started. Their capacity grows evenly from InitialCapacity to 1, as a
-// fraction of full capacity, within Duration. A warming engine fails if the work it is sent within OverloadWindow
-// exceeds OverloadMultiple times what it can do in that time; an OverloadMultiple of 0 or less: it never fails.
+// SlowStart describes engines that have just started. Their capacity grows linearly from InitialCapacity to 1, as a
+// fraction of full capacity, within Duration. A warming engine fails if the work that it is sent within OverloadWindow
+// exceeds OverloadMultiple times the work that it can do in that time. With an OverloadMultiple of 0 or less it never
+// fails.
 type SlowStart struct {
 	Duration         time.Duration
 	InitialCapacity  float64
@@ -97,9 +98,9 @@
 	OverloadWindow   time.Duration
 }
 
-// Settings are what a front end is told at its start.
+// Settings describe the deployment and the platform of one front end.
 type Settings struct {
-	Me, Replicas    int // the number of this front end, from 0, and how many there are
+	Me, Replicas    int // the index of this front end, from 0, and the number of front ends
 	Zone            int // -1: not known
 	Zones           int
 	Kinds           []Kind
@@ -107,41 +108,41 @@
 	Tenants         []Tenant // may be empty
 	OverQuotaWeight float64
 
-	// What the platform does and allows.
-	PollDiscovery       bool // the engine list is not sent unasked
+	// Properties of the platform, and what it allows.
+	PollDiscovery       bool // discovery sends the engine list only on request
 	PollInterval        time.Duration
 	LoadReporting       LoadReporting
-	GrantsSupported     bool // engines take memory grants
-	PrioritiesSupported bool // engines take priorities
-	CostReported        bool // engines tell work and memory with the outcome
+	GrantsSupported     bool // engines accept memory grants
+	PrioritiesSupported bool // engines accept priorities
+	CostReported        bool // engines report work and memory with the outcome
 	ProgressInterval    time.Duration
 	MemoryShortage      MemoryShortage
 	MaxGrantFraction    float64 // the largest grant, as a fraction of an engine's memory; 0: not known
 	CancellationAllowed bool
 	HealthChecksAllowed bool
-	HealthCheckCost     float64 // points of service that one health check for each request costs; 0: not known
+	HealthCheckCost     float64 // points of service that it costs to send one health check per request; 0: not known
 	GossipAllowed       bool
 	HedgingAllowed      bool // two attempts of a request may be in flight at once
 	MaxAttempts         int
-	MaxRetryAfter       time.Duration // 0: clients are not told when to come back
-	RetriesMarked       bool          // clients mark a request that they have tried before
+	MaxRetryAfter       time.Duration // the longest Retry-After of a rejection; 0: no Retry-After
+	RetriesMarked       bool          // clients mark their retries
 
-	DeadlineSlack time.Duration // how late a final answer may be
+	DeadlineSlack time.Duration // how long after the deadline a final answer may come
 	DrainGrace    time.Duration
-	KeyCooldown   time.Duration // how long a key of an Ordered class rests after an attempt that may have run
+	KeyCooldown   time.Duration // no request of an Ordered key is sent for so long after an attempt that may have run
 	SlowStart     SlowStart
 	RetryBudget   *RetryBudget // nil: retries are not limited
 }
 
-// SettingsError says which field of the settings is not valid.
+// SettingsError names an invalid field of the settings and the values that are allowed.
 type SettingsError struct {
 	Field, Allowed string
 }
 
-// Error names the field and what is allowed.
+// Error returns the name of the field and the allowed values.
 func (e *SettingsError) Error() string { return "settings: " + e.Field + ": " + e.Allowed }
 
-// check returns a *SettingsError for the first field that is not valid.
+// check returns a *SettingsError for the first invalid field.
 func (s *Settings) check() error {
 	if s.Replicas < 1 {
 		return &SettingsError{"Replicas", "must be at least 1"}
