--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -5,62 +5,63 @@
 	"time"
 )
 
-// The margins of memory over the estimate: where this front end grants it, as estimates have a long upper tail, and
-// where the engine alone decides.
+// Margins on memory estimates, as factors. reservationMargin applies where this front end grants the memory, as
+// estimates have a long upper tail; engineGrantMargin applies where the engine alone decides.
 const (
 	reservationMargin = 1.5
 	engineGrantMargin = 1.25
 )
 
-// Corrections of estimates: how fast they follow, and from how many answers on they are used.
+// correctionRate is the lowest weight of a sample in a correction of estimates. Corrections apply from
+// correctionMinSamples samples on.
 const (
 	correctionRate       = 0.03
 	correctionMinSamples = 5
 )
 
-// How fast the means of a class follow at least, and how fast its slowdown on calm engines follows.
+// Weights of one answer in the estimates of its class.
 const (
-	minMeanRate  = 0.01
-	slowdownRate = 0.03
+	minMeanRate  = 0.01 // in mean work and mean memory, at least
+	slowdownRate = 0.03 // in the slowdown on calm engines
 )
 
-// The work assumed of a class before its first answers counts as so many of them.
+// initialWorkSamples is the number of answers that the work assumed of a class before its first answers counts as.
 const initialWorkSamples = 4
 
-// objectiveOverWork is the latency objective of a class over the time that its requests are assumed to take before its
-// first answers.
+// objectiveOverWork is the latency objective of a class divided by the time that its requests are assumed to take
+// before the first answers.
 const objectiveOverWork = 3
 
-// initialLogSlowdown is the logarithm of the slowdown that is assumed on calm engines before any was seen.
+// initialLogSlowdown is the logarithm of the slowdown that is assumed on calm engines before the first answers.
 const initialLogSlowdown = 0.3
 
-// minWork is the least work of a request, in seconds over all threads.
+// minWork is the lower bound on the work of a request, in seconds over all threads.
 const minWork = 0.001
 
-// Bounds on what one answer teaches: its latency as work, over the mean of the class, and its slowdown.
+// Bounds on the values learned from one answer.
 const (
-	maxWorkByLatency = 20
-	minSeenSlowdown  = 0.2
-	maxSeenSlowdown  = 8
+	maxWorkByLatency    = 20 // work derived from the latency, as a multiple of the mean work of the class
+	minObservedSlowdown = 0.2
+	maxObservedSlowdown = 8
 )
 
-// classEstimate is what answers have taught of one class.
+// classEstimate holds the estimates of one class and the samples behind them.
 type classEstimate struct {
-	requests float64 // that arrived
+	requests float64 // number of arrivals
 
 	work           float64 // mean, in seconds over all threads
-	answers        float64 // that it is a mean of
+	answers        float64 // number of answers in the mean work
 	workSamples    correction
-	workCorrection float64 // work over its estimate
+	workCorrection float64 // factor on the work estimates of requests
 
 	memory           float64 // mean, in MB
-	memoryAnswers    float64
+	memoryAnswers    float64 // number of answers in the mean memory
 	memorySamples    correction
-	memoryCorrection float64
+	memoryCorrection float64 // factor on the memory estimates of requests
 
 	logSlowdown float64         // mean slowdown on calm engines, as a logarithm
-	answeredAt  time.Duration   // when any engine answered the class last
-	overdue     overdueAttempts // of the engine that checkOverdueAttempts looks at
+	answeredAt  time.Duration   // when an engine last answered a request of the class
+	overdue     overdueAttempts // at the engine that checkOverdueAttempts is checking
 }
 
 func newClassEstimate(class *Class) classEstimate {
@@ -72,7 +73,8 @@
 	}
 }
 
-// countRequest takes in a request that arrived. Its estimate counts for the class until answers do.
+// countRequest counts an arrival. The mean work of the class follows the estimates of requests until
+// correctionMinSamples answers have come.
 func (e *classEstimate) countRequest(request *requestState) {
 	e.requests++
 	if request.Work > 0 && e.answers < correctionMinSamples {
@@ -80,10 +82,11 @@
 	}
 }
 
-// correction relates what was found to what was estimated.
+// correction relates smoothed actual values to smoothed estimates.
 type correction struct{ samples, actual, estimate float64 }
 
-// observe takes a pair in and returns the factor by which estimates are to be corrected.
+// observe adds a pair of values and returns the factor to apply to estimates, which is 1 below correctionMinSamples
+// pairs.
 func (c *correction) observe(actual, estimate float64) float64 {
 	c.samples++
 	rate := math.Max(correctionRate, 1/c.samples)
@@ -95,7 +98,7 @@
 	return c.actual / math.Max(c.estimate, 1e-6)
 }
 
-// expectedWork is the expected work of a request, in seconds over all its threads.
+// expectedWork returns the expected work of a request, in seconds over all its threads.
 func (c *Controller) expectedWork(request *requestState) float64 {
 	estimate := &c.estimates[request.Class]
 	work := estimate.work
@@ -105,7 +108,8 @@
 	return math.Max(work, minWork)
 }
 
-// expectedMemory is the memory to reserve for a request, in MB; 0 where nothing tells it.
+// expectedMemory returns the memory to reserve for a request, in MB; 0 if neither the request nor an answer of its
+// class gives one.
 func (c *Controller) expectedMemory(request *requestState) float64 {
 	estimate := &c.estimates[request.Class]
 	switch {
@@ -117,22 +121,23 @@
 	return request.MemoryMB * engineGrantMargin
 }
 
-// expectedLatency is the expected time from sending to answer, on an engine of that slowdown.
+// expectedLatency returns the expected time from sending to answer on an engine with the slowdown.
 func (c *Controller) expectedLatency(request *requestState, slowdown float64) time.Duration {
 	slowdown *= math.Exp(c.estimates[request.Class].logSlowdown)
 	threads := float64(request.classSettings.Threads)
 	return time.Duration(c.expectedWork(request) / threads * slowdown * float64(time.Second))
 }
 
-// learnFromAnswer takes work, memory and slowdown from an answer.
+// learnFromAnswer updates the estimates of work, memory and slowdown with an answer.
 func (c *Controller) learnFromAnswer(request *requestState, attempt *attemptState, event Outcome) {
 	c.learnWork(request, attempt, event)
 	c.estimates[request.Class].learnMemory(request, event)
 	c.learnSlowdown(request, attempt, event)
 }
 
-// learnWork takes the work from an answer. Where it isn't told, the latency on a calm engine stands for it. A slow plan
-// doesn't count as the work of its class.
+// learnWork updates the work of the class with an answer. If the answer reports no work, its latency on a calm engine
+// is used instead. The work of a request with an estimate counts only up to slowPlanMultiple times the expected work,
+// so that slow plans do not raise the mean of the class.
 func (c *Controller) learnWork(request *requestState, attempt *attemptState, event Outcome) {
 	estimate := &c.estimates[request.Class]
 	work := event.Work.Seconds()
@@ -161,8 +166,8 @@
 	}
 }
 
-// learnSlowdown takes the slowdown from an answer: its latency over its work a thread, against what the class has on
-// calm engines.
+// learnSlowdown updates slowdowns with that of an answer: its latency divided by its work per thread, relative to the
+// slowdown of the class on calm engines.
 func (c *Controller) learnSlowdown(request *requestState, attempt *attemptState, event Outcome) {
 	estimate := &c.estimates[request.Class]
 	work := estimate.work
@@ -170,7 +175,7 @@
 		work = event.Work.Seconds()
 	}
 	slowdown := event.Latency.Seconds() * float64(request.classSettings.Threads) / math.Max(work, minWork)
-	logSlowdown := math.Log(math.Min(math.Max(slowdown, minSeenSlowdown), maxSeenSlowdown))
+	logSlowdown := math.Log(math.Min(math.Max(slowdown, minObservedSlowdown), maxObservedSlowdown))
 	if attempt.onCalmEngine {
 		estimate.logSlowdown += (logSlowdown - estimate.logSlowdown) * slowdownRate
 	}
--- a/admission/request.go
+++ b/admission/request.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// requestState is what the controller keeps of a request, until it is answered and none of its attempts is in flight.
+// requestState is the controller's state of a request. It is kept until the request is answered and none of its
+// attempts is in flight.
 type requestState struct {
 	Request
 	classSettings *Class
 	tenant        *tenantState
-	deadline      time.Duration // the client gives up, or the front end ends
-	objectiveAt   time.Duration // until then an answer earns the full weight
+	deadline      time.Duration // when the client gives up or the front end ends
+	objectiveAt   time.Duration // until when an answer earns the full weight
 
-	overQuota     bool // beyond its tenant's quota
-	pastObjective bool // it can't be served by objectiveAt
+	overQuota     bool // the tenant's quota was used up at arrival
+	pastObjective bool // an answer by objectiveAt is not expected
 	queued        bool
-	streaming     bool // its answer has begun
-	answered      bool // has its final answer
+	streaming     bool // the answer has begun
+	answered      bool // the final answer was given
 
 	attempts      []attemptState
-	inFlight      int           // attempts in flight
+	inFlight      int           // number of attempts in flight
 	retryReserved bool          // an attempt was migrated, and its retry is not sent yet
-	predicted     time.Duration // time that the progress of an attempt foretold when it was migrated; 0: none was
+	predicted     time.Duration // total time that progress predicted for the last migrated attempt; 0: none
 
 	// Set by the first attempt that may have run and whose answer is not known.
 	mayHaveRun      bool
@@ -30,7 +31,8 @@
 	mayHaveRunOn    *engineState
 }
 
-// handleRequest takes a request in. One whose ID is in use or whose class is not known is passed over.
+// handleRequest queues a request. A request whose ID is in use or whose class is not known is ignored. A request that
+// cannot meet its deadline gets its final answer at once, and a full queue sheds one request.
 func (c *Controller) handleRequest(event Request) {
 	if c.requests[event.ID] != nil || event.Class < 0 || event.Class >= len(c.settings.Classes) {
 		return
@@ -43,7 +45,7 @@
 	c.unanswered = append(c.unanswered, request)
 	c.joinKeyQueue(request)
 	c.enqueue(request)
-	if !c.canMeetDeadline(request, 1) { // it may come with no time left at all
+	if !c.canMeetDeadline(request, 1) { // a request may arrive with no time left
 		c.rejectOrFail(request)
 	} else if c.queuedRequests > max(minQueueLimit, int(c.fleet.threadLimit*queuedPerThread)) {
 		c.shedLoad()
@@ -64,8 +66,9 @@
 	return request
 }
 
-// objectiveOf is when the request stops earning its full weight. The time that its client has spent on earlier
-// attempts counts. Clients that don't mark retries show them by a timeout that is shorter than that of a first try.
+// objectiveOf returns the time until which an answer earns the full weight. The time that the client has spent on
+// earlier tries counts; the estimate of it is how far the timeout is below three quarters of the class's deadline. If
+// clients mark retries, the time counts only for marked ones. Otherwise a short timeout alone indicates a retry.
 func (c *Controller) objectiveOf(request *requestState) time.Duration {
 	class := request.classSettings
 	spent := max(0, class.Deadline*3/4-request.Timeout)
@@ -76,7 +79,8 @@
 	return min(c.now+class.LatencyObjective+time.Duration(forWork)-spent, request.deadline)
 }
 
-// countArrival books the request with its tenant and earns what arrivals allow: retries, health checks and gossip.
+// countArrival counts the request in the arrival rate and the quota of its tenant, and adds the credit that an arrival
+// brings for retries, health checks and gossip.
 func (c *Controller) countArrival(request *requestState) {
 	if c.settings.RetryBudget != nil {
 		c.retryBudget.arrivals = append(c.retryBudget.arrivals, c.now)
@@ -88,7 +92,8 @@
 	c.gossip.credit = math.Min(c.gossip.credit+gossipBytesPerRequest, maxGossipCredit)
 }
 
-// rejectOrFail gives the final answer at once, if no attempt is in flight.
+// rejectOrFail gives the final answer, unless the request has one or an attempt is in flight: a rejection if a repeat
+// is harmless, a failure otherwise.
 func (c *Controller) rejectOrFail(request *requestState) {
 	if request.answered || request.inFlight > 0 {
 		return
@@ -102,15 +107,15 @@
 	c.closeRequest(request)
 }
 
-// repeatIsHarmless reports whether the client may send the request again. Its repeat may reach any engine, so that
-// one that may have run and is idempotent by key needs a scope of all engines.
+// repeatIsHarmless reports whether the client may send the request again. The repeat may reach any engine, so a request
+// that is idempotent with key and may have run needs a scope of all engines.
 func (c *Controller) repeatIsHarmless(request *requestState) bool {
 	class := request.classSettings
 	return c.retryAllowed(request) && !request.streaming &&
 		(!request.mayHaveRun || class.Idempotency == Idempotent || class.DeduplicationScope == ScopeAll)
 }
 
-// closeRequest marks the request as answered. What its attempts in flight reserve stays reserved until they end.
+// closeRequest marks the request as answered. Attempts in flight keep their reservations until they end.
 func (c *Controller) closeRequest(request *requestState) {
 	if !request.answered {
 		request.answered = true
@@ -120,7 +125,7 @@
 	c.forgetRequest(request)
 }
 
-// forgetRequest drops an answered request that has no attempt in flight, and with it its place in the queue of its key.
+// forgetRequest drops an answered request, also from the queue of its key, unless an attempt is in flight.
 func (c *Controller) forgetRequest(request *requestState) {
 	if request.inFlight > 0 || c.requests[request.ID] != request {
 		return
