--- a/admission/deadline.go
+++ b/admission/deadline.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// How many times the expected time must fit before the deadline; less while the fleet is calm, as an idle engine may as
-// well try.
+// The time left until the deadline must be the expected latency times deadlineMargin, or times calmDeadlineMargin while
+// the fleet is calm, as an idle engine loses little by trying.
 const (
 	deadlineMargin     = 1.5
 	calmDeadlineMargin = 0.5
 )
 
-// lateMargin is how many times the expected time must fit before the objective, or a waiting request is late.
+// lateMargin defines late requests: a waiting request is late if the time left until its objective is less than
+// lateMargin times its expected latency.
 const lateMargin = 2.5
 
-// minLateWeight is the LateWeight from which on a late request still waits.
+// minLateWeight is the lowest LateWeight of a class with which a late request stays queued.
 const minLateWeight = 0.25
 
-// maxExpectedSlowdown bounds the slowdown of the fleet that a waiting request is judged by: it may pass.
+// maxExpectedSlowdown limits the slowdown of the fleet that expireWaiting assumes, as a higher slowdown may be
+// temporary.
 const maxExpectedSlowdown = 2
 
-// canMeetDeadline reports whether the request can be answered before its deadline with some margin, by an engine of
-// that slowdown. What can't would hold an engine for nobody.
+// canMeetDeadline reports whether an engine with the slowdown can answer the request before its deadline, with some
+// margin. A request that cannot be answered in time would occupy an engine after its client has given up.
 func (c *Controller) canMeetDeadline(request *requestState, slowdown float64) bool {
 	margin := deadlineMargin
 	if c.fleet.averageLoad < calmLoad {
@@ -32,8 +34,9 @@
 	return c.now+max(2*housekeepingInterval, needed) <= request.deadline
 }
 
-// expireWaiting gives a waiting request its final answer as soon as it can't be served in time. One that is only late
-// for its objective goes on waiting, deferred, where its class still earns enough; unless it delays another of its key.
+// expireWaiting gives a queued request its final answer as soon as the request cannot be answered before its deadline.
+// A request that is only late for its objective stays queued as deferred if it is within the quota and the LateWeight
+// of its class is at least minLateWeight, unless it delays another request of its key.
 func (c *Controller) expireWaiting(request *requestState) {
 	if !request.queued {
 		return
@@ -41,14 +44,14 @@
 	slowdown := math.Min(c.fleet.medianSlowdown, maxExpectedSlowdown)
 	needed := time.Duration(lateMargin * float64(c.expectedLatency(request, slowdown)))
 	late := request.pastObjective || c.now+needed > request.objectiveAt
-	becomesLate := late && !request.pastObjective
-	worthless := becomesLate && (request.classSettings.LateWeight < minLateWeight || request.overQuota)
+	newlyLate := late && !request.pastObjective
+	notWorthWaiting := newlyLate && (request.classSettings.LateWeight < minLateWeight || request.overQuota)
 	switch {
-	case worthless || (late && c.delaysSameKey(request)):
+	case notWorthWaiting || (late && c.delaysSameKey(request)):
 		c.rejectOrFail(request)
 	case !c.canMeetDeadline(request, slowdown) || !c.retryAllowed(request):
 		c.rejectOrFail(request)
-	case becomesLate:
+	case newlyLate:
 		c.dequeue(request)
 		request.pastObjective = true
 		c.enqueue(request)
--- a/admission/deadline_test.go
+++ b/admission/deadline_test.go
@@ -9,83 +9,88 @@
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
 	b := startController(t, baseSettings(), nil)
 	b.step(newRequest("a", 0))
-	if a := oneAction[Reject](t, b.advance(4*sec)); a.RetryAfter <= 0 {
-		t.Fatal("a rejection must say when to come back")
+	if reject := oneAction[Reject](t, b.advance(4*sec)); reject.RetryAfter <= 0 {
+		t.Fatal("rejection without a Retry-After")
 	}
 	b = startController(t, baseSettings(), newEngines(1))
-	snd := oneAction[Send](t, b.step(newRequest("b", 0)))
+	send := oneAction[Send](t, b.step(newRequest("b", 0)))
 	b.now += 4 * sec
-	if acts := b.step(outcomeOf(snd, 0, TimedOut)); len(actionsOf[Reject](acts))+len(actionsOf[Fail](acts)) != 1 {
-		t.Fatalf("no final answer at the deadline: %v", acts)
+	if actions := b.step(outcomeOf(send, 0, TimedOut)); len(actionsOf[Reject](actions))+
+		len(actionsOf[Fail](actions)) != 1 {
+		t.Fatalf("want one Reject or Fail at the deadline, got %v", actions)
 	}
 }
 
-// TestNoTimeLeftIsAnsweredAtOnce: a try may come with its time already over.
-func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
+// TestRequestWithoutTimeLeftIsRejectedAtOnce: a request may arrive with a timeout of 0.
+func TestRequestWithoutTimeLeftIsRejectedAtOnce(t *testing.T) {
 	b := startController(t, baseSettings(), newEngines(2))
-	r := newRequest("a", 0)
-	r.Timeout = 0
-	acts := b.step(r)
-	if oneAction[Reject](t, acts); len(actionsOf[Send](acts)) > 0 {
-		t.Fatal("sent after its answer")
+	request := newRequest("a", 0)
+	request.Timeout = 0
+	actions := b.step(request)
+	if oneAction[Reject](t, actions); len(actionsOf[Send](actions)) > 0 {
+		t.Fatal("request sent after its final answer")
 	}
 }
 
-// Callers of little patience: work that cannot end before they leave holds an engine for nobody.
-func TestNothingIsSentThatCannotEndInTime(t *testing.T) {
+// TestRequestThatCannotEndInTimeIsNotSent: a request that cannot end before its client gives up would occupy an engine
+// without use.
+func TestRequestThatCannotEndInTimeIsNotSent(t *testing.T) {
 	for _, c := range []struct {
-		left time.Duration
-		util float64
-		sent bool
+		timeLeft    time.Duration
+		utilization float64
+		sent        bool
 	}{{4 * sec, 0.7, true}, {800 * ms, 0.7, false}, {800 * ms, 0.2, true}, {400 * ms, 0.2, false}} {
 		b := startController(t, baseSettings(), newEngines(2))
-		for _, e := range b.controller.engines {
-			e.reportedAt, e.loadReport = b.now, Report{Utilization: c.util, InFlight: -1, Queued: -1, MemoryUtilization: -1,
-				DiskUtilization: -1}
+		for _, engine := range b.controller.engines {
+			engine.reportedAt, engine.loadReport = b.now, Report{Utilization: c.utilization, InFlight: -1, Queued: -1,
+				MemoryUtilization: -1, DiskUtilization: -1}
 		}
 		b.step()
-		r := newRequest("a", 0)
-		r.Work, r.Timeout = 800*ms, c.left
-		acts := b.step(r)
-		acts = append(acts, b.advance(100*ms)...)
-		if n := len(actionsOf[Send](acts)); (n == 1) != c.sent {
-			t.Errorf("%v left for 800 ms of work: sent %d times", c.left, n)
+		request := newRequest("a", 0)
+		request.Work, request.Timeout = 800*ms, c.timeLeft
+		actions := b.step(request)
+		actions = append(actions, b.advance(100*ms)...)
+		if n := len(actionsOf[Send](actions)); (n == 1) != c.sent {
+			t.Errorf("%v left for 800 ms of work: sent %d times", c.timeLeft, n)
 		}
-		if n := len(actionsOf[Reject](acts)); (n == 1) == c.sent {
-			t.Errorf("%v left: rejected %d times", c.left, n)
+		if n := len(actionsOf[Reject](actions)); (n == 1) == c.sent {
+			t.Errorf("%v left for 800 ms of work: rejected %d times", c.timeLeft, n)
 		}
 	}
-	// By the pace of the engine: one that has grown slow is passed over by what is in a hurry.
+	// An engine that has become slow gets no request with a short timeout.
 	b := startController(t, baseSettings(), newEngines(2))
 	b.controller.enginesByID[1].slowdown, b.controller.enginesByID[1].lastAnswerAt = 8, b.now
 	for i := range 20 {
 		b.controller.enginesByID[1].slowdown = 8
-		for _, e := range b.controller.engines {
-			e.reportedAt, e.loadReport = b.now, Report{Utilization: 0.7, InFlight: -1, Queued: -1, MemoryUtilization: -1,
-				DiskUtilization: -1}
+		for _, engine := range b.controller.engines {
+			engine.reportedAt, engine.loadReport = b.now, Report{Utilization: 0.7, InFlight: -1, Queued: -1,
+				MemoryUtilization: -1, DiskUtilization: -1}
 		}
 		b.step()
-		r := newRequest(fmt.Sprint("p", i), 0)
-		r.Work, r.Timeout = 100*ms, 900*ms
-		for _, a := range b.step(r) {
-			if s, ok := a.(Send); ok && s.Engine == 1 {
-				t.Fatal("sent to an engine too slow for its caller")
+		request := newRequest(fmt.Sprint("p", i), 0)
+		request.Work, request.Timeout = 100*ms, 900*ms
+		for _, action := range b.step(request) {
+			if send, ok := action.(Send); ok && send.Engine == 1 {
+				t.Fatal("request sent to an engine that is too slow for its timeout")
 			}
 		}
 	}
 }
 
-// A first try of little patience is not old: where callers mark their retries it is in time until it is due.
-func TestShortTimeoutIsNotAge(t *testing.T) {
-	for _, c := range []struct{ marks, retry, old bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
+// TestShortTimeoutOfFirstTryKeepsObjective: where clients mark their retries, a short timeout makes the objective
+// earlier for marked requests only. Where they do not, every request with a short timeout counts as a retry.
+func TestShortTimeoutOfFirstTryKeepsObjective(t *testing.T) {
+	for _, c := range []struct{ retriesMarked, retry, wantEarlier bool }{
+		{true, false, false}, {true, true, true}, {false, false, true},
+	} {
 		s := baseSettings()
-		s.RetriesMarked = c.marks
+		s.RetriesMarked = c.retriesMarked
 		b := startController(t, s, nil)
-		r := newRequest("a", 0)
-		r.Work, r.Timeout, r.Retry = 100*ms, sec, c.retry
-		b.step(r)
-		if got := b.controller.requests["a"].objectiveAt < b.now+sec; got != c.old {
-			t.Errorf("%+v: aim %v from now", c, b.controller.requests["a"].objectiveAt-b.now)
+		request := newRequest("a", 0)
+		request.Work, request.Timeout, request.Retry = 100*ms, sec, c.retry
+		b.step(request)
+		if earlier := b.controller.requests["a"].objectiveAt < b.now+sec; earlier != c.wantEarlier {
+			t.Errorf("%+v: objective %v from now", c, b.controller.requests["a"].objectiveAt-b.now)
 		}
 	}
 }
--- a/admission/shutdown_test.go
+++ b/admission/shutdown_test.go
@@ -5,35 +5,38 @@
 	"time"
 )
 
-// TestShutdown: requests that were open as the process was killed got no answer at all.
+// TestShutdown guards against requests without a final answer: requests that were still open when the process was
+// killed got none. Requests that cannot end before the shutdown are rejected at once, and idempotent attempts are
+// cancelled shortly before it.
 func TestShutdown(t *testing.T) {
 	s := baseSettings()
 	s.CancellationAllowed = true
 	s.Classes = append(s.Classes, Class{LatencyObjective: 2 * sec, Deadline: 20 * sec, PriorityWeight: 8, Threads: 2,
 		Idempotency: NonIdempotent})
 	b := startController(t, s, newEngines(2))
-	ask := func(id string, class int, work time.Duration) Request {
+	requestOf := func(id string, class int, work time.Duration) Request {
 		return Request{ID: id, Class: class, Timeout: 20 * sec, TableGroup: -1, Work: work}
 	}
-	oneAction[Send](t, b.step(ask("out", 1, sec)))
-	oneAction[Send](t, b.step(ask("non-idempotent", 2, sec)))
+	oneAction[Send](t, b.step(requestOf("idempotent", 1, sec)))
+	oneAction[Send](t, b.step(requestOf("non-idempotent", 2, sec)))
 	b.step(ShutdownRequested{Timeout: 3 * sec})
-	oneAction[Send](t, b.step(ask("short", 0, 50*ms)))
-	if r := oneAction[Reject](t, b.step(ask("long", 1, 60*sec))); r.ID != "long" {
-		t.Fatalf("rejected %s", r.ID)
+	oneAction[Send](t, b.step(requestOf("short", 0, 50*ms)))
+	if reject := oneAction[Reject](t, b.step(requestOf("long", 1, 60*sec))); reject.ID != "long" {
+		t.Fatalf("rejected %s, want long", reject.ID)
 	}
-	for _, a := range actionsOf[Cancel](b.advance(3*sec - shutdownMargin - housekeepingInterval)) {
-		t.Fatalf("%s was called back long before the end", a.ID)
+	for _, cancel := range actionsOf[Cancel](b.advance(3*sec - shutdownMargin - housekeepingInterval)) {
+		t.Fatalf("%s cancelled before shutdownMargin", cancel.ID)
 	}
-	called := map[string]bool{}
-	for _, a := range actionsOf[Cancel](b.advance(2 * housekeepingInterval)) {
-		called[a.ID] = true
+	cancelled := map[string]bool{}
+	for _, cancel := range actionsOf[Cancel](b.advance(2 * housekeepingInterval)) {
+		cancelled[cancel.ID] = true
 	}
-	if !called["out"] || called["non-idempotent"] {
-		t.Fatalf("called back: %v", called)
+	if !cancelled["idempotent"] || cancelled["non-idempotent"] {
+		t.Fatalf("cancelled %v, want the idempotent request and not the non-idempotent one", cancelled)
 	}
-	e := b.controller.requests["out"].attempts[0].engine.ID
-	if r := oneAction[Reject](t, b.step(Outcome{ID: "out", Engine: e, Status: Cancelled})); r.ID != "out" {
-		t.Fatalf("rejected %s", r.ID)
+	engineID := b.controller.requests["idempotent"].attempts[0].engine.ID
+	if reject := oneAction[Reject](t, b.step(Outcome{ID: "idempotent", Engine: engineID,
+		Status: Cancelled})); reject.ID != "idempotent" {
+		t.Fatalf("rejected %s, want idempotent", reject.ID)
 	}
 }
