--- a/admission/slowplan_test.go
+++ b/admission/slowplan_test.go
@@ -4,8 +4,9 @@
 	"testing"
 )
 
-// startHeavy sends one heavy request of an expected 1 s of work a thread on a site with progress.
-func startHeavy(t *testing.T, change func(*Settings)) (*harness, Send) {
+// sendHeavyRequest starts a controller whose engines report progress, with the settings changed by the function unless
+// it is nil, and sends one heavy request with an expected 1 s of work per thread.
+func sendHeavyRequest(t *testing.T, change func(*Settings)) (*harness, Send) {
 	t.Helper()
 	s := baseSettings()
 	s.CancellationAllowed, s.ProgressInterval = true, 2*sec
@@ -17,88 +18,91 @@
 		MemoryMB: 64}))
 }
 
-func (b *harness) reportProgress(attempt int, s Send, done float64) []Action {
-	return b.step(Progress{ID: s.ID, Attempt: attempt, Engine: s.Engine, Kind: ProgressFraction, Value: done})
+func (b *harness) reportProgress(attempt int, send Send, done float64) []Action {
+	return b.step(Progress{ID: send.ID, Attempt: attempt, Engine: send.Engine, Kind: ProgressFraction, Value: done})
 }
 
-// TestSlowPlanIsMigrated: progress that foretells many times the expected time end an attempt, and another follows.
+// TestSlowPlanIsMigrated: an attempt whose progress predicts many times the expected time is cancelled and retried.
 func TestSlowPlanIsMigrated(t *testing.T) {
-	b, snd := startHeavy(t, nil)
+	b, send := sendHeavyRequest(t, nil)
 	b.advance(2 * sec)
-	oneAction[Cancel](t, b.reportProgress(0, snd, 0.12))
-	if acts := b.reportProgress(0, snd, 0.13); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("ended twice")
+	oneAction[Cancel](t, b.reportProgress(0, send, 0.12))
+	if actions := b.reportProgress(0, send, 0.13); len(actionsOf[Cancel](actions)) != 0 {
+		t.Fatal("attempt cancelled twice")
 	}
-	again := oneAction[Send](t, b.step(Outcome{ID: "a", Engine: snd.Engine, Status: Cancelled}))
+	retry := oneAction[Send](t, b.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
 	b.advance(2 * sec)
-	if acts := b.reportProgress(1, again, 0.12); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("a request that shows as much twice is costly, not slow")
+	if actions := b.reportProgress(1, retry, 0.12); len(actionsOf[Cancel](actions)) != 0 {
+		t.Fatal("retry cancelled: two attempts that predict the same time show a costly request, not a slow plan")
 	}
 }
 
-// TestUsualPlansRunOn: a request that is on its way, one near its end, and one on an engine that is slow as all
-// are, run on.
-func TestUsualPlansRunOn(t *testing.T) {
-	b, snd := startHeavy(t, nil)
+// TestOtherPlansAreNotMigrated: an attempt with normal progress, one near its end and one that is slow because all
+// engines are slow keep running.
+func TestOtherPlansAreNotMigrated(t *testing.T) {
+	b, send := sendHeavyRequest(t, nil)
 	b.advance(2 * sec)
-	if acts := b.reportProgress(0, snd, 0.6); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("a usual request was ended")
+	if actions := b.reportProgress(0, send, 0.6); len(actionsOf[Cancel](actions)) != 0 {
+		t.Fatal("attempt with normal progress cancelled")
 	}
 	b.advance(8 * sec)
-	if acts := b.reportProgress(0, snd, 0.9); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("ended though another would take longer than what is left")
+	if actions := b.reportProgress(0, send, 0.9); len(actionsOf[Cancel](actions)) != 0 {
+		t.Fatal("attempt cancelled although a retry would take longer than the rest of it")
 	}
-	b, snd = startHeavy(t, nil)
-	for _, e := range b.controller.engines {
-		e.slowdown = 4
+	b, send = sendHeavyRequest(t, nil)
+	for _, engine := range b.controller.engines {
+		engine.slowdown = 4
 	}
 	b.advance(2 * sec)
-	for _, e := range b.controller.engines {
-		e.slowdown = 4
+	for _, engine := range b.controller.engines {
+		engine.slowdown = 4
 	}
-	if acts := b.reportProgress(0, snd, 0.15); len(actionsOf[Cancel](acts)) != 0 {
-		t.Fatal("ended though all engines are slow")
+	if actions := b.reportProgress(0, send, 0.15); len(actionsOf[Cancel](actions)) != 0 {
+		t.Fatal("attempt cancelled although all engines are slow")
 	}
 }
 
-// TestSlowPlanIsLeftWhereNoRetryMayFollow: non-idempotent requests, the last attempt, and sites that do not cancel.
-func TestSlowPlanIsLeftWhereNoRetryMayFollow(t *testing.T) {
+// TestSlowPlanIsNotMigratedWithoutRetry: an attempt with a slow plan keeps running if no retry may follow or if the
+// platform does not allow cancellation.
+func TestSlowPlanIsNotMigratedWithoutRetry(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"non-idempotent": func(s *Settings) { s.Classes[1].Idempotency = NonIdempotent },
-		"last":           func(s *Settings) { s.MaxAttempts = 1 },
-		"no word":        func(s *Settings) { s.CancellationAllowed = false },
-		"budget":         func(s *Settings) { s.RetryBudget = &RetryBudget{Window: 5 * sec} },
+		"non-idempotent":  func(s *Settings) { s.Classes[1].Idempotency = NonIdempotent },
+		"last attempt":    func(s *Settings) { s.MaxAttempts = 1 },
+		"no cancellation": func(s *Settings) { s.CancellationAllowed = false },
+		"empty budget":    func(s *Settings) { s.RetryBudget = &RetryBudget{Window: 5 * sec} },
 	} {
-		b, snd := startHeavy(t, change)
+		b, send := sendHeavyRequest(t, change)
 		b.advance(2 * sec)
-		if acts := b.reportProgress(0, snd, 0.15); len(actionsOf[Cancel](acts)) != 0 { // 13 s of 20: it can still end
-			t.Errorf("%s: ended", name)
+		// The progress predicts 13 s, which is within the timeout of 20 s.
+		if actions := b.reportProgress(0, send, 0.15); len(actionsOf[Cancel](actions)) != 0 {
+			t.Errorf("%s: attempt cancelled", name)
 		}
 	}
 }
 
-// TestAttemptInVainIsCancelled: what can't end before its client leaves, and has no further attempt, is answered now.
-func TestAttemptInVainIsCancelled(t *testing.T) {
-	b, snd := startHeavy(t, func(s *Settings) { s.MaxAttempts = 1 })
+// TestAttemptThatCannotEndInTimeIsCancelled: an attempt that cannot end before its client gives up is cancelled, and
+// its request is rejected at once if no retry is left.
+func TestAttemptThatCannotEndInTimeIsCancelled(t *testing.T) {
+	b, send := sendHeavyRequest(t, func(s *Settings) { s.MaxAttempts = 1 })
 	b.advance(2 * sec)
-	oneAction[Cancel](t, b.reportProgress(0, snd, 0.05))
-	oneAction[Reject](t, b.step(Outcome{ID: "a", Engine: snd.Engine, Status: Cancelled}))
+	oneAction[Cancel](t, b.reportProgress(0, send, 0.05))
+	oneAction[Reject](t, b.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
 }
 
-// TestSlowPlansDoNotTeach: the cost of slow plans stays out of what a class is taken to need.
-func TestSlowPlansDoNotTeach(t *testing.T) {
-	b, snd := startHeavy(t, nil)
+// TestSlowPlansDoNotRaiseEstimates: the work of attempts with a slow plan hardly raises the estimates of their class.
+func TestSlowPlansDoNotRaiseEstimates(t *testing.T) {
+	b, send := sendHeavyRequest(t, nil)
 	for i := range 40 {
 		work := 2 * sec
 		if i%10 == 9 {
 			work *= 20
 		}
-		b.step(Outcome{ID: "a", Engine: snd.Engine, Status: OK, Closed: true, Latency: work / 2, Work: work})
+		b.step(Outcome{ID: "a", Engine: send.Engine, Status: OK, Closed: true, Latency: work / 2, Work: work})
 		b.now += sec
-		snd = oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
+		send = oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
 			MemoryMB: 64}))
 	}
-	if fix := b.controller.estimates[1].workCorrection; fix > 1.6 {
-		t.Fatalf("estimates are corrected by %.2f", fix)
+	if factor := b.controller.estimates[1].workCorrection; factor > 1.6 {
+		t.Fatalf("correction of work estimates is %.2f, want at most 1.6", factor)
 	}
 }
