--- a/admission/actions.go
+++ b/admission/actions.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// Action is something that the caller has to do: [Send], [Terms], [Reject], [Fail], [Cancel], [HealthCheck],
-// [CloseIdle], [SendGossip], [SetTimer], [WatchEndpoints], [PollEndpoints] or [Log].
+// Action is an instruction to the caller of [Controller.Step]: [Send], [Terms], [Reject], [Fail], [Cancel],
+// [HealthCheck], [CloseIdle], [SendGossip], [SetTimer], [WatchEndpoints], [PollEndpoints] or [Log].
 type Action interface{ action() }
 
 type (
-	// Send starts an attempt. A Timeout of 0 lasts until the client gives up.
+	// Send starts an attempt on an engine. A Timeout of 0 means no timeout other than the client's.
 	Send struct {
 		ID      string
 		Engine  uint32
 		Timeout time.Duration
 	}
-	// Terms sets priority (0 to 2, 1 unless set) and memory (0: no grant) for the next attempts of the request.
+	// Terms sets the priority (0 to 2, default 1) and the memory grant (0: none) for the next attempts of a request.
 	Terms struct {
 		ID       string
 		Priority int
 		GrantMB  float64
 	}
-	// Reject is the final answer that a repeat is harmless. RetryAfter says when to come back; 0: it doesn't say.
+	// Reject is a final answer: the client may safely repeat the request. RetryAfter is how long the client should wait
+	// before the repeat; 0: not stated.
 	Reject struct {
 		ID         string
 		RetryAfter time.Duration
 	}
-	// Fail is the final answer that leaves open whether the request has run.
+	// Fail is a final answer: the request may or may not have run.
 	Fail struct{ ID string }
-	// Cancel cancels one attempt. Its [Outcome] still comes.
+	// Cancel cancels one attempt. The attempt's [Outcome] still follows.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// HealthCheck asks an engine for a sign of life and its load.
+	// HealthCheck requests a health check of an engine, with a load report.
 	HealthCheck struct{ Engine uint32 }
-	// CloseIdle closes idle connections to an engine.
+	// CloseIdle closes the idle connections to an engine.
 	CloseIdle struct{ Engine uint32 }
-	// SendGossip sends a message to one front end, or to all others when To is negative.
+	// SendGossip sends a gossip message to one front end, or to all others if To is negative.
 	SendGossip struct {
 		To   int
 		Data []byte
 	}
-	// SetTimer asks for a [Timer] with the token after Delay.
+	// SetTimer requests a [Timer] event with the token after Delay.
 	SetTimer struct {
 		Delay time.Duration
 		Token uint64
 	}
-	// WatchEndpoints subscribes to the engine list.
+	// WatchEndpoints subscribes to the engine list, or ends the subscription if On is false.
 	WatchEndpoints struct{ On bool }
-	// PollEndpoints asks once for the engine list.
+	// PollEndpoints requests the engine list once.
 	PollEndpoints struct{}
-	// Log is a line for the log.
+	// Log writes one line to the log.
 	Log struct{ Text string }
 )
 
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// How often housekeeping is due: while a request has no final answer, and otherwise.
+// The intervals of housekeeping: while any request lacks its final answer, and otherwise.
 const (
 	housekeepingInterval     = 20 * time.Millisecond
 	idleHousekeepingInterval = 250 * time.Millisecond
 )
 
-// Controller decides for one front end. It is not safe for concurrent use: one goroutine owns it.
+// Controller makes the admission decisions of one front end. It is not safe for concurrent use: one goroutine owns it.
 type Controller struct {
 	settings Settings
 	random   splitMix64
-	now      time.Duration // of the current step
-	actions  []Action      // of the current step
+	now      time.Duration // time of the current step
+	actions  []Action      // actions emitted in the current step
 
 	started        bool
-	startedAt      time.Duration // the time of the first step
-	shutdownAt     time.Duration // when the front end ends; 0: no end is announced
-	housekeepingAt time.Duration // when the next housekeeping is due
-	timerArmed     bool          // a timer for it is set
+	startedAt      time.Duration // time of the first step
+	shutdownAt     time.Duration // when the front end stops; 0: no shutdown requested
+	housekeepingAt time.Duration // when housekeeping is next due
+	timerArmed     bool          // a timer for housekeepingAt is set
 	discovery      discoveryState
 
-	engines           []*engineState // in the order of the ring, which is the same at all front ends
+	engines           []*engineState // in ring order, which is the same on all front ends
 	enginesByID       map[uint32]*engineState
 	enginesByGossipID map[uint16]*engineState
 
-	requests       map[string]*requestState // those that are unanswered or have an attempt in flight
-	unanswered     []*requestState          // in order of arrival; answered ones leave with the next housekeeping
+	requests       map[string]*requestState // requests that are unanswered or have an attempt in flight
+	unanswered     []*requestState          // in order of arrival; housekeeping drops answered requests
 	tenants        []*tenantState
-	nextTenant     int   // whose turn it is in the round robin, modulo the number of tenants
-	classOrder     []int // classes by priority weight per work, the highest first
+	nextTenant     int   // next tenant of the round robin, modulo the number of tenants
+	classOrder     []int // classes in descending order of priority weight per work
 	keyQueues      map[string]*keyQueue
 	queuedRequests int
 
-	threads         float64 // of attempts in flight
-	smallThreads    float64 // of those of small classes
-	meanThreads     float64 // of an attempt, smoothed
+	threads         float64 // held by attempts in flight
+	smallThreads    float64 // held by attempts of small classes
+	meanThreads     float64 // threads per attempt, smoothed
 	randomDraw      float64 // see fractionDraw
 	randomDrawUntil time.Duration
 
 	estimates      []classEstimate // by class
-	allEngines     engineState     // what the answers of all engines tell together
-	lostAnswerRate float64         // fraction of the answers that are lost, smoothed
+	allEngines     engineState     // slowdown, thread factor and last answer over all engines
+	lostAnswerRate float64         // fraction of answers lost, smoothed
 	fleet          fleetSummary
 	summarizedAt   time.Duration
 	slowdowns      []float64 // buffer of summarizeFleet
-	engineShare    float64   // the part of an engine that is this front end's among those that send to it
+	engineShare    float64   // this front end's fraction of each engine that it sends to
 
 	subset       subsetState
 	candidates   candidateSet
@@ -58,7 +58,7 @@
 	gossip       gossipState
 }
 
-// New returns a controller for the settings. The seed fixes its random draws. An error is a [*SettingsError].
+// New returns a controller for the settings. The seed determines its random draws. Any error is a [*SettingsError].
 func New(settings Settings, seed uint64) (*Controller, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	}
 	c.allEngines.slowdown = 1
 	c.allEngines.threadFactor = initialThreadFactor
-	c.healthChecks.credit = c.random.float64() * healthCheckBurst // so that front ends don't check in step
+	c.healthChecks.credit = c.random.float64() * healthCheckBurst // staggers the health checks of the front ends
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
 		class.Threads = max(class.Threads, 1)
@@ -93,7 +93,8 @@
 	return c, nil
 }
 
-// Step takes the events in, in order, and returns what to do, in order. The time must not go back between steps.
+// Step handles the events in order and returns the actions to carry out, in order. The time must not decrease between
+// steps.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = now, nil
 	if !c.started {
@@ -145,7 +146,7 @@
 	}
 }
 
-// armTimer asks for the step in which housekeeping is due, unless one is asked for that comes as early.
+// armTimer requests a timer for the next housekeeping, unless the timer already set fires no later.
 func (c *Controller) armTimer() {
 	next := idleHousekeepingInterval
 	if len(c.unanswered) > 0 {
@@ -158,8 +159,8 @@
 	c.emit(SetTimer{Delay: next, Token: uint64(c.housekeepingAt)})
 }
 
-// housekeep does what no event asks for: it answers what can no longer be served, looks for engines that don't
-// answer, and paces health checks and discovery.
+// housekeep does the periodic work: it answers requests that can no longer be served in time, detects engines that do
+// not answer, discards state no longer needed, and paces health checks and discovery.
 func (c *Controller) housekeep() {
 	c.unanswered = slices.DeleteFunc(c.unanswered, func(request *requestState) bool { return request.answered })
 	for _, request := range c.unanswered {
--- a/admission/events.go
+++ b/admission/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is what discovery says of an engine.
+// State is the state of an engine as reported by discovery.
 type State int
 
 // The states of an engine.
@@ -12,7 +12,7 @@
 	Removed
 )
 
-// String names the state as the logs do.
+// String returns the name of the state used in logs.
 func (s State) String() string {
 	switch s {
 	case Ready:
@@ -27,27 +27,27 @@
 // Engine is one entry of the engine list.
 type Engine struct {
 	ID               uint32
-	Kind, Zone, Cell int // Kind and Zone are -1 when not known
+	Kind, Zone, Cell int // Kind and Zone are -1 if not known
 	State            State
 	Units            float64
-	Started          time.Duration // 0: long ago
+	Started          time.Duration // start of the engine's process; 0: long ago
 }
 
-// ListKind tells a complete list from a change.
+// ListKind distinguishes complete engine lists from changes.
 type ListKind int
 
-// The kinds of list.
+// The kinds of engine list.
 const (
-	Complete  ListKind = iota // engines that it doesn't name are removed
-	Partial                   // a change: engines that it doesn't name stay as they are
-	Persisted                 // a complete list that was kept from an earlier run
-	ListError                 // discovery failed; there is no list
+	Complete  ListKind = iota // engines not in the list are removed
+	Partial                   // a change; engines not in the list keep their state
+	Persisted                 // a complete list saved by an earlier run
+	ListError                 // discovery failed; the event carries no list
 )
 
-// Status is how an attempt or a health check ended.
+// Status is the result of an attempt or a health check.
 type Status int
 
-// The statuses, by their numbers on the wire.
+// The statuses. Their values are those on the wire.
 const (
 	Errored Status = iota
 	OK
@@ -59,56 +59,56 @@
 	NotSent
 )
 
-// NeverRan reports whether the status proves that the attempt did not run.
+// NeverRan reports whether the status proves that the attempt did not run on the engine.
 func (s Status) NeverRan() bool { return s == Overloaded || s == ConnectFailed || s == NotSent }
 
-// Report is an engine's load report. A field that was not reported is negative.
+// Report is an engine's load report. A field that the engine did not report is negative.
 type Report struct {
 	InFlight          float64 // requests in flight
-	Queued            float64 // requests that wait
-	Utilization       float64 // threads in use over cores
-	MemoryUtilization float64 // in use, as a fraction
-	DiskUtilization   float64 // in use, as a fraction
+	Queued            float64 // requests waiting
+	Utilization       float64 // threads in use per core
+	MemoryUtilization float64 // fraction in use
+	DiskUtilization   float64 // fraction in use
 }
 
-// ProgressKind says what a [Progress] tells.
+// ProgressKind is the kind of a [Progress] message.
 type ProgressKind int
 
-// The kinds of progress.
+// The kinds of progress. Their values are those on the wire.
 const (
-	ProgressFraction ProgressKind = 1 // Value is the fraction of the work that is done
-	Spills           ProgressKind = 2
-	Waiting          ProgressKind = 3
+	ProgressFraction ProgressKind = 1 // Value is the fraction of the work done
+	Spills           ProgressKind = 2 // the request spills to disk
+	Waiting          ProgressKind = 3 // the request waits on the engine
 )
 
-// Event is something that happened: [EndpointsChanged], [Request], [FirstByte], [Outcome], [ClientDisconnected],
+// Event is an input of [Controller.Step]: [EndpointsChanged], [Request], [FirstByte], [Outcome], [ClientDisconnected],
 // [Timer], [HealthCheckResult], [GossipReceived], [Progress] or [ShutdownRequested].
 type Event interface{ event() }
 
 type (
-	// EndpointsChanged is a list of engines, or a change to it.
+	// EndpointsChanged carries the list of engines or a change to it.
 	EndpointsChanged struct {
 		Kind    ListKind
 		Engines []Engine
 	}
-	// Request is a client's request; exactly one final answer is now owed.
+	// Request is a new request of a client. It must get exactly one final answer.
 	Request struct {
 		ID            string
-		Class, Tenant int           // indexes into the settings; Tenant is -1 when not known
-		Key           string        // for Ordered classes; may be empty
-		Timeout       time.Duration // after which the client gives up
-		Work          time.Duration // estimate over all threads; 0: none
-		MemoryMB      float64       // estimate; 0: none
-		TableGroup    int           // table group; -1: none
+		Class, Tenant int           // indexes into the settings; Tenant is -1 if not known
+		Key           string        // ordering key, for Ordered classes; may be empty
+		Timeout       time.Duration // time until the client gives up
+		Work          time.Duration // estimated work, summed over all threads; 0: no estimate
+		MemoryMB      float64       // estimated memory; 0: no estimate
+		TableGroup    int           // -1: none
 		Retry, Write  bool
 	}
-	// FirstByte tells that a streamed answer has begun.
+	// FirstByte reports that a streamed answer has begun.
 	FirstByte struct {
 		ID      string
 		Attempt int
 		Engine  uint32
 	}
-	// Outcome is how an attempt ended.
+	// Outcome reports the end of an attempt.
 	Outcome struct {
 		ID          string
 		Attempt     int
@@ -116,28 +116,28 @@
 		Status      Status
 		Latency     time.Duration
 		Closed      bool          // the request has its final answer
-		EngineAlive bool          // Reset: only the connection was lost, and the engine has answered since
-		Work        time.Duration // that it took over all threads; 0: not told
-		MemoryMB    float64       // memory that it needed; 0: not told
-		Report      *Report       // nil: none
+		EngineAlive bool          // for Reset: only the connection was lost; the engine has answered since
+		Work        time.Duration // work done, summed over all threads; 0: not reported
+		MemoryMB    float64       // memory used; 0: not reported
+		Report      *Report       // load report; nil: none
 	}
-	// ClientDisconnected tells that the client has left; no answer is owed any more.
+	// ClientDisconnected reports that the client has disconnected. The request needs no answer any more.
 	ClientDisconnected struct{ ID string }
-	// Timer is the end of a [SetTimer].
+	// Timer reports that the timer of a [SetTimer] has fired.
 	Timer struct{ Token uint64 }
 	// HealthCheckResult is the result of a [HealthCheck].
 	HealthCheckResult struct {
 		Engine  uint32
 		Status  Status
 		Latency time.Duration
-		Report  *Report // nil: none
+		Report  *Report // load report; nil: none
 	}
 	// GossipReceived is a message from another front end.
 	GossipReceived struct {
 		From int
 		Data []byte
 	}
-	// Progress is what an engine tells of an attempt in flight.
+	// Progress is an engine's progress report on an attempt in flight.
 	Progress struct {
 		ID      string
 		Attempt int
@@ -145,7 +145,7 @@
 		Kind    ProgressKind
 		Value   float64
 	}
-	// ShutdownRequested tells that the front end ends after Timeout. Requests keep coming meanwhile.
+	// ShutdownRequested reports that the front end stops after Timeout. New requests may arrive until then.
 	ShutdownRequested struct{ Timeout time.Duration }
 )
 
