--- a/admission/gossip.go
+++ b/admission/gossip.go
@@ -2,24 +2,24 @@
 
 import "encoding/binary"
 
-// A message of gossip is a sequence of entries of three bytes: the gossip ID of an engine, little-endian, and its load
-// in parts of gossipLoadScale, or gossipFailure for a failed health check.
+// A gossip message is a sequence of three-byte entries: the gossip ID of an engine as two bytes, little-endian, and one
+// byte with its load in units of 1/gossipLoadScale, or gossipFailure for a failed health check.
 const (
 	gossipEntrySize = 3
 	gossipLoadScale = 160
 	gossipFailure   = 255
 )
 
-// Bytes of gossip that a request earns, over all receivers, and that may be saved up.
+// The gossip credit, in bytes summed over all receivers: what each request earns, and the maximum that may accumulate.
 const (
 	gossipBytesPerRequest = 160.0
 	maxGossipCredit       = 64 * gossipBytesPerRequest
 )
 
-// gossipState is what is to be sent to other front ends.
+// gossipState is the gossip waiting to be sent to the other front ends, and the credit for sending it.
 type gossipState struct {
-	credit  float64 // bytes that requests have earned
-	message []byte  // entries for the results of the last burst of health checks
+	credit  float64 // bytes earned by requests
+	message []byte  // entries from the last burst of health checks
 }
 
 func (g *gossipState) addLoad(gossipID uint16, load float64) {
@@ -32,7 +32,7 @@
 	g.message = append(binary.LittleEndian.AppendUint16(g.message, gossipID), value)
 }
 
-// sendGossip sends what is collected to all other front ends if requests have earned it, and drops it otherwise.
+// sendGossip sends the collected message to all other front ends if the credit covers it, and drops it otherwise.
 func (c *Controller) sendGossip() {
 	message := c.gossip.message
 	c.gossip.message = nil
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleGossip takes in what another front end says of engines. Entries that name no engine in use are passed over, as
-// is the rest of a message that is shorter than an entry.
+// handleGossip applies a gossip message of another front end. It ignores a message from this front end or from an
+// unknown one, entries for engines that are unknown or unavailable, and an incomplete entry at the end.
 func (c *Controller) handleGossip(event GossipReceived) {
 	if event.From < 0 || event.From >= c.settings.Replicas || event.From == c.settings.Me {
 		return
--- a/admission/random.go
+++ b/admission/random.go
@@ -1,7 +1,7 @@
 package admission
 
-// splitMix64 is the generator of Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators"
-// (OOPSLA 2014). Its value is its state; a controller's sequence is fixed by its seed.
+// splitMix64 is the pseudorandom number generator of Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
+// Generators" (OOPSLA 2014). Its value is its state, initially the seed.
 type splitMix64 uint64
 
 func (s *splitMix64) next() uint64 {
@@ -12,5 +12,5 @@
 	return z ^ (z >> 31)
 }
 
-// float64 draws evenly from [0, 1).
+// float64 returns a uniform draw from [0, 1).
 func (s *splitMix64) float64() float64 { return float64(s.next()>>11) / (1 << 53) }
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -8,45 +8,50 @@
 	"beechcart/decision/slowstart"
 )
 
-// The parts of a warming engine's budget: for fine work, from all front ends together, and for each of the two turns
-// that any window meets. A front end that is shutting down keeps to a part of its part, as its successor may run.
+// The fractions of a warming engine's budget: fineWorkFraction for the fine work of all front ends together, and
+// turnFraction for each of the two turns that a window can contain. A front end that is shutting down uses
+// shutdownFraction of its share, as its successor may already be running.
 const (
 	fineWorkFraction = 0.5
 	turnFraction     = 0.27
 	shutdownFraction = 0.5
 )
 
-// slotFraction is the length of a slot of turns over the overload window: half of it, and the time that a turn lasts.
+// slotFraction is the length of a slot as a fraction of the overload window. Two slots less one turn are longer than
+// the window, so that no window contains parts of more than two turns.
 const slotFraction = 0.55
 
-// minFineRequests is how many requests of a work a front end's part has to hold for that work to be fine.
+// minFineRequests is the number of requests that a front end's share of the budget must cover for their work to count
+// as fine.
 const minFineRequests = 2
 
-// assumedWarmingLimit is how long an engine counts as warming without word from discovery that it has restarted.
+// assumedWarmingLimit is how long an engine whose process may be new is assumed to be warming while discovery reports
+// no restart.
 const assumedWarmingLimit = 3 * time.Second
 
-// workKind says how work goes to a warming engine.
+// workKind decides when work may be sent to a warming engine.
 type workKind int
 
 const (
-	fineWork  workKind = iota // at any time, within this front end's part
-	heavyWork                 // in this front end's turns
+	fineWork  workKind = iota // at any time, within this front end's share
+	heavyWork                 // only in this front end's turns
 )
 
 // slowStartSend is a send to a warming engine.
 type slowStartSend struct {
 	sentAt time.Duration
-	work   float64 // seconds over all threads
+	work   float64 // seconds, summed over all threads
 	kind   workKind
 }
 
-// warmingBudget is the work that a warming engine may get within an overload window, in seconds over all threads.
+// warmingBudget is the work that may be sent to a warming engine within an overload window, in seconds summed over all
+// threads.
 type warmingBudget struct {
-	total float64 // from all front ends
-	fine  float64 // of fine work, from this front end
+	total float64 // by all front ends
+	fine  float64 // fine work, by this front end
 }
 
-// kindOf is heavyWork for work that is more than a fraction of this front end's part.
+// kindOf returns heavyWork if minFineRequests requests of the work exceed this front end's share of fine work.
 func (b warmingBudget) kindOf(work float64) workKind {
 	if work > b.fine/minFineRequests {
 		return heavyWork
@@ -54,7 +59,8 @@
 	return fineWork
 }
 
-// beginSlowStart takes an engine for a new process that started at that time.
+// beginSlowStart treats the engine as a new process that started at the given time, and resets the state that belongs
+// to the previous process.
 func (c *Controller) beginSlowStart(engine *engineState, at time.Duration) {
 	engine.warmingSince, engine.warmingAssumedAt = at, 0
 	engine.reportedAt = -1
@@ -65,8 +71,8 @@
 	clear(engine.classRests)
 }
 
-// warmth is the capacity of an engine now over its full capacity, 1 once it is warm. It ends a slow start whose time is
-// over.
+// warmth returns the engine's current capacity as a fraction of its full capacity; 1 if it is warm. warmth also ends a
+// slow start whose duration has passed.
 func (c *Controller) warmth(engine *engineState) float64 {
 	age := float64(c.now-engine.warmingSince) / math.Max(float64(c.settings.SlowStart.Duration), 1)
 	assumed := engine.warmingAssumedAt > 0
@@ -81,11 +87,12 @@
 	return initial + (1-initial)*math.Max(age, 0)
 }
 
-// slowStartAllows reports whether an engine that is warming may get a request of that work. All front ends together
-// keep to its budget in any window (invariant 8). Work much finer than this front end's part goes within that part.
-// Heavier work goes in turns, by the list and the clock; where front ends' clocks differ, their turns meet by chance.
-// Nothing goes in the first window of this front end, which doesn't know what its previous process sent; and no heavy
-// work once it is shutting down, as its successor may have the same turns.
+// slowStartAllows reports whether the engine, if it is warming, may get a request of the given work. All front ends
+// together keep to the engine's budget in any window (invariant 8). Fine work is sent within this front end's share.
+// Heavy work is sent in turns, which follow from the engine list and the clock; if the clocks of front ends differ,
+// their turns may overlap. This front end sends nothing to a warming engine in its first window, since it doesn't know
+// what its previous process sent. It sends no heavy work while it is shutting down, since its successor may have the
+// same turns.
 func (c *Controller) slowStartAllows(engine *engineState, work float64) bool {
 	window := c.settings.SlowStart.OverloadWindow
 	if c.warmth(engine) >= 1 || c.settings.SlowStart.OverloadMultiple <= 0 {
@@ -104,8 +111,8 @@
 	return work+engine.slowStartWorkSince(c.now-window, fineWork) <= budget.fine
 }
 
-// turnAllows reports whether it is this front end's turn at the engine and the turn has room for the work. One request
-// heavier than the turn's part goes by chance, with a draw that holds for the slot.
+// turnAllows reports whether this front end has its turn at the engine and the work fits the rest of the turn's budget.
+// A single request that exceeds the whole budget of the turn is allowed at random, by one draw per slot.
 func (c *Controller) turnAllows(engine *engineState, work, budget float64) bool {
 	slot := time.Duration(slotFraction * float64(c.settings.SlowStart.OverloadWindow))
 	if !engine.slowStartQuota.HasTurn(c.now, slot) {
@@ -124,7 +131,7 @@
 	return spent == 0 && engine.randomDraw < window.HeavyProbability(work, c.now, slot)
 }
 
-// warmingBudget is reckoned with the mean of what the engine can do now and at its start.
+// warmingBudget returns the engine's current budget, based on the mean of its capacity now and its initial capacity.
 func (c *Controller) warmingBudget(engine *engineState) warmingBudget {
 	slowStart := &c.settings.SlowStart
 	total := slowStart.OverloadMultiple * (slowStart.InitialCapacity + c.warmth(engine)) / 2 * engine.cores *
@@ -135,7 +142,8 @@
 	}
 }
 
-// meanRequestWork is the mean work of the requests that came here, by what is known now of their classes.
+// meanRequestWork returns the mean work of the requests that this front end has received, in seconds summed over all
+// threads, from the current estimates of their classes.
 func (c *Controller) meanRequestWork() float64 {
 	work, requests := 0.0, 0.0
 	for i := range c.estimates {
@@ -146,7 +154,7 @@
 	return work / math.Max(requests, 1)
 }
 
-// slowStartWorkSince sums up the work of that kind that this front end sent after that time.
+// slowStartWorkSince returns the sum of the work of the kind that this front end sent to the engine after from.
 func (e *engineState) slowStartWorkSince(from time.Duration, kind workKind) (sum float64) {
 	for _, send := range e.slowStartSends {
 		if send.sentAt > from && send.kind == kind {
@@ -156,7 +164,8 @@
 	return sum
 }
 
-// recordSlowStartSend books a send to an engine that is warming, and forgets what no window holds any more.
+// recordSlowStartSend records a send if the engine is warming, and drops the recorded sends that are older than an
+// overload window.
 func (c *Controller) recordSlowStartSend(engine *engineState, work float64) {
 	if c.warmth(engine) >= 1 {
 		return
--- a/admission/subset.go
+++ b/admission/subset.go
@@ -6,25 +6,27 @@
 	"beechcart/decision/slowstart"
 )
 
-// subsetEngines is how many engines a front end sends to where it hears of them by its own answers only.
+// subsetEngines is the number of engines that a front end sends to if it learns about engines only from its own
+// traffic.
 const subsetEngines = 2
 
-// subsetMinReplicas is the number of front ends from which on they send to subsets; fewer hear enough of all engines.
+// subsetMinReplicas is the smallest number of front ends that use subsets. With fewer, each front end gets enough
+// answers from all engines.
 const subsetMinReplicas = 10
 
-// subsetState is the stretch of the ring of engines that this front end sends to.
+// subsetState is the section of the engine ring that this front end sends to.
 type subsetState struct {
-	first       int       // index of the engine at which it begins
-	capacities  []float64 // cores of the engines along the ring; 0: not in use
-	listChanged bool      // since the slow start shares were assigned
+	first       int       // index of the first engine
+	capacities  []float64 // cores of the engines in ring order; 0: unavailable
+	listChanged bool      // the engine list has changed since the slow start quotas were assigned
 	size        float64   // in cores; +Inf: all engines
-	equalSize   float64   // the size for a front end with an equal part of the clients
-	quotaShare  float64   // this front end's part of the clients over an equal one
+	equalSize   float64   // in cores, for a front end with an equal share of the clients
+	quotaShare  float64   // this front end's share of the clients, relative to an equal share
 }
 
-// updateSubset sizes the subset of this front end. Subsets begin evenly over the capacity of the ring and are of equal
-// capacity, so that all engines get as much, each from fewer front ends. One with more clients has a longer one, and
-// the same part of each engine.
+// updateSubset sets the size of this front end's subset. The first engines of the subsets are spread evenly over the
+// capacity of the ring, and all subsets have equal capacity, so that engines get equal traffic per core, each from
+// fewer front ends. A front end with more clients has a larger subset, and the same fraction of each engine in it.
 func (c *Controller) updateSubset() {
 	subset := &c.subset
 	subset.size, subset.equalSize = math.Inf(1), math.Inf(1)
@@ -38,9 +40,9 @@
 	c.assignSubset()
 }
 
-// assignSubset finds where the subset begins and, after a change of the list, this front end's shares of the engines'
-// slow starts. These are reckoned with no engine ejected and an equal part of the clients, so that all front ends come
-// to the same division.
+// assignSubset determines the first engine of the subset and, after a change of the engine list, this front end's slow
+// start quotas. The quotas ignore ejections and assume an equal share of the clients, so that all front ends compute
+// the same division.
 func (c *Controller) assignSubset() {
 	subset, me, replicas := &c.subset, c.settings.Me, c.settings.Replicas
 	subset.capacities = subset.capacities[:0]
@@ -70,8 +72,8 @@
 	}
 }
 
-// subsetFrom gathers as candidates the engines from the begin of the subset on that are in use and that the function
-// admits, until the capacities that it gives make up the size.
+// subsetFrom collects the candidates: from the first engine of the subset on, the available engines that admit accepts,
+// until the capacities that admit returns add up to size.
 func (c *Controller) subsetFrom(size float64, admit func(*engineState) (capacity float64, ok bool)) {
 	c.candidates.engines = c.candidates.engines[:0]
 	gathered := 0.0
