--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,9 +7,9 @@
 	"beechcart/admission"
 )
 
-// A front end tells the controller what happened and carries out what it answers.
+// A front end passes events to the controller and carries out the actions that it returns.
 func Example() {
-	ctl, err := admission.New(admission.Settings{
+	controller, err := admission.New(admission.Settings{
 		Replicas: 1,
 		Kinds:    []admission.Kind{{Cores: 8, MemoryMB: 16384}},
 		Classes: []admission.Class{{
@@ -23,19 +23,19 @@
 		return
 	}
 	now := 10 * time.Second
-	actions := ctl.Step(now, []admission.Event{
+	actions := controller.Step(now, []admission.Event{
 		admission.EndpointsChanged{Engines: []admission.Engine{{ID: 7}}},
 		admission.Request{ID: "q1", Timeout: 5 * time.Second, TableGroup: -1},
 	})
-	for _, a := range actions {
-		switch a := a.(type) {
-		case admission.Send: // start the request on the engine; report its end as an Outcome
-			fmt.Printf("send %s to engine %d\n", a.ID, a.Engine)
-		case admission.Reject: // tell the client when to come back
-			fmt.Printf("reject %s for %v\n", a.ID, a.RetryAfter)
+	for _, action := range actions {
+		switch action := action.(type) {
+		case admission.Send: // start an attempt on the engine; report its end as an Outcome
+			fmt.Printf("send %s to engine %d\n", action.ID, action.Engine)
+		case admission.Reject: // answer the client, which may repeat the request after RetryAfter
+			fmt.Printf("reject %s for %v\n", action.ID, action.RetryAfter)
 		case admission.Fail:
-			fmt.Printf("fail %s\n", a.ID)
-		case admission.SetTimer: // call Step with a Timer of this token after the delay
+			fmt.Printf("fail %s\n", action.ID)
+		case admission.SetTimer: // after the delay, call Step with a Timer that has this token
 		}
 	}
 	// Output: send q1 to engine 7
--- a/admission/race_test.go
+++ b/admission/race_test.go
@@ -2,5 +2,5 @@
 
 package admission
 
-// raceDetector tells that the tests run ten times slower, and play fewer runs.
+// raceDetector reports whether the race detector is on. Tests are then ten times slower and play fewer runs.
 const raceDetector = true
