--- a/admission/simulation_test.go
+++ b/admission/simulation_test.go
@@ -14,467 +14,475 @@
 	"beechcart/internal/recorded"
 )
 
-// happening is something that the simulation does at a time; those of one time go in the order they were planned in.
-type happening struct {
-	at    time.Duration
-	order int
-	do    func()
+// scheduledCall is a call that the simulation makes at a given time. Calls for the same time are made in the order in
+// which they were scheduled.
+type scheduledCall struct {
+	at       time.Duration
+	sequence int
+	call     func()
 }
 
-type agenda []happening
+// schedule is a heap of calls, the earliest first.
+type schedule []scheduledCall
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].order < a[j].order)
+func (a schedule) Len() int { return len(a) }
+func (a schedule) Less(i, j int) bool {
+	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].sequence < a[j].sequence)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a schedule) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *schedule) Push(x any)   { *a = append(*a, x.(scheduledCall)) }
+func (a *schedule) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// mood is how a simulated engine treats what reaches it.
-type mood int
+// fault is the fault of a simulated engine, which decides how the engine handles attempts and health checks.
+type fault int
 
 const (
-	sound     mood = iota
-	hung           // answers nothing, not even health checks
-	refusing       // its process is gone
-	erring         // answers most requests with an error
-	resetting      // loses connections
-	lossy          // loses every fourth answer
-	choosy         // answers nothing of class 0
-	crawling       // runs everything six times slower
+	noFault        fault = iota
+	hung                 // answers neither attempts nor health checks
+	refusing             // refuses connections, as an engine whose process has ended
+	erring               // answers most requests with an error
+	resetting            // resets most connections
+	losingAnswers        // loses one in four answers
+	ignoringClass0       // answers no requests of class 0
+	slow                 // runs requests six times slower
 )
 
 // machine is one simulated engine.
 type machine struct {
-	entry   admission.Engine
-	cores   float64
-	threads float64
-	memory  float64 // MB in use
-	mood    mood
+	endpoint admission.Engine
+	cores    float64
+	threads  float64
+	memory   float64 // MB in use
+	fault    fault
 }
 
-// running is an attempt that a simulated engine has.
-type running struct {
+// runningAttempt is an attempt on a simulated engine.
+type runningAttempt struct {
 	frontEnd *frontEnd
 	id       string
 	number   int
-	on       *machine
+	engine   *machine
 	threads  float64
 	memory   float64
-	over     bool
+	finished bool
 }
 
-// frontEnd is one controller with what surrounds it.
+// frontEnd is one controller with its pending events, attempts and requests.
 type frontEnd struct {
-	number   int
-	ctl      *admission.Controller
-	pending  []admission.Event
-	attempts map[string][]*running
-	requests map[string]admission.Request
-	ended    bool
+	number     int
+	controller *admission.Controller
+	pending    []admission.Event
+	attempts   map[string][]*runningAttempt
+	requests   map[string]admission.Request
+	stopped    bool
 }
 
-// recordedRun is one run: the settings, and what the simulation does beside them.
+// recordedRun is the configuration of one run: the settings of the controllers, and those of the simulation.
 type recordedRun struct {
 	settings   admission.Settings
-	frontEnds  int // that are played, of settings.Replicas
+	frontEnds  int // simulated front ends, of settings.Replicas
 	engines    int
 	length     time.Duration
-	gap        time.Duration // mean time between two requests of a front end
+	gap        time.Duration // mean time between requests of one front end
 	report     func(m *machine) *admission.Report
-	tellsWork  bool
-	stopping   bool // the last front end ends before the run does
-	partial    bool // changes of the list come as changes
-	listErrors bool
-	flood      bool          // all clients ask at once, in the middle of the run
-	listAfter  time.Duration // the first list comes so late
+	tellsWork  bool          // engines report work and memory with the outcome
+	stopping   bool          // the last front end stops before the end of the run
+	partial    bool          // changes of the list are sent as partial lists
+	listErrors bool          // most subscriptions to the list fail
+	flood      bool          // 400 requests arrive at once in the middle of the run
+	listAfter  time.Duration // delay of the first list
 }
 
-// world plays a run.
-type world struct {
+// simulation is the state of one simulated run.
+type simulation struct {
 	recordedRun
 	recorder
-	random   recorded.Random
-	now      time.Duration
-	agenda   agenda
-	order    int
-	fronts   []*frontEnd
-	machines []*machine
-	nextID   uint32
-	requests int
+	random       recorded.Random
+	now          time.Duration
+	schedule     schedule
+	sequence     int
+	allFrontEnds []*frontEnd
+	machines     []*machine
+	nextID       uint32
+	requests     int
 }
 
-func (w *world) after(delay time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.agenda, happening{w.now + delay, w.order, do})
+func (sim *simulation) after(delay time.Duration, call func()) {
+	sim.sequence++
+	heap.Push(&sim.schedule, scheduledCall{sim.now + delay, sim.sequence, call})
 }
 
-func (w *world) tell(g *frontEnd, event admission.Event) { g.pending = append(g.pending, event) }
+func (sim *simulation) notify(fe *frontEnd, event admission.Event) {
+	fe.pending = append(fe.pending, event)
+}
 
 func play(t *testing.T, run recordedRun, seed uint64) string {
 	t.Helper()
-	w := &world{recordedRun: run, random: recorded.Random(seed), now: 100 * time.Second}
-	w.hash = sha256.New()
+	sim := &simulation{recordedRun: run, random: recorded.Random(seed), now: 100 * time.Second}
+	sim.hash = sha256.New()
 	for range run.engines {
-		w.addEngine(0)
+		sim.addEngine(0)
 	}
 	for number := range run.frontEnds {
 		settings := run.settings
 		settings.Me = number
-		ctl, err := admission.New(settings, seed+uint64(number))
+		controller, err := admission.New(settings, seed+uint64(number))
 		require.NoError(t, err)
-		g := &frontEnd{number: number, ctl: ctl, attempts: map[string][]*running{},
+		fe := &frontEnd{number: number, controller: controller, attempts: map[string][]*runningAttempt{},
 			requests: map[string]admission.Request{}}
-		w.fronts = append(w.fronts, g)
-		w.after(run.listAfter, func() { w.tell(g, admission.EndpointsChanged{Kind: admission.Persisted, Engines: w.list()}) })
-		w.after(time.Millisecond, func() { w.arrive(g) })
+		sim.allFrontEnds = append(sim.allFrontEnds, fe)
+		sim.after(run.listAfter,
+			func() { sim.notify(fe, admission.EndpointsChanged{Kind: admission.Persisted, Engines: sim.list()}) })
+		sim.after(time.Millisecond, func() { sim.arrive(fe) })
 	}
-	w.after(w.random.Exponential(time.Second), w.trouble)
-	w.after(3*time.Second, w.change)
+	sim.after(sim.random.Exponential(time.Second), sim.injectFault)
+	sim.after(3*time.Second, sim.changeEndpoint)
 	if run.flood {
-		w.after(run.length/2, func() {
+		sim.after(run.length/2, func() {
 			for range 400 {
-				w.take(w.fronts[0], w.request(w.fronts[0]))
+				sim.submit(sim.allFrontEnds[0], sim.request(sim.allFrontEnds[0]))
 			}
 		})
 	}
-	w.after(2*time.Second, w.oddEvents)
+	sim.after(2*time.Second, sim.sendInvalidEvents)
 	if run.stopping {
-		last := w.fronts[run.frontEnds-1]
-		w.after(run.length/4, func() { w.tell(last, admission.ShutdownRequested{Timeout: 4 * time.Second}) })
-		w.after(run.length/4+4*time.Second, func() { last.ended = true })
+		last := sim.allFrontEnds[run.frontEnds-1]
+		sim.after(run.length/4, func() { sim.notify(last, admission.ShutdownRequested{Timeout: 4 * time.Second}) })
+		sim.after(run.length/4+4*time.Second, func() { last.stopped = true })
 	}
-	end := w.now + run.length
-	for len(w.agenda) > 0 && w.agenda[0].at < end {
-		w.now = w.agenda[0].at
-		for len(w.agenda) > 0 && w.agenda[0].at == w.now {
-			heap.Pop(&w.agenda).(happening).do()
+	end := sim.now + run.length
+	for len(sim.schedule) > 0 && sim.schedule[0].at < end {
+		sim.now = sim.schedule[0].at
+		for len(sim.schedule) > 0 && sim.schedule[0].at == sim.now {
+			heap.Pop(&sim.schedule).(scheduledCall).call()
 		}
-		for _, g := range w.fronts {
-			w.step(g)
+		for _, fe := range sim.allFrontEnds {
+			sim.step(fe)
 		}
 	}
-	require.Empty(t, w.unknown, "actions without a number")
-	return w.String()
+	require.Empty(t, sim.unknown, "actions of types that the recorder does not know")
+	return sim.String()
 }
 
-func (w *world) step(g *frontEnd) {
-	if len(g.pending) == 0 || g.ended {
-		g.pending = nil
+func (sim *simulation) step(fe *frontEnd) {
+	if len(fe.pending) == 0 || fe.stopped {
+		fe.pending = nil
 		return
 	}
-	events := g.pending
-	g.pending = nil
-	w.events += len(events)
-	for _, action := range g.ctl.Step(w.now, events) {
-		w.record(g.number, w.now, action)
-		w.carryOut(g, action)
+	events := fe.pending
+	fe.pending = nil
+	sim.events += len(events)
+	for _, action := range fe.controller.Step(sim.now, events) {
+		sim.record(fe.number, sim.now, action)
+		sim.execute(fe, action)
 	}
 }
 
-func (w *world) carryOut(g *frontEnd, action admission.Action) {
+func (sim *simulation) execute(fe *frontEnd, action admission.Action) {
 	switch a := action.(type) {
 	case admission.Send:
-		w.send(g, a)
+		sim.send(fe, a)
 	case admission.Reject:
-		if request := g.requests[a.ID]; w.random.Float() < 0.7 && a.RetryAfter > 0 {
-			w.after(a.RetryAfter, func() { w.repeat(g, request, a.RetryAfter) })
+		if request := fe.requests[a.ID]; sim.random.Float() < 0.7 && a.RetryAfter > 0 {
+			sim.after(a.RetryAfter, func() { sim.repeatRequest(fe, request, a.RetryAfter) })
 		}
 	case admission.Cancel:
-		attempt := g.attempts[a.ID][a.Attempt]
-		w.after(5*time.Millisecond, func() { w.end(attempt, admission.Outcome{Status: admission.Cancelled}) })
+		attempt := fe.attempts[a.ID][a.Attempt]
+		sim.after(5*time.Millisecond, func() { sim.end(attempt, admission.Outcome{Status: admission.Cancelled}) })
 	case admission.HealthCheck:
-		w.probe(g, a.Engine)
+		sim.checkHealth(fe, a.Engine)
 	case admission.SendGossip:
-		for _, other := range w.fronts {
-			if other != g && (a.To < 0 || a.To == other.number) {
+		for _, other := range sim.allFrontEnds {
+			if other != fe && (a.To < 0 || a.To == other.number) {
 				data := append([]byte(nil), a.Data...)
-				w.after(3*time.Millisecond, func() { w.tell(other, admission.GossipReceived{From: g.number, Data: data}) })
+				sim.after(3*time.Millisecond, func() { sim.notify(other, admission.GossipReceived{From: fe.number, Data: data}) })
 			}
 		}
 	case admission.SetTimer:
-		w.after(a.Delay, func() { w.tell(g, admission.Timer{Token: a.Token}) })
+		sim.after(a.Delay, func() { sim.notify(fe, admission.Timer{Token: a.Token}) })
 	case admission.WatchEndpoints:
-		w.after(10*time.Millisecond, func() {
-			if w.listErrors && w.random.Float() < 0.6 {
-				w.tell(g, admission.EndpointsChanged{Kind: admission.ListError})
+		sim.after(10*time.Millisecond, func() {
+			if sim.listErrors && sim.random.Float() < 0.6 {
+				sim.notify(fe, admission.EndpointsChanged{Kind: admission.ListError})
 				return
 			}
-			w.tell(g, admission.EndpointsChanged{Kind: admission.Complete, Engines: w.list()})
+			sim.notify(fe, admission.EndpointsChanged{Kind: admission.Complete, Engines: sim.list()})
 		})
 	}
 }
 
-// arrive is a request that comes, and plans the next; every sixth second has a burst.
-func (w *world) arrive(g *frontEnd) {
-	gap := w.gap
-	if int(w.now/time.Second)%6 == 5 {
+// arrive submits a request and schedules the next. In every sixth second requests arrive five times as fast.
+func (sim *simulation) arrive(fe *frontEnd) {
+	gap := sim.gap
+	if int(sim.now/time.Second)%6 == 5 {
 		gap /= 5
 	}
-	w.after(w.random.Exponential(gap), func() { w.arrive(g) })
-	w.take(g, w.request(g))
+	sim.after(sim.random.Exponential(gap), func() { sim.arrive(fe) })
+	sim.submit(fe, sim.request(fe))
 }
 
-func (w *world) request(g *frontEnd) admission.Request {
-	w.requests++
-	class := w.random.Below(len(w.settings.Classes))
-	if w.random.Float() < 0.5 {
+func (sim *simulation) request(fe *frontEnd) admission.Request {
+	sim.requests++
+	class := sim.random.Below(len(sim.settings.Classes))
+	if sim.random.Float() < 0.5 {
 		class = 0
 	}
-	described := &w.settings.Classes[class]
+	classSettings := &sim.settings.Classes[class]
 	request := admission.Request{
-		ID: fmt.Sprint(g.number, ".", w.requests), Class: class, Tenant: w.random.Below(len(w.settings.Tenants)+1) - 1,
-		Timeout: described.Deadline, TableGroup: w.random.Below(4) - 1, Write: w.random.Float() < 0.2,
+		ID: fmt.Sprint(fe.number, ".", sim.requests), Class: class, Tenant: sim.random.Below(len(sim.settings.Tenants)+1) - 1,
+		Timeout: classSettings.Deadline, TableGroup: sim.random.Below(4) - 1, Write: sim.random.Float() < 0.2,
 	}
-	if w.random.Float() < 0.6 {
-		request.Key = fmt.Sprint("key", w.random.Below(6))
+	if sim.random.Float() < 0.6 {
+		request.Key = fmt.Sprint("key", sim.random.Below(6))
 	}
-	if w.random.Float() < 0.7 {
-		request.Work = w.work(class)
-		request.MemoryMB = 100 + 900*w.random.Float()
+	if sim.random.Float() < 0.7 {
+		request.Work = sim.work(class)
+		request.MemoryMB = 100 + 900*sim.random.Float()
 	}
-	if w.random.Float() < 0.1 {
-		request.Timeout = time.Duration(float64(request.Timeout) * w.random.Float())
+	if sim.random.Float() < 0.1 {
+		request.Timeout = time.Duration(float64(request.Timeout) * sim.random.Float())
 	}
 	return request
 }
 
-// oddEvents are those that a controller has to pass over.
-func (w *world) oddEvents() {
-	w.after(3*time.Second, w.oddEvents)
-	g := w.fronts[0]
-	w.tell(g, admission.Request{ID: "odd", Class: len(w.settings.Classes), Timeout: time.Second})
-	w.tell(g, admission.Outcome{ID: "odd", Engine: 1, Status: admission.OK, Report: allReported(w.machines[0])})
-	w.tell(g, admission.ClientDisconnected{ID: "odd"})
-	w.tell(g, admission.FirstByte{ID: "odd", Engine: 1})
-	w.tell(g, admission.Progress{ID: "odd", Engine: 1, Kind: admission.Waiting, Value: 1})
-	w.tell(g, admission.HealthCheckResult{Engine: 1 << 20, Status: admission.OK})
-	w.tell(g, admission.GossipReceived{From: w.settings.Replicas, Data: []byte{1, 2, 3}})
-	w.tell(g, admission.GossipReceived{From: w.settings.Replicas - 1, Data: []byte{1, 2, 3, 4}})
+// sendInvalidEvents sends events that a controller must ignore, every 3 s.
+func (sim *simulation) sendInvalidEvents() {
+	sim.after(3*time.Second, sim.sendInvalidEvents)
+	fe := sim.allFrontEnds[0]
+	sim.notify(fe, admission.Request{ID: "odd", Class: len(sim.settings.Classes), Timeout: time.Second})
+	sim.notify(fe, admission.Outcome{ID: "odd", Engine: 1, Status: admission.OK, Report: allReported(sim.machines[0])})
+	sim.notify(fe, admission.ClientDisconnected{ID: "odd"})
+	sim.notify(fe, admission.FirstByte{ID: "odd", Engine: 1})
+	sim.notify(fe, admission.Progress{ID: "odd", Engine: 1, Kind: admission.Waiting, Value: 1})
+	sim.notify(fe, admission.HealthCheckResult{Engine: 1 << 20, Status: admission.OK})
+	sim.notify(fe, admission.GossipReceived{From: sim.settings.Replicas, Data: []byte{1, 2, 3}})
+	sim.notify(fe, admission.GossipReceived{From: sim.settings.Replicas - 1, Data: []byte{1, 2, 3, 4}})
 }
 
-func (w *world) repeat(g *frontEnd, request admission.Request, spent time.Duration) {
-	request.Timeout -= spent
+func (sim *simulation) repeatRequest(fe *frontEnd, request admission.Request, waited time.Duration) {
+	request.Timeout -= waited
 	request.ID += "r"
 	request.Retry = true
-	w.take(g, request)
+	sim.submit(fe, request)
 }
 
-func (w *world) take(g *frontEnd, request admission.Request) {
-	g.requests[request.ID] = request
-	w.tell(g, request)
-	if w.random.Float() < 0.05 {
+func (sim *simulation) submit(fe *frontEnd, request admission.Request) {
+	fe.requests[request.ID] = request
+	sim.notify(fe, request)
+	if sim.random.Float() < 0.05 {
 		id := request.ID
-		w.after(w.random.Exponential(300*time.Millisecond), func() { w.tell(g, admission.ClientDisconnected{ID: id}) })
+		sim.after(sim.random.Exponential(300*time.Millisecond),
+			func() { sim.notify(fe, admission.ClientDisconnected{ID: id}) })
 	}
 }
 
-// work is the estimated work of a class: each is four times as heavy as the one before.
-func (w *world) work(class int) time.Duration {
+// work draws the work of a request. The mean quadruples from each class to the next, and starts again after four
+// classes.
+func (sim *simulation) work(class int) time.Duration {
 	mean := 20 * math.Pow(4, float64(class%4)) * float64(time.Millisecond)
-	return time.Duration(mean * (0.5 + w.random.Float()))
+	return time.Duration(mean * (0.5 + sim.random.Float()))
 }
 
-func (w *world) send(g *frontEnd, a admission.Send) {
-	request := g.requests[a.ID]
-	class := &w.settings.Classes[request.Class]
-	m := w.machine(a.Engine)
-	attempt := &running{frontEnd: g, id: a.ID, number: len(g.attempts[a.ID]), on: m,
-		threads: float64(class.Threads), memory: 50 + 400*w.random.Float()}
-	g.attempts[a.ID] = append(g.attempts[a.ID], attempt)
-	work := w.work(request.Class)
+func (sim *simulation) send(fe *frontEnd, a admission.Send) {
+	request := fe.requests[a.ID]
+	class := &sim.settings.Classes[request.Class]
+	m := sim.machine(a.Engine)
+	attempt := &runningAttempt{frontEnd: fe, id: a.ID, number: len(fe.attempts[a.ID]), engine: m,
+		threads: float64(class.Threads), memory: 50 + 400*sim.random.Float()}
+	fe.attempts[a.ID] = append(fe.attempts[a.ID], attempt)
+	work := sim.work(request.Class)
 	if request.Work > 0 {
 		work = time.Duration(float64(request.Work) * 1.3)
 	}
-	if w.random.Float() < 0.03 {
-		work *= 12 // a bad plan
+	if sim.random.Float() < 0.03 {
+		work *= 12 // a slow query plan
 	}
 	m.threads += attempt.threads
 	m.memory += attempt.memory
 	slowdown := math.Max(1, m.threads/m.cores)
-	if m.mood == crawling {
+	if m.fault == slow {
 		slowdown *= 6
 	}
-	latency := time.Duration(float64(work) / attempt.threads * slowdown * (0.8 + 0.4*w.random.Float()))
+	latency := time.Duration(float64(work) / attempt.threads * slowdown * (0.8 + 0.4*sim.random.Float()))
 	ok := admission.Outcome{Status: admission.OK, Closed: true, Latency: latency}
-	if w.tellsWork {
+	if sim.tellsWork {
 		ok.Work, ok.MemoryMB = work, attempt.memory
 	}
-	w.settle(attempt, request, a.Timeout, latency, ok)
+	sim.planOutcome(attempt, request, a.Timeout, latency, ok)
 }
 
-// settle plans how an attempt goes on and ends.
-func (w *world) settle(
-	attempt *running, request admission.Request, limit, latency time.Duration, ok admission.Outcome,
+// planOutcome schedules the progress reports and the outcome of an attempt.
+func (sim *simulation) planOutcome(
+	attempt *runningAttempt, request admission.Request, timeout, latency time.Duration, ok admission.Outcome,
 ) {
 	end := func(delay time.Duration, outcome admission.Outcome) {
-		if limit > 0 && delay >= limit {
-			delay, outcome = limit, admission.Outcome{Status: admission.TimedOut, Closed: true}
+		if timeout > 0 && delay >= timeout {
+			delay, outcome = timeout, admission.Outcome{Status: admission.TimedOut, Closed: true}
 		}
-		w.after(delay, func() { w.end(attempt, outcome) })
+		sim.after(delay, func() { sim.end(attempt, outcome) })
 	}
 	const never = time.Hour
-	m, chance := attempt.on, w.random.Float()
+	m, draw := attempt.engine, sim.random.Float()
 	switch {
-	case m.entry.State == admission.Removed || m.mood == refusing:
+	case m.endpoint.State == admission.Removed || m.fault == refusing:
 		end(2*time.Millisecond, admission.Outcome{Status: admission.ConnectFailed})
 	case m.threads > 4*m.cores:
 		end(time.Millisecond, admission.Outcome{Status: admission.Overloaded})
-	case m.mood == hung, m.mood == choosy && request.Class == 0, m.mood == lossy && chance < 0.25:
+	case m.fault == hung, m.fault == ignoringClass0 && request.Class == 0, m.fault == losingAnswers && draw < 0.25:
 		end(never, ok)
-	case m.mood == erring && chance < 0.8, chance < 0.004:
+	case m.fault == erring && draw < 0.8, draw < 0.004:
 		end(3*time.Millisecond, admission.Outcome{Status: admission.Errored, Latency: 3 * time.Millisecond})
-	case m.mood == resetting && chance < 0.6, chance < 0.008:
-		alive := w.random.Float() < 0.3
+	case m.fault == resetting && draw < 0.6, draw < 0.008:
+		alive := sim.random.Float() < 0.3
 		end(latency/2, admission.Outcome{Status: admission.Reset, EngineAlive: alive, Latency: latency / 2})
-	case chance < 0.012:
+	case draw < 0.012:
 		end(0, admission.Outcome{Status: admission.NotSent})
-	case chance < 0.016:
+	case draw < 0.016:
 		end(latency/3, admission.Outcome{Status: admission.TimedOut})
 	default:
-		w.notes(attempt, latency)
-		if w.settings.Classes[request.Class].Stream {
-			begun := admission.FirstByte{ID: attempt.id, Attempt: attempt.number, Engine: m.entry.ID}
-			w.after(latency*2/3, func() { w.tell(attempt.frontEnd, begun) })
+		sim.planProgress(attempt, latency)
+		if sim.settings.Classes[request.Class].Stream {
+			firstByte := admission.FirstByte{ID: attempt.id, Attempt: attempt.number, Engine: m.endpoint.ID}
+			sim.after(latency*2/3, func() { sim.notify(attempt.frontEnd, firstByte) })
 		}
 		end(latency, ok)
 	}
 }
 
-// notes sends the progress notes of an attempt, all but the last fifth of them.
-func (w *world) notes(attempt *running, latency time.Duration) {
-	every := w.settings.ProgressInterval
-	if every <= 0 || w.random.Float() < 0.05 {
+// planProgress schedules the progress reports of an attempt. One attempt in twenty gets none.
+func (sim *simulation) planProgress(attempt *runningAttempt, latency time.Duration) {
+	interval := sim.settings.ProgressInterval
+	if interval <= 0 || sim.random.Float() < 0.05 {
 		return
 	}
-	for at := every; at < latency; at += every {
-		note := admission.Progress{ID: attempt.id, Attempt: attempt.number, Engine: attempt.on.entry.ID,
+	for at := interval; at < latency; at += interval {
+		progress := admission.Progress{ID: attempt.id, Attempt: attempt.number, Engine: attempt.engine.endpoint.ID,
 			Kind: admission.ProgressFraction, Value: float64(at) / float64(latency)}
-		if w.random.Float() < 0.1 {
-			note.Kind = admission.Spills
+		if sim.random.Float() < 0.1 {
+			progress.Kind = admission.Spills
 		}
-		w.after(at, func() {
-			if !attempt.over {
-				w.tell(attempt.frontEnd, note)
+		sim.after(at, func() {
+			if !attempt.finished {
+				sim.notify(attempt.frontEnd, progress)
 			}
 		})
 	}
 }
 
-func (w *world) end(attempt *running, outcome admission.Outcome) {
-	if attempt.over {
+func (sim *simulation) end(attempt *runningAttempt, outcome admission.Outcome) {
+	if attempt.finished {
 		return
 	}
-	attempt.over = true
-	m := attempt.on
+	attempt.finished = true
+	m := attempt.engine
 	m.threads -= attempt.threads
 	m.memory -= attempt.memory
-	outcome.ID, outcome.Attempt, outcome.Engine = attempt.id, attempt.number, m.entry.ID
-	if w.settings.LoadReporting == admission.InBandReports && outcome.Status <= admission.Overloaded {
-		outcome.Report = w.report(m)
+	outcome.ID, outcome.Attempt, outcome.Engine = attempt.id, attempt.number, m.endpoint.ID
+	if sim.settings.LoadReporting == admission.InBandReports && outcome.Status <= admission.Overloaded {
+		outcome.Report = sim.report(m)
 	}
-	w.tell(attempt.frontEnd, outcome)
+	sim.notify(attempt.frontEnd, outcome)
 }
 
-func (w *world) probe(g *frontEnd, id uint32) {
-	m := w.machine(id)
+func (sim *simulation) checkHealth(fe *frontEnd, id uint32) {
+	m := sim.machine(id)
 	result := admission.HealthCheckResult{Engine: id, Status: admission.OK, Latency: 2 * time.Millisecond}
 	delay := result.Latency
 	switch {
-	case m.mood == refusing || m.entry.State == admission.Removed:
+	case m.fault == refusing || m.endpoint.State == admission.Removed:
 		result.Status = admission.ConnectFailed
-	case m.mood == hung:
+	case m.fault == hung:
 		result.Status, delay = admission.TimedOut, 300*time.Millisecond
 	default:
-		if w.settings.LoadReporting != admission.NoLoadReports {
-			result.Report = w.report(m)
+		if sim.settings.LoadReporting != admission.NoLoadReports {
+			result.Report = sim.report(m)
 		}
 	}
-	w.after(delay, func() { w.tell(g, result) })
+	sim.after(delay, func() { sim.notify(fe, result) })
 }
 
-// trouble gives one engine another mood, for a while.
-func (w *world) trouble() {
-	m := w.machines[w.random.Below(len(w.machines))]
-	m.mood = mood(1 + w.random.Below(int(crawling)))
-	w.after(time.Second+w.random.Exponential(3*time.Second), func() { m.mood = sound })
-	w.after(w.random.Exponential(2*time.Second), w.trouble)
+// injectFault gives one engine a fault for a while, and schedules the next fault.
+func (sim *simulation) injectFault() {
+	m := sim.machines[sim.random.Below(len(sim.machines))]
+	m.fault = fault(1 + sim.random.Below(int(slow)))
+	sim.after(time.Second+sim.random.Exponential(3*time.Second), func() { m.fault = noFault })
+	sim.after(sim.random.Exponential(2*time.Second), sim.injectFault)
 }
 
-// change drains an engine, which leaves later, takes one away at once, restarts one, or adds a fresh one.
-func (w *world) change() {
-	w.after(w.random.Exponential(4*time.Second), w.change)
-	m := w.machines[w.random.Below(len(w.machines))]
-	switch chance := w.random.Float(); {
-	case chance < 0.3:
-		m.entry.State = admission.Draining
-		w.after(2*time.Second, func() {
-			m.entry.State = admission.Removed
-			w.news(m)
+// changeEndpoint drains an engine that is removed later, removes one at once, restarts one or adds a new one, and
+// schedules the next change. Removed engines return.
+func (sim *simulation) changeEndpoint() {
+	sim.after(sim.random.Exponential(4*time.Second), sim.changeEndpoint)
+	m := sim.machines[sim.random.Below(len(sim.machines))]
+	switch draw := sim.random.Float(); {
+	case draw < 0.3:
+		m.endpoint.State = admission.Draining
+		sim.after(2*time.Second, func() {
+			m.endpoint.State = admission.Removed
+			sim.announceEndpoint(m)
 		})
-		away := 6 * time.Second
-		if w.random.Float() < 0.3 {
-			away = time.Duration(80+w.random.Below(80)) * time.Second
+		absence := 6 * time.Second
+		if sim.random.Float() < 0.3 {
+			absence = time.Duration(80+sim.random.Below(80)) * time.Second
 		}
-		w.after(away, func() {
-			m.entry.State = admission.Ready
-			w.news(m)
+		sim.after(absence, func() {
+			m.endpoint.State = admission.Ready
+			sim.announceEndpoint(m)
 		})
-	case chance < 0.4:
-		m.entry.State = admission.Removed
-		w.after(3*time.Second, func() {
-			m.entry.State = admission.Ready
-			w.news(m)
+	case draw < 0.4:
+		m.endpoint.State = admission.Removed
+		sim.after(3*time.Second, func() {
+			m.endpoint.State = admission.Ready
+			sim.announceEndpoint(m)
 		})
-	case chance < 0.6:
-		m.entry.Started = w.now
+	case draw < 0.6:
+		m.endpoint.Started = sim.now
 	default:
-		m = w.addEngine(w.now)
+		m = sim.addEngine(sim.now)
 	}
-	w.news(m)
+	sim.announceEndpoint(m)
 }
 
-// news tells all front ends of a change of the list, each a little later than the one before.
-func (w *world) news(m *machine) {
-	changed := m.entry
-	for i, g := range w.fronts {
-		w.after(time.Duration(i)*15*time.Millisecond, func() {
-			if w.partial {
-				w.tell(g, admission.EndpointsChanged{Kind: admission.Partial, Engines: []admission.Engine{changed}})
+// announceEndpoint sends a change of the list to all front ends, to each 15 ms after the one before.
+func (sim *simulation) announceEndpoint(m *machine) {
+	update := m.endpoint
+	for i, fe := range sim.allFrontEnds {
+		sim.after(time.Duration(i)*15*time.Millisecond, func() {
+			if sim.partial {
+				sim.notify(fe, admission.EndpointsChanged{Kind: admission.Partial, Engines: []admission.Engine{update}})
 				return
 			}
-			w.tell(g, admission.EndpointsChanged{Kind: admission.Complete, Engines: w.list()})
+			sim.notify(fe, admission.EndpointsChanged{Kind: admission.Complete, Engines: sim.list()})
 		})
 	}
 }
 
-func (w *world) addEngine(started time.Duration) *machine {
-	w.nextID++
-	id := int(w.nextID)
-	kind := id % (len(w.settings.Kinds) + 1) // the last is one that is not known
-	m := &machine{cores: 4, entry: admission.Engine{ID: w.nextID, Kind: kind, Zone: id%3 - 1, Cell: id % 2,
+func (sim *simulation) addEngine(started time.Duration) *machine {
+	sim.nextID++
+	id := int(sim.nextID)
+	kind := id % (len(sim.settings.Kinds) + 1) // the last number stands for an unknown kind
+	m := &machine{cores: 4, endpoint: admission.Engine{ID: sim.nextID, Kind: kind, Zone: id%3 - 1, Cell: id % 2,
 		Units: 1, Started: started}}
-	if kind < len(w.settings.Kinds) {
-		m.cores = float64(w.settings.Kinds[kind].Cores)
+	if kind < len(sim.settings.Kinds) {
+		m.cores = float64(sim.settings.Kinds[kind].Cores)
 	} else {
-		m.entry.Kind = -1
+		m.endpoint.Kind = -1
 	}
-	w.machines = append(w.machines, m)
+	sim.machines = append(sim.machines, m)
 	return m
 }
 
-func (w *world) machine(id uint32) *machine { return w.machines[id-1] }
+func (sim *simulation) machine(id uint32) *machine { return sim.machines[id-1] }
 
-// list is the complete list: of the engines that were removed, every second is left out.
-func (w *world) list() (list []admission.Engine) {
-	for _, m := range w.machines {
-		if m.entry.State != admission.Removed || m.entry.ID%2 == 0 {
-			list = append(list, m.entry)
+// list returns the complete list. It omits removed engines that have an odd ID.
+func (sim *simulation) list() (list []admission.Engine) {
+	for _, m := range sim.machines {
+		if m.endpoint.State != admission.Removed || m.endpoint.ID%2 == 0 {
+			list = append(list, m.endpoint)
 		}
 	}
 	return list
