--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -6,33 +6,36 @@
 	"time"
 )
 
-// lightRequestMargin is how many times lighter than the mean of its class a request has to be for high priority.
+// lightRequestMargin is the factor by which the expected work of a request must be below the mean of its class for high
+// priority.
 const lightRequestMargin = 1.5
 
-// The priorities of [Terms]. Engines know 3 as well; with it small requests would starve heavy ones.
+// The priorities of [Terms]. Engines also accept 3, which stays unused: at that priority small requests would starve
+// heavy ones.
 const (
 	lowPriority    = 0
 	normalPriority = 1
 	highPriority   = 2
 )
 
-// attemptState is what the controller keeps of one attempt of a request.
+// attemptState is the controller's record of one attempt of a request.
 type attemptState struct {
 	engine         *engineState
 	sentAt         time.Duration
-	expected       time.Duration // from sending to answer
-	lastProgressAt time.Duration // 0: none yet
+	expected       time.Duration // expected time from sending to answer
+	lastProgressAt time.Duration // 0: no progress reported yet
 	threads        float64       // reserved
 	memory         float64       // reserved, in MB
 
 	inFlight      bool
 	cancelled     bool
-	ofSmallClass  bool // when it was sent
-	onCalmEngine  bool // when it was sent: its latency tells that of a calm engine
-	countedAsLost bool // in the rate of lost answers
+	ofSmallClass  bool // the class was small when the attempt was sent
+	onCalmEngine  bool // the engine was calm when the attempt was sent; the latency counts towards that of calm engines
+	countedAsLost bool // already counted in Controller.lostAnswerRate
 }
 
-// attemptRef names an attempt. Pointers into requestState.attempts don't survive the next attempt.
+// attemptRef refers to an attempt by its index. Pointers into requestState.attempts become invalid when the next
+// attempt is appended.
 type attemptRef struct {
 	request *requestState
 	index   int
@@ -40,7 +43,8 @@
 
 func (r *attemptRef) attempt() *attemptState { return &r.request.attempts[r.index] }
 
-// send starts an attempt, terms first. Its only timeout is the client's: a shorter one would cut costly requests.
+// send starts an attempt and emits its terms before it. The only timeout is the deadline of the request: a shorter one
+// would cut off costly requests.
 func (c *Controller) send(request *requestState, engine *engineState) {
 	c.dequeue(request)
 	attempt := c.newAttempt(request, engine)
@@ -74,7 +78,8 @@
 	}
 }
 
-// setTerms sets the priority and the memory grant of an attempt, and returns the memory to reserve for it.
+// setTerms emits the priority and the memory grant of an attempt, unless both are the defaults, and returns the memory
+// to reserve for the attempt, in MB.
 func (c *Controller) setTerms(request *requestState, attempt *attemptState) (memory float64) {
 	priority, grant := c.priorityOf(request), 0.0
 	memory = attempt.memory
@@ -91,7 +96,9 @@
 	return memory
 }
 
-// priorityOf prefers what is small, and what holds locks: if that is slow, all that wait for the locks are.
+// priorityOf returns the priority of a request. Requests that lock tables get high priority where a class waits for
+// locks, since a slow holder of a lock delays all requests that wait for the lock. Otherwise deferred requests get low
+// priority; of the others, those of a small class or of little work get high priority.
 func (c *Controller) priorityOf(request *requestState) int {
 	switch {
 	case !c.settings.PrioritiesSupported:
@@ -106,8 +113,8 @@
 	return normalPriority
 }
 
-// handleOutcome releases the attempt first, then learns from it, then decides what follows: another attempt, or the
-// final answer at once.
+// handleOutcome releases the attempt, then updates the estimates and the health of the engine, and last either queues a
+// retry or gives the final answer in the same step.
 func (c *Controller) handleOutcome(event Outcome) {
 	if engine := c.enginesByID[event.Engine]; engine != nil && event.Report != nil {
 		engine.loadReport, engine.reportedAt = *event.Report, c.now
@@ -135,8 +142,8 @@
 	c.proceed(request, event)
 }
 
-// recordMayHaveRun notes that an attempt may have run though no answer tells. Its key rests, lest the next request of
-// the key overtakes it on another engine.
+// recordMayHaveRun records that an attempt may have run although no answer confirms the run. If the class is Ordered,
+// the key of the request cools down, lest the next request of the key overtake the attempt on another engine.
 func (c *Controller) recordMayHaveRun(request *requestState, attempt *attemptState, status Status) {
 	if !request.mayHaveRun {
 		request.mayHaveRun = true
@@ -149,7 +156,8 @@
 	}
 }
 
-// proceed decides what follows the end of an attempt.
+// proceed closes, forgets or retries a request after the end of one of its attempts. A request that has another attempt
+// in flight waits for that attempt.
 func (c *Controller) proceed(request *requestState, event Outcome) {
 	switch {
 	case event.Closed || event.Status == OK:
@@ -164,7 +172,7 @@
 	}
 }
 
-// release ends an attempt and gives back what it reserved.
+// release ends an attempt and returns its reservations.
 func (c *Controller) release(request *requestState, attempt *attemptState) {
 	engine := attempt.engine
 	attempt.inFlight = false
@@ -180,7 +188,7 @@
 	}
 }
 
-// reserve books the threads and the memory of an attempt with sign 1, and gives them back with sign -1.
+// reserve adds the threads and the memory of an attempt to all counters with sign 1, and subtracts them with sign -1.
 func (c *Controller) reserve(request *requestState, attempt *attemptState, sign float64) {
 	engine, tenant := attempt.engine, request.tenant
 	threads, memory := sign*attempt.threads, sign*attempt.memory
@@ -197,7 +205,7 @@
 	}
 }
 
-// cancelAttempts cancels all attempts of a request that are in flight, where that is allowed.
+// cancelAttempts cancels all attempts of a request that are in flight, if the settings allow cancellation.
 func (c *Controller) cancelAttempts(request *requestState) {
 	for index := range request.attempts {
 		if request.attempts[index].inFlight {
@@ -206,7 +214,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt in flight once, where that is allowed.
+// cancelAttempt cancels an attempt in flight, if the settings allow cancellation and the attempt is not cancelled yet.
 func (c *Controller) cancelAttempt(ref *attemptRef) {
 	attempt := ref.attempt()
 	if c.settings.CancellationAllowed && !attempt.cancelled {
@@ -215,7 +223,8 @@
 	}
 }
 
-// handleProgress takes what an engine tells of an attempt, which is a sign of life of the engine as well.
+// handleProgress applies a progress report on an attempt. A report of the fraction of work done also counts as a sign
+// of life of the engine.
 func (c *Controller) handleProgress(event Progress) {
 	request := c.requests[event.ID]
 	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
--- a/admission/engine.go
+++ b/admission/engine.go
@@ -9,61 +9,61 @@
 	"beechcart/decision/slowstart"
 )
 
-// removedEngineRetention is how long engines that have left are remembered, in case they come back.
+// removedEngineRetention is the time for which removed engines are kept, in case they return.
 const removedEngineRetention = 2 * time.Minute
 
-// discoveryRetryInterval is how long discovery is left alone after it failed.
+// discoveryRetryInterval is the delay before the engine list is requested again after discovery failed.
 const discoveryRetryInterval = 500 * time.Millisecond
 
-// discoveryState is the subscription to the engine list, where it has to be asked for.
+// discoveryState is the state of the subscription to the engine list, for discovery that has to be asked for it.
 type discoveryState struct {
 	requested bool
-	retryAt   time.Duration // not requested before
+	retryAt   time.Duration // no request for the list is sent before
 }
 
-// engineState is what the controller keeps of one engine.
+// engineState is the controller's record of one engine.
 type engineState struct {
 	Engine
 	cores            float64
-	memoryMB         float64 // 0: not known
-	gossipID         uint16  // its name among front ends
+	memoryMB         float64 // 0: unknown
+	gossipID         uint16  // identifies the engine in gossip between front ends
 	unavailable      bool    // draining or removed
 	unavailableSince time.Duration
 
-	// Attempts in flight, and what they reserve.
+	// Attempts in flight, and their reservations.
 	attempts       []*attemptRef
 	threads        float64
 	memory         float64 // MB
-	smallMemory    float64 // MB, of small classes
+	smallMemory    float64 // MB, reserved by small classes
 	averageThreads float64 // smoothed
 
-	// What the engine tells of its load, and what answers tell.
+	// Load, from load reports and from answers.
 	loadReport     Report
 	reportedAt     time.Duration // negative: never
-	checkedAt      time.Duration // the last health check, own or another front end's
-	threadFactor   float64       // threads per core that it carries well
-	limitReducedAt time.Duration // when threadFactor was reduced last
-	slowdown       float64       // of its answers against those of calm engines, smoothed
+	checkedAt      time.Duration // time of the last health check by this or another front end
+	threadFactor   float64       // threads per core that the engine handles without slow answers
+	limitReducedAt time.Duration // when slow answers last reduced threadFactor
+	slowdown       float64       // of the engine's answers relative to calm engines, smoothed
 
-	// Slow start. A warmingSince that is negative means that the engine is warm.
+	// Slow start. A negative warmingSince means that the engine is warm.
 	warmingSince     time.Duration
-	warmingAssumedAt time.Duration // when warming was assumed without word from discovery; 0: it wasn't
+	warmingAssumedAt time.Duration // when warming was assumed without a report from discovery; 0: not assumed
 	slowStartSends   []slowStartSend
 	slowStartQuota   slowstart.DelayedQuota
-	randomDraw       float64 // for a request heavier than its part of the budget
+	randomDraw       float64 // for requests heavier than the front end's part of the budget
 	randomDrawUntil  time.Duration
 
 	// Failures.
-	lastAnswerAt        time.Duration // or another sign of life
-	errorRate           float64       // fraction of its answers that are errors, smoothed
-	missedChecks        int           // health checks that failed in a row
-	consecutiveFailures int           // resets in a row; once ejected, failures since then
-	processMayBeNew     bool          // connections were refused: its process may have been replaced
-	overloadedUntil     time.Duration // it rejected an attempt; nothing is sent to it before
+	lastAnswerAt        time.Duration // time of the last answer or other sign of life
+	errorRate           float64       // fraction of the engine's answers that are errors, smoothed
+	missedChecks        int           // consecutive failed health checks
+	consecutiveFailures int           // consecutive resets; while ejected, failures since the ejection
+	processMayBeNew     bool          // connections were refused, so the process may have been replaced
+	overloadedUntil     time.Duration // nothing is sent before, since the engine rejected an attempt
 	ejected             bool
-	ejectedUntil        time.Duration // no recovery traffic before
-	recoveryInFlight    int           // attempts sent since it was ejected
-	classRests          []classRest   // by class
+	ejectedUntil        time.Duration // no recovery traffic is sent before
+	recoveryInFlight    int           // attempts in flight that were sent since the ejection
+	classRests          []classRest   // by class index
 }
 
 func (c *Controller) newEngine(endpoint Engine) *engineState {
@@ -79,7 +79,8 @@
 	}
 }
 
-// handleEndpointsChanged applies a list, or a change to it.
+// handleEndpointsChanged applies a complete engine list or a change to the list. After a list error the list is
+// requested again later.
 func (c *Controller) handleEndpointsChanged(event EndpointsChanged) {
 	if event.Kind == ListError {
 		c.discovery.requested, c.discovery.retryAt = false, c.now+discoveryRetryInterval
@@ -102,17 +103,17 @@
 	}
 }
 
-// applyEndpoint takes in what the list says of one engine. One that started lately, or that comes back without a
-// time of start, begins its slow start.
+// applyEndpoint adds or updates one engine of the list. An engine that started recently, or that returns without a
+// start time, begins its slow start.
 func (c *Controller) applyEndpoint(endpoint Engine) {
 	c.subset.listChanged = true
 	engine := c.enginesByID[endpoint.ID]
-	fresh := engine == nil
-	if fresh {
+	added := engine == nil
+	if added {
 		engine = c.newEngine(endpoint)
 		c.addEngine(engine)
 	}
-	restarted := endpoint.Started > 0 && (fresh || endpoint.Started != engine.Started)
+	restarted := endpoint.Started > 0 && (added || endpoint.Started != engine.Started)
 	returned := engine.unavailable && endpoint.State == Ready
 	engine.Engine = endpoint
 	engine.cores, engine.memoryMB = c.machineOf(endpoint)
@@ -127,7 +128,7 @@
 	}
 }
 
-// addEngine puts an engine into its place on the ring, which is by the hash of its ID.
+// addEngine inserts an engine into the ring, which is ordered by the hash of the engine's ID.
 func (c *Controller) addEngine(engine *engineState) {
 	c.enginesByID[engine.ID] = engine
 	c.enginesByGossipID[engine.gossipID] = engine
@@ -137,7 +138,7 @@
 	c.engines = slices.Insert(c.engines, at, engine)
 }
 
-// machineOf is the size of an engine's machine; one core where its kind is not known.
+// machineOf returns the cores and the memory of an engine's machine. A machine of unknown kind counts as one core.
 func (c *Controller) machineOf(endpoint Engine) (cores, memoryMB float64) {
 	if endpoint.Kind < 0 || endpoint.Kind >= len(c.settings.Kinds) {
 		return 1, 0
@@ -146,8 +147,8 @@
 	return math.Max(float64(kind.Cores), 1), kind.MemoryMB
 }
 
-// forgetRemovedEngines drops engines that left long ago and have no attempt in flight: each step looks at all that
-// are remembered. One that drains may still come back.
+// forgetRemovedEngines drops engines that were removed long ago and have no attempt in flight, since each step iterates
+// over all engines that are kept. A draining engine is kept, as it may return.
 func (c *Controller) forgetRemovedEngines() {
 	c.engines = slices.DeleteFunc(c.engines, func(engine *engineState) bool {
 		old := engine.State == Removed && len(engine.attempts) == 0 &&
@@ -162,7 +163,7 @@
 	})
 }
 
-// watchEndpoints subscribes to the engine list where discovery doesn't send it unasked.
+// watchEndpoints subscribes to the engine list, if discovery sends it only on request.
 func (c *Controller) watchEndpoints() {
 	if c.settings.PollDiscovery && !c.discovery.requested && c.now >= c.discovery.retryAt {
 		c.discovery.requested = true
--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// The health checks that a request earns: so many at most, and no more than cost so many points of service for each
-// request where the cost of a check is known.
+// The number of health checks that each request earns: maxHealthChecksPerRequest at most and, if the cost of a health
+// check is known, at most as many as cost healthCheckCostPerRequest points of service.
 const (
 	maxHealthChecksPerRequest = 0.3
 	healthCheckCostPerRequest = 0.012
 )
 
-// healthCheckBurst is how many health checks are saved up for a burst.
+// healthCheckBurst is the maximum number of health checks in one burst, and the most that can be earned ahead.
 const healthCheckBurst = 6
 
-// healthCheckBurstTimeout is how long the results of a burst are waited for.
+// healthCheckBurstTimeout limits the wait for the results of a burst.
 const healthCheckBurstTimeout = 500 * time.Millisecond
 
-// healthCheckState paces the health checks.
+// healthCheckState is the state by which health checks are paced.
 type healthCheckState struct {
-	credit  float64       // checks that requests have earned
-	pending int           // checks of the last burst without a result
+	credit  float64       // health checks that requests have earned
+	pending int           // health checks of the last burst that have no result yet
 	sentAt  time.Duration // when the last burst was sent
 }
 
-// healthCheckRate is how many health checks a request earns.
+// healthCheckRate returns the number of health checks that each request earns, a fraction.
 func (c *Controller) healthCheckRate() float64 {
 	if c.settings.HealthCheckCost <= 0 {
 		return maxHealthChecksPerRequest
@@ -35,8 +35,8 @@
 	return math.Min(maxHealthChecksPerRequest, healthCheckCostPerRequest/c.settings.HealthCheckCost)
 }
 
-// sendHealthChecks ends a burst of health checks once all results have come, and sends the next once it is earned.
-// Failed checks end late and count most, hence the wait.
+// sendHealthChecks sends gossip and the next burst of health checks, if the burst is earned. It first waits for all
+// results of the last burst, up to healthCheckBurstTimeout, since failed checks end late and matter most.
 func (c *Controller) sendHealthChecks() {
 	if c.healthChecks.pending > 0 && c.now-c.healthChecks.sentAt < healthCheckBurstTimeout {
 		return
@@ -61,15 +61,16 @@
 	}
 }
 
-// enginesToCheck sorts the engines by the time of their last check, and leaves out some of the first at random: the
-// more the more front ends share the checks, or all would check the same.
+// enginesToCheck returns the engines in the order of their last health check, the oldest first, without a random number
+// of the first ones. The more front ends share the checks, the more may be left out; otherwise all front ends would
+// check the same engines.
 func (c *Controller) enginesToCheck(engines []*engineState) []*engineState {
 	slices.SortStableFunc(engines, func(a, b *engineState) int { return cmp.Compare(a.checkedAt, b.checkedAt) })
-	spare := float64(max(len(engines)-healthCheckBurst, 0)) * (1 - 1/float64(c.settings.Replicas))
-	return engines[int(c.random.float64()*spare):]
+	maxSkipped := float64(max(len(engines)-healthCheckBurst, 0)) * (1 - 1/float64(c.settings.Replicas))
+	return engines[int(c.random.float64()*maxSkipped):]
 }
 
-// handleHealthCheckResult takes in the result of a health check, and keeps it for the other front ends.
+// handleHealthCheckResult applies the result of a health check and adds it to the next gossip to other front ends.
 func (c *Controller) handleHealthCheckResult(event HealthCheckResult) {
 	engine := c.enginesByID[event.Engine]
 	if engine == nil {
--- a/admission/outlier.go
+++ b/admission/outlier.go
@@ -6,62 +6,63 @@
 	"time"
 )
 
-// An attempt is overdue after overdueMultiple times its expected time and overdueMinimum.
+// An attempt is overdue after overdueMultiple times its expected time plus overdueMinimum.
 const (
 	overdueMultiple = 4.0
 	overdueMinimum  = 300 * time.Millisecond
 )
 
-// silentAttempts overdue attempts since the last answer make an engine silent, if it is silent for silenceMultiple
-// times as long as others.
+// An engine is unresponsive if at least minOverdue attempts sent since its last answer are overdue, and if the time
+// without an answer is more than unresponsiveMultiple times that of the other engines.
 const (
-	silentAttempts  = 2
-	silenceMultiple = 3
+	minOverdue           = 2
+	unresponsiveMultiple = 3
 )
 
-// missedProgressIntervals is after how many intervals without progress an attempt is taken for lost.
+// missedProgressIntervals is the number of intervals without progress after which the answer of an attempt counts as
+// lost.
 const missedProgressIntervals = 3
 
-// The rate of errors of an engine: how fast it falls with an answer and rises with an error, and from what rate on an
-// engine gets nothing that an error would end.
+// The error rate of an engine: how fast it falls with each answer, how fast it rises with each error, and the rate
+// above which the engine gets no request that an error would end.
 const (
 	errorRateDecay = 0.1
 	errorRateStep  = 0.25
 	highErrorRate  = 0.5
 )
 
-// The rate of lost answers: how fast it follows, and from what rate on small requests are not waited for longer than
-// lostAnswerWait times their expected time.
+// The lost answer rate: the weight of one answer, and the rate above which an attempt of a small class is not waited
+// for longer than lostAnswerWait times its expected time.
 const (
 	lostAnswerSmoothing = 0.04
 	highLostAnswerRate  = 0.08
 	lostAnswerWait      = 2.5
 )
 
-// Failures in a row that eject an engine. One reset alone may be a lost answer.
+// The numbers of consecutive failures that eject an engine. A single reset may be no more than a lost answer.
 const (
 	ejectAfterResets       = 2
 	ejectAfterMissedChecks = 2
 )
 
-// The time of an ejection and of a rest for a class doubles with each failure, from minEjection to maxEjection.
+// The duration of an ejection and of a rest for a class. It doubles with each failure, from minEjection to maxEjection.
 const (
 	minEjection          = 1 * time.Second
 	maxEjection          = 8 * time.Second
 	maxEjectionDoublings = 3
 )
 
-// overloadPause is how long an engine that rejected an attempt gets none.
+// overloadPause is the time for which an engine that rejected an attempt gets no further attempts.
 const overloadPause = 200 * time.Millisecond
 
-// classRest keeps a class from one engine.
+// classRest keeps the requests of one class away from one engine.
 type classRest struct {
-	answeredAt time.Duration // when the engine answered the class last
-	until      time.Duration // nothing of the class goes there before
-	duration   time.Duration // of the rest in force; 0: none
+	answeredAt time.Duration // time of the engine's last answer to the class
+	until      time.Duration // no request of the class is sent to the engine before
+	duration   time.Duration // duration of the current rest; 0: no rest
 }
 
-// extend doubles a rest in force with each attempt of the class that is sent.
+// extend doubles the current rest, if there is one. The caller sends an attempt of the class.
 func (r *classRest) extend(now time.Duration) {
 	if r.duration > 0 {
 		r.duration = min(2*r.duration, maxEjection)
@@ -69,12 +70,12 @@
 	}
 }
 
-// overdueAttempts counts attempts that are overdue.
+// overdueAttempts counts overdue attempts on one engine.
 type overdueAttempts struct {
 	count         int
-	tableGroup    int           // of the last of them
-	severalGroups bool          // they are not all of one table group: no lock explains them
-	firstSentAt   time.Duration // when the oldest was sent
+	tableGroup    int           // table group of the attempt that was added last
+	severalGroups bool          // not all attempts share one table group, so no single table lock explains them
+	firstSentAt   time.Duration // when the oldest attempt was sent
 }
 
 func (o *overdueAttempts) add(tableGroup int, sentAt time.Duration) {
@@ -86,11 +87,13 @@
 	o.count++
 }
 
-// silence reports whether they tell of silence, and not of one lock or one slow request.
-func (o *overdueAttempts) silence() bool { return o.count >= silentAttempts && o.severalGroups }
+// unresponsive reports whether the attempts indicate an engine that does not answer, rather than one lock or one slow
+// request.
+func (o *overdueAttempts) unresponsive() bool { return o.count >= minOverdue && o.severalGroups }
 
-// recordHealth takes in what an outcome says of its engine: an answer clears it, refused connections and resets eject
-// it. A lost connection to an engine that answers on another says nothing of it.
+// recordHealth updates the health of an engine from the outcome of an attempt. An answer clears earlier failures; a
+// refused connection or repeated resets eject the engine. A lost connection to an engine that has answered on another
+// connection since does not count.
 func (c *Controller) recordHealth(engine *engineState, attempt *attemptState, event Outcome) {
 	if event.EngineAlive {
 		return
@@ -110,12 +113,13 @@
 	case Overloaded:
 		engine.cutThreadFactor()
 		engine.overloadedUntil = c.now + overloadPause
-	case TimedOut, Cancelled, NotSent: // say nothing of the engine
+	case TimedOut, Cancelled, NotSent: // no evidence on the health of the engine
 	}
 }
 
-// recordAnswer takes an answer or an error for a sign of life. Errors count against their engine, though requests may
-// be at fault: they come fast and leave it idle, so that its load draws more.
+// recordAnswer records an answer or an error as a sign of life. Errors raise the error rate of the engine, although the
+// requests may be at fault: errors return quickly and leave the engine idle, so that its low load would attract more
+// requests.
 func (c *Controller) recordAnswer(engine *engineState, attempt *attemptState, status Status) {
 	engine.errorRate -= engine.errorRate * errorRateDecay
 	if status == Errored {
@@ -133,10 +137,10 @@
 	c.lostAnswerRate += (1 - c.lostAnswerRate) * lostAnswerSmoothing
 }
 
-// errorExcess is the rate of errors that counts against an engine: one error alone doesn't.
+// errorExcess returns the part of the error rate that counts against the engine. A single error does not count.
 func (e *engineState) errorExcess() float64 { return math.Max(0, e.errorRate-errorRateStep) }
 
-// markAlive takes in an answered health check, own or another front end's.
+// markAlive records a successful health check of this or another front end.
 func (c *Controller) markAlive(engine *engineState) {
 	engine.missedChecks, engine.lastAnswerAt = 0, c.now
 	if engine.ejected {
@@ -144,8 +148,8 @@
 	}
 }
 
-// recordMissedCheck takes in a failed health check, own or another front end's. A process that hangs answers none,
-// while a busy one does. The engine is checked again first.
+// recordMissedCheck records a failed health check of this or another front end. A process that hangs answers no health
+// check, while a busy one does. The engine is checked again before others.
 func (c *Controller) recordMissedCheck(engine *engineState) {
 	if !engine.ejected {
 		engine.checkedAt = 0
@@ -156,7 +160,7 @@
 	}
 }
 
-// recordRefusedCheck takes in a health check whose connection was refused.
+// recordRefusedCheck records a health check whose connection was refused, and ejects the engine.
 func (c *Controller) recordRefusedCheck(engine *engineState) {
 	if !engine.ejected {
 		engine.checkedAt = 0
@@ -166,8 +170,8 @@
 	engine.processMayBeNew = true
 }
 
-// eject takes an engine out of selection, unless that would leave less than half of the engines in use (invariant 9).
-// One that is ejected and failed again after its time stays out for longer.
+// eject takes an engine out of selection, unless less than half of the engines would remain in use (invariant 9). An
+// ejected engine that fails again after the end of its ejection stays ejected for longer.
 func (c *Controller) eject(engine *engineState) {
 	if engine.ejected {
 		if c.now >= engine.ejectedUntil {
@@ -187,8 +191,8 @@
 	c.migrateAttempts(engine)
 }
 
-// endEjection takes an engine back. One whose process may be new is taken to be warming until discovery has had time
-// to tell.
+// endEjection returns an ejected engine to selection. If the process of the engine may be new, the engine counts as
+// warming until discovery has had time to report the restart.
 func (c *Controller) endEjection(engine *engineState) {
 	engine.ejected = false
 	c.fleet.usable++
@@ -198,9 +202,9 @@
 	}
 }
 
-// admitsRecoveryTraffic reports whether the health of an engine lets it have the request. Once the time of its ejection
-// is over, it gets one idempotent preferred request at a time. One that answers mostly with errors gets what may be
-// sent again, and what an error would end only where no other candidate is more reliable.
+// admitsRecoveryTraffic reports whether the health of an engine allows the request. After the end of its ejection, an
+// engine gets one idempotent preferred request at a time. An engine with a high error rate gets requests that may be
+// retried after an error, and other requests only if no candidate is more reliable.
 func (c *Controller) admitsRecoveryTraffic(engine *engineState, request *requestState) bool {
 	idempotent := request.classSettings.Idempotency == Idempotent
 	if engine.ejected {
@@ -211,10 +215,11 @@
 		return false
 	}
 	errorEnds := !idempotent || len(request.attempts)+1 >= c.settings.MaxAttempts
-	return engine.errorRate <= highErrorRate || !errorEnds || !c.candidates.someReliable
+	return engine.errorRate <= highErrorRate || !errorEnds || !c.candidates.anyReliable
 }
 
-// checkOverdueAttempts looks for engines and classes that are silent and for answers that got lost.
+// checkOverdueAttempts ejects an engine that is unresponsive, rests the classes that it does not answer, and migrates
+// attempts whose answers may be lost.
 func (c *Controller) checkOverdueAttempts(engine *engineState) {
 	overdue := overdueAttempts{} // sent since the last answer of the engine
 	for _, ref := range engine.attempts {
@@ -225,7 +230,7 @@
 			c.migrateIfSlow(ref)
 		}
 	}
-	if overdue.silence() && c.isSilenceOf(engine.lastAnswerAt, c.allEngines.lastAnswerAt) {
+	if overdue.unresponsive() && c.isUnresponsive(engine.lastAnswerAt, c.allEngines.lastAnswerAt) {
 		c.eject(engine)
 	}
 	for class := range c.estimates {
@@ -233,10 +238,10 @@
 	}
 }
 
-// isSilenceOf reports whether the time since one sign of life is far longer than that since another: a stall of our own
-// makes both long.
-func (c *Controller) isSilenceOf(since, others time.Duration) bool {
-	return c.now-since > silenceMultiple*(c.now-others)+silenceMultiple*overdueMinimum
+// isUnresponsive reports whether the time since one event is far longer than that since the last answer of others. A
+// stall of this front end makes both times long.
+func (c *Controller) isUnresponsive(since, othersSince time.Duration) bool {
+	return c.now-since > unresponsiveMultiple*(c.now-othersSince)+unresponsiveMultiple*overdueMinimum
 }
 
 func (c *Controller) isOverdue(ref *attemptRef) bool {
@@ -245,8 +250,8 @@
 	return float64(c.now-attempt.sentAt) > overdueMultiple*float64(expected)+float64(overdueMinimum)
 }
 
-// recordOverdue counts an overdue attempt against its class, and against its engine or, if the engine has answered
-// others since, the rate of lost answers.
+// recordOverdue counts an overdue attempt against its class. If the engine has not answered since the attempt was sent,
+// the attempt also counts against the engine, otherwise towards the lost answer rate.
 func (c *Controller) recordOverdue(ref *attemptRef, sinceAnswer *overdueAttempts) {
 	request, attempt := ref.request, ref.attempt()
 	if attempt.sentAt > attempt.engine.classRests[request.Class].answeredAt {
@@ -260,13 +265,13 @@
 	}
 }
 
-// mayBeLost reports whether the answer of an attempt may be lost: a small first attempt takes long while answers get
-// lost, or its progress has stopped.
+// mayBeLost reports whether the answer of an attempt may be lost: the attempt has stopped reporting progress, or it is
+// the first attempt of a small request and takes long while the lost answer rate is high.
 func (c *Controller) mayBeLost(ref *attemptRef) bool {
 	attempt := ref.attempt()
 	if c.lostAnswerRate > highLostAnswerRate && ref.index == 0 && c.isSmall(ref.request.Class) {
-		patience := lostAnswerWait*float64(attempt.expected) + float64(housekeepingInterval)
-		if float64(c.now-attempt.sentAt) > patience {
+		maxWait := lostAnswerWait*float64(attempt.expected) + float64(housekeepingInterval)
+		if float64(c.now-attempt.sentAt) > maxWait {
 			return true
 		}
 	}
@@ -274,15 +279,16 @@
 	return interval > 0 && c.now-max(attempt.sentAt, attempt.lastProgressAt) > missedProgressIntervals*interval
 }
 
-// restClass keeps a class from an engine that answers none of it, while it answers others and other engines answer the
-// class; then the engine gets one request of it at a time, further and further apart. Such an engine looks idle, draws
-// more, and holds what it gets until clients leave. At most half of the engines rest for a class (invariant 9).
+// restClass starts a rest of an engine for a class that the engine does not answer, while the engine answers other
+// classes and other engines answer the class. The engine then gets one request of the class at a time, at growing
+// intervals. Without the rest the engine would look idle, attract more requests of the class and hold them until their
+// clients time out. At most half of the engines in use rest for a class (invariant 9).
 func (c *Controller) restClass(engine *engineState, class int) {
 	estimate, rest := &c.estimates[class], &engine.classRests[class]
 	overdue := estimate.overdue
 	estimate.overdue = overdueAttempts{}
-	if rest.duration > 0 || !overdue.silence() || engine.lastAnswerAt < overdue.firstSentAt ||
-		!c.isSilenceOf(overdue.firstSentAt, estimate.answeredAt) {
+	if rest.duration > 0 || !overdue.unresponsive() || engine.lastAnswerAt < overdue.firstSentAt ||
+		!c.isUnresponsive(overdue.firstSentAt, estimate.answeredAt) {
 		return
 	}
 	if 2*(c.restingEngines(class)+1) > c.fleet.usable {
@@ -292,7 +298,7 @@
 	c.emit(Log{Text: fmt.Sprintf("engine %d answers nothing of class %d", engine.ID, class)})
 }
 
-// restingEngines counts the engines in use that rest for a class.
+// restingEngines returns the number of engines in use that rest for a class.
 func (c *Controller) restingEngines(class int) (count int) {
 	for _, engine := range c.engines {
 		if !engine.unavailable && !engine.ejected && engine.classRests[class].duration > 0 {
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -6,27 +6,30 @@
 	"time"
 )
 
-// An attempt has a slow plan if its progress foretells slowPlanMultiple times its expected time or more; it is migrated
-// if another attempt saves slowPlanMinGain times its own expected time or more.
+// An attempt has a slow plan if the total time projected from its progress is at least slowPlanMultiple times its
+// expected time. The attempt is migrated only if the projected time left is also at least slowPlanMinGain times the
+// expected time of another attempt.
 const (
 	slowPlanMultiple = 4.0
 	slowPlanMinGain  = 2.0
 )
 
-// remainingTimeFraction is how much of the time that progress foretells to be left is counted on; progress is rough.
+// remainingTimeFraction is the part of the projected time left that is counted on against the deadline, since progress
+// reports are rough.
 const remainingTimeFraction = 0.7
 
-// dearerClass is how many times the priority weight of a class is that of one for which it leaves the last retry.
-const dearerClass = 2
+// lastRetryWeightRatio is the ratio of priority weights above which a class leaves the last retry of the budget to the
+// class of higher weight.
+const lastRetryWeightRatio = 2
 
-// retryBudgetState counts what the retry budget is reckoned from.
+// retryBudgetState holds the counts that the retry budget limits and is computed from.
 type retryBudgetState struct {
-	arrivals []time.Duration // of requests, within the budget's window
-	retries  []time.Duration // sent within the window
-	reserved int             // for migrated attempts whose retries are not sent yet
+	arrivals []time.Duration // times at which requests arrived, within the budget's window
+	retries  []time.Duration // times at which retries were sent, within the window
+	reserved int             // retries of migrated attempts that are not sent yet
 }
 
-// mayRetry reports whether a request without an attempt in flight may have another.
+// mayRetry reports whether a request that has no attempt in flight may get another attempt.
 func (c *Controller) mayRetry(request *requestState) bool {
 	return !request.streaming && !c.aboutToEnd() && c.canMeetDeadline(request, 1) &&
 		len(request.attempts) < c.settings.MaxAttempts && c.retryAllowed(request)
@@ -47,8 +50,8 @@
 	}
 }
 
-// withinRetryBudget reports whether a retry of the request keeps to the budget beside so many reserved ones
-// (invariant 7). The last one is left for classes of more weight.
+// withinRetryBudget reports whether a retry of the request stays within the retry budget, given the number of reserved
+// retries (invariant 7). A class of low priority weight leaves the last retry to classes of higher weight.
 func (c *Controller) withinRetryBudget(request *requestState, reserved int) bool {
 	budget := c.settings.RetryBudget
 	if budget == nil {
@@ -57,7 +60,7 @@
 	c.trimRetryWindow(c.now - budget.Window)
 	weight := request.classSettings.PriorityWeight
 	if slices.ContainsFunc(c.settings.Classes, func(other Class) bool {
-		return other.PriorityWeight > dearerClass*weight
+		return other.PriorityWeight > lastRetryWeightRatio*weight
 	}) {
 		reserved++
 	}
@@ -65,7 +68,8 @@
 	return float64(len(c.retryBudget.retries)+reserved+1) <= limit
 }
 
-// trimRetryWindow forgets what is before the window. At its edge a retry still counts and an arrival doesn't.
+// trimRetryWindow drops the arrivals and retries before the window, which begins at from. A retry at exactly from is
+// kept and an arrival is dropped.
 func (c *Controller) trimRetryWindow(from time.Duration) {
 	state := &c.retryBudget
 	for len(state.arrivals) > 0 && state.arrivals[0] <= from {
@@ -76,7 +80,8 @@
 	}
 }
 
-// releaseReservedRetry gives the reservation of a retry back, once it is sent or the request is over.
+// releaseReservedRetry returns the reserved retry of a request, if it has one, once the retry is sent or the request is
+// closed.
 func (c *Controller) releaseReservedRetry(request *requestState) {
 	if request.retryReserved {
 		request.retryReserved = false
@@ -84,8 +89,8 @@
 	}
 }
 
-// migratable reports whether an attempt may be cancelled for another in its place. Where retries are limited, only one
-// whose retry may follow is.
+// migratable reports whether an attempt may be cancelled and replaced by a retry. With a retry budget, the budget must
+// have room for the retry.
 func (c *Controller) migratable(ref *attemptRef) bool {
 	request, attempt := ref.request, ref.attempt()
 	return c.settings.CancellationAllowed && attempt.inFlight && !attempt.cancelled &&
@@ -93,7 +98,8 @@
 		len(request.attempts) < c.settings.MaxAttempts && c.withinRetryBudget(request, c.retryBudget.reserved)
 }
 
-// migrate cancels a migratable attempt; its retry is sent once its outcome has come.
+// migrate cancels a migratable attempt and reserves its retry, which is sent after the outcome of the cancelled attempt
+// has arrived.
 func (c *Controller) migrate(ref *attemptRef) {
 	ref.request.retryReserved = true
 	c.retryBudget.reserved++
@@ -107,19 +113,22 @@
 	}
 }
 
-// migrateAttempts migrates the slow ones of an engine's attempts.
+// migrateAttempts migrates the attempts of an engine that take longer than expected.
 func (c *Controller) migrateAttempts(engine *engineState) {
 	for _, ref := range engine.attempts {
 		c.migrateIfSlow(ref)
 	}
 }
 
-// migrateSlowPlan takes the fraction of an attempt's work that is done, and migrates the attempt if that foretells many
-// times its expected time and another should end well before it. The plan differs from attempt to attempt, but not
-// the cost of the request: one whose earlier attempt foretold as much is costly, and left to run. Progress that is
-// slow as the engine is, or waits for memory, is taken for a slow plan too; and estimates of a class that scatter by
-// more than slowPlanMultiple cost attempts. An idempotent attempt that can't end before its deadline is cancelled in
-// any case.
+// migrateSlowPlan projects the total time of an attempt from the fraction of its work that is done. An attempt with a
+// slow plan is migrated if another attempt should end well before it.
+//
+// The plan differs between the attempts of a request, but the cost of the request does not. If the progress of an
+// earlier attempt projected a similar total, the request is costly and the attempt keeps running. Progress that is slow
+// because the engine is slow, or because the request waits for memory, also looks like a slow plan. In a class whose
+// estimates are off by more than slowPlanMultiple, needless migrations use up attempts.
+//
+// An idempotent attempt that cannot end before the deadline is cancelled in any case.
 func (c *Controller) migrateSlowPlan(ref *attemptRef, done float64) {
 	request, attempt := ref.request, ref.attempt()
 	elapsed := float64(c.now - attempt.sentAt)
@@ -129,12 +138,12 @@
 
 	slow := total >= slowPlanMultiple*expected && total-elapsed >= slowPlanMinGain*expectedElsewhere
 	costly := request.predicted > 0 && total >= float64(request.predicted)/2
-	inVain := elapsed+(total-elapsed)*remainingTimeFraction > float64(request.deadline-attempt.sentAt)
+	missesDeadline := elapsed+(total-elapsed)*remainingTimeFraction > float64(request.deadline-attempt.sentAt)
 	switch {
 	case slow && !costly && c.migratable(ref) && c.canMeetDeadline(request, c.fleet.medianSlowdown):
 		request.predicted = time.Duration(total)
 		c.migrate(ref)
-	case inVain && attempt.inFlight && request.classSettings.Idempotency == Idempotent && !request.streaming:
+	case missesDeadline && attempt.inFlight && request.classSettings.Idempotency == Idempotent && !request.streaming:
 		c.cancelAttempt(ref)
 	}
 }
--- a/admission/selection.go
+++ b/admission/selection.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// The weight of an engine is the load that it lacks to loadCeiling, or minHeadroom, to the power of headroomExponent;
-// of sharedHeadroomExponent where many front ends hear the same reports, and would all send to what looks idle.
+// The weight of an engine is its headroom to the power of headroomExponent, or of sharedHeadroomExponent where many
+// front ends see the same load reports and would otherwise all send to the engine that looks idle. The headroom is
+// loadCeiling less the load of the engine, and at least minHeadroom.
 const (
 	loadCeiling            = 1.3
 	minHeadroom            = 0.03
@@ -14,43 +15,46 @@
 	sharedHeadroomExponent = 2.0
 )
 
-// The powers of an engine's slowdown and of its rate of errors in its weight.
+// The exponents of an engine's relative speed and of its rate of answers without errors in its weight.
 const (
 	slowdownExponent = 3
 	errorExponent    = 4
 )
 
-// The factors of an engine's weight for the zone of the front end, and for an engine that has had the request.
+// The factors of an engine's weight if it is in the zone of the front end, and for each earlier attempt of the request
+// on it.
 const (
 	sameZoneBias    = 1.5
 	triedEngineBias = 0.01
 )
 
-// The factors of an engine's weight for the table group of the request: at the home of the group, at the engine between
-// the halves for those that lock and those that wait, and for each attempt that would lock out the request or be
-// locked out by it.
+// The factors of an engine's weight for the table group of the request: for the first engine in the order of the group,
+// for the engine between the halves (see tableRankBias), and for each attempt on the engine whose table locks conflict
+// with the request.
 const (
-	homeEngineBias   = 2.0
+	firstEngineBias  = 2.0
 	middleEngineBias = 0.3
 	lockConflictBias = 0.02
 )
 
-// minEnginesToSplit is how many engines it takes to keep those that lock tables apart from those that wait.
+// minEnginesToSplit is the number of candidates from which on requests that lock tables and requests that wait for
+// locks are kept on separate engines.
 const minEnginesToSplit = 4
 
-// errorDiscount times the error rate is the part of an engine's capacity that the subset doesn't count.
+// errorDiscount times the error excess of an engine is the part of its capacity that the subset does not count.
 const errorDiscount = 3
 
-// candidateSet is the engines that the current request may be sent to. Its buffers are used again for each request.
+// candidateSet holds the engines that the current request may be sent to. Its buffers are reused for each request.
 type candidateSet struct {
-	engines      []*engineState
-	weights      []float64
-	groupHashes  []uint64 // of the engines for the table group of the request, ascending
-	someReliable bool     // one of them answers not too often with an error
+	engines     []*engineState
+	weights     []float64
+	groupHashes []uint64 // rendezvous hashes of the engines for the request's table group, ascending
+	anyReliable bool     // at least one engine has an error rate of at most highErrorRate
 }
 
-// collectCandidates gathers the engines that a request may be sent to: from the own subset on, not draining or removed,
-// and where its class is placed. What engines with many errors lack is made up by those behind them on the ring.
+// collectCandidates gathers the engines that a request may be sent to, beginning with the subset of this front end.
+// Engines that are draining, removed or outside the placement of the class are left out. For the capacity that engines
+// with many errors lack, engines further along the ring are added.
 func (c *Controller) collectCandidates(request *requestState) {
 	class, candidates := request.classSettings, &c.candidates
 	c.subsetFrom(c.subset.size, func(engine *engineState) (capacity float64, ok bool) {
@@ -58,15 +62,15 @@
 			(!engine.ejected || c.admitsRecoveryTraffic(engine, request))
 		return engine.cores * math.Max(0, 1-errorDiscount*engine.errorExcess()), ok
 	})
-	candidates.groupHashes, candidates.someReliable = candidates.groupHashes[:0], false
+	candidates.groupHashes, candidates.anyReliable = candidates.groupHashes[:0], false
 	for _, engine := range candidates.engines {
-		candidates.someReliable = candidates.someReliable || engine.errorRate <= highErrorRate
+		candidates.anyReliable = candidates.anyReliable || engine.errorRate <= highErrorRate
 		candidates.groupHashes = append(candidates.groupHashes, rendezvousHash(request.TableGroup, engine.ID))
 	}
 	slices.Sort(candidates.groupHashes)
 }
 
-// pickEngine draws an engine for the request at random by weight; nil where none may take it now.
+// pickEngine draws an engine for the request at random by weight. It returns nil if no engine may take the request now.
 func (c *Controller) pickEngine(request *requestState) (picked *engineState) {
 	c.collectCandidates(request)
 	candidates := &c.candidates
@@ -80,11 +84,11 @@
 		candidates.weights = append(candidates.weights, weight)
 		sum += weight
 	}
-	rest := c.random.float64() * sum
+	remaining := c.random.float64() * sum
 	for i, weight := range candidates.weights {
-		if weight > 0 && rest >= 0 {
+		if weight > 0 && remaining >= 0 {
 			picked = candidates.engines[i]
-			rest -= weight
+			remaining -= weight
 		}
 	}
 	return picked
@@ -96,8 +100,8 @@
 		c.permits(engine, request) && c.admitsRecoveryTraffic(engine, request) && c.hasCapacity(engine, request)
 }
 
-// engineWeight is the weight of a candidate in the draw: against load, slowness and errors, for the home of the tables
-// and for the own zone.
+// engineWeight returns the weight of a candidate in the draw. Load, slowness, errors and earlier attempts of the
+// request lower the weight; the table group of the request and the zone of the front end may raise it.
 func (c *Controller) engineWeight(engine *engineState, request *requestState) float64 {
 	exponent := headroomExponent
 	if c.settings.GossipAllowed && c.settings.Replicas >= subsetMinReplicas {
@@ -119,8 +123,9 @@
 	return weight
 }
 
-// permits holds the rules that bind a request to engines: the window and the scope of its idempotency key, the rest of
-// an engine for a class, and the budget of an engine's slow start. Placement and drains are kept by collectCandidates.
+// permits reports whether the rules that bind a request to engines allow an engine: the window and scope of the
+// request's idempotency key, the rest of the engine for the class, and the budget of the engine's slow start. Placement
+// and draining are checked by collectCandidates.
 func (c *Controller) permits(engine *engineState, request *requestState) bool {
 	withKey := request.classSettings.Idempotency == IdempotentWithKey
 	if withKey && request.mayHaveRun && !c.deduplicates(engine, request) {
@@ -130,7 +135,8 @@
 		c.slowStartAllows(engine, c.estimates[request.Class].work)
 }
 
-// deduplicates reports whether an engine discards the request if the attempt that may have run has run.
+// deduplicates reports whether an engine would discard the request as a repeat if the attempt that may have run did
+// run.
 func (c *Controller) deduplicates(engine *engineState, request *requestState) bool {
 	if c.now >= request.mayHaveRunSince+request.classSettings.DeduplicationWindow {
 		return false
@@ -145,28 +151,30 @@
 	}
 }
 
-// tableGroupBias is the factor of an engine's weight for the request's table group. All front ends rank the engines
-// for a group alike, by rendezvous hashing.
+// tableGroupBias returns the factor of an engine's weight for the request's table group: its rank for the group, and
+// the attempts on it whose table locks conflict with the request.
 func (c *Controller) tableGroupBias(engine *engineState, request *requestState) float64 {
 	if request.TableGroup < 0 {
 		return 1
 	}
 	bias := c.tableRankBias(engine, request)
 	for _, ref := range engine.attempts {
-		if ref.request.TableGroup == request.TableGroup && locksOut(ref.request.classSettings, request.classSettings) {
+		if ref.request.TableGroup == request.TableGroup &&
+			locksConflict(ref.request.classSettings, request.classSettings) {
 			bias *= lockConflictBias
 		}
 	}
 	return bias
 }
 
-// tableRankBias bends requests to the first engines in the order of their group, which have its tables in memory. Those
-// that lock tables go to the last half of the engines and those that wait for locks to the first; the middle one of an
-// odd number is open to both, at less weight.
+// tableRankBias returns the factor for an engine's rank among the candidates for the request's table group. All front
+// ends rank engines alike, by rendezvous hashing. The first engines are preferred, since they have the tables of the
+// group in memory. Where some class waits for locks, requests that lock tables go to the last half of the engines and
+// requests that wait for locks to the first half. With an odd number, the middle engine takes both, at a lower weight.
 func (c *Controller) tableRankBias(engine *engineState, request *requestState) float64 {
 	class, hashes := request.classSettings, c.candidates.groupHashes
-	at, _ := slices.BinarySearch(hashes, rendezvousHash(request.TableGroup, engine.ID))
-	before := len(hashes) - 1 - at // engines that come first
+	rank, _ := slices.BinarySearch(hashes, rendezvousHash(request.TableGroup, engine.ID))
+	before := len(hashes) - 1 - rank // engines that rank before this one
 	if c.anyClassWaitsForLocks() && (class.LocksTables || class.WaitsForLocks) && len(hashes) >= minEnginesToSplit {
 		if 2*before == len(hashes)-1 {
 			return middleEngineBias
@@ -177,15 +185,16 @@
 	}
 	switch {
 	case before == 0 && !class.LocksTables:
-		return homeEngineBias
+		return firstEngineBias
 	case before == 1 && !class.LocksTables:
-		return math.Sqrt(homeEngineBias)
+		return math.Sqrt(firstEngineBias)
 	}
 	return 1
 }
 
-// locksOut reports whether one of two requests of a table group would wait for a lock of the other, or both lock.
-func locksOut(running, next *Class) bool {
+// locksConflict reports whether two requests of a table group conflict: both lock tables, or one waits for locks of the
+// other.
+func locksConflict(running, next *Class) bool {
 	switch {
 	case running.LocksTables:
 		return next.LocksTables || next.WaitsForLocks
@@ -195,7 +204,8 @@
 	return false
 }
 
-// rendezvousHash ranks engines for a table group, alike at all front ends.
+// rendezvousHash returns the hash by which engines are ranked for a table group. The hash is the same at all front
+// ends.
 func rendezvousHash(group int, id uint32) uint64 {
 	state := splitMix64(uint64(group)<<32 | uint64(id))
 	return state.next()
@@ -210,7 +220,8 @@
 	return false
 }
 
-// placementAllows reports whether a zone or kind is among those allowed; all are where none is named.
+// placementAllows reports whether a zone or kind is among the allowed ones. An empty list allows all; a negative zone
+// or kind is unknown, and no list that names any allows it.
 func placementAllows(allowed []int, actual int) bool {
 	if len(allowed) == 0 {
 		return true
