--- a/admission/harness_test.go
+++ b/admission/harness_test.go
@@ -11,7 +11,8 @@
 	sec = time.Second
 )
 
-// baseSettings is a plain setting: one kind, two tenants, a small and a heavy class.
+// baseSettings returns settings for one front end with two equal kinds of machine, two tenants, a small class and a
+// heavy class.
 func baseSettings() Settings {
 	return Settings{
 		Replicas: 1, Zones: 2, Kinds: []Kind{{Cores: 8, MemoryMB: 16384}, {Cores: 8, MemoryMB: 16384}},
@@ -29,14 +30,14 @@
 }
 
 func newEngines(n int) []Engine {
-	var l []Engine
+	var engines []Engine
 	for i := range n {
-		l = append(l, Engine{ID: uint32(i + 1), Units: 1, Zone: i % 2, Cell: i / 2, Kind: i % 2})
+		engines = append(engines, Engine{ID: uint32(i + 1), Units: 1, Zone: i % 2, Cell: i / 2, Kind: i % 2})
 	}
-	return l
+	return engines
 }
 
-// harness drives a controller by hand.
+// harness drives a controller step by step with a simulated clock.
 type harness struct {
 	t          *testing.T
 	controller *Controller
@@ -49,14 +50,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, controller: c, now: 100 * sec}
-	b.step(EndpointsChanged{Kind: Persisted, Engines: list})
-	return b
+	h := &harness{t: t, controller: c, now: 100 * sec}
+	h.step(EndpointsChanged{Kind: Persisted, Engines: list})
+	return h
 }
 
-func (b *harness) step(ev ...Event) []Action { return b.controller.Step(b.now, ev) }
+func (b *harness) step(events ...Event) []Action { return b.controller.Step(b.now, events) }
 
-// advance lets time go by in steps of the wake-up and gathers what was done.
+// advance moves the clock forward in steps of housekeepingInterval and returns the actions of all steps.
 func (b *harness) advance(d time.Duration) (all []Action) {
 	for end := b.now + d; b.now < end; {
 		b.now = min(b.now+housekeepingInterval, end)
@@ -69,45 +70,46 @@
 	return Request{ID: id, Class: class, Timeout: 4 * sec, TableGroup: -1, Work: 100 * ms}
 }
 
-func actionsOf[T Action](acts []Action) (out []T) {
-	for _, a := range acts {
+func actionsOf[T Action](actions []Action) (matching []T) {
+	for _, a := range actions {
 		if v, ok := a.(T); ok {
-			out = append(out, v)
+			matching = append(matching, v)
 		}
 	}
-	return out
+	return matching
 }
 
-func oneAction[T Action](t *testing.T, acts []Action) T {
+func oneAction[T Action](t *testing.T, actions []Action) T {
 	t.Helper()
-	l := actionsOf[T](acts)
-	if len(l) != 1 {
-		t.Fatalf("want one %T, got %d in %v", *new(T), len(l), acts)
+	matching := actionsOf[T](actions)
+	if len(matching) != 1 {
+		t.Fatalf("want one %T, got %d in %v", *new(T), len(matching), actions)
 	}
-	return l[0]
+	return matching[0]
 }
 
-func outcomeOf(s Send, attempt int, st Status) Outcome {
-	return Outcome{ID: s.ID, Attempt: attempt, Engine: s.Engine, Status: st, Latency: 50 * ms, Closed: st == OK}
+func outcomeOf(s Send, attempt int, status Status) Outcome {
+	return Outcome{ID: s.ID, Attempt: attempt, Engine: s.Engine, Status: status, Latency: 50 * ms, Closed: status == OK}
 }
 
-// fillEngines fills the pool with unending heavies, so that the bound binds.
-func fillEngines(b *harness) (out []Send) {
+// fillEngines sends 100 heavy requests and answers none, so that the limits on threads are reached. It returns the
+// sends.
+func fillEngines(h *harness) (sends []Send) {
 	for i := range 100 {
-		r := newRequest(fmt.Sprint("h", i), 1)
-		r.Timeout, r.Tenant = 20*sec, i%2
-		out = append(out, actionsOf[Send](b.step(r))...)
+		request := newRequest(fmt.Sprint("h", i), 1)
+		request.Timeout, request.Tenant = 20*sec, i%2
+		sends = append(sends, actionsOf[Send](h.step(request))...)
 	}
-	return out
+	return sends
 }
 
-// newControllers is the controllers of one deployment, each with its seed and zone.
-func newControllers(t *testing.T, s Settings, seed func(me int) uint64, zone func(me int) int) (all []*Controller) {
+// newControllers returns one controller for each front end of a deployment, each with its own seed and zone.
+func newControllers(t *testing.T, s Settings, seed func(i int) uint64, zone func(i int) int) (all []*Controller) {
 	t.Helper()
-	for me := range s.Replicas {
-		one := s
-		one.Me, one.Zone = me, zone(me)
-		c, err := New(one, seed(me))
+	for i := range s.Replicas {
+		own := s
+		own.Me, own.Zone = i, zone(i)
+		c, err := New(own, seed(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,14 +118,14 @@
 	return all
 }
 
-// newFrontEnds is many front ends of one deployment, with the same list.
+// newFrontEnds returns a harness for each front end of a deployment. All start with the same engine list.
 func newFrontEnds(t *testing.T, s Settings, list []Engine) (all []*harness) {
 	t.Helper()
-	seed := func(me int) uint64 { return uint64(me)*7919 + 1 }
+	seed := func(i int) uint64 { return uint64(i)*7919 + 1 }
 	for _, c := range newControllers(t, s, seed, func(int) int { return s.Zone }) {
-		b := &harness{t: t, controller: c, now: 100 * sec}
-		b.step(EndpointsChanged{Kind: Persisted, Engines: list})
-		all = append(all, b)
+		h := &harness{t: t, controller: c, now: 100 * sec}
+		h.step(EndpointsChanged{Kind: Persisted, Engines: list})
+		all = append(all, h)
 	}
 	return all
 }
--- a/admission/healthcheck_test.go
+++ b/admission/healthcheck_test.go
@@ -5,90 +5,95 @@
 	"testing"
 )
 
-func TestHealthChecksFindAHungEngine(t *testing.T) {
+func TestEngineIsEjectedAfterFailedHealthChecks(t *testing.T) {
 	s := baseSettings()
 	s.LoadReporting, s.HealthChecksAllowed = HealthCheckReports, true
-	b := startController(t, s, newEngines(4))
+	h := startController(t, s, newEngines(4))
 	for range 2 {
-		b.step(HealthCheckResult{Engine: 1, Status: TimedOut})
+		h.step(HealthCheckResult{Engine: 1, Status: TimedOut})
 	}
-	if !b.controller.enginesByID[1].ejected {
-		t.Fatal("not ejected after two misses")
+	if !h.controller.enginesByID[1].ejected {
+		t.Fatal("engine 1 is not ejected after two failed health checks")
 	}
 	for i := range 30 {
-		for _, s := range actionsOf[Send](b.step(newRequest(fmt.Sprint("a", i), 0))) {
+		for _, s := range actionsOf[Send](h.step(newRequest(fmt.Sprint("a", i), 0))) {
 			if s.Engine == 1 {
-				t.Fatal("sent to the hung engine")
+				t.Fatal("request sent to the ejected engine")
 			}
 		}
 	}
-	if b.step(HealthCheckResult{Engine: 1, Status: OK}); b.controller.enginesByID[1].ejected {
-		t.Fatal("not in use again after a good health check")
+	if h.step(HealthCheckResult{Engine: 1, Status: OK}); h.controller.enginesByID[1].ejected {
+		t.Fatal("engine 1 is still ejected after a successful health check")
 	}
 }
 
-// TestHealthChecksFollowRequests: health checks are paced by own requests, and cease without them.
-func TestHealthChecksFollowRequests(t *testing.T) {
-	free := healthChecksFor(t, 400, 0)
+// TestHealthChecksArePacedByRequests: a front end sends health checks in proportion to its own requests, and none
+// beyond a last burst without requests.
+func TestHealthChecksArePacedByRequests(t *testing.T) {
+	free := countHealthChecks(t, 400, 0)
 	if free == 0 || float64(free) > 400*maxHealthChecksPerRequest+4 {
-		t.Fatalf("%d health checks for 400 requests", free)
+		t.Fatalf("%d health checks for 400 requests, want at least 1 and no more than requests earn", free)
 	}
-	// A health check for each request at 0.1 of all service costs more than half of what the health checks told
+	// At a cost of 0.1 of the service, a health check for each request costs more than half of what the reports gain
 	// (docs/fleet.md).
-	if dear := healthChecksFor(t, 400, 0.1); dear == 0 || float64(dear) > 400*healthCheckCostPerRequest/0.1+4 ||
-		dear > free*2/3 {
-		t.Fatalf("%d health checks for 400 requests where they are dear, %d where they are free", dear, free)
+	if costly := countHealthChecks(t, 400, 0.1); costly == 0 || float64(costly) > 400*healthCheckCostPerRequest/0.1+4 ||
+		costly > free*2/3 {
+		t.Fatalf("%d health checks for 400 requests where checks are costly, want at most 2/3 of the %d where they are free",
+			costly, free)
 	}
-	if cheap := healthChecksFor(t, 400, 0.01); cheap != free {
-		t.Fatalf("%d health checks for 400 requests where they are cheap, %d where they are free", cheap, free)
+	if cheap := countHealthChecks(t, 400, 0.01); cheap != free {
+		t.Fatalf("%d health checks for 400 requests where checks are cheap, want %d as where they are free", cheap, free)
 	}
 }
 
-func healthChecksFor(t *testing.T, requests int, price float64) (checks int) {
+func countHealthChecks(t *testing.T, requests int, cost float64) (checks int) {
 	t.Helper()
 	s := baseSettings()
-	s.LoadReporting, s.HealthChecksAllowed, s.Replicas, s.HealthCheckCost = HealthCheckReports, true, 30, price
-	b := startController(t, s, newEngines(40))
+	s.LoadReporting, s.HealthChecksAllowed, s.Replicas, s.HealthCheckCost = HealthCheckReports, true, 30, cost
+	h := startController(t, s, newEngines(40))
 	for i := range requests {
-		acts := b.step(newRequest(fmt.Sprint("q", i), 0))
-		for _, snd := range actionsOf[Send](acts) {
-			b.step(outcomeOf(snd, 0, OK))
+		actions := h.step(newRequest(fmt.Sprint("q", i), 0))
+		for _, send := range actionsOf[Send](actions) {
+			h.step(outcomeOf(send, 0, OK))
 		}
-		checks += len(actionsOf[HealthCheck](append(acts, b.advance(200*ms)...)))
+		checks += len(actionsOf[HealthCheck](append(actions, h.advance(200*ms)...)))
 	}
-	if n := len(actionsOf[HealthCheck](b.advance(20 * sec))); n > healthCheckBurst {
-		t.Fatalf("%d health checks without a request", n)
+	if withoutRequests := len(actionsOf[HealthCheck](h.advance(20 * sec))); withoutRequests > healthCheckBurst {
+		t.Fatalf("%d health checks in 20 s without a request, want at most one burst", withoutRequests)
 	}
 	return checks
 }
 
-// A cut zone is known soon only if front ends ask different engines: where each asks the few that were heard of
-// least lately, and hears the others' messages, all ask the same few at a time.
+// TestFrontEndsCheckDifferentEngines: a zone that is cut off is detected soon only if front ends check different
+// engines. If each front end checks the engines with the oldest reports, and all receive the same gossip, then all
+// check the same few engines at a time.
 func TestFrontEndsCheckDifferentEngines(t *testing.T) {
 	const frontEnds, fleet = 30, 60
 	s := baseSettings()
 	s.LoadReporting, s.HealthChecksAllowed, s.GossipAllowed, s.Replicas = HealthCheckReports, true, true, frontEnds
-	asked := map[uint32]bool{}
+	checked := map[uint32]bool{}
 	checks := 0
-	for g := range frontEnds {
-		s.Me = g
-		c, err := New(s, uint64(g))
+	for frontEnd := range frontEnds {
+		s.Me = frontEnd
+		c, err := New(s, uint64(frontEnd))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &harness{t: t, controller: c, now: 100 * sec}
-		b.step(EndpointsChanged{Kind: Persisted, Engines: newEngines(fleet)})
-		for i := 0; len(b.controller.requests) < 60; i++ {
-			acts := actionsOf[HealthCheck](append(b.step(newRequest(fmt.Sprint("q", i), 0)), b.advance(housekeepingInterval)...))
-			for _, p := range acts {
-				asked[p.Engine] = true
+		h := &harness{t: t, controller: c, now: 100 * sec}
+		h.step(EndpointsChanged{Kind: Persisted, Engines: newEngines(fleet)})
+		for i := 0; len(h.controller.requests) < 60; i++ {
+			actions := actionsOf[HealthCheck](append(h.step(newRequest(fmt.Sprint("q", i), 0)),
+				h.advance(housekeepingInterval)...))
+			for _, check := range actions {
+				checked[check.Engine] = true
 			}
-			if checks += len(acts); len(acts) > 0 {
+			if checks += len(actions); len(actions) > 0 {
 				break
 			}
 		}
 	}
-	if checks != frontEnds*healthCheckBurst || len(asked) < fleet*2/3 {
-		t.Fatalf("%d health checks of %d front ends reached %d of %d engines", checks, frontEnds, len(asked), fleet)
+	if checks != frontEnds*healthCheckBurst || len(checked) < fleet*2/3 {
+		t.Fatalf("%d health checks by %d front ends reached %d of %d engines, want a full burst each and 2/3 of the engines",
+			checks, frontEnds, len(checked), fleet)
 	}
 }
--- a/admission/recorded_test.go
+++ b/admission/recorded_test.go
@@ -12,12 +12,12 @@
 	"beechcart/internal/recorded"
 )
 
-// The recorded runs hold every decision of a controller to what it was when the run was recorded. Each run plays
-// several controllers against simulated engines and clients, all drawn from a seed, so that one decision that differs
-// changes all that follows. What the controllers answer is hashed by stable numbers of the action types and by the
-// values of their fields in a fixed order; names don't count, and of a Log only that it came.
+// The recorded runs check that every decision of a controller is still the recorded one. Each run drives several
+// controllers against simulated engines and clients, all drawn from a seed, so that one changed decision changes all
+// that follow. The actions are hashed by stable numbers of their types and by the values of their fields in a fixed
+// order. Names do not enter the hash, and a Log enters without its text.
 
-// The stable numbers of the action types.
+// Stable numbers of the action types in the recording.
 const (
 	actionSend = 1 + iota
 	actionTerms
@@ -34,7 +34,7 @@
 	actionTypes
 )
 
-// recorder hashes and counts actions.
+// recorder hashes and counts actions, and collects actions of unknown type.
 type recorder struct {
 	hash    hash.Hash
 	counts  [actionTypes]int
@@ -62,7 +62,7 @@
 	r.hash.Write(r.buffer)
 }
 
-// ofRequest encodes the actions on a request; false for another.
+// ofRequest encodes an action on a request. It returns false for any other action.
 func (r *recorder) ofRequest(action admission.Action) bool {
 	switch a := action.(type) {
 	case admission.Send:
@@ -92,7 +92,7 @@
 	return true
 }
 
-// ofFrontEnd encodes the actions that belong to no request; false for another.
+// ofFrontEnd encodes an action that belongs to no request. It returns false for any other action.
 func (r *recorder) ofFrontEnd(action admission.Action) bool {
 	switch a := action.(type) {
 	case admission.HealthCheck:
@@ -122,7 +122,7 @@
 	return true
 }
 
-// String is what is kept of a run: a line of counts and the hash.
+// String returns the content of the recording: the counts and the hash.
 func (r *recorder) String() string {
 	return fmt.Sprintf("events %d\nactions %v\nsha256 %x\n", r.events, r.counts[1:], r.hash.Sum(nil))
 }
@@ -133,16 +133,16 @@
 		MemoryUtilization: m.memory / 8192, DiskUtilization: 0.1}
 }
 
-func heldReported(m *machine) *admission.Report {
+func inFlightReported(m *machine) *admission.Report {
 	return &admission.Report{InFlight: m.threads, Queued: -1, Utilization: -1, MemoryUtilization: -1, DiskUtilization: -1}
 }
 
-func useReported(m *machine) *admission.Report {
+func utilizationReported(m *machine) *admission.Report {
 	return &admission.Report{InFlight: -1, Queued: -1, Utilization: m.threads / m.cores, MemoryUtilization: -1,
 		DiskUtilization: math.Min(1, m.threads/40)}
 }
 
-// recordedClasses cover each field of a class.
+// recordedClasses returns classes that together use each field of a class.
 func recordedClasses() []admission.Class {
 	return []admission.Class{
 		{LatencyObjective: 200 * time.Millisecond, ObjectivePerWork: 1.5, Deadline: 2 * time.Second, PriorityWeight: 1,
@@ -191,7 +191,7 @@
 	}
 }
 
-// recordedRuns together use each field of the settings.
+// recordedRuns returns the runs by the names of their recordings. Together the runs use each field of the settings.
 func recordedRuns() map[string]recordedRun {
 	alone := recordedSettings()
 	alone.RetriesMarked = true
@@ -209,28 +209,28 @@
 	ring.LoadReporting = admission.HealthCheckReports
 	ring.Tenants = []admission.Tenant{{Quota: 0.6, RequestsPerSecond: 600}, {Quota: 0.4, RequestsPerSecond: 100}}
 
-	unheard := recordedSettings()
-	unheard.Replicas, unheard.LoadReporting, unheard.Tenants = 2, admission.NoLoadReports, nil
-	unheard.PrioritiesSupported, unheard.CancellationAllowed, unheard.HedgingAllowed, unheard.MaxAttempts = false, false,
-		true, 2
-	unheard.MemoryShortage, unheard.MaxRetryAfter, unheard.SlowStart.OverloadMultiple = admission.Overcommit, 0, 0
-	unheard.ProgressInterval = 0
+	noReports := recordedSettings()
+	noReports.Replicas, noReports.LoadReporting, noReports.Tenants = 2, admission.NoLoadReports, nil
+	noReports.PrioritiesSupported, noReports.CancellationAllowed, noReports.HedgingAllowed,
+		noReports.MaxAttempts = false, false, true, 2
+	noReports.MemoryShortage, noReports.MaxRetryAfter, noReports.SlowStart.OverloadMultiple = admission.Overcommit, 0, 0
+	noReports.ProgressInterval = 0
 
 	return map[string]recordedRun{
 		"alone": {settings: alone, frontEnds: 1, engines: 7, length: 16 * time.Second, gap: 16 * time.Millisecond,
 			report: allReported, tellsWork: true},
 		"gossip": {settings: gossiping, frontEnds: 2, engines: 9, length: 12 * time.Second, gap: 25 * time.Millisecond,
-			report: useReported, tellsWork: true, partial: true, stopping: true},
+			report: utilizationReported, tellsWork: true, partial: true, stopping: true},
 		"ring": {settings: ring, frontEnds: 3, engines: 11, length: 9 * time.Second, gap: 30 * time.Millisecond,
-			report: heldReported, tellsWork: true, listErrors: true, stopping: true, flood: true},
-		"no-reports": {settings: unheard, frontEnds: 2, engines: 6, length: 16 * time.Second, gap: 25 * time.Millisecond,
-			partial: true, listAfter: 50 * time.Millisecond},
+			report: inFlightReported, tellsWork: true, listErrors: true, stopping: true, flood: true},
+		"no-reports": {settings: noReports, frontEnds: 2, engines: 6, length: 16 * time.Second,
+			gap: 25 * time.Millisecond, partial: true, listAfter: 50 * time.Millisecond},
 		"long": {settings: alone, frontEnds: 1, engines: 3, length: 250 * time.Second, gap: 800 * time.Millisecond,
 			report: allReported},
 	}
 }
 
-func TestRecordedRunsAreTheSame(t *testing.T) {
+func TestDecisionsMatchTheRecordings(t *testing.T) {
 	for name, run := range recordedRuns() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -6,15 +6,15 @@
 )
 
 func TestNonIdempotentThatMayHaveRunIsFailed(t *testing.T) {
-	for _, st := range []Status{Errored, TimedOut, Reset, Cancelled} {
+	for _, status := range []Status{Errored, TimedOut, Reset, Cancelled} {
 		s := baseSettings()
 		s.Classes[0].Idempotency, s.Classes[0].DeduplicationWindow = NonIdempotent, 5*sec
-		b := startController(t, s, newEngines(4))
-		snd := oneAction[Send](t, b.step(newRequest("a", 0)))
-		acts := b.step(outcomeOf(snd, 0, st))
-		oneAction[Fail](t, acts)
-		if len(actionsOf[Send](acts))+len(actionsOf[Reject](acts)) > 0 {
-			t.Fatalf("%d: resent or rejected: %v", st, acts)
+		h := startController(t, s, newEngines(4))
+		send := oneAction[Send](t, h.step(newRequest("a", 0)))
+		actions := h.step(outcomeOf(send, 0, status))
+		oneAction[Fail](t, actions)
+		if len(actionsOf[Send](actions))+len(actionsOf[Reject](actions)) > 0 {
+			t.Fatalf("status %d: got %v, want one Fail and neither Send nor Reject", status, actions)
 		}
 	}
 }
@@ -22,10 +22,10 @@
 func TestAttemptThatNeverRanIsRetried(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Idempotency = NonIdempotent
-	b := startController(t, s, newEngines(4))
-	snd := oneAction[Send](t, b.step(newRequest("a", 0)))
-	if again := oneAction[Send](t, b.step(outcomeOf(snd, 0, ConnectFailed))); again.Engine == snd.Engine {
-		t.Fatal("sent to the engine that just failed to connect")
+	h := startController(t, s, newEngines(4))
+	send := oneAction[Send](t, h.step(newRequest("a", 0)))
+	if retry := oneAction[Send](t, h.step(outcomeOf(send, 0, ConnectFailed))); retry.Engine == send.Engine {
+		t.Fatal("retry sent to the engine that refused the connection")
 	}
 }
 
@@ -35,19 +35,19 @@
 		s.Classes[0].Idempotency, s.Classes[0].DeduplicationScope, s.Classes[0].DeduplicationWindow = IdempotentWithKey,
 			scope, sec
 		for seed := range 20 {
-			b := startController(t, s, newEngines(8))
-			b.controller.random = splitMix64(seed)
-			snd := oneAction[Send](t, b.step(newRequest("a", 0)))
-			again := oneAction[Send](t, b.step(outcomeOf(snd, 0, TimedOut)))
-			x, y := b.controller.enginesByID[snd.Engine], b.controller.enginesByID[again.Engine]
-			if (scope == ScopeZone && x.Zone != y.Zone) || (scope == ScopeCell && x.Cell != y.Cell) {
-				t.Fatalf("scope %d: resent from %v to %v", scope, x.Engine, y.Engine)
+			h := startController(t, s, newEngines(8))
+			h.controller.random = splitMix64(seed)
+			send := oneAction[Send](t, h.step(newRequest("a", 0)))
+			retry := oneAction[Send](t, h.step(outcomeOf(send, 0, TimedOut)))
+			first, second := h.controller.enginesByID[send.Engine], h.controller.enginesByID[retry.Engine]
+			if (scope == ScopeZone && first.Zone != second.Zone) || (scope == ScopeCell && first.Cell != second.Cell) {
+				t.Fatalf("scope %d: attempt on %v was retried out of scope on %v", scope, first.Engine, second.Engine)
 			}
-			b.now += 1001 * ms
-			acts := b.step(outcomeOf(again, 1, TimedOut))
-			oneAction[Fail](t, acts)
-			if len(actionsOf[Send](acts)) > 0 {
-				t.Fatal("resent after the window")
+			h.now += 1001 * ms
+			actions := h.step(outcomeOf(retry, 1, TimedOut))
+			oneAction[Fail](t, actions)
+			if len(actionsOf[Send](actions)) > 0 {
+				t.Fatal("retried after the deduplication window")
 			}
 		}
 	}
@@ -56,56 +56,56 @@
 func TestRetryBudget(t *testing.T) {
 	s := baseSettings()
 	s.RetryBudget = &RetryBudget{MinRetries: 2, Ratio: 0.1, Window: 10 * sec}
-	b := startController(t, s, newEngines(8))
-	extra := 0
+	h := startController(t, s, newEngines(8))
+	retries := 0
 	for i := range 30 {
-		for _, snd := range actionsOf[Send](b.step(newRequest(fmt.Sprint("r", i), 0))) {
-			b.step(outcomeOf(snd, 0, OK))
-			_ = snd
+		for _, send := range actionsOf[Send](h.step(newRequest(fmt.Sprint("r", i), 0))) {
+			h.step(outcomeOf(send, 0, OK))
+			_ = send
 		}
 	}
 	for i := range 30 {
-		snds := actionsOf[Send](b.step(newRequest(fmt.Sprint("x", i), 0)))
-		for n := 0; len(snds) > 0; n++ {
-			snds = actionsOf[Send](b.step(outcomeOf(snds[0], n, Errored)))
-			extra += len(snds)
+		sends := actionsOf[Send](h.step(newRequest(fmt.Sprint("x", i), 0)))
+		for attempt := 0; len(sends) > 0; attempt++ {
+			sends = actionsOf[Send](h.step(outcomeOf(sends[0], attempt, Errored)))
+			retries += len(sends)
 		}
 	}
-	if limit := 2 + 6; extra == 0 || extra > limit {
-		t.Fatalf("%d further attempts, limit %d", extra, limit)
+	if limit := 2 + 6; retries == 0 || retries > limit {
+		t.Fatalf("%d retries, want at least 1 and at most %d", retries, limit)
 	}
 }
 
 func TestStuckAttemptsAreMigrated(t *testing.T) {
 	s := baseSettings()
 	s.CancellationAllowed = true
-	b := startController(t, s, newEngines(4))
+	h := startController(t, s, newEngines(4))
 	var stuck []Send
 	for i := 0; len(stuck) < 3; i++ {
-		r := newRequest(fmt.Sprint("a", i), 0)
-		r.TableGroup = i
-		for _, snd := range actionsOf[Send](b.step(r)) {
-			if snd.Engine == 1 {
-				stuck = append(stuck, snd)
+		request := newRequest(fmt.Sprint("a", i), 0)
+		request.TableGroup = i
+		for _, send := range actionsOf[Send](h.step(request)) {
+			if send.Engine == 1 {
+				stuck = append(stuck, send)
 			} else {
-				b.step(outcomeOf(snd, 0, OK))
+				h.step(outcomeOf(send, 0, OK))
 			}
 		}
 	}
-	var back []Cancel
-	for i := 0; len(back) == 0 && i < 200; i++ { // the others go on answering
-		for _, snd := range actionsOf[Send](b.step(newRequest(fmt.Sprint("b", i), 0))) {
-			if snd.Engine != 1 {
-				b.step(outcomeOf(snd, 0, OK))
+	var cancels []Cancel
+	for i := 0; len(cancels) == 0 && i < 200; i++ { // the other engines keep answering
+		for _, send := range actionsOf[Send](h.step(newRequest(fmt.Sprint("b", i), 0))) {
+			if send.Engine != 1 {
+				h.step(outcomeOf(send, 0, OK))
 			}
 		}
-		back = actionsOf[Cancel](b.advance(20 * ms))
+		cancels = actionsOf[Cancel](h.advance(20 * ms))
 	}
-	if len(back) == 0 {
-		t.Fatal("nothing was migrated")
+	if len(cancels) == 0 {
+		t.Fatal("no attempt of the unresponsive engine was migrated")
 	}
-	if again := oneAction[Send](t, b.step(Outcome{ID: back[0].ID, Engine: 1, Status: Cancelled})); again.Engine == 1 {
-		t.Fatal("sent to the silent engine again")
+	if retry := oneAction[Send](t, h.step(Outcome{ID: cancels[0].ID, Engine: 1, Status: Cancelled})); retry.Engine == 1 {
+		t.Fatal("retry sent to the unresponsive engine")
 	}
 }
 
@@ -113,87 +113,89 @@
 	s := baseSettings()
 	s.Classes[0].Idempotency, s.Classes[0].DeduplicationWindow, s.Classes[0].LatencyObjective = IdempotentWithKey, sec,
 		4*sec
-	b := startController(t, s, newEngines(2))
-	snd := oneAction[Send](t, b.step(newRequest("a", 0)))
-	for _, e := range b.controller.engines {
-		e.overloadedUntil = b.now + 10*sec // no engine takes anything for now
+	h := startController(t, s, newEngines(2))
+	send := oneAction[Send](t, h.step(newRequest("a", 0)))
+	for _, engine := range h.controller.engines {
+		engine.overloadedUntil = h.now + 10*sec // no engine accepts requests for now
 	}
-	b.step(outcomeOf(snd, 0, Reset))
-	b.now += sec
-	b.controller.now = b.now
-	if r := b.controller.requests["a"]; b.controller.permits(b.controller.engines[0], r) ||
-		b.controller.permits(b.controller.engines[1], r) {
-		t.Fatal("may be sent again after its window")
+	h.step(outcomeOf(send, 0, Reset))
+	h.now += sec
+	h.controller.now = h.now
+	if request := h.controller.requests["a"]; h.controller.permits(h.controller.engines[0], request) ||
+		h.controller.permits(h.controller.engines[1], request) {
+		t.Fatal("retry permitted after the deduplication window")
 	}
-	if acts := b.advance(40 * ms); len(actionsOf[Fail](acts)) != 1 || len(actionsOf[Reject](acts)) > 0 {
-		t.Fatalf("want one failure: %v", acts)
+	if actions := h.advance(40 * ms); len(actionsOf[Fail](actions)) != 1 || len(actionsOf[Reject](actions)) > 0 {
+		t.Fatalf("got %v, want one Fail and no Reject", actions)
 	}
 }
 
-// TestLostAnswersAreRetried: an attempt whose progress has stopped is migrated, and one reset ejects nothing.
+// TestLostAnswersAreRetried: an attempt that stops reporting progress is migrated, and a single reset does not eject
+// the engine.
 func TestLostAnswersAreRetried(t *testing.T) {
 	s := baseSettings()
 	s.CancellationAllowed, s.ProgressInterval = true, 2*sec
-	b := startController(t, s, newEngines(4))
-	r := newRequest("a", 1)
-	r.Timeout, r.Work = 20*sec, 3*sec
-	snd := oneAction[Send](t, b.step(r))
+	h := startController(t, s, newEngines(4))
+	request := newRequest("a", 1)
+	request.Timeout, request.Work = 20*sec, 3*sec
+	send := oneAction[Send](t, h.step(request))
 	for i := range 3 {
-		b.advance(2 * sec)
-		b.step(Progress{ID: "a", Engine: snd.Engine, Kind: ProgressFraction, Value: 0.5 + 0.2*float64(i)})
-	}
-	if n := len(actionsOf[Cancel](b.advance(4 * sec))); n != 0 {
-		t.Fatal("migrated while progress comes")
-	}
-	oneAction[Cancel](t, b.advance(4*sec))
-	oneAction[Send](t, b.step(Outcome{ID: "a", Engine: snd.Engine, Status: Cancelled}))
-	b.step(Outcome{ID: "a", Attempt: 1, Engine: snd.Engine, Status: Reset})
-	for _, e := range b.controller.engines {
-		if e.ejected {
-			t.Fatal("one reset ejected an engine")
+		h.advance(2 * sec)
+		h.step(Progress{ID: "a", Engine: send.Engine, Kind: ProgressFraction, Value: 0.5 + 0.2*float64(i)})
+	}
+	if cancels := len(actionsOf[Cancel](h.advance(4 * sec))); cancels != 0 {
+		t.Fatal("attempt migrated 4s after its last progress, before three progress intervals")
+	}
+	oneAction[Cancel](t, h.advance(4*sec))
+	oneAction[Send](t, h.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
+	h.step(Outcome{ID: "a", Attempt: 1, Engine: send.Engine, Status: Reset})
+	for _, engine := range h.controller.engines {
+		if engine.ejected {
+			t.Fatal("engine ejected after a single reset")
 		}
 	}
 }
 
-// TestNoMigrationWithoutARetry: an ejected engine's attempts are migrated only as far as the budget lets others
-// follow them.
-func TestNoMigrationWithoutARetry(t *testing.T) {
+// TestMigrationsStayWithinTheRetryBudget: after an ejection, only as many attempts are migrated as the retry budget has
+// retries for. An attempt cancelled without a retry would end its request.
+func TestMigrationsStayWithinTheRetryBudget(t *testing.T) {
 	s := baseSettings()
 	s.CancellationAllowed, s.RetryBudget = true, &RetryBudget{MinRetries: 2, Window: 5 * sec}
-	b := startController(t, s, newEngines(4))
+	h := startController(t, s, newEngines(4))
 	for i := range 12 {
-		b.step(Request{ID: fmt.Sprint("r", i), Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 50 * ms})
+		h.step(Request{ID: fmt.Sprint("r", i), Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 50 * ms})
 	}
-	b.advance(200 * ms)
-	b.now += 6 * sec // the arrivals leave the window: two further attempts are all there is
-	b.controller.now = b.now
-	var all []Cancel
-	for _, e := range b.controller.engines[:2] {
-		b.controller.actions = nil
-		b.controller.eject(e)
-		all = append(all, actionsOf[Cancel](b.controller.actions)...)
+	h.advance(200 * ms)
+	h.now += 6 * sec // the arrivals have left the window, so the budget allows two retries
+	h.controller.now = h.now
+	var cancels []Cancel
+	for _, e := range h.controller.engines[:2] {
+		h.controller.actions = nil
+		h.controller.eject(e)
+		cancels = append(cancels, actionsOf[Cancel](h.controller.actions)...)
 	}
-	if len(all) != 2 {
-		t.Fatalf("%d attempts migrated, two can be repeated", len(all))
+	if len(cancels) != 2 {
+		t.Fatalf("%d attempts migrated, want 2 as the retry budget allows", len(cancels))
 	}
-	for _, x := range all {
-		r := b.controller.requests[x.ID]
-		oneAction[Send](t, b.step(Outcome{ID: x.ID, Engine: r.attempts[0].engine.ID, Status: Cancelled}))
+	for _, cancel := range cancels {
+		request := h.controller.requests[cancel.ID]
+		oneAction[Send](t, h.step(Outcome{ID: cancel.ID, Engine: request.attempts[0].engine.ID, Status: Cancelled}))
 	}
-	if b.controller.retryBudget.reserved != 0 {
-		t.Fatalf("%d repeats still promised", b.controller.retryBudget.reserved)
+	if h.controller.retryBudget.reserved != 0 {
+		t.Fatalf("%d retries still reserved, want 0", h.controller.retryBudget.reserved)
 	}
 }
 
-// TestLastRetryIsLeftForHigherWeights: classes worth little do not use the budget up.
+// TestLastRetryIsLeftForHigherWeights: a class of low priority weight does not use up the retry budget.
 func TestLastRetryIsLeftForHigherWeights(t *testing.T) {
 	s := baseSettings()
 	s.RetryBudget = &RetryBudget{MinRetries: 1, Window: 5 * sec}
-	b := startController(t, s, newEngines(4))
-	cheap := oneAction[Send](t, b.step(newRequest("cheap", 0)))
-	if acts := b.step(outcomeOf(cheap, 0, ConnectFailed)); len(actionsOf[Send](acts)) != 0 {
-		t.Fatal("the last repeat went to the cheap class")
-	}
-	dear := oneAction[Send](t, b.step(Request{ID: "dear", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}))
-	oneAction[Send](t, b.step(outcomeOf(dear, 0, ConnectFailed)))
+	h := startController(t, s, newEngines(4))
+	lowWeight := oneAction[Send](t, h.step(newRequest("low", 0)))
+	if actions := h.step(outcomeOf(lowWeight, 0, ConnectFailed)); len(actionsOf[Send](actions)) != 0 {
+		t.Fatal("the class of low priority weight got the last retry")
+	}
+	highWeight := oneAction[Send](t, h.step(Request{ID: "high", Class: 1, Timeout: 20 * sec, TableGroup: -1,
+		Work: 100 * ms}))
+	oneAction[Send](t, h.step(outcomeOf(highWeight, 0, ConnectFailed)))
 }
