--- a/admission/healthcheck.go
+++ b/admission/healthcheck.go
@@ -35,8 +35,8 @@
 	return math.Min(maxHealthChecksPerRequest, healthCheckCostPerRequest/c.settings.HealthCheckCost)
 }
 
-// sendHealthChecks sends gossip and the next burst of health checks, if the burst is earned. It first waits for all
-// results of the last burst, up to healthCheckBurstTimeout, since failed checks end late and matter most.
+// sendHealthChecks waits for all results of the last burst, up to healthCheckBurstTimeout, since failed checks end late
+// and matter most. It then sends gossip and, if the requests have earned one, the next burst.
 func (c *Controller) sendHealthChecks() {
 	if c.healthChecks.pending > 0 && c.now-c.healthChecks.sentAt < healthCheckBurstTimeout {
 		return
--- a/admission/selection.go
+++ b/admission/selection.go
@@ -53,8 +53,9 @@
 }
 
 // collectCandidates gathers the engines that a request may be sent to, beginning with the subset of this front end.
-// Engines that are draining, removed or outside the placement of the class are left out. For the capacity that engines
-// with many errors lack, engines further along the ring are added.
+// Engines that are draining, removed or outside the placement of the class are left out, and ejected ones unless they
+// may get recovery traffic. For the capacity that engines with many errors lack, engines further along the ring are
+// added.
 func (c *Controller) collectCandidates(request *requestState) {
 	class, candidates := request.classSettings, &c.candidates
 	c.subsetFrom(c.subset.size, func(engine *engineState) (capacity float64, ok bool) {
