--- a/decision/execution/antientropy.go
+++ b/decision/execution/antientropy.go
@@ -8,24 +8,25 @@
 	"time"
 )
 
-// rangeBits is the number of bits of an id's hash that choose its range.
+// rangeBits is the number of bits of an id's hash that select its range.
 const rangeBits = 6
 
-// rangeCount is the number of ranges in which the ids of two replicas are compared. A difference costs the summaries of
-// one range.
+// rangeCount is the number of ranges into which ids are divided to compare two replicas. If a record differs, the
+// summaries of its range are exchanged.
 const rangeCount = 1 << rangeBits
 
 // RangeDigests are digests of the records that two members share, by range of ids. Equal digests mean equal records.
 type RangeDigests [rangeCount]uint64
 
-// rangeOf is the range of an id.
+// rangeOf returns the range of an id.
 func rangeOf(id string) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
 	return int(hash.Sum64() >> (64 - rangeBits))
 }
 
-// RangeDigests returns the digests of the records that are shared. They do not depend on the order of the records.
+// RangeDigests returns the digests of the records for whose ids shared reports true. The digests do not depend on the
+// order of the records.
 func (r *Replica) RangeDigests(shared func(id string) bool) RangeDigests {
 	var digests RangeDigests
 	for id, record := range r.records {
@@ -36,7 +37,8 @@
 	return digests
 }
 
-// digest is a digest of all that the replicas agree on; the result follows from ballot and version.
+// digest returns a digest of the fields on which the replicas agree. The result is left out, because ballot and version
+// determine it.
 func (r *Record) digest() uint64 {
 	hash := fnv.New64a()
 	for _, field := range []string{
@@ -66,7 +68,7 @@
 	return ranges
 }
 
-// Summary is what tells whether another replica's record holds more.
+// Summary is the part of a record that shows which of two replicas has the later state.
 type Summary struct {
 	ID       string
 	Promised Ballot
@@ -74,7 +76,7 @@
 	Version  uint64
 }
 
-// Summaries returns the summaries of the shared records of a range, by id.
+// Summaries returns the summaries of the shared records of a range, sorted by id.
 func (r *Replica) Summaries(ofRange int, shared func(id string) bool) []Summary {
 	var summaries []Summary
 	for id, record := range r.records {
@@ -91,10 +93,11 @@
 	return summaries
 }
 
-// Missing returns the ids of which another replica, whose summaries these are, holds more than this one.
-func (r *Replica) Missing(theirs []Summary) []string {
+// Missing returns the ids of the summarized records of another replica that this replica lacks or holds in an earlier
+// state.
+func (r *Replica) Missing(summaries []Summary) []string {
 	var ids []string
-	for _, summary := range theirs {
+	for _, summary := range summaries {
 		if own := r.records[summary.ID]; own == nil || own.olderThan(summary) {
 			ids = append(ids, summary.ID)
 		}
@@ -102,13 +105,13 @@
 	return ids
 }
 
-// olderThan reports whether the summary is of a record that has promised or accepted more.
+// olderThan reports whether the summarized record has a later accepted outcome or a later promised ballot.
 func (r *Record) olderThan(summary Summary) bool {
 	order := r.Accepted.Compare(summary.Accepted)
 	return order < 0 || (order == 0 && r.Version < summary.Version) || r.Promised.Compare(summary.Promised) < 0
 }
 
-// AntiEntropy decides which records are copied next, and how fast: those with the fewest copies first.
+// AntiEntropy schedules the copying of records at a limited rate, those with the fewest copies first.
 type AntiEntropy struct {
 	recordsPerSecond float64
 	burst            float64 // records
@@ -117,10 +120,10 @@
 	copiesLeft       map[string]int // by id
 }
 
-// burstsPerSecond is how many bursts make up the records of a second.
+// burstsPerSecond is the number of bursts in which the records of one second are copied.
 const burstsPerSecond = 10
 
-// NewAntiEntropy returns an AntiEntropy that copies at most so many records in a second.
+// NewAntiEntropy returns an AntiEntropy that copies at most recordsPerSecond records per second.
 func NewAntiEntropy(recordsPerSecond float64, now time.Duration) *AntiEntropy {
 	return &AntiEntropy{
 		recordsPerSecond: recordsPerSecond,
@@ -130,7 +133,8 @@
 	}
 }
 
-// SetCopies tells how many copies of a record are left. If they are as many as wanted, it needs none.
+// SetCopies sets the number of copies that are left of a record. A record with at least as many copies as wanted does
+// not wait to be copied.
 func (a *AntiEntropy) SetCopies(id string, left, wanted int) {
 	if left >= wanted {
 		delete(a.copiesLeft, id)
@@ -139,10 +143,10 @@
 	a.copiesLeft[id] = left
 }
 
-// Waiting returns how many records wait to be copied.
+// Waiting returns the number of records that wait to be copied.
 func (a *AntiEntropy) Waiting() int { return len(a.copiesLeft) }
 
-// Next returns the ids of the records to copy now, within the rate, and takes them off the waiting ones.
+// Next returns the ids of the records to copy now, within the rate, and removes them from the waiting records.
 func (a *AntiEntropy) Next(now time.Duration) []string {
 	a.tokens = min(a.burst, a.tokens+a.recordsPerSecond*(now-a.refilledAt).Seconds())
 	a.refilledAt = now
--- a/decision/execution/antientropy_test.go
+++ b/decision/execution/antientropy_test.go
@@ -12,25 +12,26 @@
 
 func everyID(string) bool { return true }
 
-// Two replicas that differ find exactly what they lack, and are equal after one round.
-func TestDigestsFindWhatDiffers(t *testing.T) {
+// Two replicas that differ find exactly the records that one of them lacks or holds in an earlier state, and are equal
+// after one comparison.
+func TestDigestsFindDifferingRecords(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	a, b := newTestReplica(t, nil), newTestReplica(t, nil)
 	for i := range 3000 {
 		id := fmt.Sprintf("%016x", rng.Uint64())
 		for _, r := range []*Replica{a, b} {
 			if i%1000 == 0 && r == b {
-				continue // three are missing there
+				continue // b lacks three records
 			}
 			require.True(t, r.Prepare(0, prepareMessage(id, "d", 1)).OK)
 			require.True(t, r.Accept(0, acceptMessage(id, "d", 1, 1, Outcome{Phase: Intended})).OK)
-			if i%1500 == 7 && r == a { // two are behind
+			if i%1500 == 7 && r == a { // b is behind in two records
 				require.True(t, r.Accept(0, acceptMessage(id, "d", 1, 2, Outcome{Phase: Completed})).OK)
 			}
 		}
 	}
-	ofA, ofB := a.RangeDigests(everyID), b.RangeDigests(everyID)
-	differing := ofA.DifferingRanges(&ofB)
+	digestsA, digestsB := a.RangeDigests(everyID), b.RangeDigests(everyID)
+	differing := digestsA.DifferingRanges(&digestsB)
 	assert.NotEmpty(t, differing)
 	assert.LessOrEqual(t, len(differing), 5)
 	compared, missing := 0, 0
@@ -41,18 +42,19 @@
 			missing++
 			b.Merge(*a.records[id])
 		}
-		assert.Empty(t, a.Missing(b.Summaries(i, everyID)), "nothing is later there")
+		assert.Empty(t, a.Missing(b.Summaries(i, everyID)), "b holds no later record")
 	}
 	assert.Equal(t, 5, missing)
-	assert.Less(t, compared, 3000/8, "the summaries of a few ranges only")
-	ofA, ofB = a.RangeDigests(everyID), b.RangeDigests(everyID)
-	assert.Empty(t, ofA.DifferingRanges(&ofB))
+	assert.Less(t, compared, 3000/8, "only the summaries of a few ranges are compared")
+	digestsA, digestsB = a.RangeDigests(everyID), b.RangeDigests(everyID)
+	assert.Empty(t, digestsA.DifferingRanges(&digestsB))
 	_, bytesOfA := a.Size()
 	_, bytesOfB := b.Size()
 	assert.Equal(t, bytesOfA, bytesOfB)
 }
 
-// Merge never lowers what is held: a record of a replica that was behind changes nothing.
+// Merge lowers neither the accepted outcome nor the promised ballot: an older record of another replica changes
+// nothing.
 func TestMergeOfAnOlderRecordChangesNothing(t *testing.T) {
 	r := newTestReplica(t, nil)
 	require.True(t, r.Prepare(0, prepareMessage("id", "d", 5)).OK)
@@ -74,7 +76,7 @@
 	assert.Equal(t, Completed, r.Records()[0].Outcome.Phase)
 }
 
-func TestAntiEntropyCopiesTheFewestCopiesFirst(t *testing.T) {
+func TestAntiEntropyCopiesRecordsWithFewestCopiesFirst(t *testing.T) {
 	a := NewAntiEntropy(100, 0)
 	for i := range 1000 {
 		a.SetCopies(fmt.Sprintf("%04d", i), 2, 3)
@@ -92,6 +94,6 @@
 		require.Less(t, now, time.Minute)
 	}
 	assert.Equal(t, 999, copied)
-	assert.InDelta(t, 10.0, now.Seconds(), 0.5, "a hundred a second")
+	assert.InDelta(t, 10.0, now.Seconds(), 0.5, "100 records per second")
 	assert.LessOrEqual(t, len(a.Next(now+time.Hour)), 10)
 }
--- a/decision/execution/bootstrap_test.go
+++ b/decision/execution/bootstrap_test.go
@@ -7,11 +7,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestBootstrapWaitsForThoseThatMayKnow(t *testing.T) {
+// With three replicas all other members must be read, with five replicas all but one. A member that may hold no
+// replicas is not expected.
+func TestBootstrapWaitsForEnoughMembers(t *testing.T) {
 	b := NewBootstrap(3, "n0", fleetOf(4))
 	b.MarkRead("n1")
 	b.MarkRead("n2")
-	assert.Equal(t, []string{"n3"}, b.Missing(), "with three copies, the one that is not read may be the one that knows")
+	assert.Equal(t, []string{"n3"}, b.Missing(), "with three replicas, only n3 may hold an outcome")
 	b.MarkRead("n9")
 	b.MarkRead("n3")
 	assert.Empty(t, b.Missing())
@@ -22,5 +24,5 @@
 	}
 	assert.Len(t, b.Missing(), 2)
 	b.MarkRead("n4")
-	assert.Empty(t, b.Missing(), "with five copies one may be missed")
+	assert.Empty(t, b.Missing(), "with five replicas one member may be left out")
 }
--- a/decision/execution/messages.go
+++ b/decision/execution/messages.go
@@ -1,6 +1,6 @@
 package execution
 
-// Prepare asks a replica to promise a ballot and to tell what it has accepted.
+// Prepare asks a replica to promise a ballot and to return the outcome that it has accepted.
 type Prepare struct {
 	ID              string
 	StatementDigest string
@@ -18,30 +18,30 @@
 	ConfigNumber    uint64
 }
 
-// RejectReason tells why a replica rejects a message.
+// RejectReason is the reason why a replica rejects a message.
 type RejectReason string
 
-// The reasons of a rejection, as members send them to each other.
+// The reject reasons, as members send them to each other.
 const (
-	Fenced          RejectReason = "sealed"     // a greater ballot is promised
+	Fenced          RejectReason = "sealed"     // the replica has promised a greater ballot
 	OtherStatement  RejectReason = "statement"  // the id belongs to another statement
 	NoCapacity      RejectReason = "full"       // the replica has no capacity for another record
-	StaleConfig     RejectReason = "stale"      // the replica knows a later configuration
-	NotBootstrapped RejectReason = "not-filled" // the replica has lost its disk and has not got all copies yet
-	NotPrepared     RejectReason = "unclaimed"  // the promise was made by a disk that is lost
+	StaleConfig     RejectReason = "stale"      // the replica knows a later configuration than the proposer
+	NotBootstrapped RejectReason = "not-filled" // the replica has lost its disk and has not received all records yet
+	NotPrepared     RejectReason = "unclaimed"  // the replica has no record of the id, perhaps after the loss of its disk
 )
 
 // Reply answers a Prepare or an Accept.
 type Reply struct {
 	ID           string
-	Ballot       Ballot // of the message that is answered
-	Version      uint64 // of the Accept that is answered; 0: a Prepare
+	Ballot       Ballot // of the message that the reply answers
+	Version      uint64 // of the Accept that the reply answers; 0: the reply answers a Prepare
 	OK           bool
 	Reason       RejectReason // unless OK
-	Promised     Ballot       // if Fenced: the ballot that fences
-	ConfigNumber uint64       // the latest that the replica knows
+	Promised     Ballot       // if Fenced: the ballot that fences the proposer
+	ConfigNumber uint64       // the latest configuration that the replica knows
 
-	// What the replica has accepted; in the reply to a Prepare only.
+	// The outcome that the replica has accepted, only in the reply to a Prepare.
 	Accepted        Ballot
 	AcceptedVersion uint64
 	Outcome         Outcome
--- a/decision/execution/register.go
+++ b/decision/execution/register.go
@@ -16,33 +16,33 @@
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Proposer, other.Proposer))
 }
 
-// Phase is how far a request has come.
+// Phase is the progress of a request.
 type Phase int
 
 // The phases. Completed and NeverRan are final.
 const (
-	Registered Phase = iota // nothing was sent
-	Intended                // an attempt may be sent, or was
-	InDoubt                 // an attempt may have run, and no process can tell
-	Completed               // it ran and ended with Outcome.Result
-	NeverRan                // it never ran and never will: a retry is harmless
+	Registered Phase = iota // no attempt was intended or sent
+	Intended                // an attempt may have been sent or may still be sent
+	InDoubt                 // an attempt may have run, and no process can prove whether it did
+	Completed               // an attempt ran to its end, with Outcome.Result
+	NeverRan                // no attempt ran or will run: a retry is harmless
 )
 
-// Outcome is what is promised about one request id.
+// Outcome is the recorded state of one request id.
 type Outcome struct {
 	Phase         Phase
 	Attempt       int    // number of the last attempt that was intended
-	Engine        string // of that attempt
-	Process       uint64 // of that engine
+	Engine        string // to which that attempt was to be sent
+	Process       uint64 // process of that engine
 	IntendedBy    string // proposer of that attempt, as in Ballot.Proposer
-	Result        []byte // Completed: the answer, at most Settings.MaxResultBytes
-	ResultOmitted bool   // Completed: the answer was larger than that
+	Result        []byte // if Completed: the answer of the engine, at most Settings.MaxResultBytes
+	ResultOmitted bool   // if Completed: the answer was larger than Settings.MaxResultBytes
 }
 
-// Final reports whether the outcome does not change any more.
+// Final reports whether the outcome can no longer change.
 func (o Outcome) Final() bool { return o.Phase == Completed || o.Phase == NeverRan }
 
-// Record is one register, as one replica holds it.
+// Record is the state of one register at one replica.
 type Record struct {
 	ID              string
 	StatementDigest string
@@ -53,10 +53,10 @@
 	WrittenAt       time.Duration // time of the last accept, or of the first prepare
 }
 
-// recordOverhead is the memory of a record beside its id, digest and result, in bytes.
+// recordOverhead is the memory of a record besides its id, digest and result, in bytes.
 const recordOverhead = 200
 
-// size is the memory of a record in bytes.
+// size returns the memory of a record in bytes.
 func (r *Record) size() int {
 	return recordOverhead + len(r.ID) + len(r.StatementDigest) + len(r.Outcome.Result)
 }
--- a/decision/execution/replica.go
+++ b/decision/execution/replica.go
@@ -15,7 +15,7 @@
 	bytes        int                // of records
 }
 
-// NewReplica returns an empty replica that takes part at once: that of a member that is new in the fleet.
+// NewReplica returns an empty replica that takes part at once, for a member that is new in the fleet.
 func NewReplica(settings Settings, configNumber uint64) (*Replica, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -28,8 +28,8 @@
 	}, nil
 }
 
-// NewReplacementReplica returns an empty replica that rejects all messages until MarkBootstrapped: that of a member
-// which has lost its disk.
+// NewReplacementReplica returns an empty replica that rejects all messages until MarkBootstrapped is called, for a
+// member that has lost its disk.
 func NewReplacementReplica(settings Settings, configNumber uint64) (*Replica, error) {
 	r, err := NewReplica(settings, configNumber)
 	if err != nil {
@@ -39,13 +39,13 @@
 	return r, nil
 }
 
-// Configure tells the number of the configuration in force. A lower number than the latest changes nothing.
+// Configure sets the number of the configuration in force. A number lower than the latest changes nothing.
 func (r *Replica) Configure(number uint64) { r.configNumber = max(r.configNumber, number) }
 
-// MarkBootstrapped tells that every record that this member should hold was merged.
+// MarkBootstrapped lets the replica take part. Call it once every record that this member should hold has been merged.
 func (r *Replica) MarkBootstrapped() { r.bootstrapped = true }
 
-// Prepare answers a Prepare message.
+// Prepare handles a Prepare message and returns the reply.
 func (r *Replica) Prepare(now time.Duration, message Prepare) Reply {
 	reply := Reply{ID: message.ID, Ballot: message.Ballot}
 	reply.Reason = r.checkConfig(message.ConfigNumber)
@@ -76,7 +76,7 @@
 	return reply
 }
 
-// Accept answers an Accept message.
+// Accept handles an Accept message and returns the reply.
 func (r *Replica) Accept(now time.Duration, message Accept) Reply {
 	reply := Reply{ID: message.ID, Ballot: message.Ballot, Version: message.Version}
 	reply.Reason = r.checkConfig(message.ConfigNumber)
@@ -97,7 +97,7 @@
 		return reply
 	}
 	if record.Accepted == message.Ballot && record.Version >= message.Version {
-		reply.OK = true // the message is late or duplicated: what is accepted says as much or more
+		reply.OK = true // the message is late or duplicated: the accepted version is as late or later
 		return reply
 	}
 	growth := len(message.Outcome.Result) - len(record.Outcome.Result)
@@ -113,7 +113,8 @@
 	return reply
 }
 
-// checkConfig returns why a message under that configuration is rejected, or "". It adopts a later configuration.
+// checkConfig returns the reason to reject a message under the configuration of that number, or "" if there is none. It
+// adopts the number if no reason is found and it is later than the known one.
 func (r *Replica) checkConfig(number uint64) RejectReason {
 	switch {
 	case number < r.configNumber:
@@ -125,7 +126,7 @@
 	return ""
 }
 
-// Expire drops the records whose retention is over and returns how many they were.
+// Expire drops the records whose retention is over and returns their number.
 func (r *Replica) Expire(now time.Duration) (dropped int) {
 	for id, record := range r.records {
 		if record.disposable() && now-record.WrittenAt > r.settings.Retention {
@@ -137,11 +138,11 @@
 	return dropped
 }
 
-// disposable reports whether a record may be dropped once its retention is over. A prepare without an accept promises
-// nothing. An outcome that is accepted and not final stays, however old: a client relies on it.
+// disposable reports whether a record may be dropped once its retention is over. No client relies on a record without
+// an accepted outcome. An accepted outcome that is not final is kept, however old, because a client relies on it.
 func (r *Record) disposable() bool { return r.Outcome.Final() || r.Version == 0 }
 
-// Records returns a copy of all records, by id.
+// Records returns a copy of all records, sorted by id.
 func (r *Replica) Records() []Record {
 	records := make([]Record, 0, len(r.records))
 	for _, record := range r.records {
@@ -151,8 +152,8 @@
 	return records
 }
 
-// Merge takes over what another replica holds of a record, where that has a later ballot, or a later version under the
-// same ballot. It never lowers what is promised here.
+// Merge adopts the record of another replica where that record has a later ballot, or a later version under the same
+// ballot. It never lowers the promised ballot of this replica.
 func (r *Replica) Merge(other Record) {
 	own := r.records[other.ID]
 	if own == nil {
@@ -170,5 +171,5 @@
 	}
 }
 
-// Size returns the number of records and their memory in bytes.
+// Size returns the number of records and the memory of all records in bytes.
 func (r *Replica) Size() (records, bytes int) { return len(r.records), r.bytes }
--- a/decision/execution/replica_test.go
+++ b/decision/execution/replica_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestReplica returns a replica with the default settings, or as change has them.
+// newTestReplica returns a replica with the default settings, modified by change unless it is nil.
 func newTestReplica(t *testing.T, change func(*Settings)) *Replica {
 	t.Helper()
 	settings := Defaults()
@@ -42,7 +42,7 @@
 		require.True(t, r.Prepare(0, prepareMessage(strconv.Itoa(i), "d", 1)).OK)
 	}
 	reply := r.Prepare(0, prepareMessage("3", "d", 1))
-	assert.Equal(t, NoCapacity, reply.Reason, "rejected at once, and nothing is dropped for it")
+	assert.Equal(t, NoCapacity, reply.Reason, "rejected at once, and no record is dropped to make room")
 	require.True(t, r.Accept(0, acceptMessage("0", "d", 1, 1, Outcome{Phase: Intended})).OK)
 	large := Outcome{Phase: Completed, Result: make([]byte, 4000)}
 	assert.Equal(t, NoCapacity, r.Accept(0, acceptMessage("0", "d", 1, 2, large)).Reason)
@@ -52,9 +52,9 @@
 	assert.Less(t, bytes, 3000)
 
 	require.True(t, r.Accept(0, acceptMessage("1", "d", 1, 1, Outcome{Phase: Intended})).OK)
-	assert.Equal(t, 0, r.Expire(time.Minute), "not before its time")
-	assert.Equal(t, 2, r.Expire(time.Minute+1), "the final one, and a prepare that came to nothing")
-	assert.Equal(t, 0, r.Expire(1000*time.Hour), "an open promise stays, however old")
+	assert.Equal(t, 0, r.Expire(time.Minute), "the retention is not over yet")
+	assert.Equal(t, 2, r.Expire(time.Minute+1), "the record with a final outcome and the one without an accept")
+	assert.Equal(t, 0, r.Expire(1000*time.Hour), "an outcome that is not final is kept, however old")
 	records, bytes := r.Size()
 	assert.Equal(t, 1, records)
 	assert.Equal(t, "1", r.Records()[0].ID)
@@ -70,15 +70,15 @@
 }
 
 func TestSettingsAreChecked(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for message, invalidate := range map[string]func(*Settings){
 		"replicas: found 2": func(s *Settings) { s.Replicas = 2 },
 		"max_records":       func(s *Settings) { s.MaxRecords = 0 },
 		"retention":         func(s *Settings) { s.Retention = 0 },
 	} {
 		settings := Defaults()
 		require.NoError(t, settings.Check())
-		spoil(&settings)
+		invalidate(&settings)
 		_, err := NewReplica(settings, 1)
-		assert.ErrorContains(t, err, field)
+		assert.ErrorContains(t, err, message)
 	}
 }
--- a/decision/execution/replicaset.go
+++ b/decision/execution/replicaset.go
@@ -11,18 +11,18 @@
 type Member struct {
 	Name   string
 	Zone   string
-	Weight float64 // relative to the others'; a member of weight 0 holds nothing
+	Weight float64 // relative to the other members; a member of weight 0 holds no replicas
 }
 
-// Config is the members among which replicas are placed, under a number that only grows.
+// Config is the members among which replicas are placed. The number of a later configuration is greater.
 type Config struct {
 	Number   uint64
 	Members  []Member
-	Previous []Member // while copies move: the members before, whose replica sets must agree as well
+	Previous []Member // while replicas move: the members before the change, whose replica sets must agree as well
 }
 
-// rendezvousScore ranks the members for an id: those with the greatest scores hold it. A member of twice the weight is
-// chosen for twice as many ids.
+// rendezvousScore returns the score of a member for an id. The members with the greatest scores hold the register of
+// the id. A member of twice the weight is chosen for twice as many ids.
 func rendezvousScore(id string, member Member) float64 {
 	if !(member.Weight > 0) {
 		return math.Inf(-1)
@@ -36,12 +36,13 @@
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb
 	z ^= z >> 31
-	uniform := (float64(z>>11) + 0.5) / (1 << 53) // over 0, under 1
+	uniform := (float64(z>>11) + 0.5) / (1 << 53) // greater than 0, less than 1
 	return -member.Weight / math.Log(uniform)
 }
 
-// ReplicaSet returns the n members that hold the register of an id, fewer if there are not as many: the best of each
-// zone in turn, so that the loss of a zone costs one copy if there are as many zones as copies.
+// ReplicaSet returns the n members that hold the register of an id, or fewer if fewer members have a weight above 0. It
+// takes the member with the greatest score of each zone in turn, so that the loss of a zone costs one copy if there are
+// as many zones as copies.
 func ReplicaSet(id string, members []Member, n int) []Member {
 	ranked := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !(m.Weight > 0) })
 	slices.SortFunc(ranked, func(a, b Member) int {
--- a/decision/execution/replicaset_test.go
+++ b/decision/execution/replicaset_test.go
@@ -18,7 +18,8 @@
 	return members
 }
 
-// Replicas are in different zones, as even as the weights, and few move as one member comes or goes.
+// The replicas of an id are in different zones, members hold replicas in proportion to their weights, and few replicas
+// move when one member leaves.
 func TestReplicaSetsAreSpread(t *testing.T) {
 	const ids = 20_000
 	members := fleetOf(12)
@@ -36,7 +37,7 @@
 			count[m.Name]++
 		}
 		require.Len(t, zones, 3)
-		after := ReplicaSet(id, members[:11], 3) // n11 has left
+		after := ReplicaSet(id, members[:11], 3) // without n11
 		for _, m := range set {
 			if m.Name != "n11" && !slices.Contains(after, m) {
 				moved++
@@ -50,8 +51,8 @@
 		}
 	}
 	assert.InDelta(t, 2.0*float64(count["n3"]), count["n0"], float64(count["n0"])*0.35, "twice the weight, in one zone")
-	// Copies of others than the member that left move only if a zone has to be filled from another.
-	assert.Less(t, moved, ids*3/12/2, "of %d copies", ids*3)
+	// A replica of a remaining member moves only if a zone has to be filled from another zone.
+	assert.Less(t, moved, ids*3/12/2, "of %d replicas", ids*3)
 }
 
 func TestReplicaSetDoesNotDependOnOrder(t *testing.T) {
--- a/decision/execution/settings.go
+++ b/decision/execution/settings.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Settings bound the registers. [Defaults] has usable values.
+// Settings are the limits of the registers. [Defaults] returns usable values.
 type Settings struct {
 	Replicas          int           // of each register
 	MaxRecords        int           // at one replica
 	MaxBytes          int           // at one replica
-	MaxResultBytes    int           // of a result that is kept; a larger one is omitted
+	MaxResultBytes    int           // of a stored result; a larger result is omitted
 	Retention         time.Duration // of a final outcome, from its last write
-	EngineAbandonTime time.Duration // from the end of a process until no engine executes anything that it has sent
+	EngineAbandonTime time.Duration // from the end of a front end process until no engine executes an attempt of it
 }
 
-// Defaults returns the settings that are in force if nothing else is configured.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Replicas:          3,
@@ -35,7 +35,7 @@
 func (s Settings) Check() error {
 	switch {
 	case s.Replicas < 1 || s.Replicas%2 == 0 || s.Replicas > maxReplicas:
-		return fmt.Errorf("execution: replicas: found %d, allowed is 1, 3, 5 or %d", s.Replicas, maxReplicas)
+		return fmt.Errorf("execution: replicas: found %d, must be 1, 3, 5 or %d", s.Replicas, maxReplicas)
 	case s.MaxRecords < 1 || s.MaxBytes < 1 || s.MaxResultBytes < 0:
 		return errors.New("execution: max_records and max_bytes must be at least 1, max_result_bytes at least 0")
 	case s.Retention <= 0 || s.EngineAbandonTime <= 0:
@@ -44,14 +44,14 @@
 	return nil
 }
 
-// Limits bound one [Execution]. [DefaultLimits] has usable values.
+// Limits are the limits of one [Execution]. [DefaultLimits] returns usable values.
 type Limits struct {
-	MaxWait        time.Duration // until the attempt is sent, or until the client is told that it is not
-	ResendInterval time.Duration // of messages that were not answered
-	MaxPrepares    int           // for a retried request, each with a ballot above the one that fenced the last
+	MaxWait        time.Duration // from Begin until the attempt is sent or a final decision is made
+	ResendInterval time.Duration // of an unanswered message
+	MaxPrepares    int           // for a retried request, each under a ballot above the last one that fenced
 }
 
-// DefaultLimits returns the limits that are in force if nothing else is configured.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxWait:        300 * time.Millisecond,
@@ -64,12 +64,12 @@
 func (l Limits) Check() error {
 	switch {
 	case l.ResendInterval <= 0:
-		return fmt.Errorf("execution: resend_interval: found %v, allowed is more than 0", l.ResendInterval)
+		return fmt.Errorf("execution: resend_interval: found %v, must be more than 0", l.ResendInterval)
 	case l.MaxWait < l.ResendInterval:
-		return fmt.Errorf("execution: max_wait: found %v, allowed is resend_interval (%v) or more",
+		return fmt.Errorf("execution: max_wait: found %v, must be at least resend_interval (%v)",
 			l.MaxWait, l.ResendInterval)
 	case l.MaxPrepares < 1:
-		return fmt.Errorf("execution: max_prepares: found %d, allowed is 1 or more", l.MaxPrepares)
+		return fmt.Errorf("execution: max_prepares: found %d, must be at least 1", l.MaxPrepares)
 	}
 	return nil
 }
