--- a/decision/execution/execution.go
+++ b/decision/execution/execution.go
@@ -5,40 +5,42 @@
 // Decision is what a front end does with a request.
 type Decision int
 
-// The decisions. All but Pending, SendNow and QueryEngine are final.
+// The decisions. All except Pending, SendNow and QueryEngine are final.
 const (
-	Pending     Decision = iota // nothing yet
-	SendNow                     // the attempt may be sent; told once, right before the first byte
-	QueryEngine                 // an attempt of another proposer may have run: ask its engine, then call ResolveOutcome
-	NotSent                     // this front end has sent nothing and will not: a retry is harmless
+	Pending     Decision = iota // no decision yet
+	SendNow                     // the attempt may be sent; returned once, right before the first byte
+	QueryEngine                 // an attempt of another proposer may have run: query its engine, then call ResolveOutcome
+	NotSent                     // this front end has not sent the attempt and will not: a retry is harmless
 	Resolved                    // the outcome is final, see Outcome
-	MayHaveRun                  // another front end may have sent it, or may yet: a retry is not harmless
+	MayHaveRun                  // another front end may have sent an attempt or may still do so: a retry is not harmless
 )
 
-// Parameters are what an Execution begins with.
+// Parameters are the arguments of [Begin].
 type Parameters struct {
 	Limits   Limits
 	Settings Settings
 	Config   Config
 	Request  Request
-	Round    uint64 // that the process has not used for the id
-	Engine   string // that the attempt is to be sent to
-	Process  uint64 // of that engine
-	Retried  bool   // the client has asked another front end under this id before
+	Round    uint64 // that this process has not used for the id
+	Engine   string // to which the attempt is to be sent
+	Process  uint64 // process of that engine
+	Retried  bool   // the client has sent the request under this id to another front end before
 }
 
-// Execution takes one non-idempotent request from its arrival to its recorded outcome, for one process. It holds what
-// no proposer alone can: the one bounded wait, what a late majority may still do, and what the client may be told.
+// Execution takes one non-idempotent request from its arrival to its recorded outcome, for one process. It owns the
+// proposers of the request, bounds the wait for all of them together, withdraws an intent that a majority accepts too
+// late, and decides what the client may be told.
 //
-//   - SendNow is told at most once, and only within MaxWait of Begin, while the intent is accepted and no later
-//     proposer is known. A process that was suspended in between checks the time here, not only its lease.
-//   - A final decision is told within MaxWait of Begin, whichever replicas answer, and is never changed.
-//   - NotSent is told only to a client that asks for the first time, if nothing of another proposer was heard. A client
-//     that retries is told MayHaveRun instead: what it began elsewhere may run.
-//   - An attempt that was intended and not sent is withdrawn: a late intent is followed by NeverRan, or a successor
-//     would find a doubt where there is none.
-//   - Only for a client that retries is a later ballot prepared above one that fences. Of two clients that send one id
-//     at once, one is fenced and its client told so.
+//   - SendNow is returned at most once, and only within MaxWait of Begin, while the intent is accepted and no later
+//     proposer is known. Step checks the time itself, so that a process that was suspended in between does not rely on
+//     its lease alone.
+//   - A final decision is returned within MaxWait of Begin, whichever replicas answer, and never changes.
+//   - NotSent is returned only for a first request, if no other proposer of the id was found. A retried request gets
+//     MayHaveRun instead, because the client's earlier request may run at another front end.
+//   - An attempt that was intended and not sent is withdrawn: NeverRan is proposed after the late intent. Otherwise a
+//     later proposer would find the outcome in doubt although nothing was sent.
+//   - Only for a retried request is a later ballot prepared above one that fences. If two first requests of one id
+//     run at the same time, one of the two executions is fenced and returns MayHaveRun.
 type Execution struct {
 	limits    Limits
 	settings  Settings
@@ -50,14 +52,14 @@
 	startedAt time.Duration
 
 	proposer *Proposer
-	prepares int           // proposers so far
-	sentAt   time.Duration // of the messages that are out; negative: not sent yet
+	prepares int           // number of proposers so far
+	sentAt   time.Duration // time at which the current messages were sent; negative: not sent yet
 
 	decision         Decision
-	sendAllowed      bool     // SendNow was told
-	intentProposed   bool     // an attempt was intended
-	ended            bool     // the attempt has ended or will not be sent, as evidence tells
-	evidence         Evidence // to be proposed
+	sendAllowed      bool     // SendNow was returned
+	intentProposed   bool     // an intent was proposed
+	ended            bool     // the attempt has ended or will not be sent, as evidence shows
+	evidence         Evidence // of the outcome to propose
 	evidenceProposed bool
 }
 
@@ -83,18 +85,19 @@
 	return e, nil
 }
 
-// prepare begins with a proposer of that round.
+// prepare starts a new proposer of the given round.
 func (e *Execution) prepare(round uint64) {
 	e.proposer = NewProposer(e.settings, e.request, round, e.config)
 	e.prepares++
 	e.markUnsent()
 }
 
-// markUnsent makes the messages that are out due at once.
+// markUnsent makes the current messages due at once.
 func (e *Execution) markUnsent() { e.sentAt = -1 }
 
-// Messages returns the message to send now, one of the two, and to whom; nil, nil, nil if none is due. A message that
-// is not answered is due again after ResendInterval, also after a final decision, until Done.
+// Messages returns the message to send now, either a Prepare or an Accept, and the names of the members to send the
+// message to. If no message is due, it returns nil, nil, nil. An unanswered message is due again after ResendInterval,
+// also after a final decision, until Done reports true.
 func (e *Execution) Messages(now time.Duration) (prepare *Prepare, accept *Accept, to []string) {
 	if (e.sentAt >= 0 && now-e.sentAt < e.limits.ResendInterval) || e.Done() {
 		return nil, nil, nil
@@ -105,7 +108,7 @@
 	return prepare, accept, to
 }
 
-// HandleReply takes the reply of the replica of a member.
+// HandleReply handles the reply of the replica of the member named from.
 func (e *Execution) HandleReply(from string, reply Reply) {
 	state, version := e.proposer.state, e.proposer.version
 	e.proposer.HandleReply(from, reply)
@@ -114,7 +117,7 @@
 	}
 }
 
-// Reconfigure tells of a later configuration.
+// Reconfigure adopts a later configuration. An earlier one changes nothing.
 func (e *Execution) Reconfigure(config Config) {
 	if config.Number > e.config.Number {
 		e.config = config
@@ -123,7 +126,8 @@
 	}
 }
 
-// Step returns what is to be done now. It is to be called after each reply and every ResendInterval.
+// Step advances the execution and returns the decision at the time now. Call it after each reply and every
+// ResendInterval.
 func (e *Execution) Step(now time.Duration) Decision {
 	if e.decision != Pending || e.sendAllowed {
 		e.recordOutcome()
@@ -154,7 +158,7 @@
 	return e.proceed()
 }
 
-// proceed does what the proposer permits.
+// proceed takes the action that the proposer permits.
 func (e *Execution) proceed() Decision {
 	switch e.proposer.Permission() {
 	case Send:
@@ -169,13 +173,13 @@
 	return Pending
 }
 
-// noOtherProposer reports whether nothing of another proposer was found or heard of so far.
+// noOtherProposer reports whether neither an intent nor a later ballot of another proposer was found so far.
 func (e *Execution) noOtherProposer() bool {
 	found := e.proposer.found
 	return found.Phase == Registered && found.IntendedBy == "" && e.proposer.fencedBy == (Ballot{})
 }
 
-// giveUp ends the execution with that decision before its attempt was sent.
+// giveUp ends the execution with a final decision before its attempt is sent.
 func (e *Execution) giveUp(decision Decision) Decision {
 	e.decision = decision
 	e.ended, e.evidence = true, Evidence{OwnAttempt: true}
@@ -183,8 +187,8 @@
 	return e.decision
 }
 
-// ResolveOutcome tells, after QueryEngine, what the engine of another proposer's attempt knows of the id. If the
-// evidence does not make the outcome final, the decision is MayHaveRun.
+// ResolveOutcome takes, after QueryEngine, the evidence from the engine of another proposer's attempt. If the evidence
+// does not make the outcome final, the decision is MayHaveRun.
 func (e *Execution) ResolveOutcome(evidence Evidence) {
 	if e.decision != Pending || e.sendAllowed || e.proposer.Permission() != Resolve {
 		return
@@ -196,7 +200,7 @@
 	e.markUnsent()
 }
 
-// AttemptEnded tells how the attempt that SendNow permitted has ended. Its outcome is recorded next.
+// AttemptEnded takes the evidence of how the attempt that SendNow permitted has ended. The outcome is recorded next.
 func (e *Execution) AttemptEnded(evidence Evidence) {
 	if e.sendAllowed && !e.ended {
 		e.ended, e.evidence = true, evidence
@@ -204,7 +208,7 @@
 	}
 }
 
-// recordOutcome proposes the outcome of an attempt that has ended, once the register can take it.
+// recordOutcome proposes the outcome of an attempt that has ended, once the proposer is Established.
 func (e *Execution) recordOutcome() {
 	if e.ended && !e.evidenceProposed && e.proposer.state == Established && e.proposer.ResolveOutcome(e.evidence) {
 		e.evidenceProposed = true
@@ -212,10 +216,10 @@
 	}
 }
 
-// Outcome returns what a majority has accepted; Resolved tells that it is final.
+// Outcome returns the outcome that a majority has accepted. It is final if the decision is Resolved.
 func (e *Execution) Outcome() Outcome { return e.proposer.Outcome() }
 
-// Done reports whether there is nothing more to send: the outcome is recorded, a later proposer has the register, or no
+// Done reports whether no more messages are to be sent: the outcome is recorded, the proposer is rejected, or no
 // attempt was intended.
 func (e *Execution) Done() bool {
 	state, _ := e.proposer.State()
@@ -223,7 +227,7 @@
 	case e.decision == Pending && !e.ended:
 		return false
 	case state == Rejected, e.decision == Resolved, !e.intentProposed:
-		return true // to go on preparing would only fence others
+		return true // further prepares would only fence other proposers
 	}
 	return e.evidenceProposed && state == Established
 }
--- a/decision/execution/execution_test.go
+++ b/decision/execution/execution_test.go
@@ -10,18 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is the replicas and executions of one id, and messages between them that are lost, late or duplicated.
+// simulation holds the replicas and executions of one id, and the messages between them, which may be lost, late or
+// duplicated.
 type simulation struct {
 	now        time.Duration
 	config     Config
 	replicas   map[string]*Replica
 	executions []*Execution
-	sendCount  []int      // how often SendNow was told, by execution
-	decisions  []Decision // the final ones, by execution; Pending: none yet
-	inFlight   []func()   // messages and replies
+	sendCount  []int      // how often SendNow was returned, by execution
+	decisions  []Decision // final decisions by execution; Pending: none yet
+	inFlight   []func()   // deliveries of messages and replies
 }
 
-// newSimulation begins an execution for each value of retried.
+// newSimulation begins an execution for each value of retried, which is the value of its Parameters.Retried.
 func newSimulation(t require.TestingT, retried ...bool) *simulation {
 	s := &simulation{
 		config:    Config{Number: 1, Members: fleetOf(3)},
@@ -51,7 +52,7 @@
 	return s
 }
 
-// send puts the messages of an execution on their way.
+// send puts the due messages of an execution in flight.
 func (s *simulation) send(e *Execution) {
 	prepare, accept, to := e.Messages(s.now)
 	for _, name := range to {
@@ -67,32 +68,32 @@
 	}
 }
 
-// step lets an execution go on, and checks its decision against what it has told before.
+// step calls Step of an execution and checks the decision against its earlier ones.
 func (s *simulation) step(t require.TestingT, i int) Decision {
 	decision := s.executions[i].Step(s.now)
 	switch {
 	case decision == SendNow:
 		s.sendCount[i]++
 		require.Zero(t, s.decisions[i], "sent after a final decision")
-		require.Less(t, s.now, DefaultLimits().MaxWait, "sent after the wait")
+		require.Less(t, s.now, DefaultLimits().MaxWait, "sent after MaxWait")
 	case decision != Pending && decision != QueryEngine:
 		if s.decisions[i] == Pending {
-			require.LessOrEqual(t, s.now, DefaultLimits().MaxWait+50*time.Millisecond, "told late")
+			require.LessOrEqual(t, s.now, DefaultLimits().MaxWait+50*time.Millisecond, "final decision over 50 ms late")
 			s.decisions[i] = decision
 		}
-		require.Equal(t, s.decisions[i], decision, "a decision was changed")
-		require.Zero(t, s.sendCount[i], "a final decision on what was sent")
+		require.Equal(t, s.decisions[i], decision, "a final decision was changed")
+		require.Zero(t, s.sendCount[i], "a final decision after SendNow")
 	}
 	return decision
 }
 
-// Messages lost, late and duplicated, one or two clients that retry beside one that asks for the first time: one
-// attempt at most, and no decision that contradicts another.
-func TestExecutionsSendOnce(t *testing.T) {
+// With messages lost, late and duplicated, and one or two retried requests beside a first request, at most one attempt
+// is sent and no decision contradicts another.
+func TestExecutionsSendAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, false, true, rapid.Bool().Draw(t, "retried"))
 		for range rapid.IntRange(10, 150).Draw(t, "events") {
-			s.draw(t)
+			s.randomEvent(t)
 		}
 		sent := 0
 		for _, n := range s.sendCount {
@@ -101,27 +102,27 @@
 		require.LessOrEqual(t, sent, 1, "sent more than once")
 		for i, e := range s.executions {
 			if s.decisions[i] == NotSent {
-				require.Zero(t, i, "a client that retries was told that a retry is harmless")
+				require.Zero(t, i, "NotSent was returned for a retried request")
 			}
 			if s.decisions[i] == Resolved && sent > 0 {
-				require.Equal(t, Completed, e.Outcome().Phase, "it was sent, and another outcome is told")
+				require.Equal(t, Completed, e.Outcome().Phase, "sent, but resolved to another outcome")
 			}
 		}
 	})
 }
 
-// draw lets something happen to an execution.
-func (s *simulation) draw(t *rapid.T) {
+// randomEvent applies a drawn event to a drawn execution.
+func (s *simulation) randomEvent(t *rapid.T) {
 	i := rapid.IntRange(0, len(s.executions)-1).Draw(t, "execution")
 	switch rapid.IntRange(0, 6).Draw(t, "event") {
 	case 0:
 		s.send(s.executions[i])
 	case 1, 2, 3:
 		if n := len(s.inFlight); n > 0 {
-			at := rapid.IntRange(0, n-1).Draw(t, "message")
-			deliver := s.inFlight[at]
+			index := rapid.IntRange(0, n-1).Draw(t, "message")
+			deliver := s.inFlight[index]
 			if rapid.IntRange(0, 4).Draw(t, "duplicated") > 0 {
-				s.inFlight = append(s.inFlight[:at:at], s.inFlight[at+1:]...)
+				s.inFlight = append(s.inFlight[:index:index], s.inFlight[index+1:]...)
 			}
 			deliver()
 		}
@@ -130,11 +131,11 @@
 			s.inFlight = s.inFlight[:n-1]
 		}
 		s.now += time.Duration(rapid.Int64Range(0, int64(30*time.Millisecond)).Draw(t, "pass"))
-		for j := range s.executions { // all check the time
+		for j := range s.executions { // every execution checks the time
 			s.step(t, j)
 		}
 	case 5:
-		if s.step(t, i) == QueryEngine { // the engine does not know it, and its proposer may still run: in doubt
+		if s.step(t, i) == QueryEngine { // unknown to the engine, and the proposer may still run: in doubt
 			s.executions[i].ResolveOutcome(Evidence{UnknownToEngine: true})
 		}
 	case 6:
@@ -144,7 +145,7 @@
 	}
 }
 
-// deliver lets all messages on their way arrive, in order, and those that they lead to.
+// deliver delivers all messages in flight in order, and then the messages that result from them.
 func (s *simulation) deliver() {
 	for len(s.inFlight) > 0 {
 		next := s.inFlight[0]
@@ -153,21 +154,21 @@
 	}
 }
 
-// run delivers all messages and lets the executions step, until nothing more is sent.
-func (s *simulation) run(t require.TestingT, only ...int) {
+// run sends, delivers and steps in turn for the executions at indexes, until they have nothing more to send.
+func (s *simulation) run(t require.TestingT, indexes ...int) {
 	for range 50 {
-		for _, i := range only {
+		for _, i := range indexes {
 			s.send(s.executions[i])
 		}
 		s.deliver()
-		for _, i := range only {
+		for _, i := range indexes {
 			s.step(t, i)
 		}
 	}
 }
 
-// The intent is accepted in time, and the process is suspended before it checks: it must not send then, however long
-// its lease.
+// The intent is accepted in time, but the process is suspended before it checks MaySend. It must not send afterwards,
+// however long its lease.
 func TestSuspendedProcessDoesNotSend(t *testing.T) {
 	s := newSimulation(t, false)
 	e := s.executions[0]
@@ -185,7 +186,7 @@
 	assert.Equal(t, NeverRan, e.Outcome().Phase)
 }
 
-// runDecided delivers messages of executions that have their decision already.
+// runDecided sends and delivers the messages of executions that have made a final decision.
 func (s *simulation) runDecided() {
 	for range 5 {
 		s.now += DefaultLimits().ResendInterval
@@ -197,8 +198,8 @@
 	}
 }
 
-// The intent reaches a majority after the wait: the client was told that a retry is harmless, and whoever asks later
-// must find that nothing ran.
+// The intent reaches a majority only after MaxWait, when the client was already told that a retry is harmless. A later
+// execution must find NeverRan.
 func TestLateIntentIsWithdrawn(t *testing.T) {
 	s := newSimulation(t, false, true)
 	e := s.executions[0]
@@ -207,10 +208,10 @@
 		s.deliver()
 		e.Step(s.now)
 	}
-	s.send(e) // on its way for longer than the wait
+	s.send(e) // in flight for longer than MaxWait
 	s.now = DefaultLimits().MaxWait
 	require.Equal(t, NotSent, s.step(t, 0))
-	assert.False(t, e.Done(), "there is something to withdraw")
+	assert.False(t, e.Done(), "the intent has to be withdrawn")
 	s.run(t, 0)
 	assert.True(t, e.Done())
 	s.executions[1].startedAt = s.now
@@ -220,8 +221,8 @@
 	assert.Equal(t, []int{0, 0}, s.sendCount)
 }
 
-func TestExecutionsOneAfterTheOther(t *testing.T) {
-	t.Run("its outcome is found by a client that retries", func(t *testing.T) {
+func TestExecutionDecisions(t *testing.T) {
+	t.Run("retried request finds the recorded outcome", func(t *testing.T) {
 		s := newSimulation(t, false, true)
 		s.run(t, 0)
 		require.Equal(t, []int{1, 0}, s.sendCount)
@@ -236,18 +237,18 @@
 		s := newSimulation(t, false, true)
 		s.now = DefaultLimits().MaxWait
 		assert.Equal(t, []Decision{NotSent, MayHaveRun}, []Decision{s.step(t, 0), s.step(t, 1)})
-		assert.True(t, s.executions[0].Done(), "it has intended nothing, and fences nobody")
+		assert.True(t, s.executions[0].Done(), "without an intent, it sends no more prepares that could fence others")
 	})
-	t.Run("two that ask at once do not fence each other in turn", func(t *testing.T) {
+	t.Run("two first requests at once do not fence each other in turn", func(t *testing.T) {
 		s := newSimulation(t, false, false)
 		for range 20 {
 			s.run(t, 0, 1)
 		}
-		assert.Equal(t, []int{0, 1}, s.sendCount, "the greater ballot")
+		assert.Equal(t, []int{0, 1}, s.sendCount, "the execution with the greater ballot sends")
 		assert.Equal(t, MayHaveRun, s.decisions[0])
 		assert.Equal(t, 1, s.executions[0].prepares)
 	})
-	t.Run("another's attempt is found, and its engine says nothing in time", func(t *testing.T) {
+	t.Run("attempt of another front end is found, and its engine does not answer in time", func(t *testing.T) {
 		s := newSimulation(t, true, false)
 		s.run(t, 0)
 		require.Equal(t, []int{1, 0}, s.sendCount)
@@ -255,7 +256,7 @@
 		s.run(t, 1)
 		assert.Equal(t, QueryEngine, s.step(t, 1))
 		s.now = DefaultLimits().MaxWait
-		assert.Equal(t, MayHaveRun, s.step(t, 1), "a retry is not harmless: it may run")
+		assert.Equal(t, MayHaveRun, s.step(t, 1), "a retry is not harmless: the attempt may run")
 	})
 	t.Run("no capacity", func(t *testing.T) {
 		s := newSimulation(t, false)
@@ -270,13 +271,13 @@
 }
 
 func TestLimitsAreChecked(t *testing.T) {
-	for field, spoil := range map[string]func(*Limits){
+	for field, invalidate := range map[string]func(*Limits){
 		"resend_interval": func(l *Limits) { l.ResendInterval = 0 },
 		"max_wait":        func(l *Limits) { l.MaxWait = 0 },
 		"max_prepares":    func(l *Limits) { l.MaxPrepares = 0 },
 	} {
 		limits := DefaultLimits()
-		spoil(&limits)
+		invalidate(&limits)
 		assert.ErrorContains(t, limits.Check(), field+": found")
 	}
 }
--- a/decision/execution/mutation_test.go
+++ b/decision/execution/mutation_test.go
@@ -6,19 +6,19 @@
 	"beechcart/internal/mutation"
 )
 
-// walkTest is the test of one small world, by its name.
+// walkTest returns the name of the test of a small world.
 func walkTest(world string) string { return "TestWalksOfSmallWorlds/" + world }
 
 const (
-	ranTwice           = "it ran twice"
-	ranAfterNeverRan   = "it ran after somebody was told that it never would"
-	ranAndToldNeverRan = "it ran, and somebody was told that it never did"
+	ranTwice           = "the request ran twice"
+	ranAfterNeverRan   = "the request ran after a client was told that it never ran"
+	ranAndToldNeverRan = "the request ran, and a client was told that it never ran"
 )
 
-// allWalks are the walks of a world on a mutated copy.
-var allWalks = []string{walksVariable + "=30000"}
+// walksEnv sets the number of walks of each small world on a mutated copy.
+var walksEnv = []string{walksVariable + "=30000"}
 
-// Each guard is needed: without it some walk, or the test that is named, breaks a promise.
+// Each guard is needed: without the guard, a walk or the named test fails.
 func TestMutationsAreFound(t *testing.T) {
 	mutation.Run(t, append(replicaMutations, proposerMutations...))
 }
@@ -31,7 +31,7 @@
 		reply.Reason, reply.Promised = Fenced, record.Promised
 		return reply`,
 		New:  "\tcase false:",
-		Test: walkTest("fence"), Env: allWalks, Want: ranTwice,
+		Test: walkTest("fence"), Env: walksEnv, Want: ranTwice,
 	},
 	{
 		Guard: "a prepare of a lower ballot is rejected",
@@ -40,7 +40,7 @@
 		reply.Reason, reply.Promised = Fenced, record.Promised
 	default:`,
 		New:  "\tdefault:",
-		Test: walkTest("prepare"), Env: allWalks, Want: ranTwice,
+		Test: walkTest("prepare"), Env: walksEnv, Want: ranTwice,
 	},
 	{
 		Guard: "a prepare for another statement is rejected",
@@ -56,68 +56,68 @@
 		File:  "replica.go",
 		Old:   "number < r.configNumber",
 		New:   "false",
-		Test:  "TestReplicaSetsThatChangeOverlap/once_it_has_moved",
+		Test:  "TestChangingReplicaSetsOverlap/after_the_replica_has_moved",
 	},
 	{
 		Guard: "a replica that is not bootstrapped does not count",
 		File:  "replica.go",
 		Old:   "!r.bootstrapped",
 		New:   "false",
-		Test:  walkTest("bootstrap"), Env: allWalks, Want: ranTwice,
+		Test:  walkTest("bootstrap"), Env: walksEnv, Want: ranTwice,
 	},
 	{
 		Guard: "a final outcome is retained",
 		File:  "replica.go",
 		Old:   "now-record.WrittenAt > r.settings.Retention",
 		New:   "now-record.WrittenAt > 0",
-		Test:  walkTest("retention"), Env: allWalks, Want: ranTwice,
+		Test:  walkTest("retention"), Env: walksEnv, Want: ranTwice,
 	},
 }
 
 var proposerMutations = []mutation.Mutation{
 	{
-		Guard: "a majority agrees, one of it in another zone",
+		Guard: "a majority acknowledges, including a replica in another zone",
 		File:  "proposer.go",
 		Old: `	if len(replicas) == 0 || acknowledged < majority(len(replicas)) {
 		return false
 	}
-	return elsewhere || !anyElsewhere`,
+	return acknowledgedInOtherZone || !hasOtherZone`,
 		New:  "\treturn acknowledged > 0",
-		Test: walkTest("majority"), Env: allWalks, Want: ranTwice,
+		Test: walkTest("majority"), Env: walksEnv, Want: ranTwice,
 	},
 	{
-		Guard: "the previous replica set agrees as well",
+		Guard: "a majority of the previous replica set acknowledges as well",
 		File:  "proposer.go",
 		Old:   "len(p.config.Previous) > 0",
 		New:   "false",
-		Test:  "TestReplicaSetsThatChangeOverlap/while_a_replica_moves",
+		Test:  "TestChangingReplicaSetsOverlap/while_a_replica_moves",
 	},
 	{
-		Guard: "a prepare finds what was accepted",
+		Guard: "a prepare finds the accepted outcome",
 		File:  "proposer.go",
 		Old:   "p.found, p.foundBallot, p.foundVersion = reply.Outcome, reply.Accepted, reply.AcceptedVersion",
 		New:   "",
-		Test:  walkTest("recover"), Env: allWalks, Want: ranTwice,
+		Test:  walkTest("recover"), Env: walksEnv, Want: ranTwice,
 	},
 	{
-		Guard: "what was found is accepted before it is told",
+		Guard: "a found outcome is accepted by a majority before a client is answered",
 		File:  "proposer.go",
 		Old:   "p.propose(p.found, Recovering)",
 		New:   "p.propose(p.found, Recovering)\n\t\tp.state, p.outcome = Established, p.found",
-		Test:  "TestWhatIsFoundIsAcceptedBeforeItIsTold",
+		Test:  "TestFoundOutcomeIsAcceptedBeforeAnswer",
 	},
 	{
-		Guard: "a process that may still run may have sent",
+		Guard: "the attempt of a process that may still run stays in doubt",
 		File:  "proposer.go",
 		Old:   "abandoned := evidence.ProcessEndedFor > p.settings.EngineAbandonTime",
 		New:   "abandoned := true",
-		Test:  walkTest("doubt"), Env: allWalks, Want: ranAndToldNeverRan,
+		Test:  walkTest("doubt"), Env: walksEnv, Want: ranAndToldNeverRan,
 	},
 	{
-		Guard: "what a process has sent may arrive after its end",
+		Guard: "an attempt may arrive after the end of its process",
 		File:  "proposer.go",
 		Old:   "evidence.ProcessEndedFor > p.settings.EngineAbandonTime",
 		New:   "evidence.ProcessEndedFor > 0",
-		Test:  walkTest("abandon"), Env: allWalks, Want: ranAfterNeverRan,
+		Test:  walkTest("abandon"), Env: walksEnv, Want: ranAfterNeverRan,
 	},
 }
--- a/decision/execution/proposer.go
+++ b/decision/execution/proposer.go
@@ -8,25 +8,25 @@
 // Request is a non-idempotent request and the process that acts for it.
 type Request struct {
 	ID              string
-	StatementDigest string // what the id belongs to
-	Proposer        string // "member/process": this process's alone
+	StatementDigest string // of the statement that the id belongs to
+	Proposer        string // "member/process", unique to this process
 	Zone            string // of that process
 }
 
-// ProposerState is how far a proposer has come.
+// ProposerState is the progress of a proposer.
 type ProposerState int
 
 // The states of a proposer.
 const (
-	Preparing   ProposerState = iota // it asks for promises of its ballot
-	Recovering                       // it has what it found accepted under its ballot
-	Established                      // what it proposed last is accepted by a majority
-	Accepting                        // it has proposed more
-	Rejected                         // a later ballot fences it, or replicas reject the request: final
+	Preparing   ProposerState = iota // the proposer asks replicas to promise its ballot
+	Recovering                       // the proposer asks replicas to accept the outcome that it found, under its ballot
+	Established                      // a majority has accepted the latest proposal
+	Accepting                        // the proposer asks replicas to accept a new outcome
+	Rejected                         // a later ballot fences the proposer, or a replica rejects the request: final
 )
 
-// Proposer is one attempt of one process to act for a request id. Its caller sends Messages to the replicas and hands
-// it their replies.
+// Proposer is one attempt of one process to act for a request id. The caller sends Messages to the replicas and passes
+// their replies to HandleReply.
 type Proposer struct {
 	settings Settings
 	request  Request
@@ -36,9 +36,9 @@
 	state        ProposerState
 	reason       RejectReason    // if Rejected
 	fencedBy     Ballot          // if Rejected as Fenced
-	acknowledged map[string]bool // replicas that said yes to the message that is out, by member name
+	acknowledged map[string]bool // replicas that acknowledged the current message, by member name
 
-	// The latest that the replies to Prepare have told of.
+	// The latest accepted outcome in the replies to Prepare.
 	found        Outcome
 	foundBallot  Ballot
 	foundVersion uint64
@@ -48,8 +48,8 @@
 	outcome  Outcome // that a majority has accepted
 }
 
-// NewProposer returns a proposer that prepares its register. round must be greater than any that the process has used
-// for the id.
+// NewProposer returns a proposer that prepares its register. round must be greater than any round that the process
+// has used for the id.
 func NewProposer(settings Settings, request Request, round uint64, config Config) *Proposer {
 	return &Proposer{
 		settings:     settings,
@@ -60,16 +60,17 @@
 	}
 }
 
-// State returns how far the proposer has come and, if it is Rejected, why.
+// State returns the state of the proposer and, if it is Rejected, the reason.
 func (p *Proposer) State() (ProposerState, RejectReason) { return p.state, p.reason }
 
-// FencedBy returns the ballot that fences the proposer, the zero Ballot if there is none.
+// FencedBy returns the ballot that fences the proposer, or the zero Ballot if the proposer is not fenced.
 func (p *Proposer) FencedBy() Ballot { return p.fencedBy }
 
-// Outcome returns what a majority has accepted, as far as the proposer knows; valid if it is Established.
+// Outcome returns the outcome that a majority has accepted, as far as the proposer knows. It is valid in the state
+// Established only.
 func (p *Proposer) Outcome() Outcome { return p.outcome }
 
-// Replicas returns the names of the members whose replies count, each once.
+// Replicas returns the names of the members whose replies count, without duplicates.
 func (p *Proposer) Replicas() []string {
 	var names []string
 	for _, replicas := range p.replicaSets() {
@@ -82,7 +83,7 @@
 	return names
 }
 
-// replicaSets returns the sets each of which must agree: one, or two while copies move.
+// replicaSets returns the replica sets, each of which must agree: one, or two while replicas move.
 func (p *Proposer) replicaSets() [][]Member {
 	sets := [][]Member{ReplicaSet(p.request.ID, p.config.Members, p.settings.Replicas)}
 	if len(p.config.Previous) > 0 {
@@ -101,29 +102,30 @@
 	return true
 }
 
-// hasQuorumOf reports whether a majority of one set has acknowledged, and with it a replica outside the proposer's zone
+// hasQuorumOf reports whether a majority of one set has acknowledged, including a replica outside the proposer's zone
 // if the set has one.
 func (p *Proposer) hasQuorumOf(replicas []Member) bool {
-	acknowledged, elsewhere, anyElsewhere := 0, false, false
+	acknowledged, acknowledgedInOtherZone, hasOtherZone := 0, false, false
 	for _, member := range replicas {
 		otherZone := member.Zone != p.request.Zone
-		anyElsewhere = anyElsewhere || otherZone
+		hasOtherZone = hasOtherZone || otherZone
 		if p.acknowledged[member.Name] {
 			acknowledged++
-			elsewhere = elsewhere || otherZone
+			acknowledgedInOtherZone = acknowledgedInOtherZone || otherZone
 		}
 	}
 	if len(replicas) == 0 || acknowledged < majority(len(replicas)) {
 		return false
 	}
-	return elsewhere || !anyElsewhere
+	return acknowledgedInOtherZone || !hasOtherZone
 }
 
-// majority is the smallest majority of n replicas.
+// majority returns the size of the smallest majority of n replicas.
 func majority(n int) int { return n/2 + 1 }
 
-// Messages returns the message that is out, one of the two, and the replicas that have not acknowledged it. It may be
-// sent any number of times. Without a message it returns nil, nil, nil.
+// Messages returns the current message, either a Prepare or an Accept, and the names of the members whose replicas have
+// not acknowledged the message. The message may be sent any number of times. Without a message, nil, nil, nil is
+// returned.
 func (p *Proposer) Messages() (prepare *Prepare, accept *Accept, to []string) {
 	switch p.state {
 	case Preparing:
@@ -153,7 +155,8 @@
 	return prepare, accept, to
 }
 
-// HandleReply takes the reply of the replica of a member. A reply to an earlier message changes nothing (invariant 8).
+// HandleReply handles the reply of the replica of the member named from. A reply to an earlier message changes nothing
+// (invariant 8).
 func (p *Proposer) HandleReply(from string, reply Reply) {
 	if !p.awaits(from, reply) {
 		return
@@ -169,14 +172,14 @@
 	switch {
 	case !p.hasQuorum():
 	case p.state == Preparing:
-		// What is found may be accepted by a minority only: it must not be acted upon before a majority has it.
+		// A minority may have accepted the found outcome: a majority must accept it before the proposer acts on it.
 		p.propose(p.found, Recovering)
 	default:
 		p.state, p.outcome = Established, p.proposed
 	}
 }
 
-// awaits reports whether a reply answers the message that is out.
+// awaits reports whether a reply answers the current message.
 func (p *Proposer) awaits(from string, reply Reply) bool {
 	if reply.ID != p.request.ID || reply.Ballot != p.ballot || !slices.Contains(p.Replicas(), from) {
 		return false
@@ -191,8 +194,8 @@
 	}
 }
 
-// handleRejection takes a rejection. A replica that is not bootstrapped, or whose configuration differs, is asked
-// again.
+// handleRejection handles a rejection. A replica that is not bootstrapped, knows a later configuration or has no record
+// of the id is asked again.
 func (p *Proposer) handleRejection(reply Reply) {
 	switch reply.Reason {
 	case Fenced:
@@ -203,7 +206,7 @@
 	}
 }
 
-// adoptLater keeps the accepted outcome of a reply to Prepare if it is later than what was found so far (invariant 3).
+// adoptLater adopts the accepted outcome in a reply to Prepare if it is later than the one found so far (invariant 3).
 func (p *Proposer) adoptLater(reply Reply) {
 	order := p.foundBallot.Compare(reply.Accepted)
 	if order < 0 || (order == 0 && p.foundVersion < reply.AcceptedVersion) {
@@ -211,14 +214,14 @@
 	}
 }
 
-// propose asks the replicas to accept an outcome.
+// propose starts to ask the replicas to accept an outcome, in the state Recovering or Accepting.
 func (p *Proposer) propose(outcome Outcome, state ProposerState) {
 	p.version++
 	p.proposed, p.state = outcome, state
 	clear(p.acknowledged)
 }
 
-// Reconfigure tells of a later configuration. What is out is asked anew of the replicas in force now.
+// Reconfigure adopts a later configuration, whose replicas are then asked anew. An earlier one changes nothing.
 func (p *Proposer) Reconfigure(config Config) {
 	if config.Number <= p.config.Number || p.state == Rejected {
 		return
@@ -228,8 +231,8 @@
 	if p.state == Preparing {
 		return
 	}
-	// The new replicas have promised this ballot nothing, so it is prepared again; what it found or proposed stands for
-	// it.
+	// The new replicas have not promised this ballot, so the ballot is prepared again. The outcome that is proposed or
+	// accepted under the ballot counts as found.
 	p.found = p.proposed
 	if p.state == Established {
 		p.found = p.outcome
@@ -238,18 +241,18 @@
 	p.state = Preparing
 }
 
-// Permission is what a proposer may do next.
+// Permission is the next action that a proposer permits.
 type Permission int
 
 // The permissions.
 const (
-	Wait    Permission = iota // nothing yet
-	Answer                    // the outcome is final: tell the client
-	Send                      // nothing was sent: an attempt may be intended
-	Resolve                   // an attempt of another proposer may have run: ask its engine, then call ResolveOutcome
+	Wait    Permission = iota // no action yet
+	Answer                    // the outcome is final: answer the client
+	Send                      // nothing was sent: call Intend
+	Resolve                   // an attempt of another proposer may have run: query its engine, then call ResolveOutcome
 )
 
-// Permission returns what may be done now.
+// Permission returns the action that is permitted now.
 func (p *Proposer) Permission() Permission {
 	switch {
 	case p.state != Established:
@@ -259,13 +262,13 @@
 	case p.outcome.Phase == Registered:
 		return Send
 	case p.outcome.IntendedBy == p.ballot.Proposer:
-		return Wait // its own attempt runs
+		return Wait // the proposer's own attempt may be running
 	}
 	return Resolve
 }
 
-// Intend proposes an attempt at a process of an engine and reports whether that is permitted. The attempt may be sent
-// once MaySend reports true.
+// Intend proposes to send an attempt to a process of an engine and reports whether the proposal is permitted. The
+// attempt may be sent once MaySend reports true.
 func (p *Proposer) Intend(engine string, process uint64) bool {
 	if p.Permission() != Send {
 		return false
@@ -278,23 +281,23 @@
 	return true
 }
 
-// MaySend reports whether the attempt that was intended may be sent now. It is to be asked right before the first byte.
+// MaySend reports whether the attempt that was intended may be sent now. Call it right before the first byte.
 func (p *Proposer) MaySend() bool {
 	return p.state == Established && p.outcome.Phase == Intended && p.outcome.IntendedBy == p.ballot.Proposer
 }
 
 // Evidence is what is known about an attempt that was intended.
 type Evidence struct {
-	Ran             bool          // its engine has executed it, or does
-	Completed       bool          // its engine has executed it to the end, with Result
+	Ran             bool          // the engine has executed the attempt or is executing it
+	Completed       bool          // the engine has executed the attempt to the end, with Result
 	Result          []byte        // if Completed
-	UnknownToEngine bool          // its engine does not know the id
-	ProcessEndedFor time.Duration // since the proposer's process has provably ended; 0: it may still run
-	OwnAttempt      bool          // it is this proposer's own and was provably not sent, or has ended
+	UnknownToEngine bool          // the engine does not know the id
+	ProcessEndedFor time.Duration // since the provable end of the process that intended the attempt; 0: it may still run
+	OwnAttempt      bool          // the attempt is this proposer's own, and provably was not sent or has ended
 }
 
-// ResolveOutcome proposes what the evidence proves: Completed, NeverRan or else InDoubt. It reports whether that is
-// anything new (invariant 4).
+// ResolveOutcome proposes the outcome that the evidence proves: Completed, NeverRan or else InDoubt (invariant 4). It
+// reports whether an outcome was proposed: a final outcome stays, and InDoubt is not proposed twice.
 func (p *Proposer) ResolveOutcome(evidence Evidence) bool {
 	if p.state != Established || p.outcome.Final() || p.outcome.Phase == Registered {
 		return false
--- a/decision/execution/race_test.go
+++ b/decision/execution/race_test.go
@@ -2,5 +2,5 @@
 
 package execution
 
-// raceDetector tells that the tests run ten times slower, and walk fewer states.
+// raceDetector reports that the race detector is on. The tests then run ten times slower and visit fewer states.
 const raceDetector = true
--- a/decision/execution/search_test.go
+++ b/decision/execution/search_test.go
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The search takes every order in which two or three proposers of one id, its replicas and its engine may act: messages
-// that are lost, duplicated and late, a process that dies or sends as late as it likes, a replica that loses its disk,
-// a replica that moves to another member.
+// The search explores the orders in which two or three proposers of one id, the replicas and the engine may act.
+// Messages may be lost, duplicated and late, a process may die or send at any later time, a replica may lose its disk,
+// and a replica may move to another member.
 
-// explore visits the states that can be reached, breadth first, up to a number of them. complete tells that they are
-// all.
+// explore visits the reachable states breadth first until it finds a violation or has visited maxStates. complete
+// reports whether it has visited all of them.
 func explore(start *world, maxStates int) (states int, violation string, complete bool) {
 	seen := map[string]bool{start.key(): true}
 	queue := []*world{start}
 	for len(queue) > 0 {
-		at := queue[0]
+		current := queue[0]
 		queue = queue[1:]
-		all, _ := at.steps()
-		for _, take := range all {
-			next := at.clone()
-			take(next)
+		all, _ := current.steps()
+		for _, apply := range all {
+			next := current.clone()
+			apply(next)
 			if next.violation != "" {
 				return len(seen), next.violation, false
 			}
@@ -40,10 +40,11 @@
 	return len(seen), "", true
 }
 
-// statesVariable names the environment variable that says how many states the search visits.
+// statesVariable names the environment variable that sets the number of states that the search visits.
 const statesVariable = "EXECUTION_STATES"
 
-// Every order of messages between two proposers and three replicas; and in larger worlds up to the bound on states.
+// The search covers every order of messages between two proposers and three replicas, and, with one fault of each kind,
+// the orders up to a bound on the number of states.
 func TestSearchEveryOrder(t *testing.T) {
 	for _, c := range []struct {
 		processes int
@@ -59,17 +60,17 @@
 			c.maxStates = n
 		}
 		states, violation, complete := explore(newWorld(c.processes, c.faults), c.maxStates)
-		t.Logf("%+v: %d states, all of them: %v", c, states, complete)
+		t.Logf("%+v: %d states, complete: %v", c, states, complete)
 		if violation != "" || states < min(c.maxStates, 30_000) {
-			t.Errorf("%+v: %q after %d states", c, violation, states)
+			t.Errorf("%+v: violation %q after %d states", c, violation, states)
 		}
 	}
 }
 
-// maxSteps is how many steps a walk takes at most.
+// maxSteps is the largest number of steps of a walk.
 const maxSteps = 150
 
-// walk takes steps at random until nothing may happen any more, or a promise is broken.
+// walk applies random steps until no step is left, an invariant is violated or maxSteps is reached.
 func walk(w *world, rng *rand.Rand) (violation string) {
 	for range maxSteps {
 		all, progress := w.steps()
@@ -86,7 +87,7 @@
 	return ""
 }
 
-// Walks go deeper than the search: three proposers, everything that may happen at once.
+// Random walks go deeper than the search: up to three proposers, and all kinds of faults together.
 func TestWalksKeepThePromise(t *testing.T) {
 	walks := 20_000
 	if raceDetector {
@@ -105,14 +106,14 @@
 			}
 		}
 	}
-	t.Logf("%d of %d walks ended in an answer", answered, walks)
+	t.Logf("%d of %d walks ended with an answered client", answered, walks)
 	if answered < walks/4 {
-		t.Error("too few walks end in an answer to show anything")
+		t.Error("fewer than a quarter of the walks ended with an answered client")
 	}
 }
 
-// smallWorlds are worlds in which few things may happen. A mutation that takes a guard away is found in the one that is
-// named after the guard.
+// smallWorlds are worlds with few processes and faults. Each is named after the guard whose removal by a mutation its
+// walks find.
 var smallWorlds = []struct {
 	name      string
 	processes int
@@ -128,7 +129,7 @@
 	{"prepare", 3, faults{}},
 }
 
-// walksVariable names the environment variable that says how many walks there are in each small world.
+// walksVariable names the environment variable that sets the number of walks in each small world.
 const walksVariable = "EXECUTION_WALKS"
 
 func TestWalksOfSmallWorlds(t *testing.T) {
--- a/decision/execution/world_test.go
+++ b/decision/execution/world_test.go
@@ -12,16 +12,16 @@
 	now    = 10 * time.Hour
 )
 
-// sentAttempt is an attempt on its way to the engine.
+// sentAttempt identifies an attempt that a process has sent to the engine.
 type sentAttempt struct{ process, number int }
 
-// processEnd is what is known of the end of a process.
+// processEnd is whether a process has ended and whether its attempts may still arrive.
 type processEnd int
 
 const (
 	running   processEnd = iota
-	ended                // it has ended, and what it sent may still arrive
-	abandoned            // Settings.EngineAbandonTime has passed since
+	ended                // the process has ended, and its attempts may still arrive
+	abandoned            // Settings.EngineAbandonTime has passed since the end
 )
 
 // process is a front end process with its proposer.
@@ -29,29 +29,29 @@
 	proposer     *Proposer
 	end          processEnd
 	configNumber uint64
-	lastSent     int // the last attempt that was sent
-	// What its client was told.
-	answered     bool
-	toldRan      bool
-	toldNeverRan bool
+	lastSent     int // number of the last attempt that was sent
+	// The answer to the client of the process.
+	answered         bool
+	answeredRan      bool
+	answeredNeverRan bool
 }
 
-// world is everything that acts on one id.
+// world is the state of all processes, replicas and attempts of one id.
 type world struct {
-	settings     Settings
-	replicas     map[string]*Replica
-	processes    []*process
-	attempts     map[sentAttempt]bool // on their way
-	runs         int                  // at the engine
-	latestConfig uint64
-	toldNeverRan bool   // some client was
-	violation    string // a broken promise; empty: none
-
-	// Faults that may yet happen.
+	settings         Settings
+	replicas         map[string]*Replica
+	processes        []*process
+	attempts         map[sentAttempt]bool // in flight to the engine
+	runs             int                  // of the request at the engine
+	latestConfig     uint64
+	answeredNeverRan bool   // whether any client was told that the request never ran
+	violation        string // a violated invariant; empty: none
+
+	// Numbers of faults that may still happen.
 	deaths, diskLosses, moves, expiries int
 }
 
-// faults are how many of each may happen in a world.
+// faults are the numbers of faults of each kind that may happen in a world.
 type faults struct{ deaths, diskLosses, moves, expiries int }
 
 var (
@@ -60,7 +60,7 @@
 	membersBCD = []Member{{"b", "r2", 1}, {"c", "r3", 1}, {"d", "r1", 1}}
 )
 
-// configAt moves the replica of a to d in three stages.
+// configAt returns the configuration of a number from 1 to 3. Over the three the replica of a moves to d.
 func configAt(number uint64) Config {
 	switch number {
 	case 1:
@@ -87,7 +87,7 @@
 	}
 	w.replicas["d"], _ = NewReplacementReplica(w.settings, 1)
 	for i := range processes {
-		// Processes are in no replica's zone, so that any majority will do.
+		// No process is in the zone of a replica, so any majority is a quorum.
 		request := Request{ID: "id", StatementDigest: "load x", Proposer: processName(i), Zone: "r9"}
 		w.processes = append(w.processes, &process{
 			proposer:     NewProposer(w.settings, request, uint64(i+1), configAt(1)),
@@ -129,7 +129,7 @@
 	return &c
 }
 
-// stateKey encodes what distinguishes one state of a world from another.
+// stateKey encodes the fields that distinguish the states of a world.
 type stateKey []byte
 
 func (k *stateKey) number(n uint64) { *k = append(strconv.AppendUint(*k, n, 36), '.') }
@@ -146,7 +146,7 @@
 
 func (k *stateKey) end() { *k = append(*k, '|') }
 
-// ballot encodes the round only: each round is one proposer's here.
+// ballot encodes the round only, because each round belongs to one proposer in a world.
 func (k *stateKey) ballot(b Ballot) { k.number(b.Round) }
 
 func (k *stateKey) outcome(o Outcome) {
@@ -181,12 +181,12 @@
 	}
 	k.number(uint64(p.end))
 	k.number(p.configNumber)
-	k.bools(p.answered, p.toldRan, p.toldNeverRan)
+	k.bools(p.answered, p.answeredRan, p.answeredNeverRan)
 	k.number(uint64(p.lastSent))
 	k.end()
 }
 
-// maxAttempts is more than the attempts that a process makes.
+// maxAttempts is greater than any attempt number of a process.
 const maxAttempts = 4
 
 func (w *world) key() string {
@@ -205,23 +205,23 @@
 	k.number(uint64(w.runs))
 	k.number(w.latestConfig)
 	k.number(uint64(w.deaths*1000 + w.diskLosses*100 + w.moves*10 + w.expiries))
-	k.bools(w.toldNeverRan)
+	k.bools(w.answeredNeverRan)
 	return string(k)
 }
 
-// step is something that may happen next. It changes the world that it is given, a copy of the one that it was found
-// in.
+// step is an event that may happen next. It changes the world that is passed to it, which may be a copy of the world in
+// which the step was found.
 type step func(*world)
 
-// steps are what may happen next.
+// steps are the steps that may happen next, by kind.
 type steps struct {
-	progress []step // a request advances
-	other    []step // faults, and what has no hurry
+	progress []step // steps that advance a request
+	other    []step // faults, and events that may be delayed
 }
 
-// steps lists all that may happen next, those that bring a request on first, and how many those are. A message and its
-// reply are one step: a message that is lost, or late, is one whose step does not come, or comes once its process has
-// sent it again. What an old message does to a replica is what the process that sends it late does.
+// steps returns all steps that may happen next, those that advance a request first, and the number of those. A message
+// and its reply are one step. A message is lost if its step never happens, and late if the step happens later. An old
+// message that reaches a replica late is modelled by a process that sends the message late.
 func (w *world) steps() (all []step, progress int) {
 	var s steps
 	for i, p := range w.processes {
@@ -243,10 +243,10 @@
 func (w *world) processSteps(s *steps, i int, p *process) {
 	prepare, accept, to := p.proposer.Messages()
 	for _, name := range to {
-		s.progress = append(s.progress, func(w *world) { // the message arrives, and so does its reply
+		s.progress = append(s.progress, func(w *world) { // the message and its reply arrive
 			w.processes[i].proposer.HandleReply(name, w.deliver(name, prepare, accept))
 		})
-		s.other = append(s.other, func(w *world) { w.deliver(name, prepare, accept) }) // its reply is lost
+		s.other = append(s.other, func(w *world) { w.deliver(name, prepare, accept) }) // the reply is lost
 	}
 	switch p.proposer.Permission() {
 	case Send:
@@ -274,7 +274,8 @@
 	}
 }
 
-// attemptSteps are those of a process whose intent is accepted: it sends, and the attempt arrives whenever it likes.
+// attemptSteps adds the steps of a process whose intent is accepted: the process sends its attempt, and records the
+// outcome once the attempt has arrived and the request has run.
 func (w *world) attemptSteps(s *steps, i int, p *process) {
 	if !p.proposer.MaySend() {
 		return
@@ -293,13 +294,13 @@
 	}
 }
 
-// abandon lets Settings.EngineAbandonTime pass after the end of a process.
+// abandon lets Settings.EngineAbandonTime pass after the end of a process, so that its attempts no longer arrive.
 func (w *world) abandon(i int) {
 	w.processes[i].end = abandoned
 	maps.DeleteFunc(w.attempts, func(a sentAttempt, _ bool) bool { return a.process == i })
 }
 
-// engineSteps are the arrivals of attempts at the engine.
+// engineSteps adds the arrivals of attempts at the engine, each at any time after it was sent.
 func (w *world) engineSteps(s *steps) {
 	for i := range w.processes {
 		for number := range maxAttempts {
@@ -313,10 +314,10 @@
 func (w *world) run(attempt sentAttempt) {
 	delete(w.attempts, attempt)
 	if w.runs++; w.runs > 1 {
-		w.violation = "it ran twice"
+		w.violation = "the request ran twice"
 	}
-	if w.toldNeverRan {
-		w.violation = "it ran after somebody was told that it never would"
+	if w.answeredNeverRan {
+		w.violation = "the request ran after a client was told that it never ran"
 	}
 }
 
@@ -350,7 +351,7 @@
 	}
 }
 
-// moveSteps move the replica of a to d.
+// moveSteps adds the steps that move the replica of a to d.
 func (w *world) moveSteps(s *steps) {
 	if w.moves > 0 && w.latestConfig == 1 {
 		s.other = append(s.other, func(w *world) { w.latestConfig = 2 })
@@ -382,14 +383,14 @@
 	return w.replicas[to].Accept(now, *accept)
 }
 
-// bootstrap merges what a, b and c hold into a replica that has nothing.
+// bootstrap merges the records of a, b and c into an empty replica.
 func (w *world) bootstrap(name string) {
 	for _, other := range []string{"a", "b", "c"} {
 		if other == name {
 			continue
 		}
 		if !w.replicas[other].bootstrapped {
-			return // there is no majority to read
+			return // too few replicas can be read
 		}
 		for _, record := range w.replicas[other].Records() {
 			w.replicas[name].Merge(record)
@@ -398,7 +399,7 @@
 	w.replicas[name].MarkBootstrapped()
 }
 
-// resolve asks the engine for what another proposer has intended.
+// resolve queries the engine for another proposer's attempt and passes the evidence to the proposer.
 func (w *world) resolve(i int) {
 	proposer := w.processes[i].proposer
 	evidence := Evidence{Ran: w.runs > 0, Completed: w.runs > 0, UnknownToEngine: w.runs == 0, Result: []byte("r")}
@@ -421,16 +422,16 @@
 	p := w.processes[i]
 	p.answered = true
 	if p.proposer.Outcome().Phase == NeverRan {
-		p.toldNeverRan, w.toldNeverRan = true, true
+		p.answeredNeverRan, w.answeredNeverRan = true, true
 	} else {
-		p.toldRan = true
+		p.answeredRan = true
 	}
 	for _, other := range w.processes {
-		if (p.toldNeverRan && other.toldRan) || (p.toldRan && other.toldNeverRan) {
-			w.violation = "one was told that it ran, and another that it never did"
+		if (p.answeredNeverRan && other.answeredRan) || (p.answeredRan && other.answeredNeverRan) {
+			w.violation = "one client was told that the request ran, and another that it never ran"
 		}
 	}
-	if p.toldNeverRan && w.runs > 0 {
-		w.violation = "it ran, and somebody was told that it never did"
+	if p.answeredNeverRan && w.runs > 0 {
+		w.violation = "the request ran, and a client was told that it never ran"
 	}
 }
