--- a/decision/execution/recorded_test.go
+++ b/decision/execution/recorded_test.go
@@ -52,14 +52,14 @@
 	}
 }
 
-// replyHandler is what a Proposer and an Execution have in common.
+// replyHandler is the common interface of a Proposer and an Execution.
 type replyHandler interface {
 	HandleReply(from string, r execution.Reply)
 	Reconfigure(c execution.Config)
 }
 
-// run is replicas and proposers of a few ids, and messages between them that are lost, late and duplicated. The labels
-// that it counts under are those of the recording.
+// run holds the replicas, proposers and executions of a few ids, and the messages between them, which may be lost, late
+// or duplicated. The labels passed to Trace.Count are fixed by the recording.
 type run struct {
 	rng        *rand.Rand
 	trace      *recorded.Trace
@@ -74,16 +74,16 @@
 	round      uint64
 }
 
-func (r *run) one(list ...string) string { return list[r.rng.IntN(len(list))] }
+func (r *run) pick(list ...string) string { return list[r.rng.IntN(len(list))] }
 
-func (r *run) names() (out []string) {
+func (r *run) memberNames() (names []string) {
 	for _, m := range r.members {
-		out = append(out, m.Name)
+		names = append(names, m.Name)
 	}
-	return out
+	return names
 }
 
-func (r *run) evidence() execution.Evidence {
+func (r *run) randomEvidence() execution.Evidence {
 	e := execution.Evidence{Ran: r.rng.IntN(2) == 0, UnknownToEngine: r.rng.IntN(2) == 0, OwnAttempt: r.rng.IntN(3) == 0}
 	if e.Completed = e.Ran && r.rng.IntN(2) == 0; e.Completed {
 		e.Result = make([]byte, r.rng.IntN(2*r.settings.MaxResultBytes))
@@ -94,7 +94,7 @@
 	return e
 }
 
-// send puts a message on its way.
+// send puts a message to each addressed replica in flight.
 func (r *run) send(sender replyHandler, prepare *execution.Prepare, accept *execution.Accept, to []string) {
 	r.trace.Int(len(to))
 	if prepare != nil {
@@ -129,15 +129,15 @@
 		if len(r.inFlight) == 0 {
 			return
 		}
-		at := r.rng.IntN(min(6, len(r.inFlight)))
-		deliver := r.inFlight[at]
+		index := r.rng.IntN(min(6, len(r.inFlight)))
+		deliver := r.inFlight[index]
 		switch r.rng.IntN(12) {
 		case 0: // lost
-			r.inFlight = append(r.inFlight[:at:at], r.inFlight[at+1:]...)
+			r.inFlight = append(r.inFlight[:index:index], r.inFlight[index+1:]...)
 			continue
 		case 1: // duplicated
 		default:
-			r.inFlight = append(r.inFlight[:at:at], r.inFlight[at+1:]...)
+			r.inFlight = append(r.inFlight[:index:index], r.inFlight[index+1:]...)
 		}
 		deliver()
 	}
@@ -157,9 +157,9 @@
 		prepare, accept, to := p.Messages()
 		r.send(p, prepare, accept, to)
 	case n < 8:
-		r.trace.Bool(p.Intend(r.one("e1", "e2"), r.rng.Uint64N(3)))
+		r.trace.Bool(p.Intend(r.pick("e1", "e2"), r.rng.Uint64N(3)))
 	case n == 8 && r.rng.IntN(3) == 0:
-		r.trace.Bool(p.ResolveOutcome(r.evidence()))
+		r.trace.Bool(p.ResolveOutcome(r.randomEvidence()))
 	}
 }
 
@@ -172,17 +172,17 @@
 	traceOutcome(r.trace, e.Outcome())
 	r.trace.Count(fmt.Sprintf("passage %d %v", decision, e.Done()))
 	if r.rng.IntN(4) == 0 {
-		e.ResolveOutcome(r.evidence())
+		e.ResolveOutcome(r.randomEvidence())
 	}
 	if r.rng.IntN(4) == 0 {
-		e.AttemptEnded(r.evidence())
+		e.AttemptEnded(r.randomEvidence())
 	}
 }
 
 func (r *run) begin(t *testing.T) {
 	t.Helper()
 	r.round++
-	id, digest, zone := r.one("i1", "i2", "i3"), r.one("d", "d", "d", "d", "other"), r.one("r0", "r1", "r9")
+	id, digest, zone := r.pick("i1", "i2", "i3"), r.pick("d", "d", "d", "d", "other"), r.pick("r0", "r1", "r9")
 	round := 1 + r.rng.Uint64N(r.round)
 	request := execution.Request{
 		ID:              id,
@@ -202,7 +202,7 @@
 		Round:    round,
 		Process:  7,
 	}
-	parameters.Engine = r.one("e1", "e2")
+	parameters.Engine = r.pick("e1", "e2")
 	parameters.Retried = r.rng.IntN(2) == 0
 	e, err := execution.Begin(r.now, parameters)
 	if err != nil {
@@ -234,12 +234,12 @@
 	r.trace.Int(replica.Size())
 }
 
-// repair compares two replicas and copies what one lacks.
+// repair compares two replicas and copies to b the records that b lacks.
 func (r *run) repair(a, b *execution.Replica) {
 	shared := func(id string) bool { return id != "i3" }
-	ofA, ofB := a.RangeDigests(shared), b.RangeDigests(shared)
-	r.trace.Uint(ofA[:]...)
-	for _, i := range ofA.DifferingRanges(&ofB) {
+	digestsA, digestsB := a.RangeDigests(shared), b.RangeDigests(shared)
+	r.trace.Uint(digestsA[:]...)
+	for _, i := range digestsA.DifferingRanges(&digestsB) {
 		summaries := a.Summaries(i, shared)
 		missing := b.Missing(summaries)
 		r.trace.Int(i, len(summaries))
@@ -259,9 +259,9 @@
 	}
 }
 
-func (r *run) event(t *testing.T) {
+func (r *run) randomEvent(t *testing.T) {
 	t.Helper()
-	name := r.one(r.names()...)
+	name := r.pick(r.memberNames()...)
 	switch n := r.rng.IntN(100); {
 	case n < 3:
 		r.begin(t)
@@ -281,12 +281,12 @@
 			e.Reconfigure(r.config)
 		}
 		r.replicas[name].Configure(r.config.Number)
-	case n < 91 && r.rng.IntN(3) == 0: // its disk is lost
+	case n < 91 && r.rng.IntN(3) == 0: // the disk of the member is lost
 		r.replicas[name], _ = execution.NewReplacementReplica(r.settings, r.config.Number)
 	case n < 93:
 		r.replicas[name].MarkBootstrapped()
 	case n < 96:
-		r.repair(r.replicas[name], r.replicas[r.one(r.names()...)])
+		r.repair(r.replicas[name], r.replicas[r.pick(r.memberNames()...)])
 	case n < 97:
 		r.trace.Int(r.replicas[name].Expire(r.now))
 	default:
@@ -294,7 +294,7 @@
 	}
 }
 
-// What a seeded run of registers, proposers and executions answers is the recorded answer, event by event.
+// A seeded run of replicas, proposers and executions gives the recorded results, event by event.
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for seed := range uint64(30) {
@@ -317,9 +317,9 @@
 		}
 		r.config = execution.Config{Number: 1, Members: r.members}
 		for range 1500 {
-			r.event(t)
+			r.randomEvent(t)
 		}
-		for _, name := range r.names() {
+		for _, name := range r.memberNames() {
 			r.traceReplica(r.replicas[name])
 		}
 		trace.Mark()
@@ -327,8 +327,8 @@
 	trace.Compare(t, "run")
 }
 
-// Who holds an id, what has to be read before a lost disk counts again, and which copies are made first, are as
-// recorded.
+// Replica sets, the members that a bootstrap still has to read, and the order in which anti-entropy copies records are
+// as recorded.
 func TestRecordedPlacement(t *testing.T) {
 	trace := recorded.NewTrace()
 	rng := rand.New(rand.NewPCG(1, 7))
