--- a/decision/diskrecovery/policy.go
+++ b/decision/diskrecovery/policy.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Failure is how a disk failed.
+// Failure is a kind of disk failure.
 type Failure int
 
 // The kinds of failure.
 const (
 	NoSpace           Failure = iota // the disk rejected a write
-	DurabilityUnknown                // what was written may be there or not
+	DurabilityUnknown                // a sync failed: written data may or may not be on the disk
 	OpenFailed                       // the log can't be opened
 )
 
-// Action is what to do now.
+// Action is the next step of a control replica.
 type Action int
 
 // The actions.
 const (
 	None         Action = iota // the log is open
-	Wait                       // ask again later
+	Wait                       // call Next again later
 	Reopen                     // open the log under its identity
-	Reinitialize               // set the log aside and begin as a new replica, with an empty one
+	Reinitialize               // set the log aside and start as a new replica, with an empty log
 )
 
-// Quorum tells whether the other replicas have a quorum without this one.
+// Quorum reports whether the other replicas have a quorum without this one.
 type Quorum bool
 
 // The values of Quorum.
@@ -38,15 +38,15 @@
 // Settings are the time limits of the decisions.
 type Settings struct {
 	MinBackoff, MaxBackoff time.Duration // between attempts to open the log
-	StableAfter            time.Duration // how long the log is open before the next failure counts as the first
+	StableAfter            time.Duration // open time after which the backoff starts again at MinBackoff
 }
 
 // Defaults returns the settings of a control replica.
 func Defaults() Settings {
 	return Settings{
-		MinBackoff:  time.Second,      // as long as an election takes
-		MaxBackoff:  30 * time.Second, // each attempt makes the others contact a replica that is behind
-		StableAfter: time.Minute,      // several times what an attempt and an election take
+		MinBackoff:  time.Second,      // the duration of an election
+		MaxBackoff:  30 * time.Second, // each attempt makes the other replicas contact one that is behind
+		StableAfter: time.Minute,      // several times the duration of an attempt and an election
 	}
 }
 
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// SettingError tells of a setting that can't be used.
+// SettingError reports a setting that can't be used.
 type SettingError struct {
 	Name       string
 	Found, Min time.Duration // Min is 0 where any positive value is allowed
@@ -71,23 +71,23 @@
 
 func (e *SettingError) Error() string {
 	if e.Min > 0 {
-		return fmt.Sprintf("diskrecovery: %s: found %v, allowed is %v or more", e.Name, e.Found, e.Min)
+		return fmt.Sprintf("diskrecovery: %s: found %v, must be at least %v", e.Name, e.Found, e.Min)
 	}
-	return fmt.Sprintf("diskrecovery: %s: found %v, allowed is more than 0", e.Name, e.Found)
+	return fmt.Sprintf("diskrecovery: %s: found %v, must be more than 0", e.Name, e.Found)
 }
 
-// Policy is what a control replica knows of its own disk.
+// Policy is the state of a control replica's log, from which the next action follows.
 type Policy struct {
 	settings          Settings
 	failed            bool // the log is not open
 	durabilityUnknown bool // the log must not be opened under its identity
 	openSince         time.Duration
-	nextAttempt       time.Duration // no attempt before
-	backoff           time.Duration // before the attempt after the next
-	quorum            Quorum        // as told last
+	nextAttempt       time.Duration // earliest time of the next attempt
+	backoff           time.Duration // between the next failure and the attempt that follows it
+	quorum            Quorum        // at the last call of Next
 }
 
-// New returns the policy of a replica whose log has just been opened.
+// New returns the policy of a replica whose log has just been opened, or a [SettingError].
 func New(settings Settings, now time.Duration) (*Policy, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 // NewMarked returns the policy of a replica whose log was not opened, because an earlier process has marked it as of
-// unknown durability.
+// unknown durability; or a [SettingError].
 func NewMarked(settings Settings, now time.Duration) (*Policy, error) {
 	p, err := New(settings, now)
 	if err != nil {
@@ -106,7 +106,9 @@
 	return p, nil
 }
 
-// Failed tells that the disk has failed. The log is not open from then on. Several writes often tell of one failure.
+// Failed records a failure of the disk. The log is not open from then on. Several writes often report one failure:
+// while the log is not open, a further report may make its durability unknown, but only OpenFailed postpones the next
+// attempt.
 func (p *Policy) Failed(now time.Duration, failure Failure) {
 	p.durabilityUnknown = p.durabilityUnknown || failure == DurabilityUnknown
 	if p.failed && failure != OpenFailed {
@@ -120,15 +122,15 @@
 	p.backoff = min(2*p.backoff, p.settings.MaxBackoff)
 }
 
-// Reopened tells that the log is open under its identity. A log of unknown durability stays so, as it was not to be
-// opened.
+// Reopened records that the log is open under its identity. For a log of unknown durability it changes nothing, since
+// such a log must not be reopened.
 func (p *Policy) Reopened(now time.Duration) {
 	if !p.durabilityUnknown {
 		p.failed, p.openSince = false, now
 	}
 }
 
-// Reinitialized tells that an empty log is open under a new identity.
+// Reinitialized records that an empty log is open under a new identity.
 func (p *Policy) Reinitialized(now time.Duration) {
 	p.failed, p.durabilityUnknown, p.openSince = false, false, now
 }
@@ -149,7 +151,7 @@
 	return Wait
 }
 
-// Reason tells operators why the log is not open; empty where it is.
+// Reason returns the reason, for operators, why the log is not open; empty while the log is open.
 func (p *Policy) Reason() string {
 	switch {
 	case !p.failed:
--- a/decision/diskrecovery/policy_test.go
+++ b/decision/diskrecovery/policy_test.go
@@ -22,7 +22,7 @@
 	return p
 }
 
-// The table of docs/rollout.md: what failures lead to, with and without a quorum of the others.
+// The table of docs/rollout.md: the action after each sequence of failures, with and without a quorum of the others.
 func TestActionsByFailures(t *testing.T) {
 	for _, c := range []struct {
 		failures []Failure
@@ -56,7 +56,7 @@
 	})
 }
 
-// expectedPolicy is told the same as a policy, and knows what the invariants ask for.
+// expectedPolicy feeds events to a policy and tracks the values that the invariants require of it.
 type expectedPolicy struct {
 	policy                    *Policy
 	now                       time.Duration
@@ -69,19 +69,19 @@
 	settings, before := Defaults(), *e.policy
 	e.policy.Failed(e.now, failure)
 	if e.failed {
-		require.Equal(t, before.nextAttempt, e.policy.nextAttempt, "5: the same failure reported again")
+		require.Equal(t, before.nextAttempt, e.policy.nextAttempt, "invariant 5: a repeated report postponed the attempt")
 	} else {
 		if e.now-e.openSince >= settings.StableAfter {
 			e.backoff = settings.MinBackoff
 		}
 		e.lastFailure = e.now
-		require.Equal(t, e.now+e.backoff, e.policy.nextAttempt, "4: the backoff")
+		require.Equal(t, e.now+e.backoff, e.policy.nextAttempt, "invariant 4: backoff after a failure")
 		e.backoff = min(2*e.backoff, settings.MaxBackoff)
 	}
 	e.failed, e.durabilityUnknown = true, e.durabilityUnknown || failure == DurabilityUnknown
 	again := *e.policy
 	e.policy.Failed(e.now, failure)
-	require.Equal(t, again, *e.policy, "5")
+	require.Equal(t, again, *e.policy, "invariant 5: a repeated report changed the policy")
 }
 
 func (e *expectedPolicy) act(t *rapid.T) {
@@ -91,10 +91,10 @@
 	case None:
 		require.False(t, e.failed)
 	case Reopen:
-		require.False(t, e.durabilityUnknown, "1: a log of unknown durability was reopened under its identity")
+		require.False(t, e.durabilityUnknown, "invariant 1: a log of unknown durability was reopened")
 	case Reinitialize:
-		require.Equal(t, QuorumAvailable, quorum, "2: a log was discarded, and the others have no quorum")
-		require.True(t, e.durabilityUnknown, "3: a log was discarded whose durability is known")
+		require.Equal(t, QuorumAvailable, quorum, "invariant 2: a log was discarded while the others have no quorum")
+		require.True(t, e.durabilityUnknown, "invariant 3: a log of known durability was discarded")
 	case Wait:
 	}
 	if action != Reopen && action != Reinitialize {
@@ -103,7 +103,7 @@
 	require.GreaterOrEqual(t, e.now, e.lastFailure)
 	if !rapid.Bool().Draw(t, "opens") {
 		e.policy.Failed(e.now, OpenFailed)
-		require.Equal(t, Wait, e.policy.Next(e.now, quorum), "4: an attempt that fails is not repeated at once")
+		require.Equal(t, Wait, e.policy.Next(e.now, quorum), "invariant 4: a failed attempt was repeated at once")
 		e.backoff = min(2*e.backoff, Defaults().MaxBackoff)
 		return
 	}
@@ -116,7 +116,7 @@
 	require.Equal(t, None, e.policy.Next(e.now, quorum))
 }
 
-// Invariants 1 to 5, over any order of events.
+// Invariants 1 to 5, over random sequences of events.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := &expectedPolicy{policy: newPolicy(t), backoff: Defaults().MinBackoff}
@@ -134,17 +134,17 @@
 	})
 }
 
-// Invariant 1: a log that was reopened although it was not to be stays of unknown durability.
-func TestUnknownDurabilityOutlivesReopening(t *testing.T) {
+// Invariant 1: reopening a log of unknown durability by mistake does not make its durability known.
+func TestReopeningKeepsUnknownDurability(t *testing.T) {
 	p := newPolicy(t)
 	p.Failed(0, DurabilityUnknown)
 	p.Reopened(time.Second)
 	assert.Equal(t, Reinitialize, p.Next(time.Hour, QuorumAvailable))
 }
 
-// Invariant 2: of three replicas whose logs become of unknown durability one after the other, only a single one at a
-// time reinitializes.
-func TestMajorityOfUnknownDurabilityLosesNothing(t *testing.T) {
+// Invariant 2: of three replicas, a single one with a log of unknown durability reinitializes; two or three with such
+// logs wait, as the rest have no quorum.
+func TestMajorityOfUnknownDurabilityIsNotReinitialized(t *testing.T) {
 	for failed := range 4 {
 		replicas := []*Policy{newPolicy(t), newPolicy(t), newPolicy(t)}
 		for _, p := range replicas[:failed] {
@@ -168,7 +168,7 @@
 			if failed > 1 && i < failed {
 				want = Wait
 			}
-			assert.Equal(t, want, p.Next(2*time.Hour, NoQuorum), "%d failed, replica %d", failed, i)
+			assert.Equal(t, want, p.Next(2*time.Hour, NoQuorum), "%d replicas failed, replica %d", failed, i)
 		}
 	}
 }
--- a/decision/diskrecovery/recorded_test.go
+++ b/decision/diskrecovery/recorded_test.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	failures = 3                // kinds of failure
-	events   = failures + 2 + 2 // failures, openings, questions
-	depth    = 3                // of the sequences that are all walked
-	drawn    = 20_000           // longer sequences, from a seed
-	drawnLen = 14
+	failures        = 3                // kinds of failure
+	events          = failures + 2 + 2 // failures; Reopened and Reinitialized; Next without and with a quorum
+	depth           = 3                // length of the sequences that are enumerated completely
+	randomSequences = 20_000           // number of longer sequences, drawn from a seed
+	randomLength    = 14               // of the longer sequences
 )
 
-// pauses lie on both sides of the first wait, the greatest wait and the time after which a failure counts as first.
+// pauses are times between events, on both sides of MinBackoff, MaxBackoff and StableAfter.
 var pauses = []time.Duration{0, 999 * time.Millisecond, 29 * time.Second, 61 * time.Second}
 
-// outcome is what the sequences from one start led to.
+// outcome summarizes the answers to all sequences from one constructor.
 type outcome struct {
 	Marked    bool           `json:"marked"`
 	Sequences int            `json:"sequences"`
@@ -33,15 +33,16 @@
 	Hash      string         `json:"hash"`
 }
 
-// starts are the policies of a disk that is well and of one that is marked.
-var starts = []func(diskrecovery.Settings, time.Duration) (*diskrecovery.Policy, error){
+// constructors create the policy of a healthy disk and that of a marked one.
+var constructors = []func(diskrecovery.Settings, time.Duration) (*diskrecovery.Policy, error){
 	diskrecovery.New, diskrecovery.NewMarked,
 }
 
-// play tells a policy of events, each an event and the pause before it, and hands what it answers to note.
-func play(policy *diskrecovery.Policy, sequence []int, note func(answer int, reason string)) {
+// play applies a sequence to a policy and passes each answer of Next, with its reason, to record. A choice of the
+// sequence encodes an event and the pause before it.
+func play(policy *diskrecovery.Policy, sequence []int, record func(answer int, reason string)) {
 	now := time.Duration(0)
-	ask := func(quorum diskrecovery.Quorum) { note(int(policy.Next(now, quorum)), policy.Reason()) }
+	next := func(quorum diskrecovery.Quorum) { record(int(policy.Next(now, quorum)), policy.Reason()) }
 	for _, choice := range sequence {
 		now += pauses[choice/events]
 		switch event := choice % events; {
@@ -52,15 +53,15 @@
 		case event == failures+1:
 			policy.Reinitialized(now)
 		default:
-			ask(event == events-1)
+			next(event == events-1)
 		}
 	}
-	ask(diskrecovery.NoQuorum)
-	ask(diskrecovery.QuorumAvailable)
+	next(diskrecovery.NoQuorum)
+	next(diskrecovery.QuorumAvailable)
 }
 
-// sequences calls f with every sequence of depth choices, then with longer ones that are drawn.
-func sequences(f func([]int)) {
+// forEachSequence calls f with every sequence of depth choices, then with longer random ones.
+func forEachSequence(f func([]int)) {
 	choices := events * len(pauses)
 	total := 1
 	for range depth {
@@ -74,8 +75,8 @@
 		f(sequence)
 	}
 	rng := rand.New(rand.NewPCG(32, 1))
-	sequence = make([]int, drawnLen)
-	for range drawn {
+	sequence = make([]int, randomLength)
+	for range randomSequences {
 		for i := range sequence {
 			sequence[i] = rng.IntN(choices)
 		}
@@ -83,15 +84,16 @@
 	}
 }
 
-// Sequences of events from a disk that is well and from one that is marked, with pauses between them: the hash over the
-// answers to both questions, and how often each answer was given. A reason counts by the order in which it first came.
+// Records a hash over the answers of Next and Reason to all sequences, and the number of each answer, for a healthy
+// disk and for a marked one. Reasons are numbered in the order of their first use, so that their wording is not
+// recorded.
 func TestRecordedSequences(t *testing.T) {
 	var outcomes []outcome
-	for i, start := range starts {
+	for i, newPolicy := range constructors {
 		hash, o, reasons := fnv.New64a(), outcome{Marked: i == 1, Answers: map[string]int{}}, map[string]int{}
-		sequences(func(sequence []int) {
+		forEachSequence(func(sequence []int) {
 			o.Sequences++
-			policy, err := start(diskrecovery.Defaults(), 0)
+			policy, err := newPolicy(diskrecovery.Defaults(), 0)
 			require.NoError(t, err)
 			play(policy, sequence, func(answer int, reason string) {
 				if _, known := reasons[reason]; !known {
