--- a/decision/rollout/analysis.go
+++ b/decision/rollout/analysis.go
@@ -5,22 +5,23 @@
 	"math"
 )
 
-// The analysis is a test by betting on which revision each failure falls. Of f failures among n1 requests on the new
-// revision and n0 on the previous one, in one zone and one window, each falls on the new one with a probability of
-// p0 = n1/(n1+n0) where the revisions are alike. For a revision k times worse it is q = k p0/(k p0 + 1 - p0). The
-// product of the likelihood ratios is a fair game while the revisions are alike, so that its mean over several k
-// reaches 1/a at any time with a probability of at most a (Ville). That failures are drawn without replacement only
-// makes large values rarer (Hoeffding). Failures that come together are not independent: the ratio is taken to the
-// power of 1/Dispersion, which keeps the game from being better than fair as long as they come in groups of that size.
+// The analysis is a sequential test by betting on the revision of each failure. In one zone and one window, the new
+// revision has n1 requests and the previous one n0. Where both fail at the same rate, a failure is on the new revision
+// with a probability of p0 = n1/(n1+n0). Where the new revision fails k times as often, the probability is
+// q = k p0/(k p0 + 1 - p0). The product of the likelihood ratios of all failures is a martingale while the rates are
+// equal, so that its mean over several k ever reaches 1/a with a probability of at most a (Ville's inequality).
+// Failures are drawn without replacement, which only makes large values rarer (Hoeffding). Failures that come in bursts
+// are not independent: the ratio is raised to the power of 1/Dispersion, which keeps the product a supermartingale as
+// long as bursts are of that size. Analyzer.Tolerance multiplies n1, so that the test is against the tolerated rate.
 
-// metrics are what is compared, as the causes of halts spell them.
+// metrics are the names of the compared counts in the causes of halts, in the order of evidence.
 var metrics = [...]string{"failures", "refusals", "slow answers"}
 
-// betFactors are the values of k, on top of the tolerance.
+// betFactors are the values of k, as multiples of Analyzer.Tolerance.
 var betFactors = [...]float64{1.5, 3, 8, 30}
 
 // evidence holds, by metric and factor, the sum of the logarithms of the likelihood ratios, in units of
-// 1/evidenceScale. Whole numbers keep the state the same at all replicas.
+// 1/evidenceScale. Integers keep the state the same at all replicas.
 type evidence [len(metrics)][len(betFactors)]int64
 
 const evidenceScale = 1e6
@@ -46,7 +47,7 @@
 	for _, zone := range health.Zones {
 		release.WaveRequests += zone.New.Requests
 		if zone.New.Requests == 0 || zone.Old.Requests == 0 {
-			continue // nothing to compare with
+			continue // no comparison is possible
 		}
 		release.New.add(zone.New)
 		release.Old.add(zone.Old)
@@ -72,7 +73,7 @@
 	c.Slow += other.Slow
 }
 
-// add adds the failures of one zone and window, which had requests on both revisions.
+// add adds the counts of one zone and window, which must have requests on both revisions.
 func (e *evidence) add(zone ZoneCounts, analyzer Analyzer) {
 	odds := analyzer.Tolerance * float64(zone.New.Requests) / float64(zone.Old.Requests)
 	p := odds / (1 + odds)
@@ -89,7 +90,7 @@
 	}
 }
 
-// value is what a stake of one on the metric has become.
+// value returns the test statistic of a metric: the mean over betFactors of the product of the likelihood ratios.
 func (e *evidence) value(metric int) float64 {
 	sum := 0.0
 	for _, logRatio := range e[metric] {
@@ -98,9 +99,9 @@
 	return sum / float64(len(betFactors))
 }
 
-// worseMetric tells by which metric the new revision is worse; empty where it is not known to be. Each wave is a game
-// of its own, or what was lost while all was well would have to be won back before a fault shows. Alpha is shared
-// among waves and metrics.
+// worseMetric returns the cause of a halt where the new revision is worse by a metric; empty where the evidence does
+// not show that. The test starts anew with each wave: a long time without a fault lowers the statistic, which would
+// delay the detection of a later fault. Alpha is divided among waves and metrics.
 func (m *StateMachine) worseMetric(release *Release) string {
 	analyzer := m.Settings.Analyzer
 	for metric, name := range metrics {
--- a/decision/rollout/budget.go
+++ b/decision/rollout/budget.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// unit is a front end or an engine as budgets see it.
+// unit holds the properties of a front end or an engine that budgets depend on.
 type unit struct {
 	name, zone, kind string
 	weight           float64
 	available        bool
 }
 
-// isAvailable tells whether a front end counts as available.
+// isAvailable reports whether a front end counts as available.
 func (m *StateMachine) isAvailable(member *Member) bool {
 	return member.isServing() && m.permitOf(member.subject()) == nil
 }
@@ -42,7 +42,7 @@
 	return units
 }
 
-// releaseBudget is the budget of front ends that a release keeps to.
+// releaseBudget returns the budget that limits the front ends of a release.
 func (m *StateMachine) releaseBudget(release *Release) Budget {
 	if release.RollingBack {
 		return m.Settings.Rollback
@@ -50,17 +50,17 @@
 	return m.Settings.FrontEnds
 }
 
-// memberUsage returns how much of a budget the front ends use.
+// memberUsage returns the front ends' usage of a budget.
 func (m *StateMachine) memberUsage(budget Budget) *budgetUsage {
 	return newBudgetUsage(budget, m.Load.FrontEnds, m.memberUnits())
 }
 
-// engineUsage returns how much of their budget the engines use.
+// engineUsage returns the engines' usage of their budget.
 func (m *StateMachine) engineUsage() *budgetUsage {
 	return newBudgetUsage(m.Settings.Engines, m.Load.Engines, m.engineUnits())
 }
 
-// budgetUsage is how much of a budget a set of units uses, summed up once so that many units can be checked against it.
+// budgetUsage is the usage of a budget by a set of units. The sums are computed once, for checks of many units.
 type budgetUsage struct {
 	budget  Budget
 	load    float64
@@ -105,15 +105,15 @@
 	}
 }
 
-// scopes are the counts that a unit is part of.
+// scopes returns the counts that include a unit: of the fleet, of its zone and of its kind.
 func (b *budgetUsage) scopes(u unit) [3]*scopeCount {
 	return [3]*scopeCount{&b.all, b.zones[u.zone], b.kinds[u.kind]}
 }
 
-// shareRounding keeps a share of a count that is a whole number from being rounded down.
+// shareRounding keeps a product of share and count from being rounded down where the exact product is a whole number.
 const shareRounding = 1e-9
 
-// budgetLimit is how many of a total may be unavailable. A bound of 0 is not set.
+// budgetLimit returns how many units of a total may be unavailable. A bound of 0 is not set.
 func budgetLimit(maxCount int, maxShare float64, total int) int {
 	limit := total
 	if maxCount > 0 {
@@ -125,13 +125,13 @@
 	return limit
 }
 
-// overall returns how many units are unavailable in all, and how many may be.
+// overall returns how many units of the fleet are unavailable, and how many may be.
 func (b *budgetUsage) overall() (unavailable, limit int) {
 	return b.all.unavailable, budgetLimit(b.budget.Max, b.budget.MaxShare, b.all.total)
 }
 
-// check tells why a unit may not become unavailable by choice; nil where it may. A unit that is unavailable already is
-// checked as if it were available.
+// check returns a rejection where a unit may not be taken out of service, and nil where it may. A unit that is
+// unavailable already is checked as if it were available.
 func (b *budgetUsage) check(u unit) *RejectedError {
 	counted := 0
 	if !u.available {
@@ -158,8 +158,8 @@
 	return b.checkCapacity(u)
 }
 
-// checkCapacity tells whether the units would still carry the load without this unit and one more. Without a measured
-// load there is nothing to check.
+// checkCapacity returns a rejection where the units could not carry the load without this unit and the largest other
+// one, and nil where they could. Without a measured load nothing is checked.
 func (b *budgetUsage) checkCapacity(u unit) *RejectedError {
 	if !(b.load > 0) {
 		return nil
@@ -189,11 +189,11 @@
 	for _, scope := range b.scopes(u) {
 		scope.unavailable++
 	}
-	// The largest weights stay: they may be that of this unit, so that the check errs on the safe side.
+	// The largest weights are not updated. If one of them is this unit's weight, later checks are stricter than needed.
 	b.weight -= u.weight
 }
 
-// unavailableNames returns the names of the unavailable units but one, in order.
+// unavailableNames returns the sorted names of the unavailable units, without the excepted one.
 func unavailableNames(units []unit, except string) (names []string) {
 	for _, u := range units {
 		if !u.available && u.name != except {
--- a/decision/rollout/command.go
+++ b/decision/rollout/command.go
@@ -5,9 +5,10 @@
 // Command is one entry of the log. Exactly one of the pointers below At is set. The JSON names are those of the log and
 // of the replicas' HTTP interface.
 type Command struct {
-	// ID makes a repeat under the same id get the first result. Empty: the command is executed each time.
+	// ID identifies the command: a repeat with the same ID gets the first result. A command without an ID is executed
+	// each time.
 	ID          string        `json:"id,omitempty"`
-	RequestedBy string        `json:"by,omitempty"` // an operator, for the audit
+	RequestedBy string        `json:"by,omitempty"` // the operator, for the audit
 	At          time.Duration `json:"at"`           // Unix time at the replica that appended the command
 
 	ReportStatus   *ReportStatus    `json:"say,omitempty"`
@@ -26,7 +27,7 @@
 	Resume         *struct{}        `json:"resume,omitempty"`
 	Rollback       *struct{}        `json:"way_back,omitempty"`
 	Configure      *Settings        `json:"configure,omitempty"`
-	Tick           *struct{}        `json:"tick,omitempty"` // nothing but the time
+	Tick           *struct{}        `json:"tick,omitempty"` // advances the time only
 }
 
 // ReportStatus is a front end's report about itself.
@@ -34,35 +35,36 @@
 	Name           string  `json:"name"`
 	Zone           string  `json:"room"`
 	Kind           string  `json:"kind,omitempty"`
-	Weight         float64 `json:"weight"` // what it can carry, in the unit of Load
+	Weight         float64 `json:"weight"` // capacity, in the unit of Load
 	Incarnation    uint64  `json:"incarnation"`
 	StatusSequence uint64  `json:"seq"` // grows with each report of the process
 	Revision       string  `json:"revision"`
 	Phase          Phase   `json:"phase"`
 }
 
-// Suspect tells that a front end's process is no longer seen alive. The leader of the log sends it.
+// Suspect reports that a front end's process is no longer seen alive. The leader of the log sends it.
 type Suspect struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// PermitReference names a permit and the front end's process that refers to it. The process sends it to activate the
-// permit, immediately before it shuts down, and to return the permit, when it serves on.
+// PermitReference names a permit and the process of the front end that holds the permit. The process sends a
+// PermitReference to activate the permit, immediately before it shuts down, or to return the permit, when it continues
+// to serve.
 type PermitReference struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	Permit      uint64 `json:"permit"`
 }
 
-// ReportDrained is a front end's report that it sends no more to the engine of a drain, and has no query there.
+// ReportDrained is a front end's report that it sends no more queries to the engine of a drain, and has none there.
 type ReportDrained struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 	Permit      uint64 `json:"permit"`
 }
 
-// Health is what front ends on the new and on other revisions did in one window, by zone.
+// Health holds the request counts of front ends on the new and on other revisions in one window, by zone.
 type Health struct {
 	Release uint64       `json:"release"`
 	Window  uint64       `json:"window"` // number of the window; only grows
@@ -76,7 +78,7 @@
 	Old  RequestCounts `json:"old"` // on any other
 }
 
-// RequestCounts is what some front ends did in a window.
+// RequestCounts counts the requests of several front ends in a window, by outcome.
 type RequestCounts struct {
 	Requests int64 `json:"requests"`
 	Failed   int64 `json:"failed"`
@@ -96,7 +98,7 @@
 	Engine bool   `json:"engine,omitempty"`
 }
 
-// label spells the subject as audit entries store it.
+// label formats the subject as audit entries store it.
 func (s Subject) label() string {
 	if s.Engine {
 		return "engine " + s.Name
@@ -107,9 +109,9 @@
 // StartRelease brings the fleet to a revision in waves.
 type StartRelease struct {
 	Revision         string        `json:"revision"`
-	PreviousRevision string        `json:"from,omitempty"` // of a rollback; empty: what most members serve on
+	PreviousRevision string        `json:"from,omitempty"` // target of a rollback; empty: the most common one
 	Waves            []float64     `json:"waves"`          // shares of the fleet, rising to 1
-	Soak             time.Duration `json:"soak"`           // how long each wave serves before the next
+	Soak             time.Duration `json:"soak"`           // time that each complete wave serves before the next begins
 }
 
 // Halt stops a release.
@@ -117,7 +119,7 @@
 	Cause string `json:"cause"`
 }
 
-// Result answers a command. Which fields are set depends on the command.
+// Result is the answer to a command. The kind of command determines the fields that are set.
 type Result struct {
 	Rejected *RejectedError `json:"refusal,omitempty"` // nil: executed
 	Permit   uint64         `json:"permit,omitempty"`
@@ -125,5 +127,5 @@
 	Release  uint64         `json:"release,omitempty"`
 	State    ReleaseState   `json:"state,omitempty"`   // of the release, after the command
 	Applied  uint64         `json:"applied,omitempty"` // of ReportStatus: the number of the command in the log
-	Drained  []string       `json:"drained,omitempty"` // of ReportStatus: engines that must get no more queries
+	Drained  []string       `json:"drained,omitempty"` // of ReportStatus: engines that must not get more queries
 }
--- a/decision/rollout/drain.go
+++ b/decision/rollout/drain.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// applyDrain grants a permit to drain a front end or an engine, where the budget allows it. An engine's permit is
-// active at once, as its drain is carried out by the front ends.
+// applyDrain grants a permit to drain a front end or an engine, where the budget allows that. An engine's permit is
+// active at once, as the front ends carry out the drain.
 func (m *StateMachine) applyDrain(subject Subject, requestedBy string) Result {
 	if permit := m.permitOf(subject); permit != nil {
 		if permit.holdsDrain() {
@@ -29,7 +29,7 @@
 	return Result{Permit: m.grantPermit(permit).Number}
 }
 
-// prepareEngineDrain completes a permit to drain an engine, or tells why it can't be granted.
+// prepareEngineDrain completes a permit to drain an engine, or returns the reason why the permit can't be granted.
 func (m *StateMachine) prepareEngineDrain(permit *Permit) *RejectedError {
 	engine := m.Engines[permit.Subject]
 	if engine == nil {
@@ -43,7 +43,7 @@
 	return rejected
 }
 
-// prepareMemberDrain completes a permit to drain a front end, or tells why it can't be granted.
+// prepareMemberDrain completes a permit to drain a front end, or returns the reason why the permit can't be granted.
 func (m *StateMachine) prepareMemberDrain(permit *Permit) *RejectedError {
 	member := m.Members[permit.Subject]
 	if member == nil {
@@ -57,8 +57,8 @@
 	return rejected
 }
 
-// applyUndrain ends a drain, or cancels that of a front end that was told to shut down: it stays unavailable until it
-// reports that it serves.
+// applyUndrain ends a drain. The permit of a front end that was told to shut down is only cancelled: the front end
+// stays unavailable until it returns the permit or its next process serves.
 func (m *StateMachine) applyUndrain(subject Subject, requestedBy string) Result {
 	permit := m.permitOf(subject)
 	if permit == nil || permit.Purpose != Drain {
@@ -73,22 +73,22 @@
 	return Result{Permit: permit.Number}
 }
 
-// applyEngine records what a front end's endpoint list tells of an engine. A list that is behind tells of an older
-// process, and is rejected.
+// applyEngine records the state of an engine in a front end's endpoint list. The state of an older process comes from
+// an outdated list, and is rejected.
 func (m *StateMachine) applyEngine(engine Engine) Result {
-	if engine.Name == "" || !(engine.Cores >= 0) { // nor may the cores be no number
+	if engine.Name == "" || !(engine.Cores >= 0) { // rejects NaN, too
 		return reject(InvalidArgument, "an engine needs a name, and cores of 0 or more")
 	}
 	known := m.Engines[engine.Name]
 	if known != nil && engine.Process < known.Process {
 		return reject(StaleMessage, "%s has a newer process", engine.Name)
 	}
-	if known != nil && !engine.Listed { // a list without the engine tells nothing else of it
+	if known != nil && !engine.Listed { // a list without the engine has no zone, kind or cores for it
 		known.Listed, known.Ready = false, false
 		return Result{}
 	}
 	m.Engines[engine.Name] = &engine
-	// A list that is behind may still call the process ready that the drain is for.
+	// An outdated list may still show the drained process as ready, so that only a newer process ends the drain.
 	permit := m.permitOf(engine.subject())
 	if permit != nil && engine.Listed && engine.Ready && engine.Process > permit.Incarnation {
 		m.endPermit(permit)
@@ -96,7 +96,8 @@
 	return Result{}
 }
 
-// applyReportDrained records that a front end's process has no query on a drained engine, and sends none there.
+// applyReportDrained records that a front end's process has no query on a drained engine and sends no more queries
+// there.
 func (m *StateMachine) applyReportDrained(report *ReportDrained) Result {
 	permit, member := m.Permits[report.Permit], m.Members[report.Name]
 	if permit == nil || !permit.Engine || member == nil {
@@ -109,7 +110,7 @@
 	return Result{Permit: permit.Number}
 }
 
-// drainedEngines returns the engines that hold a permit, in the order of their permits.
+// drainedEngines returns the names of the engines that hold a permit, in the order of their permit numbers.
 func (m *StateMachine) drainedEngines() []string {
 	var names []string
 	for _, number := range m.PermitNumbers() {
@@ -120,7 +121,7 @@
 	return names
 }
 
-// recordDrained records which engines have no query left since now.
+// recordDrained sets DrainedAt in the permits of engines on which no query is left.
 func (m *StateMachine) recordDrained() {
 	for _, number := range m.PermitNumbers() {
 		if permit := m.Permits[number]; permit.Engine && permit.DrainedAt == 0 && m.isDrained(permit) {
@@ -138,8 +139,8 @@
 	return true
 }
 
-// drainBlocker tells why a drained engine may not be stopped yet for the sake of one front end; empty where it may
-// (invariant 6).
+// drainBlocker returns the reason why one front end keeps a drained engine from being stopped (invariant 6); empty
+// where it doesn't.
 func (m *StateMachine) drainBlocker(permit *Permit, member *Member) string {
 	if left := m.abandonedQueriesLeft(member.PreviousEndedAt); member.PreviousEndedAt > 0 && left > 0 {
 		return fmt.Sprintf("%s: queries of its last process may run for %v more", member.Name, left)
@@ -159,7 +160,7 @@
 	return member.Name + ": has not said that nothing of its own is out there"
 }
 
-// abandonedQueriesLeft returns how long the queries of a process that ended at a time may still run on engines.
+// abandonedQueriesLeft returns how long a front end's queries may still run on engines after its process ended.
 func (m *StateMachine) abandonedQueriesLeft(endedAt time.Duration) time.Duration {
 	return endedAt + m.Settings.AbandonedQueryTimeout - m.Now
 }
--- a/decision/rollout/errors.go
+++ b/decision/rollout/errors.go
@@ -5,30 +5,30 @@
 	"strings"
 )
 
-// Code tells why a command was rejected. Its text is that of the HTTP interface and of the stored results.
+// Code is the reason for a rejection. The HTTP interface and stored results use its text.
 type Code string
 
 // The codes of rejected commands.
 const (
-	NoBudget           Code = "no-budget"     // a budget does not allow it; RejectedError names it
-	NoPermit           Code = "no-permit"     // the permit does not stand, or is another process's
-	NotFound           Code = "not-known"     // there is no such front end or engine
-	FailedPrecondition Code = "not-now"       // the state does not allow it
+	NoBudget           Code = "no-budget"     // a budget does not allow the command; RejectedError names the budget
+	NoPermit           Code = "no-permit"     // the permit is not in force, or was granted to another process
+	NotFound           Code = "not-known"     // no such front end or engine exists
+	FailedPrecondition Code = "not-now"       // the state does not allow the command
 	InvalidArgument    Code = "bad-value"     // a field has a value that is never allowed
 	StaleMessage       Code = "older-word"    // a later message was applied already
-	NothingToDo        Code = "nothing-to-do" // it would change nothing
+	NothingToDo        Code = "nothing-to-do" // the command would change nothing
 )
 
-// RejectedError tells why a command was not executed.
+// RejectedError is the reason why a command was not executed.
 type RejectedError struct {
 	Code        Code     `json:"code"`
 	Text        string   `json:"text"`
 	Scope       string   `json:"scope,omitempty"` // of the budget: "all", "room ZONE", "kind KIND" or "capacity"
 	Limit       int      `json:"limit,omitempty"` // of the budget
-	Unavailable []string `json:"out,omitempty"`   // who uses the budget up
+	Unavailable []string `json:"out,omitempty"`   // names of those that use the budget up
 }
 
-// Error returns the text and the names of those that use the budget up.
+// Error returns the text, followed by the names of those that use the budget up.
 func (e *RejectedError) Error() string {
 	if len(e.Unavailable) == 0 {
 		return e.Text
@@ -36,7 +36,7 @@
 	return e.Text + ": out are " + strings.Join(e.Unavailable, ", ")
 }
 
-// reject returns the result of a command that is not executed.
+// reject returns the result of a rejected command.
 func reject(code Code, format string, args ...any) Result {
 	return Result{Rejected: &RejectedError{Code: code, Text: fmt.Sprintf(format, args...)}}
 }
--- a/decision/rollout/machine.go
+++ b/decision/rollout/machine.go
@@ -9,14 +9,14 @@
 	"slices"
 )
 
-// StateMachine is the replicated state, and applies commands to it.
+// StateMachine holds the replicated state and applies commands to it.
 type StateMachine struct {
 	State
 	resultIndex     map[string]int     // index in Results, by command id
 	permitBySubject map[Subject]uint64 // number of the subject's permit
 }
 
-// New returns the state machine of an empty fleet, or an error that names the setting that can't be used.
+// New returns the state machine of an empty fleet, or an error that names the first setting that can't be used.
 func New(settings Settings) (*StateMachine, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -39,25 +39,25 @@
 // Snapshot returns the whole state as JSON.
 func (m *StateMachine) Snapshot() ([]byte, error) { return json.Marshal(&m.State) }
 
-// errLaterVersion tells of a state that a later program has written.
-var errLaterVersion = errors.New("rollout: the state was written by a later version")
+// errLaterVersion reports a snapshot of a later build, whose format this build can't read.
+var errLaterVersion = errors.New("rollout: unsupported snapshot version")
 
-// Restore replaces the state by that of a snapshot. On an error the state is as it was.
+// Restore replaces the state by that of a snapshot. On an error the state is unchanged.
 func (m *StateMachine) Restore(text []byte) error {
 	var head struct {
 		Version int `json:"version"`
 	}
 	if err := json.Unmarshal(text, &head); err != nil {
-		return fmt.Errorf("rollout: the state can't be read: %w", err)
+		return fmt.Errorf("rollout: decode snapshot: %w", err)
 	}
 	if head.Version > Version {
-		return fmt.Errorf("%w: %d, and this program knows %d", errLaterVersion, head.Version, Version)
+		return fmt.Errorf("%w: found %d, must be at most %d", errLaterVersion, head.Version, Version)
 	}
 	state := emptyState()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&state); err != nil {
-		return fmt.Errorf("rollout: the state can't be read: %w", err)
+		return fmt.Errorf("rollout: decode snapshot: %w", err)
 	}
 	if err := state.Settings.Check(); err != nil {
 		return err
@@ -110,7 +110,7 @@
 	return m.executeOperator(command)
 }
 
-// executeOperator executes the commands of operators, which the audit tells of, and ticks.
+// executeOperator executes operators' commands, which the audit records, and ticks.
 func (m *StateMachine) executeOperator(command *Command) Result {
 	switch {
 	case command.Drain != nil:
@@ -153,13 +153,13 @@
 	}
 }
 
-// rememberResult keeps the result of a command for its repeats.
+// rememberResult keeps the result of a command to answer its repeats.
 func (m *StateMachine) rememberResult(id string, result Result) {
 	if id == "" {
 		return
 	}
 	m.Results = append(m.Results, commandResult{id, result})
-	// The oldest go in batches: to build the index anew at each command would cost too much.
+	// The oldest results are dropped in batches: rebuilding the index at each command would cost too much.
 	if len(m.Results) > 2*m.Settings.KeepResults {
 		m.Results = slices.Delete(m.Results, 0, len(m.Results)-m.Settings.KeepResults)
 		m.buildIndexes()
@@ -168,7 +168,7 @@
 	m.resultIndex[id] = len(m.Results) - 1
 }
 
-// audit records a change of state in the audit.
+// audit appends an entry to the audit and drops the oldest beyond KeepAudit.
 func (m *StateMachine) audit(actor, action, from, to string) {
 	m.AuditCount++
 	m.Audit = append(m.Audit, AuditEntry{
@@ -179,7 +179,7 @@
 	}
 }
 
-// PermitNumbers returns the numbers of the permits in order.
+// PermitNumbers returns the numbers of the permits in ascending order.
 func (m *StateMachine) PermitNumbers() []uint64 { return slices.Sorted(maps.Keys(m.Permits)) }
 
 // memberNames returns the names of the members in order.
--- a/decision/rollout/member.go
+++ b/decision/rollout/member.go
@@ -33,7 +33,7 @@
 	return m.endPermitByProof(member)
 }
 
-// checkStatus tells why a report can't be applied, whatever else the member has reported; nil where it can.
+// checkStatus returns a rejection of a report with an invalid field or of a removed process, and nil for others.
 func (m *StateMachine) checkStatus(report *ReportStatus) *RejectedError {
 	if report.Name == "" || report.Incarnation == 0 {
 		return reject(InvalidArgument, "a word needs a name and an incarnation").Rejected
@@ -44,7 +44,7 @@
 		return reject(InvalidArgument, "phase: found %q, allowed is starting, serving, leaving, gone",
 			string(report.Phase)).Rejected
 	}
-	if !(report.Weight >= 0) { // which is true of a value that is no number, too
+	if !(report.Weight >= 0) { // rejects NaN, too
 		return reject(InvalidArgument, "weight: found %v, allowed is 0 or more", report.Weight).Rejected
 	}
 	if last, removed := m.Removed[report.Name]; removed && report.Incarnation <= last {
@@ -66,8 +66,8 @@
 	return member
 }
 
-// replaceProcess records that a later process has taken the place of a member's last one. A permit that the last one
-// never activated passes on if it is a drain, and ends if not.
+// replaceProcess records that a later process has replaced a member's last one. A permit that the last process did not
+// activate passes to the later one if the permit is for a drain, and ends otherwise.
 func (m *StateMachine) replaceProcess(member *Member, incarnation uint64) {
 	permit := m.permitOf(member.subject())
 	if member.Incarnation > 0 {
@@ -84,9 +84,9 @@
 	}
 }
 
-// endPermitByProof ends the member's permit where a process serves that is later than the one that the permit was
-// granted to (invariant 3). That same process may have reported so before it was told to shut down. A drain holds
-// through a restart.
+// endPermitByProof ends the member's permit where a later process than the one that the permit was granted to serves
+// (invariant 3). A report of the same process proves nothing, as the process may have sent it before it was told to
+// shut down. A drain stays in force across a restart.
 func (m *StateMachine) endPermitByProof(member *Member) Result {
 	permit := m.permitOf(member.subject())
 	if permit == nil || member.Incarnation <= permit.Incarnation || member.Phase != Serving {
@@ -100,7 +100,8 @@
 	return Result{}
 }
 
-// recordCrash records the end of a process that had not reported it, and that no permit had told to shut down.
+// recordCrash records the end of a process, unless the process had reported that it drains or terminates, or an active
+// permit had told it to shut down.
 func (m *StateMachine) recordCrash(member *Member, permit *Permit) {
 	if member.Phase == Draining || member.Phase == Terminated {
 		return
@@ -117,7 +118,8 @@
 	}
 }
 
-// applySuspect records that a process is no longer seen alive. Only a newer report of the member withdraws it.
+// applySuspect records that a process is no longer seen alive. Only a newer report of the member withdraws the
+// suspicion.
 func (m *StateMachine) applySuspect(suspect *Suspect) Result {
 	member := m.Members[suspect.Name]
 	if member == nil || member.Incarnation != suspect.Incarnation || member.Suspected || member.Phase == Terminated {
@@ -127,7 +129,7 @@
 	return Result{}
 }
 
-// applyRemove removes a front end or an engine that an operator declares to be gone for good, with its permit.
+// applyRemove removes a front end or an engine that an operator declares permanently gone, with its permit.
 func (m *StateMachine) applyRemove(subject Subject, requestedBy string) Result {
 	if subject.Engine {
 		if m.Engines[subject.Name] == nil {
@@ -148,7 +150,7 @@
 	return Result{}
 }
 
-// removeMember removes a front end and keeps its incarnation, so that a late report of it does not bring it back.
+// removeMember removes a front end and keeps its incarnation, so that a late report does not register it again.
 func (m *StateMachine) removeMember(member *Member) {
 	delete(m.Members, member.Name)
 	if release := m.Release; release != nil {
--- a/decision/rollout/permit.go
+++ b/decision/rollout/permit.go
@@ -5,7 +5,7 @@
 	return m.Permits[m.permitBySubject[subject]]
 }
 
-// grantPermit numbers a permit and records it. The caller has checked the budgets.
+// grantPermit assigns a number to a permit and records the permit. The caller must have checked the budgets.
 func (m *StateMachine) grantPermit(permit Permit) *Permit {
 	m.LastPermit++
 	permit.Number, permit.GrantedAt = m.LastPermit, m.Now
@@ -19,8 +19,9 @@
 	delete(m.permitBySubject, permit.subject())
 }
 
-// activatePermit tells a front end, immediately before it shuts down, whether it may. One whose answer was lost asks
-// again and is checked again: it has not shut down, and counts as unavailable until it has returned the permit.
+// activatePermit decides, immediately before a front end shuts down, whether the front end may do so. A front end whose
+// answer was lost asks again. Such a front end has not shut down, so that the budget is checked again. After a
+// rejection the front end counts as unavailable until it returns the permit.
 func (m *StateMachine) activatePermit(reference *PermitReference) Result {
 	permit, member := m.Permits[reference.Permit], m.Members[reference.Name]
 	if permit == nil || permit.Engine || permit.Subject != reference.Name || member == nil {
@@ -40,7 +41,7 @@
 		}
 		budget = m.releaseBudget(m.Release)
 	}
-	// The budget is checked again, as others may have become unavailable since the permit was granted.
+	// The budget is checked again, as other members may have become unavailable since the permit was granted.
 	if rejected := m.memberUsage(budget).check(m.memberUnit(member)); rejected != nil {
 		if permit.ActivatedAt == 0 {
 			m.endPermit(permit)
@@ -57,7 +58,7 @@
 	return Result{Permit: permit.Number, Shutdown: true}
 }
 
-// returnPermit ends the permit of a process that serves and won't shut down under that number any more.
+// returnPermit ends the permit of a serving process, which must not shut down under that number any more.
 func (m *StateMachine) returnPermit(reference *PermitReference) Result {
 	permit, member := m.Permits[reference.Permit], m.Members[reference.Name]
 	if permit == nil || permit.Engine || permit.Subject != reference.Name ||
--- a/decision/rollout/release.go
+++ b/decision/rollout/release.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fleetActor is the actor of audit entries that no operator has caused.
+// fleetActor is the actor of audit entries for changes that no operator has requested.
 const fleetActor = "the fleet"
 
 // Bounds of a release.
@@ -65,7 +65,7 @@
 	}
 	last := 0.0
 	for i, share := range s.Waves {
-		if !(share > last && share <= 1) { // which is false of a value that is no number
+		if !(share > last && share <= 1) { // rejects NaN, too
 			return fmt.Errorf("waves: found %v at place %d, allowed is a share over %v, up to 1", share, i+1, last)
 		}
 		last = share
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// commonRevision is the revision that most members serve on; of equals, the first by name.
+// commonRevision returns the revision that most members serve on; in a tie, the first by name.
 func (m *StateMachine) commonRevision() (common string) {
 	members := map[string]int{}
 	for _, name := range m.memberNames() {
@@ -93,8 +93,8 @@
 	return common
 }
 
-// releaseOrder returns the members zone by zone in turn, within a zone by a hash of name and release: each wave
-// is spread over the zones, and the first member is another one in each release.
+// releaseOrder returns the members with the zones in turn, and within a zone by a hash of name and release. Each wave
+// is thereby spread over the zones, and releases begin with different members.
 func (m *StateMachine) releaseOrder(release uint64) []string {
 	hash := func(name string) uint64 {
 		h := fnv.New64a()
@@ -126,13 +126,13 @@
 	return order
 }
 
-// releaseIsRunning tells whether the release of that number is the present one and is neither halted nor done.
+// releaseIsRunning reports whether the release of that number is the present one, and neither halting, halted nor done.
 func (m *StateMachine) releaseIsRunning(number uint64) bool {
 	return m.Release != nil && m.Release.Number == number && m.Release.State == Running
 }
 
-// haltRelease halts the release. Permits that are not active are revoked; members that were told to shut down are
-// waited for before the halt is acknowledged (invariant 4).
+// haltRelease begins to halt the release and revokes its inactive permits. The halt is acknowledged once each member
+// that was told to shut down has reported (invariant 4).
 func (m *StateMachine) haltRelease(actor, cause string) Result {
 	release := m.Release
 	if !release.active() {
@@ -148,7 +148,7 @@
 	return Result{Release: release.Number}
 }
 
-// revokePermits ends the permits of a release that are not active.
+// revokePermits ends the inactive permits of a release.
 func (m *StateMachine) revokePermits(release *Release) {
 	for _, number := range m.PermitNumbers() {
 		if permit := m.Permits[number]; permit.Release == release.Number && permit.ActivatedAt == 0 {
@@ -157,8 +157,8 @@
 	}
 }
 
-// pendingShutdowns returns the members that were told to shut down for the release and have not reported that they do,
-// or that they serve on: they may yet shut down.
+// pendingShutdowns returns the members that may yet shut down for the release: those that were told to, and have
+// neither reported that they drain nor returned the permit.
 func (m *StateMachine) pendingShutdowns(release *Release) (names []string) {
 	for _, number := range m.PermitNumbers() {
 		permit := m.Permits[number]
@@ -173,8 +173,8 @@
 	return names
 }
 
-// resumeRelease continues a release that was halted, with fresh evidence: the operator has seen the cause. Members that
-// are away get the whole ReturnTimeout once more.
+// resumeRelease continues a halted release. Evidence and crashes so far are discarded, as the operator has seen the
+// cause of the halt. Members that have shut down get the whole ReturnTimeout once more.
 func (m *StateMachine) resumeRelease(requestedBy string) Result {
 	release := m.Release
 	if !release.active() || release.State == Running {
@@ -195,7 +195,8 @@
 	return Result{Release: release.Number}
 }
 
-// rollBackRelease brings all members back to the previous revision. Members that start meanwhile start on it.
+// rollBackRelease returns all members to the previous revision. Members that start during the rollback start on that
+// revision.
 func (m *StateMachine) rollBackRelease(requestedBy string) Result {
 	release := m.Release
 	if release == nil {
@@ -229,7 +230,7 @@
 	return Result{Release: release.Number}
 }
 
-// finishRelease ends the release: whatever starts from now on starts on its target.
+// finishRelease ends the release. Processes that start from now on start on its target.
 func (m *StateMachine) finishRelease(release *Release) {
 	end := "done"
 	if release.RollingBack {
@@ -243,5 +244,5 @@
 	}
 }
 
-// errNoMembers tells that there is nothing to plan for.
+// errNoMembers reports that a fleet without members has no release to plan.
 var errNoMembers = errors.New("rollout: the fleet has no member yet")
--- a/decision/rollout/settings.go
+++ b/decision/rollout/settings.go
@@ -15,7 +15,7 @@
 	ZoneMaxShare float64 `json:"room_share"`
 	KindMax      int     `json:"kind_most"`
 	KindMaxShare float64 `json:"kind_share"`
-	Headroom     float64 `json:"headroom"` // share of the load that must be left over after one more loss
+	Headroom     float64 `json:"headroom"` // spare capacity after one more loss, as a share of the load
 }
 
 // Analyzer holds the parameters by which a release is compared with the previous revision.
@@ -23,10 +23,11 @@
 	Alpha       float64 `json:"alpha"`      // the probability that a healthy release is halted
 	Tolerance   float64 `json:"tolerance"`  // acceptable failure rate, as a multiple of the previous revision's
 	MinRequests int64   `json:"least"`      // requests on the new revision before a wave may end
-	Dispersion  float64 `json:"dispersion"` // how many failures that come together count as one
+	Dispersion  float64 `json:"dispersion"` // size of a burst of failures that counts as one failure
 }
 
-// Settings are what the fleet has agreed on. [Defaults] has the values of a fleet that has not configured any.
+// Settings are the parameters of the state machine, and part of its replicated state. [Defaults] has the values of a
+// fleet that has not configured any.
 type Settings struct {
 	FrontEnds Budget   `json:"front_ends"`
 	Engines   Budget   `json:"engines"`
@@ -48,15 +49,15 @@
 func Defaults() Settings {
 	return Settings{
 		FrontEnds: Budget{MaxShare: 0.1, ZoneMaxShare: 0.2, Headroom: 0.1},
-		// Engines are few, and what one has in its cache is lost to the others.
+		// Engines are few, and the cache of an unavailable engine is lost to the others.
 		Engines: Budget{Max: 1, ZoneMax: 1, Headroom: 0.1},
-		// A bad revision costs more than a hasty return, so that the rollback has a wider budget.
+		// A bad revision does more harm than a fast rollback, so that the rollback has a wider budget.
 		Rollback:      Budget{MaxShare: 0.25, ZoneMaxShare: 0.34},
 		Analyzer:      Analyzer{Alpha: 0.01, Tolerance: 1.25, MinRequests: 200, Dispersion: 2},
 		ReturnTimeout: 60 * time.Second,
 		CrashLoop:     3,
 		CrashWindow:   2 * time.Minute,
-		// An engine abandons a query that nobody polls for after 2 s; the rest is for clocks and calls in flight.
+		// An engine abandons a query after 2 s without a poll; the rest allows for clock differences and calls in flight.
 		AbandonedQueryTimeout: 2500 * time.Millisecond,
 		KeepResults:           2000,
 		KeepAudit:             1000,
@@ -64,7 +65,7 @@
 	}
 }
 
-// auditText spells the settings as audit entries store them. The names in it are those of the stored form.
+// auditText formats the settings for audit entries, under their stored names.
 func (s *Settings) auditText() string {
 	return fmt.Sprintf("{FrontEnds:%s Engines:%s WayBack:%s Judge:{Alpha:%v Tolerance:%v Least:%d Dispersion:%v} "+
 		"NotBack:%v CrashLoop:%d CrashWindow:%v Protocol:%v KeepIDs:%d KeepAudit:%d KeepGone:%d}",
@@ -101,8 +102,7 @@
 	return nil
 }
 
-// check returns an error where the budget of that name can't be used. The comparisons reject values that are no
-// numbers, too.
+// check returns an error where the budget of that name can't be used. The negated comparisons reject NaN, too.
 func (b Budget) check(name string) error {
 	if b.Max <= 0 && b.MaxShare <= 0 {
 		return fmt.Errorf("rollout: %s: most or share is needed, or nothing bounds who is out", name)
--- a/decision/rollout/view.go
+++ b/decision/rollout/view.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// BudgetStatus tells how much of one budget is used.
+// BudgetStatus is the usage of one budget in one scope.
 type BudgetStatus struct {
 	Subjects    string   `json:"of"`    // "front ends" or "engines"
 	Scope       string   `json:"scope"` // "all", "room ZONE" or "kind KIND"
@@ -18,7 +18,7 @@
 	Unavailable []string `json:"out"`
 }
 
-// Budgets tells how much of the budgets in force is used, those of zones and kinds included where they are bounded.
+// Budgets returns the usage of the budgets in force: in all, and by zone and by kind where these are bounded.
 func (m *StateMachine) Budgets() []BudgetStatus {
 	budget := m.Settings.FrontEnds
 	if m.Release.active() {
@@ -55,7 +55,7 @@
 	return statuses
 }
 
-// of returns the status with the counts of its units.
+// of returns the status with the counts and the limit for the units of its scope.
 func (b BudgetStatus) of(units []unit, maxCount int, maxShare float64) BudgetStatus {
 	b.Total, b.Unavailable = len(units), []string{}
 	for _, u := range units {
@@ -68,7 +68,8 @@
 	return b
 }
 
-// DrainBlockers tells, for the drain of an engine, which front ends keep it from being stopped, and why.
+// DrainBlockers returns, for the permit of a drained engine, the reason of each front end that keeps the engine from
+// being stopped. It returns nil for any other number.
 func (m *StateMachine) DrainBlockers(number uint64) (blockers []string) {
 	permit := m.Permits[number]
 	if permit == nil || !permit.Engine {
@@ -82,7 +83,7 @@
 	return blockers
 }
 
-// ReleaseBlockers tells what the active release waits for.
+// ReleaseBlockers returns the conditions that the active release waits for; nil where no release is active.
 func (m *StateMachine) ReleaseBlockers() (blockers []string) {
 	release := m.Release
 	if !release.active() {
@@ -104,7 +105,7 @@
 	return blockers
 }
 
-// memberBlocker tells what an unfinished member of a release waits for.
+// memberBlocker returns the condition that an unfinished member of a release waits for.
 func (m *StateMachine) memberBlocker(usage *budgetUsage, member *Member) string {
 	permit := m.permitOf(member.subject())
 	switch {
@@ -121,7 +122,7 @@
 	return member.Name + ": its turn comes next"
 }
 
-// waveBlockers tells what a wave waits for whose members are all finished.
+// waveBlockers returns the condition that a wave waits for after all its members are finished.
 func (m *StateMachine) waveBlockers(release *Release) []string {
 	if left := release.SoakingSince + release.Soak - m.Now; left > 0 {
 		return []string{fmt.Sprintf("wave %d soaks for %v more", release.Wave+1, left.Round(time.Millisecond))}
@@ -133,14 +134,15 @@
 	return nil
 }
 
-// Wave is one wave of a plan.
+// Wave is one wave of a planned release.
 type Wave struct {
 	Members        []string      `json:"members"`
 	MaxUnavailable int           `json:"at_once"`
-	MaxDuration    time.Duration `json:"longest"` // where every member returns after ReturnTimeout; with the soak
+	MaxDuration    time.Duration `json:"longest"` // if each member takes ReturnTimeout to return; includes the soak
 }
 
-// Plan tells what a release would do, and changes nothing. MaxDuration holds while nobody else is unavailable.
+// Plan returns the waves that a release would have, and changes nothing. MaxDuration assumes that no other member is
+// unavailable.
 func (m *StateMachine) Plan(start StartRelease) ([]Wave, error) {
 	if err := start.validate(); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
@@ -166,7 +168,7 @@
 	return waves, nil
 }
 
-// NextDeadline returns the next time at which a tick may change something; false where none may.
+// NextDeadline returns the next time at which a tick may change the state; false where there is none.
 func (m *StateMachine) NextDeadline() (time.Duration, bool) {
 	next := time.Duration(math.MaxInt64)
 	consider := func(at time.Duration) {
--- a/decision/rollout/wave.go
+++ b/decision/rollout/wave.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// advance carries on what the last command and the time allow. It runs after every command.
+// advance performs the transitions that the last command and the time allow: it completes drains and halts, halts the
+// release, grants permits and ends waves. Apply calls it after every command.
 func (m *StateMachine) advance() {
 	m.recordDrained()
 	release := m.Release
@@ -26,17 +27,17 @@
 	m.advanceWave(release)
 }
 
-// acknowledgeHalt completes a halt once no member may yet shut down for the release (invariant 4).
+// acknowledgeHalt completes a halt once no member can still shut down for the release (invariant 4).
 func (m *StateMachine) acknowledgeHalt(release *Release) {
 	if release.State == Halting && len(m.pendingShutdowns(release)) == 0 {
 		release.State = Halted
 	}
 }
 
-// waveRounding keeps a share of a count that is a whole number from being rounded up.
+// waveRounding keeps a product of share and count from being rounded up where the exact product is a whole number.
 const waveRounding = 1e-9
 
-// waveEnd is how many members the waves up to the present one have. A rollback has one wave of all.
+// waveEnd returns the number of members in the waves up to the present one. A rollback is one wave of all members.
 func (r *Release) waveEnd() int {
 	if r.RollingBack {
 		return len(r.Order)
@@ -45,7 +46,7 @@
 	return min(len(r.Order), max(1, int(math.Ceil(share-waveRounding))))
 }
 
-// haltCause tells why a release must not go on; empty where it may.
+// haltCause returns the reason why a release must halt; empty where the release may continue.
 func (m *StateMachine) haltCause(release *Release) string {
 	if cause := m.worseMetric(release); cause != "" {
 		return cause
@@ -67,7 +68,8 @@
 	return ""
 }
 
-// crashLoop tells which member of the new revision crashes again and again since the release started; empty for none.
+// crashLoop returns the cause of a halt where a member of the new revision has crashed CrashLoop times within
+// CrashWindow since the release started; empty where none has.
 func (m *StateMachine) crashLoop(release *Release) string {
 	for _, name := range m.memberNames() {
 		member := m.Members[name]
@@ -106,7 +108,7 @@
 }
 
 // unfinishedMembers returns the members that keep the waves up to the present one from being complete. A member that
-// was unavailable before its turn is not waited for; one that was brought to the target must serve there.
+// was unavailable before its turn does not; a member whose target revision was set to that of the release must serve.
 func (m *StateMachine) unfinishedMembers(release *Release) (names []string) {
 	for _, name := range release.Order[:release.waveEnd()] {
 		member := m.Members[name]
@@ -121,7 +123,7 @@
 	return names
 }
 
-// advanceWave ends a wave that is complete and has soaked, and the release with its last wave.
+// advanceWave ends a wave that is complete and has soaked. The last wave ends the release.
 func (m *StateMachine) advanceWave(release *Release) {
 	if len(m.unfinishedMembers(release)) > 0 {
 		release.SoakingSince = 0
@@ -146,8 +148,8 @@
 	m.grantReleasePermits(release)
 }
 
-// minWaveRequests is how many requests the new revision must have had before the wave may end. Once no member is left
-// on the previous revision there is nothing to compare with.
+// minWaveRequests returns how many requests the new revision must have had before the wave may end. A wave that
+// includes the last member needs none, as no member is left on the previous revision to compare with.
 func (m *StateMachine) minWaveRequests(release *Release) int64 {
 	if release.waveEnd() == len(release.Order) {
 		return 0
