--- a/decision/rollout/analysis_test.go
+++ b/decision/rollout/analysis_test.go
@@ -17,11 +17,11 @@
 	slowRate        = 0.02  // of served requests
 )
 
-// waveTraffic is the share of a zone's requests that the new revision has, by wave.
+// waveTraffic is the new revision's share of a zone's requests, by wave.
 var waveTraffic = []float64{0.05, 0.3, 0.6}
 
 // zoneWindow draws the counts of a zone in a window. The new revision fails at factor times the rate of the previous
-// one. A burst hits both alike.
+// one. A burst raises the rates of both.
 func zoneWindow(rng *rand.Rand, zone string, wave int, factor float64) ZoneCounts {
 	drawn := ZoneCounts{Zone: zone}
 	rate := baseFailureRate
@@ -43,8 +43,9 @@
 	return drawn
 }
 
-// playRelease plays up to so many windows of a release, whose new revision fails at a factor that depends on the
-// window. It returns after how many windows the release was halted; 0: it was not.
+// playRelease plays a release for at most the given number of windows and returns the number of windows until the
+// release was halted, or 0 if the release was not halted. The factor of a window is the failure rate of the new
+// revision over that of the previous one.
 func playRelease(rng *rand.Rand, f *testFleet, factor func(window int) float64, windows int) int {
 	for window := range windows {
 		release := f.machine.Release
@@ -64,7 +65,7 @@
 	return 0
 }
 
-// newReleasingFleet returns a fleet whose release has restarted its first member.
+// newReleasingFleet returns a fleet with a release that has restarted the first member.
 func newReleasingFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := newTestFleet(t, 12, func(s *Settings) { s.FrontEnds, s.Analyzer.MinRequests = Budget{Max: 6}, 200 })
@@ -105,9 +106,9 @@
 		factor     func(int) float64
 		maxWindows int // until the halt
 	}{
-		"one query in five fails": {func(int) float64 { return 40 }, 2},
-		"fine for half a minute":  {failsLate, 6},
-		"four times worse":        {func(int) float64 { return 4 }, 40},
+		"one query in five fails":         {func(int) float64 { return 40 }, 2},
+		"fails from the fourth window on": {failsLate, 6},
+		"fails four times as often":       {func(int) float64 { return 4 }, 40},
 	} {
 		t.Run(name, func(t *testing.T) {
 			worst := 0
@@ -117,11 +118,11 @@
 				require.Positive(t, at, "seed %d: not halted", seed)
 				worst = max(worst, at)
 				if c.maxWindows < 10 {
-					assert.LessOrEqual(t, f.revisions()["new"], 1, "seed %d: only the canary met it", seed)
+					assert.LessOrEqual(t, f.revisions()["new"], 1, "seed %d: only the canary may run the new revision", seed)
 				}
 				assert.Contains(t, f.machine.Release.HaltCause, "failures on new")
 			}
-			t.Logf("halted after %d windows at the latest", worst)
+			t.Logf("every release halted within %d windows", worst)
 			assert.LessOrEqual(t, worst, c.maxWindows)
 		})
 	}
--- a/decision/rollout/drain_test.go
+++ b/decision/rollout/drain_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A front end whose process has ended needs no report; its queries may run on for a while.
+// A front end whose process has terminated sends no report for a drain. Its queries may run on engines for
+// AbandonedQueryTimeout, and the engine must not be stopped before.
 func TestQueriesOfATerminatedProcessAreWaitedFor(t *testing.T) {
 	f := newTestFleet(t, 2, nil)
 	f.apply(Command{Engine: &Engine{Name: "e0", Zone: "room-a", Cores: 12, Process: 5, Listed: true, Ready: true}})
--- a/decision/rollout/mutation_test.go
+++ b/decision/rollout/mutation_test.go
@@ -6,7 +6,8 @@
 	"beechcart/internal/mutation"
 )
 
-// Each guard is needed: without it random fleets break the invariant of that number, or the test that is named fails.
+// Each guard is necessary: without the guard, random fleets violate the invariant of its number, or the named test
+// fails.
 func TestMutationsAreFound(t *testing.T) {
 	mutations := []mutation.Mutation{
 		{
@@ -15,7 +16,7 @@
 			Test: "TestOlderListOfEnginesIsRejected",
 		},
 		{
-			Guard: "queries of a process that has ended are waited for", File: "drain.go",
+			Guard: "a drain waits for queries of a terminated process", File: "drain.go",
 			Old:  "left := m.abandonedQueriesLeft(member.ChangedAt); left > 0",
 			New:  "left := m.abandonedQueriesLeft(member.ChangedAt); false",
 			Test: "TestQueriesOfATerminatedProcessAreWaitedFor",
@@ -23,7 +24,7 @@
 	}
 	for _, g := range guards {
 		mutations = append(mutations, mutation.Mutation{
-			Guard: g.name, File: g.file, Old: g.text, New: g.without,
+			Guard: g.name, File: g.file, Old: g.text, New: g.replacement,
 			Test: "TestRandomFleets", Env: []string{seedsVariable + "=60"},
 			Want: `seed \d+: step \d+: ` + g.invariant + ": ",
 		})
@@ -31,10 +32,10 @@
 	mutation.Run(t, mutations)
 }
 
-// guard is a piece of source text that keeps an invariant, and what stands in its place where it is left out.
+// guard is source text that an invariant depends on, and the text that replaces it in a mutation.
 type guard struct {
-	name, file, text, without string
-	invariant                 string // by its number in doc.go
+	name, file, text, replacement string
+	invariant                     string // number of the invariant in doc.go
 }
 
 var guards = []guard{
@@ -47,29 +48,29 @@
 		"\tif stale {", "\tif stale && false {", "5",
 	},
 	{
-		"a drain of a front end keeps to the budget", "drain.go",
+		"a drain of a front end is checked against the budget", "drain.go",
 		"rejected := m.memberUsage(m.Settings.FrontEnds).check(m.memberUnit(member))",
 		"var rejected *RejectedError", "1",
 	},
 	{
-		"a drain of an engine keeps to the budget", "drain.go",
+		"a drain of an engine is checked against the budget", "drain.go",
 		"rejected := m.engineUsage().check(m.engineUnit(engine))",
 		"var rejected *RejectedError", "1",
 	},
 	{
-		"a release keeps to the budget", "wave.go",
+		"a release is checked against the budget", "wave.go",
 		"usage.check(u) != nil", "false", "1",
 	},
 	{
-		"an activation keeps to the budget", "permit.go",
+		"an activation is checked against the budget", "permit.go",
 		"rejected != nil {\n\t\tif permit.ActivatedAt == 0", "false {\n\t\tif permit.ActivatedAt == 0", "1",
 	},
 	{
-		"the budget of a zone holds", "budget.go",
+		"the budget of a zone is checked", "budget.go",
 		`{"room " + u.zone, *b.zones[u.zone], b.budget.ZoneMax, b.budget.ZoneMaxShare},`, "", "1",
 	},
 	{
-		"the load is carried with one more loss", "budget.go",
+		"the rest must carry the load after one more loss", "budget.go",
 		"left-largest < needed", "false", "1",
 	},
 	{
@@ -80,27 +81,27 @@
 	}`, "2",
 	},
 	{
-		"a permit is that of one process", "permit.go",
+		"a permit belongs to one process", "permit.go",
 		"permit.Incarnation != reference.Incarnation || member.Incarnation != reference.Incarnation", "false", "2",
 	},
 	{
-		"a halt revokes what is not active", "release.go",
+		"a halt revokes inactive permits", "release.go",
 		"cause, 0\n\tm.revokePermits(release)", "cause, 0", "4",
 	},
 	{
-		"a rollback revokes what is not active", "release.go",
+		"a rollback revokes inactive permits", "release.go",
 		"true, 0, \"\"\n\tm.revokePermits(release)", "true, 0, \"\"", "9",
 	},
 	{
-		"nothing is activated for a halted release", "permit.go",
+		"no permit of a halted release is activated", "permit.go",
 		"!m.releaseIsRunning(permit.Release)", "false", "4",
 	},
 	{
-		"a halt waits for those that were told to shut down", "wave.go",
+		"a halt waits for members that were told to shut down", "wave.go",
 		"release.State == Halting && len(m.pendingShutdowns(release)) == 0", "release.State == Halting", "4",
 	},
 	{
-		"the same process proves nothing", "member.go",
+		"a report of the same process does not end a permit", "member.go",
 		"member.Incarnation <= permit.Incarnation || ", "", "3",
 	},
 	{
@@ -108,20 +109,20 @@
 		"active := m.Release; active.active()", "active := m.Release; active.active() && false", "7",
 	},
 	{
-		"an older process does not report an engine drained", "drain.go",
+		"a drain report of an older process is rejected", "drain.go",
 		"member.Incarnation != report.Incarnation", "false", "6",
 	},
 	{
-		"a suspected front end is waited for", "drain.go",
+		"a drain waits for a suspected front end", "drain.go",
 		"permit.DrainedBy[member.Name] == member.Incarnation",
 		"member.Suspected || permit.DrainedBy[member.Name] == member.Incarnation", "6",
 	},
 	{
-		"queries of an earlier process are waited for", "drain.go",
+		"a drain waits for queries of an earlier process", "drain.go",
 		"member.PreviousEndedAt > 0 && left > 0", "false", "6",
 	},
 	{
-		"a suspected front end is unavailable", "budget.go",
+		"a suspected front end counts as unavailable", "budget.go",
 		"member.isServing() && ", "member.Phase == Serving && ", "1",
 	},
 	{
@@ -129,15 +130,15 @@
 		" && engine.Process > permit.Incarnation", "", "3",
 	},
 	{
-		"a process that was removed does not come back", "member.go",
+		"a report of a removed process is rejected", "member.go",
 		"removed && report.Incarnation <= last", "removed && false", "5",
 	},
 	{
-		"a window counts once", "analysis.go",
+		"a health window is counted once", "analysis.go",
 		"health.Window <= release.Window", "false", "5",
 	},
 	{
-		"a wave waits for its members", "wave.go",
+		"a wave waits for its unfinished members", "wave.go",
 		"len(m.unfinishedMembers(release)) > 0", "false", "9",
 	},
 }
--- a/decision/rollout/oracle_test.go
+++ b/decision/rollout/oracle_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stateBefore is what the oracle needs of the state before a step.
+// stateBefore holds the parts of the state before a step that the oracle compares with those after the step.
 type stateBefore struct {
 	lastPermit, release, window uint64
 	releaseState                ReleaseState
@@ -13,40 +13,40 @@
 	available                   map[Subject]bool
 	reports                     map[string]lastReport
 	newRequests                 int64
-	firstResult                 *Result // of the command, where it was executed before
+	firstResult                 *Result // of the command; nil if the command is no repeat
 }
 
-// lastReport is a member's last report.
+// lastReport identifies a member's last report.
 type lastReport struct{ incarnation, sequence uint64 }
 
-func (f *randomFleet) before(command Command) stateBefore {
-	b := stateBefore{
+func (f *randomFleet) captureState(command Command) stateBefore {
+	before := stateBefore{
 		lastPermit: f.machine.LastPermit, permits: map[uint64]Permit{}, available: map[Subject]bool{},
 		reports: map[string]lastReport{},
 	}
 	for number, permit := range f.machine.Permits {
-		b.permits[number] = *permit
+		before.permits[number] = *permit
 	}
 	for name, member := range f.machine.Members {
-		b.available[Subject{Name: name}] = f.memberAvailable(name)
-		b.reports[name] = lastReport{member.Incarnation, member.StatusSequence}
+		before.available[Subject{Name: name}] = f.memberAvailable(name)
+		before.reports[name] = lastReport{member.Incarnation, member.StatusSequence}
 	}
 	for name := range f.machine.Engines {
-		b.available[Subject{name, true}] = f.engineAvailable(name)
+		before.available[Subject{name, true}] = f.engineAvailable(name)
 	}
 	if release := f.machine.Release; release != nil {
-		b.release, b.window, b.releaseState = release.Number, release.Window, release.State
-		b.newRequests = release.New.Requests
+		before.release, before.window, before.releaseState = release.Number, release.Window, release.State
+		before.newRequests = release.New.Requests
 	}
 	for _, earlier := range f.machine.Results {
 		if earlier.ID == command.ID && command.ID != "" {
-			b.firstResult = &earlier.Result
+			before.firstResult = &earlier.Result
 		}
 	}
-	return b
+	return before
 }
 
-// The oracle counts by itself, from the state alone, who is available and what budgets are used.
+// The oracle computes availability and budget usage from the state, without the functions under test.
 
 func (f *randomFleet) hasPermit(subject Subject) bool {
 	for _, permit := range f.machine.Permits {
@@ -67,7 +67,7 @@
 	return engine.Listed && engine.Ready && !f.hasPermit(Subject{name, true})
 }
 
-// usageCount counts units by zone; the empty zone is all of them.
+// usageCount counts units by zone; the empty zone counts all of them.
 type usageCount struct {
 	total, unavailable map[string]int
 	weight, largest    float64 // of available front ends
@@ -82,8 +82,8 @@
 	}
 }
 
-// overBudget tells which budget is exceeded in all or in a permit's zone; empty for none. Crashes may exceed that of
-// another zone.
+// overBudget describes the budget that is exceeded, in all or in the zone of a permit's subject; empty for none. The
+// budget of another zone may be exceeded, by crashes.
 func (f *randomFleet) overBudget(permit *Permit) string {
 	usage := usageCount{total: map[string]int{}, unavailable: map[string]int{}}
 	budget, zone := f.machine.Settings.FrontEnds, ""
@@ -113,7 +113,7 @@
 	}
 	left, load := usage.weight-usage.largest, f.machine.Load.FrontEnds
 	if need := load * (1 + budget.Headroom); !permit.Engine && load > 0 && left < need-1e-6 {
-		return fmt.Sprintf("%v would be left after one more loss, and %v are needed", left, need)
+		return fmt.Sprintf("capacity after one more loss is %v, must be at least %v", left, need)
 	}
 	return ""
 }
@@ -127,17 +127,17 @@
 		limit = min(limit, max(1, int(maxShare*float64(u.total[zone])+1e-9)))
 	}
 	if u.unavailable[zone] > limit {
-		return fmt.Sprintf("%d of %d are unavailable in %q, and %d may be",
+		return fmt.Sprintf("%d of %d units are unavailable in zone %q, and %d may be",
 			u.unavailable[zone], u.total[zone], zone, limit)
 	}
 	return ""
 }
 
-// step applies a command and tells the first invariant that does not hold; empty where all do.
+// step applies a command and describes the first invariant that is violated; empty for none.
 func (f *randomFleet) step(command Command) string {
 	f.now += time.Duration(f.rng.IntN(400)) * time.Millisecond
 	command.At = f.now
-	b := f.before(command)
+	before := f.captureState(command)
 	result := f.machine.Apply(command)
 	if f.sent = append(f.sent, command); len(f.sent) > 40 {
 		f.sent = f.sent[1:]
@@ -145,41 +145,41 @@
 	for _, check := range []func(stateBefore, Command, Result) string{
 		f.checkRepeat, f.checkPermits, f.checkEnded, f.checkReports, f.checkRelease, f.checkSize,
 	} {
-		if violation := check(b, command, result); violation != "" {
+		if violation := check(before, command, result); violation != "" {
 			return violation
 		}
 	}
 	return ""
 }
 
-func (f *randomFleet) checkRepeat(b stateBefore, command Command, result Result) string {
-	first := b.firstResult
+func (f *randomFleet) checkRepeat(before stateBefore, command Command, result Result) string {
+	first := before.firstResult
 	if first == nil {
 		return ""
 	}
 	if fmt.Sprint(*first) != fmt.Sprint(result) && fmt.Sprint(first.Rejected) != fmt.Sprint(result.Rejected) {
-		return fmt.Sprintf("8: %s was answered %v and then %v", command.ID, *first, result)
+		return fmt.Sprintf("8: %s had the result %v, and its repeat %v", command.ID, *first, result)
 	}
 	for number, permit := range f.machine.Permits {
-		if _, had := b.permits[number]; !had && permit.Release == 0 {
+		if _, existed := before.permits[number]; !existed && permit.Release == 0 {
 			return "8: a repeat was executed again"
 		}
 	}
 	return ""
 }
 
-// checkPermits checks what was granted, activated and drained.
-func (f *randomFleet) checkPermits(b stateBefore, command Command, result Result) string {
+// checkPermits checks permits that the step granted, activated or marked as drained.
+func (f *randomFleet) checkPermits(before stateBefore, command Command, result Result) string {
 	release := f.machine.Release
 	if command.ActivatePermit != nil && result.Shutdown && release != nil &&
-		f.machine.Permits[result.Permit].Release == release.Number && b.releaseState != Running {
-		return "4: told to shut down while the release is " + string(b.releaseState)
+		f.machine.Permits[result.Permit].Release == release.Number && before.releaseState != Running {
+		return "4: a member was told to shut down while the release is " + string(before.releaseState)
 	}
 	for number, permit := range f.machine.Permits {
 		for _, check := range []func(stateBefore, Command, *Permit) string{
 			f.checkGranted, f.checkActivated, f.checkReleasePermit, f.checkDrained,
 		} {
-			if violation := check(b, command, permit); violation != "" {
+			if violation := check(before, command, permit); violation != "" {
 				return violation
 			}
 		}
@@ -199,14 +199,14 @@
 	return release != nil && release.RollingBack && release.State != Done
 }
 
-func (f *randomFleet) checkGranted(b stateBefore, _ Command, permit *Permit) string {
-	if _, had := b.permits[permit.Number]; had {
+func (f *randomFleet) checkGranted(before stateBefore, _ Command, permit *Permit) string {
+	if _, existed := before.permits[permit.Number]; existed {
 		return ""
 	}
-	if permit.Number <= b.lastPermit {
-		return fmt.Sprintf("2: permit %d was granted after %d", permit.Number, b.lastPermit)
+	if permit.Number <= before.lastPermit {
+		return fmt.Sprintf("2: permit %d was granted after %d", permit.Number, before.lastPermit)
 	}
-	if !b.available[permit.subject()] {
+	if !before.available[permit.subject()] {
 		return ""
 	}
 	f.steps["granted"]++
@@ -216,9 +216,9 @@
 	return ""
 }
 
-func (f *randomFleet) checkActivated(b stateBefore, command Command, permit *Permit) string {
-	was, had := b.permits[permit.Number]
-	if !had || was.ActivatedAt > 0 || permit.ActivatedAt == 0 {
+func (f *randomFleet) checkActivated(before stateBefore, command Command, permit *Permit) string {
+	earlier, existed := before.permits[permit.Number]
+	if !existed || earlier.ActivatedAt > 0 || permit.ActivatedAt == 0 {
 		return ""
 	}
 	f.steps["activated"]++
@@ -230,8 +230,8 @@
 	if over := f.overBudget(permit); over != "" {
 		return "1: activated, and " + over
 	}
-	if permit.Release != 0 && (f.machine.Release.Number != permit.Release || b.releaseState != Running) {
-		return fmt.Sprintf("4: permit %d was activated while its release was %s", permit.Number, b.releaseState)
+	if permit.Release != 0 && (f.machine.Release.Number != permit.Release || before.releaseState != Running) {
+		return fmt.Sprintf("4: permit %d was activated while its release was %s", permit.Number, before.releaseState)
 	}
 	return ""
 }
@@ -243,19 +243,19 @@
 		return ""
 	}
 	if release.State == Halted || release.State == Halting {
-		return fmt.Sprintf("4: permit %d stands while the release is %s", permit.Number, release.State)
+		return fmt.Sprintf("4: inactive permit %d is in force while the release is %s", permit.Number, release.State)
 	}
 	revision, previous := f.machine.Members[permit.Subject].Revision, release.PreviousRevision
 	if f.rollingBack() && (permit.Revision != previous || revision == previous) {
-		return fmt.Sprintf("9: permit %d brings %s from %s to %s",
+		return fmt.Sprintf("9: permit %d restarts %s from %s on %s",
 			permit.Number, permit.Subject, revision, permit.Revision)
 	}
 	return ""
 }
 
-// checkDrained checks an engine that may be stopped since this step.
-func (f *randomFleet) checkDrained(b stateBefore, _ Command, permit *Permit) string {
-	if !permit.Engine || permit.DrainedAt == 0 || b.permits[permit.Number].DrainedAt > 0 {
+// checkDrained checks the drain of an engine that may be stopped since this step.
+func (f *randomFleet) checkDrained(before stateBefore, _ Command, permit *Permit) string {
+	if !permit.Engine || permit.DrainedAt == 0 || before.permits[permit.Number].DrainedAt > 0 {
 		return ""
 	}
 	f.steps["drained"]++
@@ -273,21 +273,21 @@
 	return ""
 }
 
-// checkEnded checks that active permits end by proof only.
-func (f *randomFleet) checkEnded(b stateBefore, command Command, _ Result) string {
-	for number, permit := range b.permits {
+// checkEnded checks that an active permit ends only by proof, an operator's command or its return.
+func (f *randomFleet) checkEnded(before stateBefore, command Command, _ Result) string {
+	for number, permit := range before.permits {
 		if f.machine.Permits[number] != nil || permit.ActivatedAt == 0 {
 			continue
 		}
 		if !f.isProof(command, permit) {
-			return fmt.Sprintf("3: permit %d of %s, active, ended by %+v", number, permit.Subject, command)
+			return fmt.Sprintf("3: active permit %d of %s ended by %+v", number, permit.Subject, command)
 		}
 		f.steps["proved"]++
 	}
 	return ""
 }
 
-// isProof tells whether a command may end an active permit.
+// isProof reports whether a command may end an active permit.
 func (f *randomFleet) isProof(command Command, permit Permit) bool {
 	switch {
 	case command.RemoveMember != nil:
@@ -309,45 +309,46 @@
 	return false
 }
 
-// checkReports checks that reports of members only go forward.
-func (f *randomFleet) checkReports(b stateBefore, _ Command, _ Result) string {
-	for name, was := range b.reports {
+// checkReports checks that no report replaces a later one.
+func (f *randomFleet) checkReports(before stateBefore, _ Command, _ Result) string {
+	for name, earlier := range before.reports {
 		member := f.machine.Members[name]
-		if member != nil && (member.Incarnation < was.incarnation ||
-			(member.Incarnation == was.incarnation && member.StatusSequence < was.sequence)) {
-			return fmt.Sprintf("5: %s went from report %v to %d %d",
-				name, was, member.Incarnation, member.StatusSequence)
+		if member != nil && (member.Incarnation < earlier.incarnation ||
+			(member.Incarnation == earlier.incarnation && member.StatusSequence < earlier.sequence)) {
+			return fmt.Sprintf("5: the last report of %s went back from %v to {%d %d}",
+				name, earlier, member.Incarnation, member.StatusSequence)
 		}
 	}
 	for name, member := range f.machine.Members {
 		if last, removed := f.machine.Removed[name]; removed && member.Incarnation <= last {
-			return "5: " + name + " is back as the process that was removed"
+			return "5: " + name + " is registered again as a removed process"
 		}
 	}
 	return ""
 }
 
-func (f *randomFleet) checkRelease(b stateBefore, command Command, _ Result) string {
+func (f *randomFleet) checkRelease(before stateBefore, command Command, _ Result) string {
 	release := f.machine.Release
 	if release == nil {
 		return ""
 	}
-	if release.Number != b.release {
+	if release.Number != before.release {
 		f.steps["started"]++
-		if b.releaseState != Done && b.release != 0 {
-			return fmt.Sprintf("7: release %d started while %d was %s", release.Number, b.release, b.releaseState)
+		if before.releaseState != Done && before.release != 0 {
+			return fmt.Sprintf("7: release %d started while %d was %s", release.Number, before.release, before.releaseState)
 		}
-	} else if release.Window < b.window {
-		return "5: the windows of health went back"
-	} else if command.Health != nil && command.Health.Window <= b.window && release.New.Requests != b.newRequests {
+	} else if release.Window < before.window {
+		return "5: the number of the last health window decreased"
+	} else if command.Health != nil && command.Health.Window <= before.window &&
+		release.New.Requests != before.newRequests {
 		return "5: a window was counted twice"
 	}
-	if release.State == Halted && b.releaseState != Halted {
+	if release.State == Halted && before.releaseState != Halted {
 		if pending := f.mayShutDown(release); pending != "" {
-			return "4: halted, and " + pending + " may yet shut down"
+			return "4: halted, and " + pending + " can still shut down"
 		}
 	}
-	if release.State == Done && b.releaseState != Done && b.release == release.Number {
+	if release.State == Done && before.releaseState != Done && before.release == release.Number {
 		f.steps["done"]++
 		for _, member := range f.machine.Members {
 			if f.memberAvailable(member.Name) && member.Revision != release.target() {
@@ -358,8 +359,9 @@
 	return ""
 }
 
-// mayShutDown names a member that holds a permit of the release and has not shut down; empty for none. It is asked only
-// as a halt is acknowledged: later reports are those of processes that act once on an activation.
+// mayShutDown returns the name of a member that holds a permit of the release and can still shut down; empty for none.
+// The result is valid only at the moment when a halt is acknowledged: a process acts once on an activation, so that one
+// that reports Serving after its drain does not shut down again.
 func (f *randomFleet) mayShutDown(release *Release) string {
 	for _, permit := range f.machine.Permits {
 		if permit.Engine || permit.Release != release.Number {
@@ -377,7 +379,7 @@
 	m := f.machine
 	if len(m.Results) > 2*m.Settings.KeepResults || len(m.Audit) > m.Settings.KeepAudit ||
 		len(m.RemovedOrder) > m.Settings.KeepRemoved || len(m.Removed) > m.Settings.KeepRemoved {
-		return "10: the state has grown"
+		return "10: the state exceeds its bounds"
 	}
 	return ""
 }
--- a/decision/rollout/property_test.go
+++ b/decision/rollout/property_test.go
@@ -21,7 +21,8 @@
 	})
 }
 
-// stepsVariable sets how many steps the fleet of 300 takes; 100,000 take a minute.
+// stepsVariable names the environment variable with the number of steps of TestInvariantsHoldAt300; 100,000 take a
+// minute.
 const stepsVariable = "ROLLOUT_STEPS"
 
 func TestInvariantsHoldAt300(t *testing.T) {
@@ -36,11 +37,12 @@
 	require.Empty(t, f.run(t, steps))
 	t.Log(steps, "steps:", f.steps)
 	for _, change := range []string{"granted", "activated", "proved", "started"} {
-		assert.Positive(t, f.steps[change], "no step %s anything: the test shows nothing of it", change)
+		assert.Positive(t, f.steps[change], "no step %s anything: the test does not cover this change", change)
 	}
 }
 
-// seedsVariable sets how many random fleets are played. Mutated copies are played by more than the package itself.
+// seedsVariable names the environment variable with the number of random fleets. Mutated copies of the package are
+// tested with more fleets than the package itself.
 const seedsVariable = "ROLLOUT_SEEDS"
 
 func TestRandomFleets(t *testing.T) {
@@ -56,8 +58,8 @@
 	}
 }
 
-// The same log gives the same state, and a restored snapshot goes on as the machine does.
-func TestSnapshotGoesOnAlike(t *testing.T) {
+// The same log gives the same state, with or without a restore from a snapshot on the way.
+func TestReplayFromSnapshotGivesTheSameState(t *testing.T) {
 	newFleet := func() *randomFleet { return newRandomFleet(t, rand.New(rand.NewPCG(7, 3)), 9) }
 	f := newFleet()
 	var log []Command
--- a/decision/rollout/race_test.go
+++ b/decision/rollout/race_test.go
@@ -2,5 +2,5 @@
 
 package rollout
 
-// raceDetector tells that the tests run ten times slower, and take fewer steps.
+// raceDetector reports whether the race detector is on. Tests then run ten times slower, and take fewer steps.
 const raceDetector = true
--- a/decision/rollout/random_fleet_test.go
+++ b/decision/rollout/random_fleet_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// randomFleet sends messages and operators' commands at random, those of well-behaved front ends and others, and holds
-// each step of the state machine to the invariants (oracle_test.go).
+// randomFleet applies random messages and operators' commands, of correct and of incorrect front ends, to a state
+// machine and checks the invariants after each step (oracle_test.go).
 type randomFleet struct {
 	machine      *StateMachine
 	rng          *rand.Rand
 	now          time.Duration
 	size         int
-	sent         []Command // to be repeated
+	sent         []Command // the last commands, for repeats
 	incarnations map[string]uint64
 	sequences    map[string]uint64
 	commandIDs   int
-	steps        map[string]int // steps that changed something, by what they changed
+	steps        map[string]int // number of steps with an effect, by effect
 }
 
 var testZones = []string{"room-a", "room-b", "room-c"}
@@ -54,7 +54,7 @@
 
 func (f *randomFleet) anyEngine() string { return fmt.Sprint("e", f.rng.IntN(6)) }
 
-// report is a front end's report, on the revision that its process was started on.
+// report returns a front end's report, with the revision that its process was started on.
 func (f *randomFleet) report(name string, incarnation, sequence uint64, phase Phase) Command {
 	f.incarnations[name], f.sequences[name] = max(f.incarnations[name], incarnation), sequence
 	zone := testZones[int(name[len(name)-1])%3]
@@ -70,7 +70,7 @@
 	}}
 }
 
-// staleReport is a report of any earlier process, or an earlier one of this process.
+// staleReport returns a report that is mostly older than the last one, of an earlier process or of this one.
 func (f *randomFleet) staleReport(name string) Command {
 	return Command{ReportStatus: &ReportStatus{
 		Name: name, Zone: "room-z", Incarnation: uint64(f.rng.IntN(int(f.incarnations[name]) + 1)),
@@ -84,7 +84,7 @@
 func (f *randomFleet) draw() Command {
 	name := f.anyMember()
 	kind := f.rng.IntN(30)
-	if kind < 5 && f.rng.IntN(3) > 0 { // most reports are of members that are unavailable, and come back
+	if kind < 5 && f.rng.IntN(3) > 0 { // most reports make an unavailable member available again
 		for range 20 {
 			if name = f.anyMember(); f.machine.Members[name] == nil || !f.machine.Members[name].isServing() {
 				break
@@ -103,7 +103,7 @@
 		return f.drawOperator(kind, name)
 	case kind == 26:
 		return f.drawHealth()
-	case kind == 27 && len(f.sent) > 0: // a second time, and late
+	case kind == 27 && len(f.sent) > 0: // a late repeat
 		return f.sent[f.rng.IntN(len(f.sent))]
 	}
 	return tick()
@@ -130,7 +130,7 @@
 
 // drawPermitMessage returns a message about a permit.
 func (f *randomFleet) drawPermitMessage(kind int, name string) Command {
-	if kind == 11 { // on an old permit, or another's
+	if kind == 11 { // an old permit, or that of another member
 		number := uint64(f.rng.IntN(int(f.machine.LastPermit) + 2))
 		return Command{ActivatePermit: &PermitReference{name, f.incarnations[name], number}}
 	}
@@ -149,11 +149,11 @@
 	switch kind {
 	case 7, 8, 9, 10:
 		return Command{ActivatePermit: &PermitReference{member, incarnation, permit.Number}}
-	case 12: // as the process before
+	case 12: // from the previous process
 		return Command{ActivatePermit: &PermitReference{member, incarnation - 1, permit.Number}}
 	case 13:
 		return Command{ReturnPermit: &PermitReference{member, incarnation, permit.Number}}
-	case 14, 15, 16: // who was told to shut down does, and comes back
+	case 14, 15, 16: // a member that was told to shut down drains, or serves as a new process
 		if permit.ActivatedAt == 0 {
 			return tick()
 		}
@@ -225,14 +225,14 @@
 	}}
 }
 
-// operator gives a command an id of its own.
+// operator gives a command a new id and the name of an operator.
 func (f *randomFleet) operator(command Command) Command {
 	f.commandIDs++
 	command.ID, command.RequestedBy = fmt.Sprint("op", f.commandIDs), "a test"
 	return command
 }
 
-// anyPermit returns any permit that stands; nil for none.
+// anyPermit returns a random permit; nil where there is none.
 func (f *randomFleet) anyPermit() *Permit {
 	numbers := f.machine.PermitNumbers()
 	if len(numbers) == 0 {
@@ -241,7 +241,7 @@
 	return f.machine.Permits[numbers[f.rng.IntN(len(numbers))]]
 }
 
-// run plays steps and tells the first invariant that does not hold; empty where all do.
+// run applies random commands and describes the first invariant that is violated; empty for none.
 func (f *randomFleet) run(t *testing.T, steps int) string {
 	t.Helper()
 	for i := range steps {
--- a/decision/rollout/recorded_test.go
+++ b/decision/rollout/recorded_test.go
@@ -18,8 +18,8 @@
 	"beechcart/internal/recorded"
 )
 
-// rewrite reads a JSON text into a new value of the type and writes it.
-func rewrite[T any](t *testing.T, text []byte) []byte {
+// reencode decodes a JSON text into a new value of the type and encodes the value.
+func reencode[T any](t *testing.T, text []byte) []byte {
 	t.Helper()
 	var value T
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -30,9 +30,9 @@
 	return written
 }
 
-// The log's entries: a command of each type with every field set, one a line.
+// The entries of the log: one line for each type of command, with every field set.
 func TestRecordedCommands(t *testing.T) {
-	const shared = 3 // fields of every command: ID, By, At
+	const shared = 3 // fields of every command: ID, RequestedBy, At
 	command := reflect.TypeOf(rollout.Command{})
 	var lines bytes.Buffer
 	for i := shared; i < command.NumField(); i++ {
@@ -44,24 +44,24 @@
 		filler.Fill(value.Field(i))
 		text, err := json.Marshal(value.Interface())
 		require.NoError(t, err)
-		assert.Equal(t, string(text), string(rewrite[rollout.Command](t, text)))
+		assert.Equal(t, string(text), string(reencode[rollout.Command](t, text)))
 		lines.Write(append(text, '\n'))
 	}
 	recorded.Compare(t, "commands.jsonl", lines.Bytes())
 }
 
-// An answer with every field set, as the HTTP interface of replicas sends it.
+// A result with every field set, as the HTTP interface of replicas sends it.
 func TestRecordedResult(t *testing.T) {
 	var result rollout.Result
 	var filler recorded.Filler
 	filler.Fill(reflect.ValueOf(&result).Elem())
 	text, err := json.Marshal(result)
 	require.NoError(t, err)
-	assert.Equal(t, string(text), string(rewrite[rollout.Result](t, text)))
+	assert.Equal(t, string(text), string(reencode[rollout.Result](t, text)))
 	recorded.Compare(t, "result.json", text)
 }
 
-// A snapshot with every field set is read and written as it was.
+// A snapshot with every field set is the same after Restore and Snapshot.
 func TestRecordedSnapshot(t *testing.T) {
 	var state rollout.State
 	var filler recorded.Filler
@@ -77,18 +77,19 @@
 	recorded.Compare(t, "snapshot.json", text)
 }
 
-// newMachine returns an empty fleet's state machine whose settings are the defaults with a JSON text over them.
-func newMachine(t *testing.T, settings string) *rollout.StateMachine {
+// newMachine returns the state machine of an empty fleet. Its settings are the defaults, overridden by a JSON text.
+func newMachine(t *testing.T, overrides string) *rollout.StateMachine {
 	t.Helper()
-	set := rollout.Defaults()
-	require.NoError(t, json.Unmarshal([]byte(settings), &set))
-	machine, err := rollout.New(set)
+	settings := rollout.Defaults()
+	require.NoError(t, json.Unmarshal([]byte(overrides), &settings))
+	machine, err := rollout.New(settings)
 	require.NoError(t, err)
 	return machine
 }
 
-// view is what the run reads of a snapshot to draw its commands.
-type view struct {
+// snapshot holds the fields of a snapshot from which the run draws its commands. Decoding matches the field names with
+// the names in the JSON text.
+type snapshot struct {
 	Members map[string]struct {
 		Incarnation, Seq uint64
 		Revision, Wanted string
@@ -108,33 +109,33 @@
 	MayStop             int64 `json:"may_stop"`
 }
 
-// seededRun plays commands of every type, drawn from a seed as JSON texts, and hashes every answer and the state.
+// seededRun applies commands of every type, drawn from a seed as JSON texts, and hashes every result and the state.
 type seededRun struct {
-	t       *testing.T
-	machine *rollout.StateMachine
-	rng     *rand.Rand
-	now     time.Duration
-	view    view
-	hash    hash.Hash64
-	counts  map[string]int
-	ids     int
-	sent    []string
+	t        *testing.T
+	machine  *rollout.StateMachine
+	rng      *rand.Rand
+	now      time.Duration
+	snapshot snapshot
+	hash     hash.Hash64
+	counts   map[string]int
+	ids      int
+	sent     []string
 }
 
 func (r *seededRun) refresh() {
 	text, err := r.machine.Snapshot()
 	require.NoError(r.t, err)
 	_, _ = r.hash.Write(text)
-	r.view = view{}
-	require.NoError(r.t, json.Unmarshal(text, &r.view))
-	for _, permit := range r.view.Permits {
+	r.snapshot = snapshot{}
+	require.NoError(r.t, json.Unmarshal(text, &r.snapshot))
+	for _, permit := range r.snapshot.Permits {
 		if permit.MayStop > 0 {
 			r.counts["state may stop"]++
 		}
 	}
 }
 
-// apply plays one command, without its time.
+// apply applies one command. The text contains no time; the run sets it.
 func (r *seededRun) apply(text string) {
 	r.now += time.Duration(r.rng.IntN(600)) * time.Millisecond
 	var command rollout.Command
@@ -169,33 +170,33 @@
 
 func (r *seededRun) member() string { return fmt.Sprint("n", r.rng.IntN(12)) }
 func (r *seededRun) engine() string { return fmt.Sprint("e", r.rng.IntN(6)) }
-func (r *seededRun) room(name string) string {
+func (r *seededRun) zone(name string) string {
 	return fmt.Sprint("room-", string(rune('a'+int(name[len(name)-1])%3)))
 }
 
-func (r *seededRun) say(name string, incarnation, seq uint64, revision, phase string) string {
+func (r *seededRun) report(name string, incarnation, seq uint64, revision, phase string) string {
 	return fmt.Sprintf(`{"say":{"name":%q,"room":%q,"kind":"std-%d","weight":%d,`+
 		`"incarnation":%d,"seq":%d,"revision":%q,"phase":%q}}`,
-		name, r.room(name), len(name), 8+r.rng.IntN(3), incarnation, seq, revision, phase)
+		name, r.zone(name), len(name), 8+r.rng.IntN(3), incarnation, seq, revision, phase)
 }
 
-// next is the report of the process that comes after a member's own.
-func (r *seededRun) next(name, phase string) string {
-	member := r.view.Members[name]
+// nextProcessReport returns the first report of a member's next process.
+func (r *seededRun) nextProcessReport(name, phase string) string {
+	member := r.snapshot.Members[name]
 	revision := member.Wanted
 	if revision == "" {
 		revision = "r0"
 	}
-	return r.say(name, member.Incarnation+1, 1, revision, phase)
+	return r.report(name, member.Incarnation+1, 1, revision, phase)
 }
 
-func (r *seededRun) more(name, phase string) string {
-	member := r.view.Members[name]
-	return r.say(name, max(1, member.Incarnation), member.Seq+1, member.Revision, phase)
+func (r *seededRun) sameProcessReport(name, phase string) string {
+	member := r.snapshot.Members[name]
+	return r.report(name, max(1, member.Incarnation), member.Seq+1, member.Revision, phase)
 }
 
-// operator gives a command an id, now and then one that was used before.
-func (r *seededRun) operator(format string, args ...any) string {
+// withID adds an operator and an id to a command, at times an id that was used before.
+func (r *seededRun) withID(format string, args ...any) string {
 	if r.ids++; r.rng.IntN(20) == 0 {
 		r.ids--
 	}
@@ -207,7 +208,7 @@
 	if len(numbers) == 0 {
 		return permitView{}, false
 	}
-	permit, ok := r.view.Permits[numbers[r.rng.IntN(len(numbers))]]
+	permit, ok := r.snapshot.Permits[numbers[r.rng.IntN(len(numbers))]]
 	return permit, ok
 }
 
@@ -217,7 +218,7 @@
 }
 
 func (r *seededRun) health() string {
-	if r.view.Release == nil {
+	if r.snapshot.Release == nil {
 		return `{"tick":{}}`
 	}
 	bad := 1
@@ -226,24 +227,24 @@
 	}
 	return fmt.Sprintf(`{"health":{"release":%d,"window":%d,"rooms":[`+
 		`{"room":"room-a","new":%s,"old":%s},{"room":"room-b","new":%s,"old":%s}]}}`,
-		r.view.Release.Number, r.view.Release.Window+uint64(r.rng.IntN(3)),
+		r.snapshot.Release.Number, r.snapshot.Release.Window+uint64(r.rng.IntN(3)),
 		r.count(50+r.rng.IntN(100), bad), r.count(300, 3), r.count(60, bad), r.count(200, 2))
 }
 
-// onPermit draws a command of who holds a permit.
-func (r *seededRun) onPermit() string {
+// permitCommand draws a message about a permit, of its holder or, for an engine, of the front ends.
+func (r *seededRun) permitCommand() string {
 	p, ok := r.permit()
 	switch {
 	case !ok:
 		return `{"tick":{}}`
 	case p.Engine && r.rng.IntN(6) == 0:
 		return fmt.Sprintf(`{"engine":{"name":%q,"room":%q,"cores":12,"process":%d,"listed":true,"ready":true}}`,
-			p.Holder, r.room(p.Holder), p.Incarnation+1)
+			p.Holder, r.zone(p.Holder), p.Incarnation+1)
 	case p.Engine:
 		for name := range 12 {
-			r.apply(r.empty(fmt.Sprint("n", name), p.Number))
+			r.apply(r.drainReport(fmt.Sprint("n", name), p.Number))
 		}
-		return r.empty(r.member(), p.Number)
+		return r.drainReport(r.member(), p.Number)
 	case p.Begun == 0 || r.rng.IntN(6) == 0:
 		return fmt.Sprintf(`{"begin":{"name":%q,"incarnation":%d,"permit":%d}}`, p.Holder, p.Incarnation, p.Number)
 	}
@@ -251,24 +252,24 @@
 	case 0:
 		return fmt.Sprintf(`{"return":{"name":%q,"incarnation":%d,"permit":%d}}`, p.Holder, p.Incarnation, p.Number)
 	case 1:
-		return r.more(p.Holder, "leaving")
+		return r.sameProcessReport(p.Holder, "leaving")
 	case 2:
-		return r.more(p.Holder, "gone")
+		return r.sameProcessReport(p.Holder, "gone")
 	}
-	return r.next(p.Holder, "serving")
+	return r.nextProcessReport(p.Holder, "serving")
 }
 
-// empty is a member's report on the engine of a permit, now and then of an older process.
-func (r *seededRun) empty(name string, permit uint64) string {
-	incarnation := max(1, r.view.Members[name].Incarnation) - uint64(r.rng.IntN(100)/99)
+// drainReport returns a member's report that the engine of a permit is drained, at times from an older process.
+func (r *seededRun) drainReport(name string, permit uint64) string {
+	incarnation := max(1, r.snapshot.Members[name].Incarnation) - uint64(r.rng.IntN(100)/99)
 	return fmt.Sprintf(`{"empty":{"name":%q,"incarnation":%d,"permit":%d}}`, name, incarnation, permit)
 }
 
-func (r *seededRun) onEngine() string {
+func (r *seededRun) engineCommand() string {
 	name := r.engine()
-	process := r.view.Engines[name].Process + uint64(r.rng.IntN(3))/2
+	process := r.snapshot.Engines[name].Process + uint64(r.rng.IntN(3))/2
 	return fmt.Sprintf(`{"engine":{"name":%q,"room":%q,"kind":"std-12","cores":12,"process":%d,"listed":%v,"ready":%v}}`,
-		name, r.room(name), process, r.rng.IntN(6) > 0, r.rng.IntN(6) > 0)
+		name, r.zone(name), process, r.rng.IntN(6) > 0, r.rng.IntN(6) > 0)
 }
 
 func (r *seededRun) subject() string {
@@ -281,98 +282,98 @@
 	return fmt.Sprintf(`{"name":%q}`, r.member())
 }
 
-func (r *seededRun) byOperator() string {
+func (r *seededRun) operatorCommand() string {
 	switch r.rng.IntN(16) {
 	case 0, 1:
-		return r.operator(`{"drain":%s}`, r.subject())
+		return r.withID(`{"drain":%s}`, r.subject())
 	case 2, 3:
 		if p, ok := r.permit(); ok {
-			return r.operator(`{"undrain":{"name":%q,"engine":%v}}`, p.Holder, p.Engine)
+			return r.withID(`{"undrain":{"name":%q,"engine":%v}}`, p.Holder, p.Engine)
 		}
-		return r.operator(`{"undrain":%s}`, r.subject())
+		return r.withID(`{"undrain":%s}`, r.subject())
 	case 4:
 		if r.rng.IntN(3) == 0 {
-			return r.operator(`{"forget":%s}`, r.subject())
+			return r.withID(`{"forget":%s}`, r.subject())
 		}
 	case 5, 6, 7:
-		return r.operator(`{"start":{"revision":"r%d","waves":[0.1,0.5,1],"soak":%d}}`,
+		return r.withID(`{"start":{"revision":"r%d","waves":[0.1,0.5,1],"soak":%d}}`,
 			r.rng.IntN(40), r.rng.IntN(1000)*1000_000)
 	case 8:
 		if r.rng.IntN(3) > 0 {
 			break
 		}
-		return r.operator(`{"halt":{"cause":"a test"}}`)
+		return r.withID(`{"halt":{"cause":"a test"}}`)
 	case 9, 10, 11, 12:
-		return r.operator(`{"resume":{}}`)
+		return r.withID(`{"resume":{}}`)
 	case 13:
 		if r.rng.IntN(3) > 0 {
 			break
 		}
-		return r.operator(`{"way_back":{}}`)
+		return r.withID(`{"way_back":{}}`)
 	case 14:
-		return r.operator(`{"configure":%s}`, r.settings())
+		return r.withID(`{"configure":%s}`, r.drawSettings())
 	case 15:
-		return r.operator(`{"start":{"revision":"r1","waves":[0.5,0.2]}}`)
+		return r.withID(`{"start":{"revision":"r1","waves":[0.5,0.2]}}`)
 	}
 	return `{"tick":{}}`
 }
 
-func (r *seededRun) settings() string {
-	set := rollout.Defaults()
-	require.NoError(r.t, json.Unmarshal([]byte(recordedSettings), &set))
-	set.Engines.Max = r.rng.IntN(3) // 0 is rejected
-	text, err := json.Marshal(set)
+func (r *seededRun) drawSettings() string {
+	settings := rollout.Defaults()
+	require.NoError(r.t, json.Unmarshal([]byte(recordedSettings), &settings))
+	settings.Engines.Max = r.rng.IntN(3) // 0 is rejected
+	text, err := json.Marshal(settings)
 	require.NoError(r.t, err)
 	return string(text)
 }
 
-// draw is the next command.
+// draw returns the next command.
 func (r *seededRun) draw() string {
 	name := r.member()
-	member := r.view.Members[name]
+	member := r.snapshot.Members[name]
 	switch r.rng.IntN(24) {
 	case 0:
-		return r.rare(name)
-	case 1, 2, 3, 4, 5: // one that is out comes back
+		return r.disturbance(name)
+	case 1, 2, 3, 4, 5: // an unavailable member serves again
 		for range 20 {
 			if member.Doubted || member.Phase == "gone" || member.Phase == "starting" {
 				break
 			}
 			name = r.member()
-			member = r.view.Members[name]
+			member = r.snapshot.Members[name]
 		}
 		if member.Phase == "gone" {
-			return r.next(name, "serving")
+			return r.nextProcessReport(name, "serving")
 		}
-		return r.more(name, "serving")
+		return r.sameProcessReport(name, "serving")
 	case 6, 7, 8, 9, 10, 11:
-		return r.onPermit()
+		return r.permitCommand()
 	case 12:
-		return r.onEngine()
+		return r.engineCommand()
 	case 13, 14, 15, 16:
 		return r.health()
 	case 17:
 		return fmt.Sprintf(`{"load":{"front_ends":%d,"engines":%d}}`, r.rng.IntN(70), r.rng.IntN(40))
 	case 18, 19, 20:
-		return r.byOperator()
+		return r.operatorCommand()
 	case 21:
 		return r.sent[r.rng.IntN(len(r.sent))]
 	}
 	return `{"tick":{}}`
 }
 
-// rare is a message that disturbs: a crash, a stale report, a suspicion.
-func (r *seededRun) rare(name string) string {
-	member := r.view.Members[name]
+// disturbance returns a crash, a stale report or a suspicion of a member.
+func (r *seededRun) disturbance(name string) string {
+	member := r.snapshot.Members[name]
 	switch r.rng.IntN(4) {
 	case 0:
-		return r.next(name, []string{"starting", "serving", "odd"}[r.rng.IntN(3)])
+		return r.nextProcessReport(name, []string{"starting", "serving", "odd"}[r.rng.IntN(3)])
 	case 1:
-		return r.say(name, member.Incarnation, uint64(r.rng.IntN(int(member.Seq)+1)), "odd", "serving")
+		return r.report(name, member.Incarnation, uint64(r.rng.IntN(int(member.Seq)+1)), "odd", "serving")
 	case 2:
 		return fmt.Sprintf(`{"doubt":{"name":%q,"incarnation":%d}}`, name, member.Incarnation)
 	}
-	return r.next(name, "serving")
+	return r.nextProcessReport(name, "serving")
 }
 
 const recordedSettings = `{"front_ends":{"most":3,"share":0.3,"room_share":0.5,"kind_share":0.6,"headroom":0.1},
@@ -380,23 +381,24 @@
 	"judge":{"alpha":0.05,"tolerance":1.25,"least":60,"dispersion":2},
 	"not_back":9000000000,"crash_loop":1,"keep_ids":20,"keep_audit":30,"keep_gone":3}`
 
-// hashViews hashes what the state machine tells beside its answers.
-func (r *seededRun) hashViews() {
-	due, ok := r.machine.NextDeadline()
+// hashStatus hashes the plan, the deadline, the budgets and the blockers.
+func (r *seededRun) hashStatus() {
+	deadline, ok := r.machine.NextDeadline()
 	var plan rollout.StartRelease
 	require.NoError(r.t, json.Unmarshal([]byte(`{"revision":"p","waves":[0.2,1],"soak":1000}`), &plan))
 	waves, err := r.machine.Plan(plan)
 	require.NoError(r.t, err)
-	seen := []any{due, ok, r.machine.Budgets(), r.machine.ReleaseBlockers(), waves}
+	status := []any{deadline, ok, r.machine.Budgets(), r.machine.ReleaseBlockers(), waves}
 	for _, number := range r.machine.PermitNumbers() {
-		seen = append(seen, number, r.machine.DrainBlockers(number))
+		status = append(status, number, r.machine.DrainBlockers(number))
 	}
-	text, err := json.Marshal(seen)
+	text, err := json.Marshal(status)
 	require.NoError(r.t, err)
 	_, _ = r.hash.Write(text)
 }
 
-// A seeded run of commands of every type: the hash over all answers and snapshots, and how often each was answered how.
+// Records a hash over all results and snapshots of a seeded run, and the number of each result for each type of
+// command.
 func TestRecordedRun(t *testing.T) {
 	type outcome struct {
 		Seed   uint64         `json:"seed"`
@@ -409,17 +411,17 @@
 		r := &seededRun{t: t, machine: newMachine(t, recordedSettings), rng: rand.New(rand.NewPCG(seed, 32)),
 			now: time.Hour, hash: sum, counts: map[string]int{}}
 		for i := range 12 {
-			r.apply(r.say(fmt.Sprint("n", i), 1, 1, "r0", "serving"))
+			r.apply(r.report(fmt.Sprint("n", i), 1, 1, "r0", "serving"))
 		}
 		for range 6 {
-			r.apply(r.onEngine())
+			r.apply(r.engineCommand())
 		}
 		for step := range 1000 {
 			if step%6 == 0 {
 				r.refresh()
 			}
 			if step%16 == 0 {
-				r.hashViews()
+				r.hashStatus()
 			}
 			r.apply(r.draw())
 		}
--- a/decision/rollout/search_test.go
+++ b/decision/rollout/search_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The search walks every order in which messages between two or three front ends and the log may be lost, repeated or
-// late, with a budget of one, one release, one halt, one rollback, one crash and one suspicion, each at any moment.
+// The search covers every order in which messages between two or three front ends and the log may be lost, repeated or
+// delayed, with a budget of one, one release, one halt, one rollback, one crash and one suspicion, each at any moment.
 
-// process is a front end's process, by the rules that internal/fleet keeps: it activates a permit immediately before it
-// shuts down, obeys only an answer for the process that it is, and returns only permits that it won't act on.
+// process is a front end's process with the behaviour of internal/fleet: it activates a permit immediately before it
+// shuts down, acts only on an answer with its own incarnation, and returns only permits that it will not act on.
 type process struct {
 	incarnation, sequence uint64
 	revision              string
-	down                  bool   // it accepts no more requests
-	returned              uint64 // the greatest permit that it has returned
-	permit                uint64 // on which it shut down
+	down                  bool   // the process accepts no more requests
+	returned              uint64 // the greatest permit that the process has returned
+	permit                uint64 // on which the process shut down
 }
 
 type messageKind byte
@@ -31,10 +31,10 @@
 	statusMessage     messageKind = iota + 1 // number is the status sequence
 	activationMessage                        // number is the permit
 	returnMessage                            // number is the permit
-	shutdownAnswer                           // to an activation
+	shutdownAnswer                           // the answer to an activation
 )
 
-// message is one that a process has sent, or the answer to one.
+// message is a message that a process has sent, or the answer to one.
 type message struct {
 	kind                messageKind
 	process             int
@@ -48,10 +48,10 @@
 	machine          *StateMachine
 	processes        []process
 	messages         map[message]bool // each may arrive at any time, any number of times
-	haltAcknowledged bool             // an operator was told so, and has not resumed or rolled back
+	haltAcknowledged bool             // reported to the operator, who has not resumed or rolled back
 	violation        string
 
-	// What may yet happen.
+	// Events that can still occur.
 	haltLeft, rollbackLeft                   bool
 	crashesLeft, suspicionsLeft, returnsLeft int
 }
@@ -90,7 +90,7 @@
 	return &c
 }
 
-// stateKey encodes a state, so that states that differ in nothing that matters have one key.
+// stateKey is the encoding of a state. States that the search need not distinguish have equal keys.
 type stateKey []byte
 
 func (k *stateKey) number(numbers ...uint64) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// code numbers the message, no other of the search has the same.
+// code returns a number that is unique to the message within the search.
 func (m message) code() uint64 {
 	code := uint64(m.kind)<<40 | uint64(m.process)<<36 | m.incarnation<<24 | m.number<<8
 	for i, flag := range []bool{m.down, m.revision == "new"} {
@@ -165,7 +165,7 @@
 	return code
 }
 
-// prune drops messages that can change nothing any more, whatever comes.
+// prune drops messages that can no longer change anything, whatever follows.
 func (m *model) prune() {
 	maps.DeleteFunc(m.messages, func(sent message, _ bool) bool {
 		member, p := m.machine.Members[processName(sent.process)], m.processes[sent.process]
@@ -206,7 +206,7 @@
 	})
 }
 
-// deliver hands a message to the state machine, or an answer to its process.
+// deliver passes a message to the state machine, or an answer to its process.
 func (m *model) deliver(sent message) {
 	p, name := &m.processes[sent.process], processName(sent.process)
 	reference := &PermitReference{name, sent.incarnation, sent.number}
@@ -235,7 +235,8 @@
 	}
 }
 
-// shutDown lets a process shut down by choice, which must hold to the budget of one and to an acknowledged halt.
+// shutDown shuts a process down on a permit. It is a violation while another process is down or after a halt was
+// acknowledged.
 func (m *model) shutDown(i int, permit uint64) {
 	for other, p := range m.processes {
 		if other != i && p.down {
@@ -251,7 +252,7 @@
 	m.sendStatus(i)
 }
 
-// start lets the next process start, on the revision that the log names.
+// start replaces a process by the next one, on the target revision of the member.
 func (m *model) start(i int) {
 	p := &m.processes[i]
 	*p = process{
@@ -261,7 +262,7 @@
 	m.sendStatus(i)
 }
 
-// steps returns all that may happen next.
+// steps returns all events that can occur next.
 func (m *model) steps() []func(*model) {
 	var steps []func(*model)
 	add := func(step func(*model)) { steps = append(steps, step) }
@@ -287,7 +288,8 @@
 	return steps
 }
 
-// permitSteps returns what a process may do on permits: activate them, or return them, activated or not.
+// permitSteps returns the messages that a process may send about its permits: activations, and returns of activated or
+// inactive permits.
 func (m *model) permitSteps(i int) []func(*model) {
 	var steps []func(*model)
 	p := m.processes[i]
@@ -313,7 +315,8 @@
 	return steps
 }
 
-// processSteps returns what may happen to a process: a start, a crash, a suspicion, and the report that withdraws it.
+// processSteps returns the events of a process: a start, a crash, a suspicion, and the report that withdraws a
+// suspicion.
 func (m *model) processSteps(i int) []func(*model) {
 	var steps []func(*model)
 	p, member := m.processes[i], m.machine.Members[processName(i)]
@@ -341,7 +344,7 @@
 	return steps
 }
 
-// newModel returns a fleet whose release has just started, with a report of each member still on its way.
+// newModel returns a fleet whose release has just started. The first report of each member may still be repeated.
 func newModel(t *testing.T, members int) *model {
 	t.Helper()
 	settings := Defaults()
@@ -363,8 +366,8 @@
 	return m
 }
 
-// explore walks the states that can be reached, up to a limit. It returns how many it has seen, the first violation,
-// and whether it has seen all.
+// explore visits the reachable states breadth first, up to a limit. It returns the number of states, the first
+// violation, and whether it has visited all states.
 func explore(start *model, limit int) (states int, violation string, complete bool) {
 	seen := map[string]bool{start.key(): true}
 	queue := []*model{start}
@@ -390,12 +393,12 @@
 	return len(seen), "", true
 }
 
-// Every order of messages, with a crash, a suspicion, a halt and a rollback at each moment.
+// Every order of messages, with a crash, a suspicion, a halt and a rollback at any moment.
 func TestSearchEveryOrder(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
 		members, crashes, suspicion int
-		minStates                   int // so that a search that sees nothing does not pass for one that finds nothing
+		minStates                   int // fewer mean that the search did not cover the model
 	}{
 		{"two members", 2, 1, 1, 2000},
 		{"three members without failures", 3, 0, 0, 500},
