--- a/docs/edge_names_test.go
+++ b/docs/edge_names_test.go
@@ -96,7 +96,9 @@
 		at += from
 		before, _ := utf8.DecodeLastRuneInString(text[:at])
 		after, _ := utf8.DecodeRuneInString(text[at+len(name):])
-		if !(inWord(first) && inWord(before)) && !(inWord(last) && inWord(after)) {
+		startsInside := inWord(first) && inWord(before)
+		endsInside := inWord(last) && inWord(after)
+		if !startsInside && !endsInside {
 			return true
 		}
 		from = at + 1
