--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -33,12 +33,12 @@
 	case admission.Log:
 		d.log.Info("controller", "says", a.Text)
 	case admission.WatchEndpoints, admission.PollEndpoints, admission.SendGossip:
-		// The endpoint list arrives without being asked for, and front ends have no gossip of load.
+		// The endpoint list arrives unrequested, and front ends do not exchange load by gossip.
 	}
 }
 
-// send begins an attempt. An attempt of a request with an idempotency key carries the end of the deduplication
-// window: the wait for its connection may outlast the window, and engines would no longer recognise the retry.
+// send begins an attempt. A retry of a request with an idempotency key is not sent after the deduplication window ends:
+// the attempt may wait for a connection until then, and the engines would no longer recognise the retry.
 func (d *Dispatcher) send(a admission.Send) {
 	r := d.open[a.ID]
 	if !d.counters.Hold(r != nil && r.inFlight == 0, "two_attempts") {
@@ -50,8 +50,8 @@
 	r.sentAt = time.Now()
 	var notAfter time.Time
 	class := &d.classes[r.exchange.Class]
-	if class.Idempotency == admission.IdempotentWithKey && !r.mayHaveRun.IsZero() {
-		notAfter = r.mayHaveRun.Add(class.DeduplicationWindow)
+	if class.Idempotency == admission.IdempotentWithKey && !r.mayHaveRunSince.IsZero() {
+		notAfter = r.mayHaveRunSince.Add(class.DeduplicationWindow)
 	}
 	d.counters.Add("sent", 1)
 	d.engines.Start(r.exchange, attempt, a.Engine, r.terms, a.Timeout, notAfter)
@@ -59,15 +59,15 @@
 
 var failedMayHaveRun = exchange.Answer{Kind: exchange.Failed, Reason: "the query failed and may have run"}
 
-// reject passes on a rejection with the controller's Retry-After. A rejection promises that a retry is harmless, so a
-// non-idempotent request that may have run fails instead.
+// reject answers a request with a rejection and the controller's Retry-After. A rejection promises that a retry is
+// harmless, so a non-idempotent request that may have run is answered as failed instead.
 func (d *Dispatcher) reject(a admission.Reject) {
 	r := d.open[a.ID]
 	if r == nil {
 		return
 	}
 	nonIdempotent := d.classes[r.exchange.Class].Idempotency == admission.NonIdempotent
-	retryHarmful := nonIdempotent && (!r.mayHaveRun.IsZero() || r.inFlight > 0)
+	retryHarmful := nonIdempotent && (!r.mayHaveRunSince.IsZero() || r.inFlight > 0)
 	if !d.counters.Hold(!retryHarmful, "refused_in_doubt") {
 		d.answer(a.ID, failedMayHaveRun)
 		return
@@ -75,7 +75,7 @@
 	d.answer(a.ID, exchange.Answer{Kind: exchange.Rejected, RetryAfter: a.RetryAfter, Reason: "too busy"})
 }
 
-// answer settles a request with an answer of the controller.
+// answer settles a request with the controller's answer. A request that is already settled keeps its answer.
 func (d *Dispatcher) answer(id string, answer exchange.Answer) {
 	r := d.open[id]
 	if r == nil {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,9 +1,9 @@
 // Package dispatch runs the event loop that owns one admission controller.
 //
-// Other goroutines post messages to a [Dispatcher]: requests, clients that have gone, attempts that are done, changes
-// of the endpoint list, timers. Its one goroutine, in [Dispatcher.Run], takes all messages that have come in as one
-// batch, translates them into events, steps the controller, and carries out the actions that it returns, in order.
-// Every decision is the controller's.
+// Other goroutines post messages to a [Dispatcher]: new requests, client disconnects, outcomes of attempts, changes of
+// the endpoint list and timers. A single goroutine, in [Dispatcher.Run], takes all queued messages as one batch,
+// translates them into events, steps the controller once, and carries out the returned actions in order. The
+// controller makes every scheduling decision.
 package dispatch
 
 import (
@@ -22,23 +22,24 @@
 type Engines interface {
 	// Update applies a change of the endpoint list.
 	Update(l endpoints.List)
-	// Start begins an attempt that may last for timeout. Its query is not sent after notAfter, unless that is zero.
+	// Start begins an attempt with the given timeout. The query is not sent after notAfter; a zero notAfter sets no
+	// limit.
 	Start(x *exchange.Exchange, attempt int, engine uint32, terms admission.Terms, timeout time.Duration,
 		notAfter time.Time)
-	// Cancel gives up on an attempt. It stays in flight until its end is reported.
+	// Cancel cancels an attempt. The attempt stays in flight until its outcome is reported by AttemptDone.
 	Cancel(id string, attempt int)
-	// CheckHealth checks the health of an engine.
+	// CheckHealth sends a health check to an engine.
 	CheckHealth(engine uint32)
 	// CloseIdle closes the idle connections to an engine.
 	CloseIdle(engine uint32)
 }
 
-// Controller decides on admission. The program uses admission.Controller; tests use others.
+// Controller decides on admission. The gateway uses admission.Controller; tests use fakes.
 type Controller interface {
 	Step(now time.Duration, events []admission.Event) []admission.Action
 }
 
-// Dispatcher owns one controller. All its methods but Run are safe for concurrent use.
+// Dispatcher owns one controller. All methods except Run are safe for concurrent use.
 type Dispatcher struct {
 	controller Controller
 	classes    []admission.Class
@@ -55,11 +56,11 @@
 	// Owned by Run.
 	open       map[string]*request // by request id
 	recent     *recentIDs
-	shutdownAt time.Time // all requests are answered by then; zero: no shutdown has begun
+	shutdownAt time.Time // latest time of any answer; zero until a shutdown begins
 	batch      []admission.Event
 }
 
-// New returns a Dispatcher for a controller that was built with these classes.
+// New returns a Dispatcher for a controller that was created with the same classes.
 func New(controller Controller, classes []admission.Class, counters *invariant.Counters, log *slog.Logger) *Dispatcher {
 	now := time.Now()
 	return &Dispatcher{
@@ -69,7 +70,7 @@
 	}
 }
 
-// Accept takes a request. Its exchange is settled with the final answer.
+// Accept queues a new request. Its exchange is settled with the final answer.
 func (d *Dispatcher) Accept(x *exchange.Exchange) { d.post(requestAccepted{x}) }
 
 // ClientGone reports that the client of a request has disconnected, or has cancelled the request.
@@ -80,20 +81,20 @@
 	}
 }
 
-// AttemptDone reports the outcome of an attempt. rows is the whole result of one that was served.
+// AttemptDone reports the outcome of an attempt. If the engine served the query, rows is the complete result.
 func (d *Dispatcher) AttemptDone(x *exchange.Exchange, outcome admission.Outcome, rows []byte) {
 	d.post(&attemptDone{exchange: x, outcome: outcome, rows: rows})
 }
 
-// Notify passes an event on to the controller as it is, such as the progress of an attempt or the result of a health
+// Notify passes an event to the controller unchanged, such as the progress of an attempt or the result of a health
 // check.
 func (d *Dispatcher) Notify(ev admission.Event) { d.post(ev) }
 
 // EndpointsChanged reports a change of the endpoint list.
 func (d *Dispatcher) EndpointsChanged(l endpoints.List) { d.post(endpointsChanged{l}) }
 
-// Shutdown announces that the process ends after the timeout. All requests that are open, or are still accepted, are
-// answered by then.
+// Shutdown announces that the process ends after the timeout. All open requests, and all requests accepted during the
+// shutdown, are answered by then.
 func (d *Dispatcher) Shutdown(timeout time.Duration) { d.post(shutdownRequested{timeout}) }
 
 // Run processes messages until stop is closed.
@@ -140,25 +141,25 @@
 	}
 }
 
-// clock is the controller's time: monotonic, and comparable with the Unix times of the endpoint list.
+// clock returns the controller's time: monotonic, and comparable with the Unix times in the endpoint list.
 func (d *Dispatcher) clock() time.Duration { return d.startUnix + time.Since(d.start) }
 
-// stepAfterPanic is how long after a panic of the controller it is stepped again.
-const stepAfterPanic = 50 * time.Millisecond
+// stepDelayAfterPanic is the delay from a controller panic to the timer event that steps the controller again.
+const stepDelayAfterPanic = 50 * time.Millisecond
 
-// decide steps the controller. After a panic of the controller a release build goes on without the actions of this
-// step, and the requests concerned are answered at their deadlines. The controller's next timer may be among the lost
-// actions, so a timer event is posted in its place: without it, queued requests would be looked at only when another
-// message comes in.
+// decide steps the controller. After a controller panic, a release build goes on without the actions of that step, and
+// the affected requests are answered at their deadlines. The lost actions may include the controller's next timer, so
+// decide posts a timer event itself. Without that event, the controller would not examine its queued requests until
+// another message arrives.
 func (d *Dispatcher) decide() (actions []admission.Action) {
-	done := false
+	completed := false
 	defer func() {
-		if !done && !d.counters.Hold(false, "controller_panic") {
+		if !completed && !d.counters.Hold(false, "controller_panic") {
 			d.log.Error("controller panic", "cause", recover(), "stack", string(debug.Stack()))
-			time.AfterFunc(stepAfterPanic, func() { d.Notify(admission.Timer{}) })
+			time.AfterFunc(stepDelayAfterPanic, func() { d.Notify(admission.Timer{}) })
 		}
 	}()
 	actions = d.controller.Step(d.clock(), d.batch)
-	done = true
+	completed = true
 	return actions
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -15,7 +15,7 @@
 	"beechcart/internal/invariant"
 )
 
-// scriptedController answers each step by a function of the test.
+// scriptedController returns the actions that the test's decide function returns.
 type scriptedController struct {
 	decide func(events []admission.Event) []admission.Action
 }
@@ -24,10 +24,10 @@
 	return s.decide(events)
 }
 
-// fakeEngines counts what it is asked to do.
+// fakeEngines counts the attempts that it is asked to start and to cancel.
 type fakeEngines struct {
 	started, cancelled int
-	terms              admission.Terms // of the last start
+	terms              admission.Terms // of the latest Start
 }
 
 func (e *fakeEngines) Update(endpoints.List) {}
@@ -49,16 +49,17 @@
 	return d, e, c
 }
 
-func newExchange(left time.Duration) *exchange.Exchange {
-	return exchange.New(exchange.Request{ID: "a", Timeout: left}, time.Now())
+func newExchange(timeout time.Duration) *exchange.Exchange {
+	return exchange.New(exchange.Request{ID: "a", Timeout: timeout}, time.Now())
 }
 
-// requireBreach runs what breaks an invariant: a debug build panics, a release build counts it.
-func requireBreach(t *testing.T, c *invariant.Counters, name string, do func()) {
+// requireBreach checks that breach violates the named invariant: it either panics, as in a debug build, or counts one
+// violation, as in a release build.
+func requireBreach(t *testing.T, c *invariant.Counters, name string, breach func()) {
 	t.Helper()
 	panicked := func() (panicked bool) {
 		defer func() { panicked = recover() != nil }()
-		do()
+		breach()
 		return false
 	}()
 	if !panicked {
@@ -74,41 +75,41 @@
 	assert.Equal(t, 1, e.started)
 }
 
-// The analysis of a release counts these: a revision may be slow and have no other fault.
-func TestAnswersPastTheLatencyObjectiveAreCounted(t *testing.T) {
-	for name, k := range map[string]struct {
-		waited, work time.Duration
-		late         int64
+// The analysis of a release uses the counter served_late, since a release may be slow without any other fault.
+func TestAnswersAfterLatencyObjectiveAreCounted(t *testing.T) {
+	for name, c := range map[string]struct {
+		elapsed, work time.Duration
+		late          int64
 	}{
-		"within the objective":             {900 * time.Millisecond, 0, 0},
-		"past the objective":               {1100 * time.Millisecond, 0, 1},
-		"within the objective of its work": {1100 * time.Millisecond, 400 * time.Millisecond, 0},
-		"past the objective of its work":   {1500 * time.Millisecond, 400 * time.Millisecond, 1},
+		"within the objective":                  {900 * time.Millisecond, 0, 0},
+		"after the objective":                   {1100 * time.Millisecond, 0, 1},
+		"within the objective extended by work": {1100 * time.Millisecond, 400 * time.Millisecond, 0},
+		"after the objective extended by work":  {1500 * time.Millisecond, 400 * time.Millisecond, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, _, c := newDispatcher(func(ev []admission.Event) []admission.Action {
+			d, _, counters := newDispatcher(func(ev []admission.Event) []admission.Action {
 				if _, ok := ev[0].(admission.Request); ok {
 					return []admission.Action{admission.Send{ID: "a"}}
 				}
 				return nil
 			})
 			d.classes = []admission.Class{{LatencyObjective: time.Second, ObjectivePerWork: 2, Threads: 2}}
-			x := exchange.New(exchange.Request{ID: "a", Timeout: time.Hour}, time.Now().Add(-k.waited))
+			x := exchange.New(exchange.Request{ID: "a", Timeout: time.Hour}, time.Now().Add(-c.elapsed))
 			d.step([]message{requestAccepted{x}})
-			outcome := admission.Outcome{ID: "a", Status: admission.OK, Work: k.work}
+			outcome := admission.Outcome{ID: "a", Status: admission.OK, Work: c.work}
 			d.step([]message{&attemptDone{exchange: x, outcome: outcome}})
-			assert.EqualValues(t, 1, c.Get("served"))
-			assert.Equal(t, k.late, c.Get("served_late"))
+			assert.EqualValues(t, 1, counters.Get("served"))
+			assert.Equal(t, c.late, counters.Get("served_late"))
 		})
 	}
 }
 
-// The engine gets the priority and the memory that the controller has accounted for.
+// An attempt is sent with the priority and the memory that the controller has accounted for.
 func TestTermsAreSentWithTheAttempt(t *testing.T) {
 	x := newExchange(time.Hour)
 	x.Retry = true
 	d, e, _ := newDispatcher(func(ev []admission.Event) []admission.Action {
-		assert.True(t, ev[0].(admission.Request).Retry, "the client's mark of a retry")
+		assert.True(t, ev[0].(admission.Request).Retry, "the client's retry flag is passed to the controller")
 		return []admission.Action{admission.Terms{ID: "a", Priority: 2, GrantMB: 144}, admission.Send{ID: "a"}}
 	})
 	d.step([]message{requestAccepted{x}})
@@ -119,7 +120,7 @@
 	x := newExchange(time.Hour)
 	d, _, c := newDispatcher(func(ev []admission.Event) []admission.Action {
 		if r, ok := ev[0].(admission.Request); ok {
-			assert.Less(t, r.Timeout, x.Timeout-answerMargin/2, "the answer needs some of the time itself")
+			assert.Less(t, r.Timeout, x.Timeout-answerMargin/2, "the controller's timeout leaves time to send the answer")
 		}
 		if _, ok := ev[0].(admission.Outcome); ok {
 			return []admission.Action{admission.Reject{ID: "a"}}
@@ -133,26 +134,27 @@
 	assert.False(t, x.Settled() && x.Answer().Kind == exchange.Rejected)
 }
 
-func TestControllerPanicDoesNotEndAReleaseBuild(t *testing.T) {
+func TestControllerPanicDoesNotEndReleaseBuild(t *testing.T) {
 	d, _, c := newDispatcher(func([]admission.Event) []admission.Action { panic("fault") })
 	x := newExchange(50 * time.Millisecond)
 	requireBreach(t, c, "controller_panic", func() { d.step([]message{requestAccepted{x}}) })
 	d.controller = scriptedController{func([]admission.Event) []admission.Action { return nil }}
 	select {
-	case <-x.Done(): // by its deadline's own timer
+	case <-x.Done(): // settled by the deadline timer
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "it is not answered before its client stops waiting")
+		require.Fail(t, "request with a timeout of 50 ms was not answered within 10 s")
 	}
 	d.mu.Lock()
-	in := d.queue
+	queued := d.queue
 	d.queue = nil
 	d.mu.Unlock()
-	d.step(in)
+	d.step(queued)
 	assert.Equal(t, exchange.Failed, x.Answer().Kind)
 	assert.True(t, time.Now().Before(x.Deadline().Add(time.Second)))
 }
 
-// panickingController steps another controller, and panics after the steps that a test names: their actions are lost.
+// panickingController steps another controller. It panics after each step for which panics returns true, and so loses
+// the actions of that step.
 type panickingController struct {
 	Controller
 	panics func(events []admission.Event) bool
@@ -166,26 +168,26 @@
 	return actions
 }
 
-// The step that set the controller's timer is lost, and no other message comes in. The queued request is still rejected
-// once it can no longer be served, long before its deadline.
+// A panic loses the step that sets the controller's only timer, and no other message arrives. The queued request must
+// still be rejected once it can no longer be served, long before its deadline.
 func TestControllerPanicLosesNoTimer(t *testing.T) {
 	counters := &invariant.Counters{}
-	if !func() (goesOn bool) {
-		defer func() { goesOn = recover() == nil }()
-		return counters.Hold(false, "a broken invariant")
+	if !func() (releaseBuild bool) {
+		defer func() { releaseBuild = recover() == nil }()
+		return counters.Hold(false, "an invariant of this test")
 	}() {
-		t.Skip("a debug build ends with the panic")
+		t.Skip("a debug build ends at a controller panic")
 	}
 	ctl, err := admission.New(admission.Settings{Replicas: 1, MaxAttempts: 1, Classes: []admission.Class{
 		{LatencyObjective: 6 * time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.5},
 	}}, 1)
 	require.NoError(t, err)
 	var faults atomic.Int32
-	began := time.Now()
+	start := time.Now()
 	d := New(&panickingController{ctl, func(events []admission.Event) bool {
 		for _, ev := range events {
-			// The step that sets the next timer, once those of the start have come and only one is left.
-			if _, ok := ev.(admission.Timer); ok && time.Since(began) > 500*time.Millisecond {
+			// After 500 ms the timers set at the start have fired. The next timer event's step sets the only timer left.
+			if _, ok := ev.(admission.Timer); ok && time.Since(start) > 500*time.Millisecond {
 				return faults.Add(1) == 1
 			}
 		}
@@ -201,7 +203,7 @@
 	assert.Positive(t, faults.Load())
 }
 
-func TestLateOutcomeSettlesNothing(t *testing.T) {
+func TestOutcomeAfterDisconnectSettlesNothing(t *testing.T) {
 	var closed []bool
 	d, e, c := newDispatcher(func(ev []admission.Event) (acts []admission.Action) {
 		for _, ev := range ev {
@@ -220,10 +222,10 @@
 	d.step([]message{requestAccepted{x}})
 	d.ClientGone(x)
 	d.ClientGone(x)
-	require.Len(t, d.queue, 1, "a client is gone once")
+	require.Len(t, d.queue, 1, "the disconnect is reported to the controller once")
 	d.step(d.queue)
 	assert.Equal(t, 1, e.cancelled)
-	assert.Len(t, d.open, 1, "the id stays known while its attempt is in flight")
+	assert.Len(t, d.open, 1, "the request stays open while its attempt is in flight")
 	d.step([]message{&attemptDone{exchange: x, outcome: admission.Outcome{ID: "a", Status: admission.OK}}})
 	assert.Equal(t, []bool{true}, closed)
 	assert.Equal(t, exchange.ClientGone, x.Answer().Kind)
@@ -244,7 +246,7 @@
 	}
 	accept("a", "SELECT 1").Settle(exchange.Answer{Kind: exchange.ClientGone})
 	delete(d.open, "a")
-	assert.False(t, accept("a", "SELECT 1").Settled(), "a client resends what crossed a close")
+	assert.False(t, accept("a", "SELECT 1").Settled(), "a client may resend the same request")
 	delete(d.open, "a")
 	accept("b", "SELECT 1")
 	x := accept("a", "SELECT 2")
@@ -252,24 +254,24 @@
 	assert.Equal(t, exchange.Failed, x.Answer().Kind)
 	assert.EqualValues(t, 1, c.Get("reused_id"))
 	assert.Equal(t, 3, events)
-	for range 2 { // both generations pass
-		d.recent.currentSince = time.Now().Add(-2 * rememberIDsFor)
+	for range 2 { // replace both generations
+		d.recent.currentSince = time.Now().Add(-2 * idRetention)
 		accept("c", "SELECT 1")
 		delete(d.open, "c")
 	}
-	assert.False(t, accept("a", "SELECT 2").Settled(), "an old id is forgotten")
+	assert.False(t, accept("a", "SELECT 2").Settled(), "an id is forgotten after two generations")
 	assert.LessOrEqual(t, len(d.recent.current)+len(d.recent.previous), 3)
 }
 
-func TestShutdownAnswersAllInTime(t *testing.T) {
-	var left []time.Duration
+func TestShutdownAnswersAllRequestsInTime(t *testing.T) {
+	var timeouts []time.Duration
 	d, _, _ := newDispatcher(func(ev []admission.Event) []admission.Action {
 		for _, ev := range ev {
 			switch ev := ev.(type) {
 			case admission.ShutdownRequested:
-				left = append(left, ev.Timeout)
+				timeouts = append(timeouts, ev.Timeout)
 			case admission.Request:
-				left = append(left, ev.Timeout)
+				timeouts = append(timeouts, ev.Timeout)
 			}
 		}
 		return nil
@@ -280,23 +282,23 @@
 	d.Shutdown(50 * time.Millisecond)
 	d.step([]message{d.queue[0], requestAccepted{late}})
 	d.queue = nil
-	require.Len(t, left, 3)
-	assert.Equal(t, 50*time.Millisecond, left[1])
-	assert.LessOrEqual(t, left[2], 50*time.Millisecond, "what comes later has no more time")
+	require.Len(t, timeouts, 3)
+	assert.Equal(t, 50*time.Millisecond, timeouts[1])
+	assert.LessOrEqual(t, timeouts[2], 50*time.Millisecond, "a later request gets no more time than the shutdown")
 	for !early.Settled() || !late.Settled() {
 		<-d.wake
 		d.mu.Lock()
-		in := d.queue
+		queued := d.queue
 		d.queue = nil
 		d.mu.Unlock()
-		d.step(in)
+		d.step(queued)
 	}
-	<-early.Done() // the timer settles on its own goroutine: the answer may follow a moment after Settled
+	<-early.Done() // Settled may be true before the answer is set: the timer settles on its own goroutine
 	assert.Equal(t, exchange.Failed, early.Answer().Kind)
 }
 
-// A request is answered at its deadline while a step of the controller takes long.
-func TestDeadlineDoesNotWaitForAStep(t *testing.T) {
+// A request is answered at its deadline even while a step of the controller is running.
+func TestDeadlineDoesNotWaitForStep(t *testing.T) {
 	inStep, release := make(chan struct{}), make(chan struct{})
 	d, e, _ := newDispatcher(func(ev []admission.Event) []admission.Action {
 		if len(ev) == 0 {
@@ -317,5 +319,5 @@
 	assert.Equal(t, exchange.Failed, x.Answer().Kind)
 	close(release)
 	<-stepped
-	assert.Equal(t, 1, e.started, "the engine client sees that the request is settled, and sends nothing")
+	assert.Equal(t, 1, e.started, "the attempt is started; the engine client does not send the query of a settled request")
 }
--- a/internal/dispatch/message.go
+++ b/internal/dispatch/message.go
@@ -8,16 +8,16 @@
 	"beechcart/internal/exchange"
 )
 
-// message is what other goroutines post to a Dispatcher: one of the types below, or an admission.Event, which goes to
-// the controller as it is. The messages of each request's path are pointers, or structs of one pointer, so that
-// queueing one allocates no more than the message itself.
+// message is an entry of a Dispatcher's queue: one of the types below, or an admission.Event, which is passed to the
+// controller unchanged. The messages that every request causes are pointers, or structs of one pointer, so that
+// queueing one allocates nothing beyond the message itself.
 type message any
 
 type (
-	// requestAccepted brings a new request.
+	// requestAccepted carries a new request.
 	requestAccepted struct{ exchange *exchange.Exchange }
-	// clientGone reports that a request was settled without an attempt's outcome: its client has gone, or its deadline has
-	// passed.
+	// clientGone reports that a request was settled before an attempt served it: its client disconnected or cancelled
+	// the request, or its deadline passed.
 	clientGone struct{ exchange *exchange.Exchange }
 	// attemptDone reports the outcome of an attempt.
 	attemptDone struct {
@@ -25,14 +25,14 @@
 		outcome  admission.Outcome
 		rows     []byte
 	}
-	// endpointsChanged brings a change of the endpoint list.
+	// endpointsChanged carries a change of the endpoint list.
 	endpointsChanged struct{ list endpoints.List }
-	// shutdownRequested announces the end of the process.
+	// shutdownRequested announces that the process ends after timeout.
 	shutdownRequested struct{ timeout time.Duration }
 )
 
-// event applies a message to the Dispatcher's own state and translates it for the controller; nil where the
-// controller need not hear of it.
+// event applies a message to the Dispatcher's own state and returns the controller's event for it. It returns nil if
+// the message concerns only the Dispatcher.
 func (d *Dispatcher) event(m message) admission.Event {
 	switch m := m.(type) {
 	case requestAccepted:
@@ -42,7 +42,7 @@
 	case *attemptDone:
 		return d.attemptDone(m)
 	case endpointsChanged:
-		// The engines' side hears of a drain before the controller does, so that nothing is sent on the older list.
+		// Engines learns of a drain before the controller does, so that no query is sent according to the older list.
 		d.engines.Update(m.list)
 		return m.list.Event()
 	case shutdownRequested:
--- a/internal/dispatch/recent_ids.go
+++ b/internal/dispatch/recent_ids.go
@@ -7,15 +7,15 @@
 	"beechcart/internal/exchange"
 )
 
-// rememberIDsFor is how long the id of a request is remembered at least: well over the 2 s after which engines forget
-// a query that is not polled.
-const rememberIDsFor = 15 * time.Second
+// idRetention is the minimum time for which the id of a request is remembered. It is well over the 2 s after which
+// engines forget a query that is not polled.
+const idRetention = 15 * time.Second
 
-// recentIDs remembers the ids of recent requests with a hash of what each asked for. Its size is bounded: an id is
-// forgotten after twice rememberIDsFor.
+// recentIDs remembers the ids of recent requests, each with a hash of its class and statement. Two generations bound
+// its size: once the current generation is older than idRetention, add discards the previous one and starts a new one.
 type recentIDs struct {
 	seed              maphash.Seed
-	current, previous map[string]uint64 // hash by id, in two generations
+	current, previous map[string]uint64 // hash by request id
 	currentSince      time.Time
 }
 
@@ -23,10 +23,10 @@
 	return &recentIDs{seed: maphash.MakeSeed(), current: map[string]uint64{}, currentSince: time.Now()}
 }
 
-// add remembers a request. It returns false where its id was used for another class or statement. The same request
-// may come again: clients resend a request when the connection was closed under it.
+// add records the id of a request. It returns false if the id was recently used with another class or statement. It
+// returns true for a repetition of the same request: clients resend a request whose connection was closed.
 func (ids *recentIDs) add(x *exchange.Exchange) bool {
-	if time.Since(ids.currentSince) > rememberIDsFor {
+	if time.Since(ids.currentSince) > idRetention {
 		ids.previous, ids.current, ids.currentSince = ids.current, map[string]uint64{}, time.Now()
 	}
 	var h maphash.Hash
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -7,33 +7,33 @@
 	"beechcart/internal/exchange"
 )
 
-// answerMargin is how long before the client stops waiting the final answer is sent at the latest.
+// answerMargin is the minimum time between sending the final answer and the client's timeout.
 const answerMargin = 15 * time.Millisecond
 
-// request is an open request: the controller knows it, and it is not answered or has an attempt in flight.
+// request is an open request: one that was passed to the controller, and is unanswered or has an attempt in flight.
 type request struct {
-	exchange   *exchange.Exchange
-	attempts   int // begun so far
-	inFlight   int
-	terms      admission.Terms // of the next attempt
-	sentAt     time.Time       // when the last attempt was begun
-	mayHaveRun time.Time       // when the first attempt was begun that may have run; zero: none may have
-	deadline   *time.Timer
+	exchange        *exchange.Exchange
+	attempts        int // started so far
+	inFlight        int
+	terms           admission.Terms // of the next attempt
+	sentAt          time.Time       // start of the latest attempt
+	mayHaveRunSince time.Time       // start of the first attempt that may have run; zero: none
+	deadline        *time.Timer
 }
 
-// accept registers a new request. It returns nil, and answers the request itself, where the controller must not hear
-// of it.
+// accept registers a new request and returns its event. It returns nil for a request that is settled already, and for
+// one that it answers itself because the controller must not see it.
 func (d *Dispatcher) accept(x *exchange.Exchange) admission.Event {
 	if x.Settled() {
-		return nil // its client has gone already
+		return nil // the client has disconnected or cancelled the request
 	}
-	// The controller ignores an id that it knows, so a second request with this id would never be answered.
+	// The controller ignores a request whose id is open, so a second request with the id would never be answered.
 	if d.open[x.ID] != nil {
 		d.counters.Add("duplicate_id", 1)
 		x.Settle(exchange.Answer{Kind: exchange.Failed, Reason: "a request with this id is open"})
 		return nil
 	}
-	// An engine may still know the id, and would return its old result, which belongs to another statement.
+	// An engine may still hold the result of the earlier statement under this id, and would return it.
 	if !d.recent.add(x) {
 		d.counters.Add("reused_id", 1)
 		x.Settle(exchange.Answer{Kind: exchange.Failed, Reason: "this id was used for another statement"})
@@ -55,7 +55,7 @@
 	}
 }
 
-// timeLeft is how long there is for the final answer.
+// timeLeft returns the time left until the final answer is due.
 func (d *Dispatcher) timeLeft(x *exchange.Exchange) time.Duration {
 	left := time.Until(x.Deadline()) - answerMargin
 	if !d.shutdownAt.IsZero() {
@@ -64,8 +64,8 @@
 	return left
 }
 
-// expire answers a request at its deadline. It runs on the timer's goroutine, so that the answer does not wait for a
-// step of the controller that takes long.
+// expire answers a request at its deadline. It runs on the timer's goroutine, so that a long step of the controller
+// does not delay the answer.
 func (d *Dispatcher) expire(x *exchange.Exchange) {
 	if x.Settle(exchange.Answer{Kind: exchange.Failed, Reason: "the time given has run out"}) {
 		d.counters.Add("deadline", 1)
@@ -73,8 +73,8 @@
 	}
 }
 
-// beginShutdown brings the deadlines of all open requests forward to the end of the process. Requests that the
-// controller leaves open would never be answered otherwise.
+// beginShutdown limits the deadlines of all open requests to the end of the process. Requests that the controller
+// leaves open would otherwise never be answered.
 func (d *Dispatcher) beginShutdown(timeout time.Duration) {
 	d.shutdownAt = time.Now().Add(timeout)
 	for _, r := range d.open {
@@ -93,7 +93,7 @@
 	return admission.ClientDisconnected{ID: x.ID}
 }
 
-// attemptDone answers a request that was served, and tells the controller of the outcome.
+// attemptDone answers a request that was served, and returns the outcome for the controller.
 func (d *Dispatcher) attemptDone(done *attemptDone) admission.Event {
 	x, outcome := done.exchange, done.outcome
 	r := d.open[x.ID]
@@ -101,8 +101,8 @@
 		return nil
 	}
 	r.inFlight--
-	if r.mayHaveRun.IsZero() && !outcome.Status.NeverRan() {
-		r.mayHaveRun = r.sentAt
+	if r.mayHaveRunSince.IsZero() && !outcome.Status.NeverRan() {
+		r.mayHaveRunSince = r.sentAt
 	}
 	if outcome.Status == admission.OK {
 		d.answerServed(x, done.rows, outcome.Work)
@@ -124,7 +124,7 @@
 	}
 }
 
-// missedObjective reports whether a request that took so much work was answered after its class's latency objective.
+// missedObjective reports whether a request with the given work was answered after the latency objective of its class.
 func (d *Dispatcher) missedObjective(x *exchange.Exchange, work time.Duration) bool {
 	class := &d.classes[x.Class]
 	perThread := float64(work) / float64(max(class.Threads, 1))
@@ -132,7 +132,7 @@
 	return objective > 0 && time.Since(x.Arrived) > objective
 }
 
-// removeIfDone removes a request that is answered and has no attempt in flight.
+// removeIfDone removes a request that is settled and has no attempt in flight.
 func (d *Dispatcher) removeIfDone(r *request) {
 	if r.exchange.Settled() && r.inFlight == 0 {
 		r.deadline.Stop()
