--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -10,20 +10,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOneFinalAnswer(t *testing.T) {
+func TestFirstSettleDecidesAnswer(t *testing.T) {
 	x := New(Request{Timeout: time.Second}, time.Now())
-	var won atomic.Int32
+	var winners atomic.Int32
 	var wg sync.WaitGroup
 	for i := range 16 {
 		wg.Go(func() {
 			if x.Settle(Answer{Kind: Rejected, RetryAfter: time.Duration(i)}) {
-				won.Add(int32(i) + 1)
+				winners.Add(int32(i) + 1)
 			}
 		})
 	}
 	wg.Wait()
 	<-x.Done()
-	assert.EqualValues(t, won.Load()-1, x.Answer().RetryAfter, "the one answer is that of the first to settle")
+	assert.EqualValues(t, winners.Load()-1, x.Answer().RetryAfter, "only the first Settle takes effect")
 }
 
 func TestCheckRows(t *testing.T) {
