--- a/internal/endpoints/changelog.go
+++ b/internal/endpoints/changelog.go
@@ -11,7 +11,7 @@
 	"beechcart/internal/platformconfig"
 )
 
-// Values of an endpoint's status in the change log.
+// Values of an endpoint's status in the change log. parseState handles all other values.
 const (
 	statusReady    = "ready"
 	statusDraining = "draining"
@@ -19,28 +19,29 @@
 )
 
 var (
-	errNoSequence  = errors.New("change log: seq is missing")
-	errNoName      = errors.New("an endpoint has no name")
-	errNoEndpoints = errors.New("a whole list without endpoints")
+	errNoSequence  = errors.New("change log: seq is missing or not a number")
+	errNoName      = errors.New("endpoint name must be a non-empty string")
+	errNoEndpoints = errors.New("complete list: endpoints is missing or not an array")
 )
 
-// ChangeLog reads the answers of the platform's change log. It is not safe for concurrent use.
+// ChangeLog parses the answers of the platform's change log. It is not safe for concurrent use.
 type ChangeLog struct {
 	names     platformconfig.Names
-	held      int64 // the number of the last event that was read
-	announced int64 // the number of the last event, by the last answer
+	lastRead  int64 // sequence number of the last event that was read
+	announced int64 // sequence number of the log's last event, as of the last answer
 }
 
 // NewChangeLog returns a ChangeLog that has read no event.
 func NewChangeLog(names platformconfig.Names) *ChangeLog { return &ChangeLog{names: names} }
 
-// Seq is the number of the last event that was read.
-func (l *ChangeLog) Seq() int64 { return l.held }
+// Seq returns the sequence number of the last event that was read; 0: none.
+func (l *ChangeLog) Seq() int64 { return l.lastRead }
 
-// Behind reports whether the last answer announced events that it did not bring.
-func (l *ChangeLog) Behind() bool { return l.announced > l.held }
+// Behind reports whether the last answer announced events that it did not contain.
+func (l *ChangeLog) Behind() bool { return l.announced > l.lastRead }
 
-// Read reads an answer and returns the lists of its new events, in order. A malformed answer changes nothing.
+// Read parses an answer and returns the lists of its new events, in order. Events that were read before and events of
+// other kinds are skipped. A malformed answer leaves the ChangeLog unchanged.
 func (l *ChangeLog) Read(text []byte) ([]List, error) {
 	answer, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -50,7 +51,7 @@
 		return nil, errNoSequence
 	}
 	var lists []List
-	last := l.held
+	last := l.lastRead
 	for _, event := range answer.GetArray("results") {
 		seq := event.GetInt64("seq")
 		fleet := event.Get("fleet")
@@ -67,16 +68,16 @@
 		}
 		lists = append(lists, list)
 	}
-	l.held, l.announced = last, answer.GetInt64("seq")
+	l.lastRead, l.announced = last, answer.GetInt64("seq")
 	return lists, nil
 }
 
-// readList reads one event. The first event of the log is a complete list.
+// readList parses one event. The first event of the log is always a complete list.
 func (l *ChangeLog) readList(fleet *fastjson.Value, seq int64) (List, error) {
 	list := List{Complete: seq == 1 || fleet.GetBool("snapshot")}
 	entries := fleet.Get("endpoints")
 	if list.Complete && (entries == nil || entries.Type() != fastjson.TypeArray) {
-		return List{}, errNoEndpoints // taken for an empty list it would end every engine
+		return List{}, errNoEndpoints // treated as an empty list, it would remove every engine
 	}
 	for _, entry := range fleet.GetArray("endpoints") {
 		e, err := l.readEndpoint(entry)
@@ -103,8 +104,8 @@
 	return e, nil
 }
 
-// parseState reads a status. An engine of an unknown status, of a later version of the change log, gets no new
-// queries; an error would hold up all events that follow.
+// parseState maps a status to a state. An unknown status, from a later version of the change log, counts as draining,
+// so that the engine gets no new queries. An error instead would block all later events.
 func parseState(status string) admission.State {
 	switch status {
 	case statusReady:
--- a/internal/endpoints/changelog_test.go
+++ b/internal/endpoints/changelog_test.go
@@ -30,7 +30,7 @@
 		{"name":"s-1","status":"draining"},{"name":"s-2","status":"gone"},{"name":"s-3","status":"resting"}]}},
 		{"seq":4,"fleet":{"snapshot":true,"endpoints":[]}}]}`))
 	require.NoError(t, err)
-	require.Len(t, lists, 2, "events that were read before, or are of another kind, are skipped")
+	require.Len(t, lists, 2, "events read before and events of another kind are skipped")
 	var states []admission.State
 	for _, e := range lists[0].Endpoints {
 		states = append(states, e.State)
@@ -49,7 +49,7 @@
 		{"seq":5,"fleet":{"endpoints":[{"name":"s-1","status":"ready"}]}},7]}`))
 	require.NoError(t, err)
 	assert.Len(t, lists, 1)
-	assert.EqualValues(t, 5, l.Seq(), "announced events that did not come are polled again")
+	assert.EqualValues(t, 5, l.Seq(), "Seq stays at the last event read, so that the missing events are polled again")
 	assert.True(t, l.Behind())
 }
 
@@ -62,7 +62,7 @@
 		l := NewChangeLog(platformconfig.Names{})
 		_, err := l.Read([]byte(in))
 		require.Error(t, err, in)
-		assert.Zero(t, l.Seq(), "a malformed answer changes nothing")
+		assert.Zero(t, l.Seq(), "a malformed answer leaves the sequence number unchanged")
 	}
 }
 
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints holds the endpoint list: which engines there are, where, and in which state. It reads the list's
-// events from the platform's change log; other sources make them in packages of their own.
+// Package endpoints defines the endpoint list: the engines with their addresses and states. It parses the list's events
+// from the platform's change log; packages for other sources produce the same events.
 package endpoints
 
 import (
@@ -10,20 +10,20 @@
 	"beechcart/admission"
 )
 
-// Endpoint is one entry of a list: an engine as the controller sees it, and its address.
+// Endpoint is one entry of a list: the controller's view of an engine, and the engine's address.
 type Endpoint struct {
 	admission.Engine
 	Name, Address string
-	Reason        string // of its state; empty where its source does not tell
+	Reason        string // for the state; empty if the source gives none
 }
 
-// List is one event of a source: a complete list, or a change to the list before.
+// List is one event of a source: a complete list, or a change to the previous list.
 type List struct {
 	Complete  bool
 	Endpoints []Endpoint
 }
 
-// Event is the list as an event for the controller.
+// Event returns the controller's event for the list.
 func (l List) Event() admission.EndpointsChanged {
 	event := admission.EndpointsChanged{Kind: admission.Partial}
 	if l.Complete {
@@ -35,11 +35,11 @@
 	return event
 }
 
-// hexIDSize is the number of hexadecimal digits behind the dash of a name such as s-00c41f7a.
+// hexIDSize is the number of hexadecimal digits after the dash in a name such as s-00c41f7a.
 const hexIDSize = 8
 
-// engineID is the controller's number for an engine: the number in its name, or else a hash of the name. It is the
-// same at every front end and after every restart, since the controller ranks engines by it.
+// engineID returns the controller's id for an engine: the hexadecimal number in the name, or a hash of a name without
+// one. The id is the same on every front end and after every restart, since the controller ranks engines by it.
 func engineID(name string) uint32 {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == hexIDSize {
 		if n, err := strconv.ParseUint(digits, 16, 32); err == nil {
--- a/internal/endpoints/recorded_test.go
+++ b/internal/endpoints/recorded_test.go
@@ -12,7 +12,7 @@
 	"beechcart/internal/recorded"
 )
 
-// events is a seeded change log from one event to another.
+// events returns a change log answer with random events, whose sequence numbers are those in [from, to].
 func events(rng *rand.Rand, from, to int) string {
 	var list []string
 	for seq := from; seq <= to; seq++ {
@@ -35,8 +35,8 @@
 	return fmt.Sprintf(`{"seq":%d,"results":[%s]}`, to+rng.IntN(3), strings.Join(list, ","))
 }
 
-// The lists that a seeded change log is read as are the recorded ones.
-func TestRecordedLog(t *testing.T) {
+// The lists parsed from a seeded random change log equal the recorded ones.
+func TestRecordedChangeLog(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 8))
 	names := platformconfig.Names{Zones: map[string]int{"east": 0, "west": 1}, Kinds: map[string]int{"std": 0, "big": 1}}
 	log := endpoints.NewChangeLog(names)
