--- a/internal/copycount/disabled.go
+++ b/internal/copycount/disabled.go
@@ -2,8 +2,8 @@
 
 package copycount
 
-// Add counts nothing in this build.
+// Add does nothing in builds without the tag count.
 func Add(Site, int) {}
 
-// Counts is nil in this build.
+// Counts returns nil in builds without the tag count.
 func Counts() map[string]int64 { return nil }
--- a/internal/copycount/enabled.go
+++ b/internal/copycount/enabled.go
@@ -10,10 +10,10 @@
 
 var counts [siteCount]atomic.Int64
 
-// Add counts n bytes copied at a call site.
+// Add adds n bytes to the count of a call site. It is safe for concurrent use.
 func Add(site Site, n int) { counts[site].Add(int64(n)) }
 
-// Counts returns the bytes copied so far, by the name of the call site.
+// Counts returns the number of bytes copied so far, by name of the call site.
 func Counts() map[string]int64 {
 	byName := map[string]int64{}
 	for site := range counts {
--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -1,4 +1,4 @@
-// Package decimal reads the numbers that peers send, on either side.
+// Package decimal parses the numbers that clients and engines send as text.
 package decimal
 
 import (
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Parse reads a decimal number that is not negative; false for anything else. It rejects what strconv takes beyond
-// that: signs, NaN, infinity and numbers in hex.
+// Parse parses a non-negative decimal number, with an optional fraction and exponent. It returns false for any other
+// text, including forms that strconv accepts: leading signs, NaN, infinities and hexadecimal numbers.
 func Parse(text []byte) (float64, bool) {
 	if len(text) == 0 || text[0] < '0' || text[0] > '9' || bytes.ContainsAny(text, "xX_pP") {
 		return 0, false
--- a/internal/decimal/decimal_test.go
+++ b/internal/decimal/decimal_test.go
@@ -10,9 +10,9 @@
 
 func TestParse(t *testing.T) {
 	for text, want := range map[string]float64{"0": 0, "1500": 1500, "820.5": 820.5, "1e-05": 1e-05, "2E3": 2000} {
-		f, ok := Parse([]byte(text))
+		got, ok := Parse([]byte(text))
 		assert.True(t, ok, text)
-		assert.Equal(t, math.Float64bits(want), math.Float64bits(f), text)
+		assert.Equal(t, math.Float64bits(want), math.Float64bits(got), text)
 	}
 	for _, text := range []string{
 		"", "+5", "-1", "-0", "NaN", "nan", "Inf", "+Inf", "infinity", "0x10", "0x1p-2", "1_000", "1e999", "1.2.3", "1,5",
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant holds what must be true: a debug build (tag debug) stops on a breach, a release build
-// counts it and goes on. The same counters also carry the program's figures.
+// Package invariant checks invariants at run time: a debug build (tag debug) panics on a violation, a release build
+// counts the violation and goes on. The same counters also hold the program's statistics.
 package invariant
 
 import (
@@ -10,13 +10,14 @@
 	"sync"
 )
 
-// Counters are named figures of one program. The zero value is ready.
+// Counters is a set of named counters of one program. The zero value is ready for use. All methods are safe for
+// concurrent use.
 type Counters struct {
 	mu sync.Mutex
 	n  map[string]int64
 }
 
-// Add counts n more of a name.
+// Add adds n to the counter of the given name.
 func (c *Counters) Add(name string, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,22 +27,22 @@
 	c.n[name] += n
 }
 
-// Get returns a count.
+// Get returns the value of the counter of the given name; 0 if nothing was added to it.
 func (c *Counters) Get(name string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.n[name]
 }
 
-// Map returns a copy of all counts.
+// Map returns a copy of all counters by name.
 func (c *Counters) Map() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.n)
 }
 
-// Hold asserts that a statement holds. A violation ends a debug build and is counted as broken_NAME in a release
-// build. It returns ok, so that a caller can step aside.
+// Hold asserts the named invariant, which holds if ok is true. A violation panics in a debug build, and is counted as
+// broken_NAME in a release build. Hold returns ok, so that the caller can skip the faulty operation.
 func (c *Counters) Hold(ok bool, name string) bool {
 	if !ok {
 		if debug {
@@ -52,7 +53,7 @@
 	return ok
 }
 
-// String lists all counters by name.
+// String returns all counters as NAME=VALUE pairs, sorted by name and separated by spaces.
 func (c *Counters) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/processstats/processstats.go
+++ b/internal/processstats/processstats.go
@@ -1,5 +1,6 @@
-// Package processstats lets a program's parent read its statistics over a descriptor that the parent has handed down.
-// There is no listener, and nothing is open where no descriptor was named: the platform's run line names none.
+// Package processstats lets a parent process read the statistics of a child program over an inherited descriptor. The
+// program opens no listener, and answers only if the environment names a descriptor. The platform's run line names
+// none.
 package processstats
 
 import (
@@ -12,24 +13,24 @@
 	"strconv"
 )
 
-// DescriptorEnv names the environment variable that holds the number of the descriptor.
+// DescriptorEnv is the environment variable with the number of the inherited descriptor.
 const DescriptorEnv = "BEECHCART_DOOR"
 
-// firstInherited is the lowest number that an inherited descriptor can have.
+// firstInherited is the lowest possible number of an inherited descriptor: 0 to 2 are the standard streams.
 const firstInherited = 3
 
-// Stats are a program's statistics about itself.
+// Stats holds a program's statistics about itself.
 type Stats struct {
 	Mallocs     uint64           `json:"mallocs"` // heap objects allocated since the start
 	Bytes       uint64           `json:"bytes"`   // heap bytes allocated since the start
-	Collections uint32           `json:"gcs"`     // of garbage
+	Collections uint32           `json:"gcs"`     // garbage collections since the start
 	Goroutines  int              `json:"goroutines"`
 	Counters    map[string]int64 `json:"counters"`
 	Copies      map[string]int64 `json:"copies"` // bytes copied, by call site; only in builds with the tag count
 }
 
-// Open answers requests on the descriptor that the environment names, if any, from a goroutine that ends when the other
-// side closes it. fill adds to each answer what the program knows; it is called from that goroutine.
+// Open answers requests on the descriptor that the environment names, if any. A goroutine answers them until the parent
+// closes its end, and calls fill to add the program's own statistics to each answer.
 func Open(fill func(*Stats)) error {
 	text := os.Getenv(DescriptorEnv)
 	if text == "" {
@@ -37,11 +38,11 @@
 	}
 	descriptor, err := strconv.Atoi(text)
 	if err != nil || descriptor < firstInherited {
-		return fmt.Errorf("%s: %q is not the number of a descriptor", DescriptorEnv, text)
+		return fmt.Errorf("%s: found %q, must be a descriptor number of at least 3", DescriptorEnv, text)
 	}
 	f := os.NewFile(uintptr(descriptor), "process statistics")
 	if f == nil {
-		return fmt.Errorf("%s: descriptor %d is not open", DescriptorEnv, descriptor)
+		return fmt.Errorf("%s: descriptor %d is invalid: must be open", DescriptorEnv, descriptor)
 	}
 	go serve(f, fill)
 	return nil
@@ -55,7 +56,7 @@
 			return
 		}
 		var m runtime.MemStats
-		runtime.ReadMemStats(&m) // stops the world, so that nothing is left in a processor's own count
+		runtime.ReadMemStats(&m) // stops the world, and so includes the counts that each processor caches
 		stats := Stats{
 			Mallocs: m.Mallocs, Bytes: m.TotalAlloc, Collections: m.NumGC, Goroutines: runtime.NumGoroutine(),
 		}
@@ -66,16 +67,16 @@
 	}
 }
 
-// Client is the parent's side. It is not safe for concurrent use.
+// Client reads a child program's statistics in the parent process. It is not safe for concurrent use.
 type Client struct {
 	f io.ReadWriteCloser
 	r *bufio.Reader
 }
 
-// NewClient returns a client that asks over f, the other end of what was handed down, and owns it.
+// NewClient returns a client that uses f, the parent's end of the connection to the child, and takes ownership of f.
 func NewClient(f io.ReadWriteCloser) *Client { return &Client{f, bufio.NewReader(f)} }
 
-// Stats returns the program's statistics as they are now.
+// Stats requests and returns the child program's current statistics.
 func (c *Client) Stats() (Stats, error) {
 	var stats Stats
 	if _, err := c.f.Write([]byte{'?'}); err != nil {
@@ -88,5 +89,5 @@
 	return stats, json.Unmarshal(line, &stats)
 }
 
-// Close ends the program's goroutine too.
+// Close closes the parent's end, which also ends the child's goroutine.
 func (c *Client) Close() { _ = c.f.Close() }
