--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,7 +1,8 @@
-// Package mutation shows that tests need each guard of a package: it takes a guard out of a copy of the package's
-// source and runs a test on the copy, which must fail. Only tests import it.
+// Package mutation checks that a package's tests detect the loss of each of its guards, the conditions that prevent a
+// fault: it removes a guard from a copy of the source and runs a test on the copy, which must fail. Only tests import
+// the package.
 //
-// A mutation is a replacement of source text, applied by "go test -overlay". The files of the package stay as they are.
+// A mutation replaces source text through "go test -overlay". The package's own files stay unchanged.
 package mutation
 
 import (
@@ -17,22 +18,23 @@
 	"testing"
 )
 
-// Mutation takes one guard out of one file of the package under test.
+// Mutation removes one guard from one file of the package under test.
 type Mutation struct {
-	Guard string // what the text that is replaced guards against
+	Guard string // the rule that the replaced text enforces; names the subtest
 	File  string // in the package's directory
-	Old   string // stands exactly once in File
+	Old   string // must occur exactly once in File
 	New   string
-	Test  string   // the test that must fail, with its subtests behind slashes
-	Env   []string // of the test, as in exec.Cmd
+	Test  string   // the test that must fail; slashes separate subtests
+	Env   []string // additional environment of the test, as in exec.Cmd
 	Want  string   // a regular expression that the output of the test must match; empty: any failure of Test
 }
 
 // concurrentBuilds is how many mutated copies are built and run at the same time.
 const concurrentBuilds = 4
 
-// Run applies each mutation to a copy of its own and fails where the mutation can't be applied or its test passes. It
-// is called from a test of the package that is mutated, whose directory is the working directory.
+// Run applies each mutation to its own copy of the source, in a subtest. The subtest fails if the mutation cannot be
+// applied, or if its test does not fail as expected. Call Run from a test of the mutated package, whose directory must
+// be the working directory.
 func Run(t *testing.T, mutations []Mutation) {
 	t.Helper()
 	slots := make(chan struct{}, min(concurrentBuilds, runtime.GOMAXPROCS(0)))
@@ -53,7 +55,7 @@
 	}
 }
 
-// run returns the output of the test on the mutated copy. Temporary files go into dir.
+// run runs the test on the mutated copy and returns its output. It writes temporary files to dir.
 func (m Mutation) run(dir string) (output string, err error) {
 	overlay, err := m.writeOverlay(dir)
 	if err != nil {
@@ -69,32 +71,32 @@
 	return string(text), nil
 }
 
-// verify returns an error unless the output is that of a test that ran and failed as expected.
+// verify returns an error unless the output shows that the test ran and failed as expected.
 func (m Mutation) verify(output string) error {
 	if !strings.Contains(output, "--- FAIL: "+topLevelTest(m.Test)+" ") {
-		return fmt.Errorf("%s does not fail without the guard:\n%s", m.Test, output)
+		return fmt.Errorf("%s did not fail without the guard, output:\n%s", m.Test, output)
 	}
 	matched, err := regexp.MatchString(m.Want, output)
 	if err != nil {
-		return fmt.Errorf("wanted output: %w", err)
+		return fmt.Errorf("invalid pattern in Want: %w", err)
 	}
 	if !matched {
-		return fmt.Errorf("%s fails without the guard, and its output does not match %q:\n%s", m.Test, m.Want, output)
+		return fmt.Errorf("%s failed without the guard, but its output does not match %q:\n%s", m.Test, m.Want, output)
 	}
 	return nil
 }
 
-// TextError tells that the text that a mutation replaces does not stand exactly once in its file.
+// TextError reports that the text to replace does not occur exactly once in its file.
 type TextError struct {
 	File, Text string
 	Found      int
 }
 
 func (e *TextError) Error() string {
-	return fmt.Sprintf("%s: the text to replace is found %d times, allowed is once: %s", e.File, e.Found, e.Text)
+	return fmt.Sprintf("%s: found the text to replace %d times, must be once: %s", e.File, e.Found, e.Text)
 }
 
-// writeOverlay writes the mutated file and the overlay that puts it in the place of the original.
+// writeOverlay writes the mutated file, and the overlay file that substitutes it for the original.
 func (m Mutation) writeOverlay(dir string) (overlay string, err error) {
 	original, err := filepath.Abs(m.File)
 	if err != nil {
@@ -119,13 +121,13 @@
 	return overlay, os.WriteFile(overlay, text, 0o600)
 }
 
-// topLevelTest is the function of a test that may be a subtest.
+// topLevelTest returns the name of the test function to which a test or subtest belongs.
 func topLevelTest(test string) string {
 	name, _, _ := strings.Cut(test, "/")
 	return name
 }
 
-// anchored is the pattern that "go test -run" needs to run this test and no other.
+// anchored returns the pattern with which "go test -run" runs this test and no other.
 func anchored(test string) string {
 	return "^" + strings.ReplaceAll(test, "/", "$/^") + "$"
 }
--- a/internal/recorded/fill.go
+++ b/internal/recorded/fill.go
@@ -5,14 +5,14 @@
 	"reflect"
 )
 
-// Filler sets fields to values of their own. It counts the values that it has set, so that no two are alike; the zero
+// Filler sets fields to distinct values, which it derives from a running count. Every bool is set to true. The zero
 // Filler is ready for use.
 type Filler struct {
-	Count int // of the values set so far; the next one follows from it
+	Count int // values visited so far, including structs and other containers
 }
 
-// Fill sets every exported field that v reaches, in the order of their declaration. It panics at a field of a kind that
-// no recorded type has.
+// Fill sets every exported field that is reachable from v, in order of declaration. It panics at a value of a kind that
+// no recorded type contains.
 func (f *Filler) Fill(v reflect.Value) {
 	f.Count++
 	switch v.Kind() {
@@ -50,6 +50,6 @@
 	case reflect.Float64:
 		v.SetFloat(float64(f.Count) + 0.25)
 	default:
-		panic("recorded: no value for a " + v.Kind().String())
+		panic("recorded: cannot fill a value of kind " + v.Kind().String())
 	}
 }
--- a/internal/recorded/random.go
+++ b/internal/recorded/random.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Random is a seeded source of draws, SplitMix64, whose sequence no release of Go changes.
+// Random is a SplitMix64 random number generator. Its initial value is the seed. Its sequence does not depend on the
+// release of Go.
 type Random uint64
 
-// Float draws a number from 0 up to 1.
+// Float returns a random number in [0, 1).
 func (r *Random) Float() float64 {
 	*r += 0x9e3779b97f4a7c15
 	z := uint64(*r)
@@ -17,10 +18,10 @@
 	return float64((z^(z>>31))>>11) / (1 << 53)
 }
 
-// Below draws a whole number from 0 up to n.
+// Below returns a random integer in [0, n).
 func (r *Random) Below(n int) int { return int(r.Float() * float64(n)) }
 
-// Exponential draws a time from the exponential distribution of that mean.
+// Exponential returns a random duration from the exponential distribution with the given mean.
 func (r *Random) Exponential(mean time.Duration) time.Duration {
 	return time.Duration(-math.Log(1-r.Float()) * float64(mean))
 }
--- a/internal/recorded/recorded.go
+++ b/internal/recorded/recorded.go
@@ -1,8 +1,8 @@
-// Package recorded compares what a package answers now with what an earlier build answered to the same events. Only
-// tests import it.
+// Package recorded compares the answers of a package with those that an earlier build gave to the same events. Only
+// tests import the package.
 //
-// A recording is a file under testdata/recorded beside the test. It is written once, when RECORD=1 is set and the file
-// does not exist; nothing overwrites it.
+// A recording is a file in testdata/recorded in the directory of the test. It is written once, if RECORD=1 is set and
+// the file does not exist, and is never overwritten.
 package recorded
 
 import (
@@ -23,7 +23,7 @@
 	"time"
 )
 
-// Compare fails the test unless the recorded file of that name holds exactly got.
+// Compare fails the test unless the recording of the given name equals got.
 func Compare(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	path := filepath.Join("testdata", "recorded", name)
@@ -38,14 +38,14 @@
 		return
 	}
 	if err != nil {
-		tb.Fatalf("recording: %v", err)
+		tb.Fatalf("cannot read the recording: %v", err)
 	}
 	if !bytes.Equal(got, want) {
 		tb.Errorf("%s differs from its recording\ngot:\n%s\nrecorded:\n%s", name, got, want)
 	}
 }
 
-// Trace is a hash over values in the order in which they were added. It knows no names of Go types, fields or
+// Trace is a hash over values in the order of their addition. The hash does not depend on names of Go types, fields or
 // constants.
 type Trace struct {
 	hash   hash.Hash
@@ -63,14 +63,14 @@
 	}
 }
 
-// Int adds numbers.
+// Int adds signed numbers.
 func (r *Trace) Int(values ...int) {
 	for _, v := range values {
 		r.Uint(uint64(v))
 	}
 }
 
-// Float adds numbers by their bits.
+// Float adds floating-point numbers by their IEEE 754 bits.
 func (r *Trace) Float(values ...float64) {
 	for _, v := range values {
 		r.Uint(math.Float64bits(v))
@@ -84,7 +84,7 @@
 	}
 }
 
-// Bool adds truth values.
+// Bool adds booleans.
 func (r *Trace) Bool(values ...bool) {
 	for _, v := range values {
 		if v {
@@ -95,7 +95,7 @@
 	}
 }
 
-// Text adds strings, each with its length.
+// Text adds strings, each preceded by its length.
 func (r *Trace) Text(values ...string) {
 	for _, v := range values {
 		r.Int(len(v))
@@ -103,14 +103,14 @@
 	}
 }
 
-// Count counts an answer under a label, which stands in the recording.
+// Count increments the count of a label. The recording holds each label with its count.
 func (r *Trace) Count(label string) { r.counts[label]++ }
 
-// Mark adds the hash so far to the recording, so that a difference can be narrowed down to the events since the mark
-// before.
+// Mark adds the current hash to the recording, so that a difference can be narrowed down to the events between two
+// marks.
 func (r *Trace) Mark() { r.marks = append(r.marks, hex.EncodeToString(r.hash.Sum(nil)[:4])) }
 
-// Compare fails the test unless the trace is the recorded one.
+// Compare fails the test unless the trace equals the recording of the given name.
 func (r *Trace) Compare(tb testing.TB, name string) {
 	tb.Helper()
 	var out bytes.Buffer
--- a/internal/testbinary/testbinary.go
+++ b/internal/testbinary/testbinary.go
@@ -1,4 +1,4 @@
-// Package testbinary builds the front end for tests that start it as a process.
+// Package testbinary builds the gateway binary for tests that run it as a process.
 package testbinary
 
 import (
@@ -11,7 +11,7 @@
 
 const gatewayPackage = "beechcart/cmd/gateway"
 
-// Build builds the front end as dir/name, with further arguments of 'go build', and returns its path.
+// Build builds the gateway as dir/name, with additional arguments for "go build", and returns its path.
 func Build(dir, name string, args ...string) (string, error) {
 	path := filepath.Join(dir, name)
 	args = append(append([]string{"build", "-buildvcs=false", "-o", path}, args...), gatewayPackage)
@@ -21,8 +21,8 @@
 	return path, nil
 }
 
-// Main builds the front end, runs the tests of a package with its path in program, and ends the process. It is to be
-// called from TestMain.
+// Main builds the gateway, stores the path of the binary in program, runs the tests of the package, and exits the
+// process. Call Main from TestMain.
 func Main(m *testing.M, program *string, args ...string) {
 	dir, err := os.MkdirTemp("", "gateway")
 	if err != nil {
