--- a/internal/dispatch/action.go
+++ b/internal/dispatch/action.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// send begins an attempt. A retry of a request with an idempotency key is not sent after the deduplication window ends:
-// the attempt may wait for a connection until then, and the engines would no longer recognise the retry.
+// send begins an attempt. A retry of a request with an idempotency key is not sent after the deduplication window ends,
+// since engines would no longer recognise the retry. The wait for a connection may outlast the window.
 func (d *Dispatcher) send(a admission.Send) {
 	r := d.open[a.ID]
 	if !d.counters.Hold(r != nil && r.inFlight == 0, "two_attempts") {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -178,15 +178,15 @@
 	}() {
 		t.Skip("a debug build ends at a controller panic")
 	}
-	ctl, err := admission.New(admission.Settings{Replicas: 1, MaxAttempts: 1, Classes: []admission.Class{
+	controller, err := admission.New(admission.Settings{Replicas: 1, MaxAttempts: 1, Classes: []admission.Class{
 		{LatencyObjective: 6 * time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.5},
 	}}, 1)
 	require.NoError(t, err)
 	var faults atomic.Int32
 	start := time.Now()
-	d := New(&panickingController{ctl, func(events []admission.Event) bool {
+	d := New(&panickingController{controller, func(events []admission.Event) bool {
 		for _, ev := range events {
-			// After 500 ms the timers set at the start have fired. The next timer event's step sets the only timer left.
+			// By 500 ms the timers set at the start have fired. The next timer event's step sets the only remaining timer.
 			if _, ok := ev.(admission.Timer); ok && time.Since(start) > 500*time.Millisecond {
 				return faults.Add(1) == 1
 			}
@@ -246,7 +246,8 @@
 	}
 	accept("a", "SELECT 1").Settle(exchange.Answer{Kind: exchange.ClientGone})
 	delete(d.open, "a")
-	assert.False(t, accept("a", "SELECT 1").Settled(), "a client may resend the same request")
+	assert.False(t, accept("a", "SELECT 1").Settled(),
+		"a client may resend the same request after its connection was closed")
 	delete(d.open, "a")
 	accept("b", "SELECT 1")
 	x := accept("a", "SELECT 2")
--- a/internal/dispatch/recent_ids.go
+++ b/internal/dispatch/recent_ids.go
@@ -12,7 +12,7 @@
 const idRetention = 15 * time.Second
 
 // recentIDs remembers the ids of recent requests, each with a hash of its class and statement. Two generations bound
-// its size: once the current generation is older than idRetention, add discards the previous one and starts a new one.
+// its size: once the current generation is older than idRetention, it replaces the previous one, which is discarded.
 type recentIDs struct {
 	seed              maphash.Seed
 	current, previous map[string]uint64 // hash by request id
