--- a/decision/poll/poll.go
+++ b/decision/poll/poll.go
@@ -8,77 +8,78 @@
 
 // Request is the next request to the catalogue.
 type Request struct {
-	NotBefore     time.Duration
-	Address       int           // place in the list of addresses
-	Index         uint64        // of the blocking query; 0: respond at once
-	Wait          time.Duration // if Index is set: how long the catalogue may hold the request
-	HeaderTimeout time.Duration // for the head of the response
-	ReadTimeout   time.Duration // for each further piece of it
+	NotBefore     time.Duration // earliest time to send the request
+	Address       int           // index into the list of addresses
+	Index         uint64        // of the blocking query; 0: the catalogue responds at once
+	Wait          time.Duration // how long the catalogue may hold the request; 0 if Index is 0
+	HeaderTimeout time.Duration // until the header of the response has arrived
+	ReadTimeout   time.Duration // for each read of the response's body
 }
 
-// Outcome is how a request ended.
+// Outcome classifies how a request ended.
 type Outcome int
 
 // The outcomes of a request.
 const (
-	Succeeded Outcome = iota // a complete, readable response of status 200
-	Failed                   // no response, an unreadable one, 429, 5xx
-	Denied                   // 403 and other statuses that a retry won't change
-	Cancelled                // given up, as the token or the addresses have changed
+	Succeeded Outcome = iota // a complete, well-formed response with status 200
+	Failed                   // no response, a malformed response, or status 429 or 5xx
+	Denied                   // status 403, or another status that a retry does not change
+	Cancelled                // cancelled by the caller because the token or the addresses changed
 )
 
-// Result is the outcome of a request, with what its caller knows about it.
+// Result describes how a request ended.
 type Result struct {
 	Outcome Outcome
 
-	// If it Succeeded.
-	Index              uint64        // of the response; 0: it has none
-	BusyTime           time.Duration // from its first byte until its last change was carried out
-	Latency            time.Duration // from the request to its last byte
-	AwaitsConfirmation bool          // its list does
+	// Set if Outcome is Succeeded.
+	Index              uint64        // of the response; 0: the response has no index
+	BusyTime           time.Duration // from the first byte of the response until the last change is applied
+	Latency            time.Duration // from sending the request to the last byte of the response
+	AwaitsConfirmation bool          // the list needs further reads before the front end accepts it
 
-	// If it Failed.
+	// Set if Outcome is Failed.
 	TimedOut bool
 }
 
-// Poller decides the requests to one catalogue.
+// Poller schedules the requests to one catalogue.
 type Poller struct {
 	settings  Settings
-	addresses int // number of them
+	addresses int // number of addresses
 	rng       *rand.Rand
 
 	next               Request
-	index              uint64 // of the latest response; 0: none, or it went backwards
-	failures           int    // in a row
-	timedOut           bool   // a request of this round of addresses did
-	responseTimeout    time.Duration
-	awaitsConfirmation bool
+	index              uint64        // of the latest response; 0: no index, or the index went backwards
+	failures           int           // consecutive
+	timedOut           bool          // a request timed out in the current round of addresses
+	responseTimeout    time.Duration // current value; grows after timeouts (invariant 8)
+	awaitsConfirmation bool          // from the latest successful result
 }
 
-// New returns a Poller for a number of addresses, whose first request is due at once, or an error that names the
-// setting out of range.
+// New returns a Poller for the given number of addresses, whose first request is due at once. The error names a setting
+// that is out of range.
 func New(settings Settings, addresses int, rng *rand.Rand) (*Poller, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("poll: %w", err)
 	}
 	if addresses < 1 {
-		return nil, fmt.Errorf("poll: addresses: %d is not at least 1", addresses)
+		return nil, fmt.Errorf("poll: addresses: found %d, must be at least 1", addresses)
 	}
 	p := &Poller{settings: settings, addresses: addresses, rng: rng, responseTimeout: settings.ResponseTimeout}
 	p.schedule(0, rng.IntN(addresses)) // front ends that start together begin at different addresses
 	return p, nil
 }
 
-// Next returns the request to make now, or at its time.
+// Next returns the next request, to be sent at its NotBefore or as soon as possible afterwards.
 func (p *Poller) Next() Request { return p.next }
 
-// Part of the wait by which it is varied at random, and which Consul adds to it.
 const (
-	waitVariation    = 0.1
-	serverJitterPart = 16 // one in so many
+	// waitVariation is the fraction of the wait by which the requested wait varies at random in either direction.
+	waitVariation = 0.1
+	// serverJitterDivisor is the wait over the longest jitter that Consul adds to it.
+	serverJitterDivisor = 16
 )
 
-// schedule sets the next request.
+// schedule sets the next request, to be sent at the given time.
 func (p *Poller) schedule(at time.Duration, address int) {
 	request := Request{
 		NotBefore:     at,
@@ -89,13 +90,13 @@
 	if p.index > 0 {
 		request.Index = p.index
 		request.Wait = p.drawWait()
-		request.HeaderTimeout += request.Wait + request.Wait/serverJitterPart
+		request.HeaderTimeout += request.Wait + request.Wait/serverJitterDivisor
 	}
 	p.next = request
 }
 
-// drawWait returns how long the catalogue may hold the next request. The request blocks also while a list awaits
-// confirmation: a drain must not wait for the read after.
+// drawWait returns how long the catalogue may hold the next request, varied at random. The request also blocks while a
+// list awaits confirmation, so that a drain in the meantime is received at once.
 func (p *Poller) drawWait() time.Duration {
 	wait := p.settings.Wait
 	if p.awaitsConfirmation {
@@ -104,7 +105,7 @@
 	return time.Duration(float64(wait) * (1 - waitVariation + 2*waitVariation*p.rng.Float64()))
 }
 
-// HandleResult takes the result of the request in flight.
+// HandleResult records the result of the request in flight and schedules the next request.
 func (p *Poller) HandleResult(now time.Duration, result Result) {
 	address := p.next.Address
 	nextAddress := (address + 1) % p.addresses
@@ -124,7 +125,7 @@
 	}
 }
 
-// handleSuccess takes over what a response tells.
+// handleSuccess resets the failures, shortens the timeouts after a fast response and stores the index.
 func (p *Poller) handleSuccess(result Result) {
 	p.failures, p.timedOut = 0, false
 	p.awaitsConfirmation = result.AwaitsConfirmation
@@ -132,24 +133,24 @@
 		p.responseTimeout /= 2
 	}
 	if result.Index < p.index {
-		p.index = 0 // it went backwards (invariant 2)
+		p.index = 0 // the index went backwards (invariant 2)
 	} else {
 		p.index = result.Index
 	}
 }
 
-// interval returns the time until the request after a success (invariant 5).
+// interval returns the delay of the next request after a success (invariant 5).
 func (p *Poller) interval(result Result) time.Duration {
 	busy := time.Duration(float64(result.BusyTime) * (1/p.settings.MaxBusyShare - 1))
 	interval := max(p.settings.MinInterval, busy)
 	if result.Index == 0 {
-		interval = max(interval, p.settings.ConfirmInterval) // without an index nothing blocks
+		interval = max(interval, p.settings.ConfirmInterval) // a request without an index does not block
 	}
 	return interval
 }
 
-// handleFailure counts a failure, and doubles the timeouts after a round of addresses in which a request timed out
-// (invariant 8).
+// handleFailure counts a failure. After a round of addresses in which a request timed out, handleFailure doubles the
+// timeouts (invariant 8).
 func (p *Poller) handleFailure(result Result) {
 	p.failures++
 	p.timedOut = p.timedOut || result.TimedOut
@@ -159,11 +160,11 @@
 	}
 }
 
-// maxDoublings bounds the shift of the backoff.
+// maxDoublings limits the doublings of the backoff, so that the shift does not overflow.
 const maxDoublings = 16
 
-// backoff returns the time until the request after the failures so far: none until all addresses were tried (invariants
-// 3 and 6).
+// backoff returns the delay of the next request after a failure: 0 until all addresses have been tried (invariants 3
+// and 6).
 func (p *Poller) backoff() time.Duration {
 	rounds := p.failures / p.addresses
 	if rounds == 0 || p.failures%p.addresses != 0 {
@@ -176,13 +177,15 @@
 	return backoff/2 + time.Duration(p.rng.Int64N(int64(backoff/2)+1))
 }
 
-// RetryNow tells that the token has changed, or that an operator wants a fresh read: the next request is due at once.
+// RetryNow makes the next request due at once and resets the count of failures. The caller uses RetryNow after the
+// token has changed, or when an operator asks for a fresh read.
 func (p *Poller) RetryNow(now time.Duration) {
 	p.failures = 0
 	p.schedule(now, p.next.Address)
 }
 
-// Reset tells that another catalogue, with a number of addresses, is polled from now on.
+// Reset starts polling another catalogue, which has the given number of addresses. The index, the failures and the
+// adapted timeouts are discarded.
 func (p *Poller) Reset(now time.Duration, addresses int) {
 	p.addresses = addresses
 	p.index, p.failures = 0, 0
--- a/decision/poll/poll_test.go
+++ b/decision/poll/poll_test.go
@@ -17,29 +17,29 @@
 	return p
 }
 
-// tableRows are results of a request, and the request that follows.
+// tableRows lists results of a request and the request that must follow.
 var tableRows = []struct {
 	name         string
-	index        uint64 // of the response before; 0: none
+	index        uint64 // of the previous response; 0: there was no previous response
 	result       Result
 	interval     time.Duration // until the next request
 	nextIndex    uint64
-	otherAddress bool // of the two
+	otherAddress bool // the next request goes to the other of the two addresses
 }{
 	{name: "first response", result: Result{Index: 7}, interval: Defaults().MinInterval, nextIndex: 7},
-	{name: "a change", index: 7, result: Result{Index: 9}, interval: Defaults().MinInterval, nextIndex: 9},
-	{name: "a wait ended", index: 7, result: Result{Index: 7}, interval: Defaults().MinInterval, nextIndex: 7},
-	{name: "backwards", index: 7, result: Result{Index: 5}, interval: Defaults().MinInterval},
-	{name: "no index", index: 7, result: Result{}, interval: Defaults().ConfirmInterval},
+	{name: "index has advanced", index: 7, result: Result{Index: 9}, interval: Defaults().MinInterval, nextIndex: 9},
+	{name: "wait ends, no change", index: 7, result: Result{Index: 7}, interval: Defaults().MinInterval, nextIndex: 7},
+	{name: "index goes backwards", index: 7, result: Result{Index: 5}, interval: Defaults().MinInterval},
+	{name: "response without an index", index: 7, result: Result{}, interval: Defaults().ConfirmInterval},
 	{
-		name:      "costly",
+		name:      "response that takes long to process",
 		index:     7,
 		result:    Result{Index: 9, BusyTime: time.Second},
 		interval:  4 * time.Second,
 		nextIndex: 9,
 	},
 	{
-		name:      "awaits confirmation",
+		name:      "list awaits confirmation",
 		index:     7,
 		result:    Result{Index: 9, AwaitsConfirmation: true},
 		interval:  Defaults().MinInterval,
@@ -57,7 +57,7 @@
 	{name: "cancelled", index: 7, result: Result{Outcome: Cancelled}, nextIndex: 7},
 }
 
-func TestTable(t *testing.T) {
+func TestNextRequestAfterResult(t *testing.T) {
 	settings := Defaults()
 	for _, row := range tableRows {
 		t.Run(row.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestDeniedRequestIsRetriedAtOnce(t *testing.T) {
+func TestRetryNowAndResetEndTheBackoff(t *testing.T) {
 	p := newTestPoller(t, 1)
 	p.HandleResult(time.Second, Result{Outcome: Denied})
 	require.Equal(t, 31*time.Second, p.Next().NotBefore)
@@ -94,17 +94,18 @@
 	p.HandleResult(3*time.Second, Result{Index: 4})
 	p.Reset(5*time.Second, 3)
 	assert.Equal(t, 5*time.Second, p.Next().NotBefore)
-	assert.Zero(t, p.Next().Index, "another catalogue counts from elsewhere")
+	assert.Zero(t, p.Next().Index, "indexes of two catalogues are not comparable")
 }
 
-// history is what the invariants need to know of the requests so far.
+// history records the requests so far, as far as the invariants depend on them.
 type history struct {
-	index    uint64 // of the last response that counts
-	failures int    // in a row
-	failed   map[int]bool
+	index    uint64       // of the latest response; 0: the index went backwards or there is none
+	failures int          // consecutive
+	failed   map[int]bool // addresses that failed since the last success
 }
 
-// TestInvariants numbers what it checks as the package comment does.
+// TestInvariants runs random sequences of results. Each failure message begins with the number of the invariant in the
+// package comment.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		addresses := rapid.IntRange(1, 5).Draw(t, "addresses")
@@ -134,15 +135,15 @@
 		t.Fatal("1: Next changed without HandleResult")
 	}
 	if request.Address < 0 || request.Address >= p.addresses {
-		t.Fatalf("address %d of %d", request.Address, p.addresses)
+		t.Fatalf("address %d is out of range, there are %d addresses", request.Address, p.addresses)
 	}
 	wait := p.settings.Wait
 	if request.Index > 0 && (request.Wait < wait*9/10 || request.Wait > wait*11/10) {
-		t.Fatalf("7: wait %v", request.Wait)
+		t.Fatalf("7: requested wait is %v, must be within a tenth of the setting", request.Wait)
 	}
 }
 
-// check checks the request that follows a result, due after an interval.
+// check checks the next request after a result. That request is due after the given interval.
 func (h *history) check(t *rapid.T, p *Poller, request Request, result Result, interval time.Duration) {
 	settings := p.settings
 	switch result.Outcome {
@@ -151,16 +152,16 @@
 	case Denied:
 		h.failures++
 		if interval != settings.DeniedBackoff {
-			t.Fatalf("4: %v after a denied request", interval)
+			t.Fatalf("4: interval is %v after a denied request", interval)
 		}
 	case Failed:
 		h.failures++
 		h.failed[request.Address] = true
 		if interval > 0 && len(h.failed) < p.addresses && h.failures <= len(h.failed) {
-			t.Fatalf("6: a backoff after %d of %d addresses", len(h.failed), p.addresses)
+			t.Fatalf("6: backoff after only %d of %d addresses have failed", len(h.failed), p.addresses)
 		}
 		if interval > settings.MaxBackoff {
-			t.Fatalf("3: a backoff of %v", interval)
+			t.Fatalf("3: backoff of %v exceeds MaxBackoff", interval)
 		}
 	case Cancelled:
 	}
@@ -171,22 +172,23 @@
 	clear(h.failed)
 	maxBusy := (p.settings.MaxBusyShare + 1e-6) * float64(interval+result.BusyTime)
 	if interval < p.settings.MinInterval || float64(result.BusyTime) > maxBusy {
-		t.Fatalf("5: %v after a read that took %v", interval, result.BusyTime)
+		t.Fatalf("5: interval is only %v after a read with busy time %v", interval, result.BusyTime)
 	}
 	next := p.Next()
 	if result.Index < h.index && next.Index != 0 {
-		t.Fatalf("2: index %d after %d was followed by %d", next.Index, h.index, result.Index)
+		t.Fatalf("2: index %d is sent although the response's index went backwards from %d to %d",
+			next.Index, h.index, result.Index)
 	}
 	h.index = result.Index
 	if next.Index == 0 {
 		h.index = 0
 	}
 	if next.Address != request.Address {
-		t.Fatal("6: another address after a success")
+		t.Fatal("6: address changed after a success")
 	}
 }
 
-func TestBackoffGrows(t *testing.T) {
+func TestBackoffDoublesUpToMaximum(t *testing.T) {
 	p, settings := newTestPoller(t, 3), Defaults()
 	var backoffs []time.Duration
 	for range 60 {
@@ -196,7 +198,7 @@
 			backoffs = append(backoffs, backoff)
 		}
 	}
-	require.Len(t, backoffs, 20, "one in a round of three")
+	require.Len(t, backoffs, 20, "one backoff for each round of three addresses")
 	for i, backoff := range backoffs {
 		longest := min(settings.MaxBackoff, settings.MinBackoff<<min(i, 20))
 		assert.GreaterOrEqual(t, backoff, longest/2, i)
@@ -204,15 +206,15 @@
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"wait":      func(s *Settings) { s.Wait = 0 },
 		"max_pause": func(s *Settings) { s.MaxBackoff = s.MinBackoff / 2 },
 		"max_share": func(s *Settings) { s.MaxBusyShare = 1.5 },
 		"min_gap":   func(s *Settings) { s.MinInterval = -1 },
 	} {
 		settings := Defaults()
-		spoil(&settings)
+		invalidate(&settings)
 		_, err := New(settings, 1, rand.New(rand.NewPCG(1, 1)))
 		require.ErrorContains(t, err, "poll: "+key+":")
 	}
@@ -220,15 +222,15 @@
 	assert.ErrorContains(t, err, "addresses")
 }
 
-// A list that takes longer than ResponseTimeout to make is read in the end (invariant 8).
-func TestTimeoutsGrowWithRequestsThatTimeOut(t *testing.T) {
+// A list that the catalogue needs longer than ResponseTimeout to produce is eventually read (invariant 8).
+func TestTimeoutsGrowAfterRequestsTimeOut(t *testing.T) {
 	settings := Defaults()
 	p := newTestPoller(t, 2)
 	now := time.Duration(0)
 	const latency = 5 * time.Second
 	requests, wasted := 0, time.Duration(0)
 	for ; p.Next().HeaderTimeout < latency; requests++ {
-		require.Less(t, requests, 20, "never read")
+		require.Less(t, requests, 20, "the timeout does not reach the latency")
 		now = max(now, p.Next().NotBefore) + p.Next().HeaderTimeout
 		wasted += p.Next().HeaderTimeout
 		p.HandleResult(now, Result{Outcome: Failed, TimedOut: true})
@@ -236,15 +238,15 @@
 	assert.Equal(t, 4, requests, "two rounds of two addresses")
 	assert.Less(t, wasted, 10*time.Second)
 	p.HandleResult(now, Result{Index: 1, Latency: latency})
-	assert.Equal(t, 6*time.Second, p.Next().ReadTimeout, "the next read takes as long")
+	assert.Equal(t, 6*time.Second, p.Next().ReadTimeout, "the timeout stays raised after a slow response")
 	p.HandleResult(now, Result{Index: 2, Latency: 10 * time.Millisecond})
 	assert.Equal(t, settings.ResponseTimeout, p.Next().ReadTimeout)
 	for range 40 {
 		p.HandleResult(now, Result{Outcome: Failed, TimedOut: true})
 	}
-	assert.Equal(t, settings.MaxResponseTimeout, p.Next().ReadTimeout, "bounded")
+	assert.Equal(t, settings.MaxResponseTimeout, p.Next().ReadTimeout, "the timeout is bounded")
 	p.HandleResult(now, Result{Index: 3})
 	p.HandleResult(now, Result{Outcome: Failed})
 	p.HandleResult(now, Result{Outcome: Failed})
-	assert.Equal(t, settings.ResponseTimeout, p.Next().ReadTimeout, "a connection refused is not a slow one")
+	assert.Equal(t, settings.ResponseTimeout, p.Next().ReadTimeout, "other failures do not raise the timeout")
 }
--- a/decision/poll/recorded_test.go
+++ b/decision/poll/recorded_test.go
@@ -10,7 +10,7 @@
 	"beechcart/internal/recorded"
 )
 
-// The calls that a seeded run of results, retries and resets leads to are the recorded ones.
+// TestRecordedRun compares the requests of a seeded run of results, retries and resets with the recorded ones.
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for seed := range uint64(20) {
@@ -22,11 +22,11 @@
 		}
 		now := time.Duration(0)
 		for range 400 {
-			c := p.Next()
-			trace.Time(c.NotBefore, c.Wait, c.HeaderTimeout, c.ReadTimeout)
-			trace.Int(c.Address)
-			trace.Uint(c.Index)
-			now = max(now, c.NotBefore) + time.Duration(rng.Int64N(int64(8*time.Second)))
+			request := p.Next()
+			trace.Time(request.NotBefore, request.Wait, request.HeaderTimeout, request.ReadTimeout)
+			trace.Int(request.Address)
+			trace.Uint(request.Index)
+			now = max(now, request.NotBefore) + time.Duration(rng.Int64N(int64(8*time.Second)))
 			switch n := rng.IntN(20); n {
 			case 0:
 				p.RetryNow(now)
@@ -36,21 +36,21 @@
 				p.Reset(now, addresses)
 				trace.Count("switch")
 			default:
-				r := poll.Result{
+				result := poll.Result{
 					Outcome:            poll.Outcome(rng.IntN(4)),
 					AwaitsConfirmation: rng.IntN(3) == 0,
 					TimedOut:           rng.IntN(2) == 0,
 				}
-				if r.Outcome == poll.Denied && rng.IntN(3) > 0 {
-					r.Outcome = poll.Failed
+				if result.Outcome == poll.Denied && rng.IntN(3) > 0 {
+					result.Outcome = poll.Failed
 				}
 				if rng.IntN(6) > 0 {
-					r.Index = 90 + rng.Uint64N(20)
+					result.Index = 90 + rng.Uint64N(20)
 				}
-				r.BusyTime = time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
-				r.Latency = time.Duration(rng.Int64N(int64(4 * time.Second)))
-				p.HandleResult(now, r)
-				trace.Count("ending " + strconv.Itoa(int(r.Outcome)))
+				result.BusyTime = time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
+				result.Latency = time.Duration(rng.Int64N(int64(4 * time.Second)))
+				p.HandleResult(now, result)
+				trace.Count("ending " + strconv.Itoa(int(result.Outcome)))
 			}
 		}
 		trace.Mark()
--- a/decision/poll/settings.go
+++ b/decision/poll/settings.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Settings bound the decisions. [Defaults] has usable values.
+// Settings configures a [Poller]. [Defaults] returns usable values.
 type Settings struct {
-	Wait               time.Duration // how long the catalogue may hold a request until something changes
-	ResponseTimeout    time.Duration // how much later than that its response may come
-	MaxResponseTimeout time.Duration // the same after requests that timed out
+	Wait               time.Duration // how long the catalogue may hold a request until the list changes
+	ResponseTimeout    time.Duration // allowed for the response in addition to Wait
+	MaxResponseTimeout time.Duration // upper bound of ResponseTimeout when it grows after timeouts
 	ConfirmInterval    time.Duration // Wait while a list awaits confirmation; the interval if responses have no index
-	MinInterval        time.Duration // between two requests that succeed
-	MaxBusyShare       float64       // of the time that reading may take, 0 to 1
-	MinBackoff         time.Duration // after a first round of failures
-	MaxBackoff         time.Duration // after many
-	DeniedBackoff      time.Duration // after a request that was denied
+	MinInterval        time.Duration // from a success to the next request
+	MaxBusyShare       float64       // share of the time that reading may take, above 0, at most 1
+	MinBackoff         time.Duration // after the first round of failures at all addresses
+	MaxBackoff         time.Duration // upper bound of the backoff
+	DeniedBackoff      time.Duration // after a denied request
 }
 
-// Defaults returns the settings that are in force if nothing else is configured.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
-		Wait:               5 * time.Second, // short: a connection into a partition is noticed only after it
+		Wait:               5 * time.Second, // short, as a partitioned connection is detected only after the wait
 		ResponseTimeout:    1500 * time.Millisecond,
 		MaxResponseTimeout: 12 * time.Second,
 		ConfirmInterval:    2 * time.Second,
@@ -33,7 +33,8 @@
 	}
 }
 
-// Check returns an error that names the first setting out of range, by its key in the operators' settings.
+// Check returns an error for the first setting that is out of range. The error names the key in the operators'
+// settings.
 func (s Settings) Check() error {
 	for _, duration := range []struct {
 		key   string
@@ -48,16 +49,16 @@
 		{"hold_for", s.DeniedBackoff},
 	} {
 		if duration.value <= 0 {
-			return fmt.Errorf("%s: %v is not more than 0", duration.key, duration.value)
+			return fmt.Errorf("%s: found %v, must be greater than 0", duration.key, duration.value)
 		}
 	}
 	switch {
 	case s.MaxResponseTimeout < s.ResponseTimeout:
-		return fmt.Errorf("max_slack: %v is less than slack (%v)", s.MaxResponseTimeout, s.ResponseTimeout)
+		return fmt.Errorf("max_slack: found %v, must be at least slack (%v)", s.MaxResponseTimeout, s.ResponseTimeout)
 	case s.MaxBackoff < s.MinBackoff:
 		return fmt.Errorf("max_pause: %v is less than min_pause (%v)", s.MaxBackoff, s.MinBackoff)
 	case !(s.MaxBusyShare > 0 && s.MaxBusyShare <= 1):
-		return fmt.Errorf("max_share: %v is not between 0 and 1", s.MaxBusyShare)
+		return fmt.Errorf("max_share: found %v, must be greater than 0 and at most 1", s.MaxBusyShare)
 	}
 	return nil
 }
