--- a/decision/discovery/address.go
+++ b/decision/discovery/address.go
@@ -1,7 +1,7 @@
 package discovery
 
-// resolveAddressConflicts decides which endpoint may be ready where several share an address: the one that was
-// registered last, unless one of them is to drain (invariant 9).
+// resolveAddressConflicts decides which endpoint may be ready if several share an address: the one that was registered
+// last, or none while one of them drains (invariant 9).
 func resolveAddressConflicts(all []*endpoint) {
 	latest := make(map[string]*endpoint, len(all)) // by address
 	draining := map[string]bool{}                  // by address
--- a/decision/discovery/endpoint.go
+++ b/decision/discovery/endpoint.go
@@ -8,24 +8,24 @@
 
 // Endpoint is one engine as a catalogue reports it.
 type Endpoint struct {
-	Key         string // names the engine, alike at every front end: node and service id
+	Key         string // node and service id; identifies the engine at every front end
 	Addr        string // host:port
 	Zone, Kind  string
 	Cell        int
 	Weight      float64
-	CreateIndex uint64        // of the registration: another one is another process, unless Incarnation tells
+	CreateIndex uint64        // of the registration; see replacedBy for what a new value means
 	ModifyIndex uint64        // of the last change
-	Incarnation string        // what the process reports about its start; empty: nothing
-	StartedAt   time.Duration // Unix time of the start of the process, where it is reported; else 0
-	Drain       bool          // a command holds it back
-	Passing     bool          // evidence: none of its checks fails
+	Incarnation string        // identifies the start of the process, as the process reports; empty: not reported
+	StartedAt   time.Duration // Unix time at which the process started; 0: not reported
+	Drain       bool          // command: the engine must get no new work
+	Passing     bool          // evidence: none of the engine's checks fails
 }
 
-// Observation is one answer of a catalogue.
+// Observation is one response of a catalogue.
 type Observation struct {
-	Index       uint64        // of the answer; 0: none was reported, and the answer is not trusted
+	Index       uint64        // of the response; 0: no index was reported, and the response is not trusted
 	HasLeader   bool          // the catalogue knows its leader
-	LastContact time.Duration // since the server that answered last heard from its leader
+	LastContact time.Duration // time since the responding server last heard from its leader
 	Endpoints   []Endpoint
 }
 
@@ -34,18 +34,18 @@
 
 // The states.
 const (
-	Ready    State = iota // new work
-	Draining              // nothing new; what runs there goes on
-	Removed               // nothing: attempts in flight have lost their engine
+	Ready    State = iota // may get new work
+	Draining              // gets no new work; attempts in flight continue
+	Removed               // gets no new work; attempts in flight have lost their engine
 )
 
-// String returns the state as operators read it.
+// String returns the state as shown to operators.
 func (s State) String() string { return [...]string{"ready", "draining", "gone"}[s] }
 
-// Reason tells why an endpoint is in its state.
+// Reason explains the state of an endpoint to operators.
 type Reason string
 
-// The reasons, as the operators' page (docs/consul.md) has them.
+// The reasons, as listed in docs/consul.md.
 const (
 	ReasonPassing          Reason = "passing"
 	ReasonCached           Reason = "from the last good list"
@@ -67,27 +67,27 @@
 	Endpoint
 	State     State
 	Reason    Reason
-	StartedAt time.Duration // Unix time, or 0: long ago; another one than before is another process
+	StartedAt time.Duration // Unix time; 0: long ago. A new value means a new process.
 }
 
-// sentPart is the part of a change that matters to those who send.
-func (c Change) sentPart() Change {
+// senderFields returns the change reduced to the fields that matter to the sender of a request.
+func (c Change) senderFields() Change {
 	c.Reason, c.Passing, c.Drain = "", false, false
 	c.CreateIndex, c.Incarnation, c.Endpoint.StartedAt = 0, "", 0
 	return c
 }
 
-// Notice tells operators what happened to the list as a whole.
+// Notice informs operators of an event that concerns the list as a whole.
 type Notice struct {
 	Kind   NoticeKind
-	Count  int // of endpoints concerned
+	Count  int // affected endpoints
 	Detail string
 }
 
-// NoticeKind says what a Notice tells.
+// NoticeKind is the event that a Notice reports.
 type NoticeKind string
 
-// The kinds of notice, as the operators' page (docs/consul.md) has them.
+// The kinds of notice, as listed in docs/consul.md.
 const (
 	NoticeListSuspect      NoticeKind = "list doubted"
 	NoticeSuspicionCleared NoticeKind = "doubt cleared: the engines are back"
@@ -99,7 +99,7 @@
 	NoticeMalformed        NoticeKind = "entries passed over"
 )
 
-// Update is what an event leads to: changes to carry out in order, and notices for operators.
+// Update is the result of an event: changes, which the caller carries out in order, and notices for operators.
 type Update struct {
 	Changes []Change
 	Notices []Notice
@@ -110,5 +110,6 @@
 	u.Notices = append(u.Notices, Notice{Kind: kind, Count: count, Detail: detail})
 }
 
-// EndpointID returns the number by which the controller knows the endpoint of a key: the low 32 bits of its XXH3.
+// EndpointID returns the id of the endpoint with the given key: the low 32 bits of the key's XXH3 hash. The controller
+// identifies endpoints by this id.
 func EndpointID(key string) uint32 { return uint32(xxh3.HashString(key)) }
--- a/decision/discovery/observation.go
+++ b/decision/discovery/observation.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// normalize sorts a list by key and leaves out what can't be used. Of two entries with one key the later registration
-// counts, and a drain of either holds: a catalogue may report an endpoint twice.
+// normalize sorts a list by key and leaves out malformed entries. A catalogue may report an endpoint twice: of several
+// entries with the same key, normalize keeps the latest registration, which drains if any of the entries does.
 func normalize(list []Endpoint) (normalized []Endpoint, malformed int) {
 	usable := make([]Endpoint, 0, len(list))
 	for _, e := range list {
@@ -38,12 +38,12 @@
 	return normalized, malformed
 }
 
-// compareRegistrations orders entries by the time of their registration, then of their last change.
+// compareRegistrations orders entries by the index of their registration, then by the index of their last change.
 func compareRegistrations(a, b Endpoint) int {
 	return cmp.Or(cmp.Compare(a.CreateIndex, b.CreateIndex), cmp.Compare(a.ModifyIndex, b.ModifyIndex))
 }
 
-// noteMalformed tells operators how many entries were left out.
+// noteMalformed adds a notice with the number of entries left out, or clears the notice if there are none.
 func (s *EndpointSet) noteMalformed(update *Update, malformed int) {
 	if malformed > 0 {
 		s.notifyOnce(update, NoticeMalformed, malformed, "")
@@ -52,7 +52,7 @@
 	}
 }
 
-// applyDrains takes the commands of an observation, trusted or not (invariant 1).
+// applyDrains applies the drains of an observation, trusted or not (invariant 1).
 func (s *EndpointSet) applyDrains(list []Endpoint, index uint64) {
 	for _, reported := range list {
 		if e := s.endpoints[reported.Key]; e != nil && reported.Drain {
@@ -62,7 +62,7 @@
 	}
 }
 
-// liftDrains ends the drains that a later observation no longer reports (invariant 2).
+// liftDrains lifts the drains that an observation of a later index no longer reports (invariant 2).
 func (s *EndpointSet) liftDrains(list []Endpoint, index uint64) {
 	for _, reported := range list {
 		if e := s.endpoints[reported.Key]; e != nil && !reported.Drain && index > e.drainIndex {
@@ -71,11 +71,11 @@
 	}
 }
 
-// trusts decides whether an observation may do more than drain, and detects index resets (invariant 6).
+// trusts reports whether an observation may have effects other than drains (invariant 6). It also detects index resets.
 func (s *EndpointSet) trusts(update *Update, observation Observation, list []Endpoint) bool {
 	sound := observation.Index > 0 && observation.HasLeader && observation.LastContact <= s.settings.MaxStaleness
 	if !s.initialized {
-		return sound || len(list) > 0 // nothing is known yet: any endpoint is better than none
+		return sound || len(list) > 0 // no endpoint is known yet: untrusted endpoints are better than none
 	}
 	if sound && (!s.trusted || observation.Index >= s.index) {
 		s.staleReads = 0
@@ -96,13 +96,13 @@
 	}
 	update.notify(NoticeIndexReset, len(list), fmt.Sprintf("from %d to %d", s.index, observation.Index))
 	s.beginEpoch()
-	s.applyDrains(list, observation.Index) // the drains of this observation belong to the new epoch
+	s.applyDrains(list, observation.Index) // again, as the drains of this observation belong to the new epoch
 	s.index = 0
 	delete(s.notified, NoticeUntrusted)
 	return true
 }
 
-// beginEpoch forgets all indexes. Drains stay until a trusted observation lifts them.
+// beginEpoch resets the indexes of all endpoints. Drains stay until a trusted observation lifts them.
 func (s *EndpointSet) beginEpoch() {
 	for _, e := range s.endpoints {
 		e.drainIndex, e.CreateIndex, e.ModifyIndex = 0, 0, 0
@@ -110,7 +110,7 @@
 	s.staleReads = 0
 }
 
-// add adds an endpoint; nil if its id is another's (invariant 10).
+// add adds an endpoint, or returns nil if another endpoint has the same id (invariant 10).
 func (s *EndpointSet) add(reported Endpoint) *endpoint {
 	id := EndpointID(reported.Key)
 	if _, taken := s.keys[id]; taken {
@@ -121,8 +121,8 @@
 	return e
 }
 
-// merge takes one entry of a trusted list; false if it has to be left out. A process that is new in the set and does
-// not report its start counts as started at assumedStart.
+// merge applies one entry of a trusted list. It returns false if the entry is left out because another endpoint has the
+// same id. A process that is new in the set and does not report its start counts as started at assumedStart.
 func (s *EndpointSet) merge(reported Endpoint, assumedStart time.Duration) bool {
 	e := s.endpoints[reported.Key]
 	switch {
@@ -144,7 +144,7 @@
 	return true
 }
 
-// startOf returns when a process has started: as it reports, else as is assumed.
+// startOf returns the reported start time of a process, or the assumed one if none is reported.
 func startOf(reported Endpoint, assumed time.Duration) time.Duration {
 	if reported.StartedAt > 0 {
 		return reported.StartedAt
@@ -152,7 +152,8 @@
 	return assumed
 }
 
-// replacedBy reports whether an entry is another process than the one that is known under its key.
+// replacedBy reports whether an entry with the key of the endpoint belongs to another process than the known one.
+// Incarnations are compared if either process reports one, else start times if both report one, else the CreateIndex.
 func (e *endpoint) replacedBy(reported Endpoint) bool {
 	switch {
 	case e.Addr != reported.Addr:
--- a/decision/discovery/set.go
+++ b/decision/discovery/set.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// endpoint is what is believed of one engine.
+// endpoint is the state of one engine in an EndpointSet.
 type endpoint struct {
 	Endpoint  // as last reported
 	id        uint32
-	startedAt time.Duration // as Change has it
+	startedAt time.Duration // for Change.StartedAt
 
 	announced   Change // the latest change; valid if isAnnounced
 	isAnnounced bool
@@ -20,41 +20,41 @@
 	cached         bool // known from the cached list only
 	deregistered   bool
 	deregisteredAt time.Duration
-	missing        bool // not in the latest trusted list, which is suspect
+	missing        bool // absent from the latest trusted list, which is suspect
 
 	drain      bool
-	drainIndex uint64 // the latest index that reported the drain, in this epoch
+	drainIndex uint64 // the latest index of this epoch that reported the drain
 
 	failing      bool
 	failingSince time.Duration
-	ejected      bool // by health
+	ejected      bool // because of a failing check or flapping
 	ejectedAt    time.Duration
 	penalty      penalty
-	suppressed   bool // for flapping
+	suppressed   bool // because of flapping
 
-	addressConflict Reason // why another endpoint at the address holds this one back; empty: none does
+	addressConflict Reason // why another endpoint at the same address holds this one back; empty: no conflict
 }
 
-// EndpointSet is what one front end believes of all endpoints.
+// EndpointSet is the state of all endpoints as seen by one front end.
 type EndpointSet struct {
 	settings  Settings
 	endpoints map[string]*endpoint // by key
 	keys      map[uint32]string    // by id
 
-	now         time.Duration // of the event that is handled
+	now         time.Duration // time of the current event
 	initialized bool          // endpoints were reported, by a catalogue or a cached list
 	trusted     bool          // an observation of this epoch was trusted
-	index       uint64        // of the latest observation that was trusted in this epoch; 0: none
+	index       uint64        // of the latest trusted observation of this epoch; 0: none
 
-	staleReads int           // sound observations in a row of an earlier index
-	staleSince time.Duration // time of the first of them
+	staleReads int           // consecutive observations of an earlier index, with a leader and not too stale
+	staleSince time.Duration // time of the first observation that staleReads counts
 
 	suspicion    suspicion
 	recentLosses []time.Duration     // times of the deregistrations obeyed within LossWindow
-	notified     map[NoticeKind]bool // kinds that were told, and whose cause goes on
+	notified     map[NoticeKind]bool // kinds whose notice was issued and whose cause persists
 }
 
-// New returns an empty EndpointSet, or an error that names the setting out of range.
+// New returns an empty EndpointSet. The error names a setting that is out of range.
 func New(settings Settings) (*EndpointSet, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -67,7 +67,8 @@
 	}, nil
 }
 
-// Configure replaces the settings; what is believed stays.
+// Configure replaces the settings and keeps the state of the endpoints. The error names a setting that is out of range;
+// the settings then stay unchanged.
 func (s *EndpointSet) Configure(settings Settings) error {
 	if err := settings.Check(); err != nil {
 		return fmt.Errorf("membership: %w", err)
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// Index returns the latest index that was trusted in this epoch; 0: none.
+// Index returns the index of the latest trusted observation of this epoch; 0: none.
 func (s *EndpointSet) Index() uint64 { return s.index }
 
-// Suspicious reports whether a list awaits confirmation: the catalogue should be read again soon.
+// Suspicious reports whether a list awaits confirmation, for which the catalogue must be read again soon.
 func (s *EndpointSet) Suspicious() bool { return s.suspicion.active }
 
-// Restore takes a cached list, as the first event of an EndpointSet. Its drains hold until a catalogue lifts them; its
-// engines count as running for long.
+// Restore adds the endpoints of a cached list. Restore must be the first event of an EndpointSet. The drains of the
+// list hold until a catalogue lifts them. An engine whose start is not reported counts as started long ago.
 func (s *EndpointSet) Restore(now time.Duration, list []Endpoint) Update {
 	s.now = now
 	var update Update
@@ -103,14 +104,15 @@
 	return s.finish(update)
 }
 
-// Switch tells that the next observations are another catalogue's: its indexes can't be compared with the earlier ones.
+// Switch begins a new epoch: the next observations come from another catalogue, whose indexes are not comparable with
+// the earlier ones.
 func (s *EndpointSet) Switch(now time.Duration) {
 	s.now = now
 	s.beginEpoch()
 	s.index, s.trusted = 0, false
 }
 
-// Observe takes an answer of the catalogue.
+// Observe applies a response of the catalogue and returns the resulting changes and notices.
 func (s *EndpointSet) Observe(now time.Duration, observation Observation) Update {
 	s.now = now
 	var update Update
@@ -125,7 +127,7 @@
 	s.index, s.initialized, s.trusted = observation.Index, true, true
 	assumedStart := s.now
 	if !s.anyAnnounced() {
-		assumedStart = 0 // the processes of the very first list may have run for long
+		assumedStart = 0 // the processes of the first list may have started long ago
 	}
 	listed := make(map[string]bool, len(list))
 	for _, reported := range list {
@@ -139,13 +141,14 @@
 	return s.finish(update)
 }
 
-// Advance lets time pass and returns what that alone changes. Next tells when it is due.
+// Advance sets the time and returns the changes that are due by then without an observation. Next returns the time of
+// the next call.
 func (s *EndpointSet) Advance(now time.Duration) Update {
 	s.now = now
 	return s.finish(Update{})
 }
 
-// Next returns the earliest time at which Advance may change something; false if nothing is due.
+// Next returns the earliest time at which Advance may return a change, or false if no change is due.
 func (s *EndpointSet) Next() (time.Duration, bool) {
 	var due []time.Duration
 	if s.suspicion.active && !s.suspicion.empty {
@@ -164,12 +167,12 @@
 	}
 	next := slices.Min(due)
 	if next <= s.now {
-		next = s.now + time.Millisecond // what was due at s.now is done
+		next = s.now + time.Millisecond // changes that were due at s.now are done
 	}
 	return next, true
 }
 
-// Current returns the latest change of every endpoint, by key. The slice is the caller's.
+// Current returns the latest change of every endpoint, sorted by key. The caller may modify the slice.
 func (s *EndpointSet) Current() []Change {
 	all := s.sorted()
 	changes := make([]Change, 0, len(all))
@@ -179,7 +182,7 @@
 	return changes
 }
 
-// Snapshot returns the endpoints that are registered, as Restore takes them.
+// Snapshot returns the registered endpoints, sorted by key, in the form that Restore takes.
 func (s *EndpointSet) Snapshot() []Endpoint {
 	var list []Endpoint
 	for _, e := range s.sorted() {
@@ -193,7 +196,8 @@
 	return list
 }
 
-// finish ends the handling of an event: it lets time pass and adds what differs from what was announced before.
+// finish completes the handling of an event: it applies the changes due at the current time and adds to the update each
+// endpoint whose state differs from the announced one.
 func (s *EndpointSet) finish(update Update) Update {
 	s.expireSuspicion(&update)
 	all := s.sorted()
@@ -205,10 +209,10 @@
 			continue
 		}
 		isNew := !e.isAnnounced
-		onlyReason := !isNew && change.sentPart() == e.announced.sentPart()
+		onlyReason := !isNew && change.senderFields() == e.announced.senderFields()
 		e.announced, e.isAnnounced = change, true
 		if onlyReason {
-			continue // another reason for the same state is told by Current only
+			continue // a new reason for the same state is visible in Current only
 		}
 		if change.State == Removed {
 			delete(s.endpoints, e.Key)
@@ -222,7 +226,7 @@
 	return update
 }
 
-// sorted returns the endpoints by key, so that equal histories give equal updates.
+// sorted returns the endpoints sorted by key, so that equal histories give equal updates.
 func (s *EndpointSet) sorted() []*endpoint {
 	all := make([]*endpoint, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
@@ -242,16 +246,16 @@
 	return false
 }
 
-// currentState returns what is to be announced of an endpoint.
+// currentState returns the change that describes the current state of an endpoint.
 func (s *EndpointSet) currentState(e *endpoint) Change {
 	change := Change{ID: e.id, Endpoint: e.Endpoint, StartedAt: e.startedAt}
-	change.ModifyIndex = 0 // it grows without a change of the endpoint
+	change.ModifyIndex = 0 // ModifyIndex also grows without a change of the endpoint
 	change.Passing, change.Drain = !e.failing, e.drain
 	change.State, change.Reason = s.stateOf(e)
 	return change
 }
 
-// stateOf returns the state of an endpoint and why. Commands come before evidence.
+// stateOf returns the state of an endpoint and its reason. Commands take precedence over evidence.
 func (s *EndpointSet) stateOf(e *endpoint) (State, Reason) {
 	switch {
 	case e.deregistered && s.now-e.deregisteredAt >= s.settings.Linger:
@@ -280,7 +284,7 @@
 	return Ready, ReasonPassing
 }
 
-// notifyOnce tells operators of a kind of trouble once, until its entry in notified is deleted.
+// notifyOnce adds a notice unless one of the same kind was added since the kind's entry in notified was last deleted.
 func (s *EndpointSet) notifyOnce(update *Update, kind NoticeKind, count int, detail string) {
 	if !s.notified[kind] {
 		s.notified[kind] = true
--- a/decision/discovery/settings.go
+++ b/decision/discovery/settings.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Settings bound the decisions. [Defaults] has usable values.
+// Settings configures an [EndpointSet]. [Defaults] returns usable values.
 type Settings struct {
 	MaxStaleness time.Duration // a follower that last heard from its leader longer ago is not trusted
-	MaxEjected   float64       // share of the endpoints that health alone may eject, 0 to 1
-	MaxLoss      float64       // share of the endpoints whose deregistration is a command, 0 to 1
-	LossWindow   time.Duration // losses within this time count together
-	ConfirmReads int           // trusted reads that confirm a suspect list, the first included
-	ConfirmAfter time.Duration // ... over at least this time
+	MaxEjected   float64       // share of the endpoints that evidence alone may eject, 0 to 1
+	MaxLoss      float64       // share of the endpoints that may be deregistered without suspicion, 0 to 1
+	LossWindow   time.Duration // deregistrations within this time are added up for MaxLoss
+	ConfirmReads int           // trusted reads that confirm a suspect list, including the first
+	ConfirmAfter time.Duration // minimum time over which these reads are made
 	MaxSuspicion time.Duration // a suspect list is obeyed after this time without confirmation
-	ResetAfter   time.Duration // if only earlier indexes are reported for so long, they are a new epoch
-	Penalty      float64       // of each change from passing to failing
+	ResetAfter   time.Duration // a new epoch begins after only earlier indexes are reported for this time
+	Penalty      float64       // added with each change from passing to failing
 	HalfLife     time.Duration // of the penalty
-	Suppress     float64       // from this penalty an endpoint stays ejected even if it passes ...
-	Reuse        float64       // ... until its penalty has decayed to this
-	MaxSuppress  time.Duration // no endpoint is suppressed for longer after its last failure
-	Linger       time.Duration // from a deregistration until the endpoint is removed
+	Suppress     float64       // penalty from which an endpoint stays ejected even if it passes
+	Reuse        float64       // penalty at which the suppression ends
+	MaxSuppress  time.Duration // maximum duration of a suppression after the last failure
+	Linger       time.Duration // from the deregistration of an endpoint until its removal
 }
 
-// Defaults returns the settings that are in force if nothing else is configured.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		MaxStaleness: 2 * time.Second,
@@ -32,7 +32,7 @@
 		MaxLoss:      0.25,
 		LossWindow:   10 * time.Second,
 		ConfirmReads: 3,
-		ConfirmAfter: 10 * time.Second, // a leader election or a restart of the catalogue is over by then
+		ConfirmAfter: 10 * time.Second, // longer than a leader election or a restart of the catalogue
 		MaxSuspicion: 60 * time.Second,
 		ResetAfter:   10 * time.Second,
 		Penalty:      1,
@@ -40,11 +40,12 @@
 		Suppress:     2.5, // the third failure within a half-life
 		Reuse:        0.75,
 		MaxSuppress:  60 * time.Second,
-		Linger:       30 * time.Second, // longer than any query may take
+		Linger:       30 * time.Second, // longer than the longest query
 	}
 }
 
-// Check returns an error that names the first setting out of range, by its key in the operators' settings.
+// Check returns an error for the first setting that is out of range. The error names the key in the operators'
+// settings.
 func (s Settings) Check() error {
 	for _, share := range []struct {
 		key   string
@@ -54,7 +55,7 @@
 		{"max_loss", s.MaxLoss},
 	} {
 		if !(share.value >= 0 && share.value <= 1) {
-			return fmt.Errorf("%s: %v is not between 0 and 1", share.key, share.value)
+			return fmt.Errorf("%s: found %v, must be from 0 to 1", share.key, share.value)
 		}
 	}
 	for _, duration := range []struct {
@@ -71,18 +72,18 @@
 		{"linger", s.Linger},
 	} {
 		if duration.value <= 0 {
-			return fmt.Errorf("%s: %v is not more than 0", duration.key, duration.value)
+			return fmt.Errorf("%s: found %v, must be greater than 0", duration.key, duration.value)
 		}
 	}
 	switch {
 	case s.ConfirmReads < 1:
-		return fmt.Errorf("confirm_reads: %d is not at least 1", s.ConfirmReads)
+		return fmt.Errorf("confirm_reads: found %d, must be at least 1", s.ConfirmReads)
 	case s.MaxSuspicion < s.ConfirmAfter:
-		return fmt.Errorf("doubt_for: %v is less than confirm_after (%v)", s.MaxSuspicion, s.ConfirmAfter)
+		return fmt.Errorf("doubt_for: found %v, must be at least confirm_after (%v)", s.MaxSuspicion, s.ConfirmAfter)
 	case !(s.Penalty > 0):
-		return fmt.Errorf("penalty: %v is not more than 0", s.Penalty)
+		return fmt.Errorf("penalty: found %v, must be greater than 0", s.Penalty)
 	case !(s.Reuse > 0):
-		return fmt.Errorf("reuse: %v is not more than 0", s.Reuse)
+		return fmt.Errorf("reuse: found %v, must be greater than 0", s.Reuse)
 	case !(s.Suppress > s.Reuse):
 		return errors.New("suppress: it is not more than reuse")
 	}
--- a/decision/discovery/suspicion.go
+++ b/decision/discovery/suspicion.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// suspicion is the state of a list that lost more endpoints than a command would remove. Until it is confirmed, the
-// missing endpoints stay.
+// suspicion is the state of a suspect list: a list that lost more endpoints than an operator's command is expected to
+// remove. The missing endpoints stay until the list is confirmed.
 type suspicion struct {
 	active bool
 	since  time.Duration
-	reads  int  // trusted reads that reported such a list
-	empty  bool // the latest of them was empty, which confirms nothing
+	reads  int  // trusted reads that reported a suspect list
+	empty  bool // the latest suspect list was empty, which confirms nothing
 }
 
 // trustedList is the list of a trusted observation.
 type trustedList struct {
 	keys     map[string]bool
-	advanced bool // its index is later than that of the list before
+	advanced bool // the index is later than the index of the previous trusted list
 }
 
 func (l trustedList) empty() bool { return len(l.keys) == 0 }
 
-// handleMissing deals with the endpoints that a trusted list no longer names (invariants 4, 5 and 8).
+// handleMissing deregisters the endpoints that are absent from a trusted list, or keeps them and suspects the list
+// (invariants 4, 5 and 8).
 func (s *EndpointSet) handleMissing(update *Update, list trustedList) {
 	registered, missing := s.findMissing(list.keys)
 	s.forgetOldLosses()
@@ -46,7 +47,7 @@
 	}
 }
 
-// findMissing returns how many endpoints are registered, and those of them that the list does not name.
+// findMissing returns the number of registered endpoints, and the registered endpoints that are absent from the list.
 func (s *EndpointSet) findMissing(listed map[string]bool) (registered int, missing []*endpoint) {
 	for _, e := range s.endpoints {
 		if e.deregistered {
@@ -60,26 +61,26 @@
 	return registered, missing
 }
 
-// forgetOldLosses drops the losses that do not count any more.
+// forgetOldLosses drops the losses that are older than LossWindow.
 func (s *EndpointSet) forgetOldLosses() {
 	s.recentLosses = slices.DeleteFunc(s.recentLosses, func(at time.Duration) bool {
 		return s.now-at > s.settings.LossWindow
 	})
 }
 
-// maxLosses returns how many endpoints may be lost within LossWindow without suspicion: a share of those that are
-// registered, or were within the window.
+// maxLosses returns how many endpoints may be lost within LossWindow without suspicion: a share of the endpoints that
+// are registered or were deregistered within the window.
 func (s *EndpointSet) maxLosses(registered int) int {
-	leftLately := 0
+	recentlyDeregistered := 0
 	for _, e := range s.endpoints {
 		if e.deregistered && s.now-e.deregisteredAt <= s.settings.LossWindow {
-			leftLately++
+			recentlyDeregistered++
 		}
 	}
-	return max(1, int(s.settings.MaxLoss*float64(registered+leftLately)))
+	return max(1, int(s.settings.MaxLoss*float64(registered+recentlyDeregistered)))
 }
 
-// beginSuspicion begins to suspect a list unless one is suspect already.
+// beginSuspicion marks the list as suspect, unless a suspicion is active already.
 func (s *EndpointSet) beginSuspicion(update *Update, missing, registered int) {
 	if !s.suspicion.active {
 		s.suspicion = suspicion{active: true, since: s.now}
@@ -94,18 +95,20 @@
 		update.notify(NoticeEmptyList, missing, "")
 	}
 	if s.suspicion.empty && !list.empty() {
-		s.suspicion.reads, s.suspicion.since = 1, s.now // what an empty list reported confirms nothing
+		s.suspicion.reads, s.suspicion.since = 1, s.now // reads of an empty list do not count
 	}
 	s.suspicion.empty = list.empty()
 }
 
-// suspicionConfirmed reports whether enough reads have reported the suspect list. An empty list is never confirmed.
+// suspicionConfirmed reports whether enough reads over enough time have reported a suspect list. An empty list is never
+// confirmed.
 func (s *EndpointSet) suspicionConfirmed() bool {
 	return !s.suspicion.empty && s.suspicion.reads >= s.settings.ConfirmReads &&
 		s.now-s.suspicion.since >= s.settings.ConfirmAfter
 }
 
-// clearSuspicion ends a suspicion whose endpoints are back, or are few enough to be a command.
+// clearSuspicion ends an active suspicion after the missing endpoints have returned, or after few enough are missing to
+// be deregistered by command.
 func (s *EndpointSet) clearSuspicion(update *Update, registered int) {
 	if s.suspicion.active {
 		update.notify(NoticeSuspicionCleared, registered, "")
@@ -113,14 +116,14 @@
 	}
 }
 
-// expireSuspicion accepts a list that was suspect for too long. An empty list is never accepted.
+// expireSuspicion accepts a list that has been suspect for MaxSuspicion. An empty list is never accepted.
 func (s *EndpointSet) expireSuspicion(update *Update) {
 	if s.suspicion.active && !s.suspicion.empty && s.now-s.suspicion.since >= s.settings.MaxSuspicion {
 		s.acceptShortList(update, NoticeSuspicionExpired)
 	}
 }
 
-// acceptShortList obeys the suspect list.
+// acceptShortList deregisters the endpoints that are missing from the suspect list.
 func (s *EndpointSet) acceptShortList(update *Update, kind NoticeKind) {
 	var missing []*endpoint
 	for _, e := range s.endpoints {
@@ -133,7 +136,7 @@
 	s.deregister(missing)
 }
 
-// deregister obeys the deregistration of endpoints (invariant 8).
+// deregister marks endpoints as deregistered and counts them as losses (invariant 8).
 func (s *EndpointSet) deregister(endpoints []*endpoint) {
 	for _, e := range endpoints {
 		e.deregistered, e.missing, e.deregisteredAt = true, false, s.now
