--- a/decision/discovery/property_test.go
+++ b/decision/discovery/property_test.go
@@ -10,29 +10,29 @@
 	"pgregory.net/rapid"
 )
 
-// world draws observations that may be wrong in any way, and remembers what the invariants are about.
-type world struct {
+// model is a set under test together with the state that the invariants depend on.
+type model struct {
 	set      *EndpointSet
 	settings Settings
 	now      time.Duration
-	ready    map[string]bool   // by key, as the updates have it
-	drains   map[string]uint64 // by key, the latest index that reported the drain
+	ready    map[string]bool   // by key, according to the updates
+	drains   map[string]uint64 // by key, the latest index of this epoch that reported the drain
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{settings: Defaults(), now: time.Hour, ready: map[string]bool{}, drains: map[string]uint64{}}
+func newModel(t *rapid.T) *model {
+	m := &model{settings: Defaults(), now: time.Hour, ready: map[string]bool{}, drains: map[string]uint64{}}
 	var err error
-	w.set, err = New(w.settings)
+	m.set, err = New(m.settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return m
 }
 
-// apply takes over an update.
-func (w *world) apply(update Update) {
+// apply updates ready from the changes of an update.
+func (m *model) apply(update Update) {
 	for _, change := range update.Changes {
-		w.ready[change.Key] = change.State == Ready
+		m.ready[change.Key] = change.State == Ready
 	}
 }
 
@@ -40,7 +40,8 @@
 	return Endpoint{Key: fmt.Sprintf("n/%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", host+1), CreateIndex: 1, Passing: true}
 }
 
-// drawList draws a list of at most that many endpoints, some of them twice or at another's address.
+// drawList draws a list of at most maxLength endpoints. The list may hold an endpoint twice, or several endpoints at
+// one address.
 func drawList(maxLength int) *rapid.Generator[[]Endpoint] {
 	return rapid.Custom(func(t *rapid.T) []Endpoint {
 		var list []Endpoint
@@ -61,6 +62,8 @@
 	})
 }
 
+// drawObservation draws an observation that may have an earlier index, no leader, a stale server, or a list that is
+// short, contradictory or empty.
 func drawObservation(t *rapid.T, full []Endpoint) Observation {
 	o := Observation{
 		Index:       rapid.Uint64Range(95, 110).Draw(t, "index"),
@@ -74,90 +77,92 @@
 	return o
 }
 
-// TestInvariants numbers what it checks as doc.go does.
+// TestInvariants runs random sequences of observations. Each failure message begins with the number of the invariant in
+// doc.go.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		m := newModel(t)
 		full := make([]Endpoint, 0, 8)
 		for i := range 8 {
 			full = append(full, propertyEndpoint(i, i))
 		}
-		w.apply(w.set.Observe(w.now, Observation{Index: 100, HasLeader: true, Endpoints: full}))
+		m.apply(m.set.Observe(m.now, Observation{Index: 100, HasLeader: true, Endpoints: full}))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			w.now += time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "passes"))
-			w.apply(w.set.Advance(w.now)) // what time alone changes is not due to the observation
-			w.checkState(t)
+			m.now += time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "passes"))
+			m.apply(m.set.Advance(m.now)) // so that observe sees only the changes of its observation
+			m.checkState(t)
 			if rapid.IntRange(0, 4).Draw(t, "idle") > 0 {
-				w.observe(t, drawObservation(t, full))
-				w.checkState(t)
+				m.observe(t, drawObservation(t, full))
+				m.checkState(t)
 			}
 		}
 	})
 }
 
-// observe hands an observation to the set and checks what it has changed.
-func (w *world) observe(t *rapid.T, observation Observation) {
-	readyBefore, index := maps.Clone(w.ready), w.set.Index()
+// observe passes an observation to the set and checks the resulting changes.
+func (m *model) observe(t *rapid.T, observation Observation) {
+	readyBefore, index := maps.Clone(m.ready), m.set.Index()
 	drainBefore := map[string]bool{}
-	for key, e := range w.set.endpoints {
+	for key, e := range m.set.endpoints {
 		drainBefore[key] = e.drain
 	}
-	w.apply(w.set.Observe(w.now, observation))
-	if w.set.Index() < index {
-		clear(w.drains) // a new epoch
+	m.apply(m.set.Observe(m.now, observation))
+	if m.set.Index() < index {
+		clear(m.drains) // a new epoch
 	}
-	drained := w.checkReportedDrains(t, observation, drainBefore)
-	w.checkTrust(t, observation, drainBefore, drained)
+	drained := m.checkReportedDrains(t, observation, drainBefore)
+	m.checkTrust(t, observation, drainBefore, drained)
 	if len(observation.Endpoints) == 0 {
 		for key, before := range readyBefore {
-			if before && !w.ready[key] {
-				t.Fatalf("4: an empty list took %s out", key)
+			if before && !m.ready[key] {
+				t.Fatalf("4: %s is no longer ready after an empty list", key)
 			}
 		}
 	}
 }
 
-// checkReportedDrains checks invariant 1 and returns the endpoints that the observation reports to drain.
-func (w *world) checkReportedDrains(t *rapid.T, o Observation, drainBefore map[string]bool) map[string]bool {
+// checkReportedDrains checks invariant 1 and returns the keys of the known endpoints whose drain the observation
+// reports.
+func (m *model) checkReportedDrains(t *rapid.T, o Observation, drainBefore map[string]bool) map[string]bool {
 	drained := map[string]bool{}
 	for _, e := range o.Endpoints {
 		if _, known := drainBefore[e.Key]; !known || !e.Drain {
 			continue
 		}
 		drained[e.Key] = true
-		w.drains[e.Key] = max(w.drains[e.Key], o.Index)
-		if w.ready[e.Key] {
-			t.Fatalf("1: %s is ready though it was reported to drain", e.Key)
+		m.drains[e.Key] = max(m.drains[e.Key], o.Index)
+		if m.ready[e.Key] {
+			t.Fatalf("1: %s is ready although the observation reports its drain", e.Key)
 		}
 	}
 	return drained
 }
 
 // checkTrust checks invariants 2 and 6.
-func (w *world) checkTrust(t *rapid.T, o Observation, drainBefore, drained map[string]bool) {
-	trusted := o.HasLeader && o.LastContact <= w.settings.MaxStaleness && w.set.Index() == o.Index
-	for key, e := range w.set.endpoints {
+func (m *model) checkTrust(t *rapid.T, o Observation, drainBefore, drained map[string]bool) {
+	trusted := o.HasLeader && o.LastContact <= m.settings.MaxStaleness && m.set.Index() == o.Index
+	for key, e := range m.set.endpoints {
 		before, known := drainBefore[key]
 		if !trusted && !known {
-			t.Fatalf("6: %s was added by an observation that is not trusted", key)
+			t.Fatalf("6: %s was added by an untrusted observation", key)
 		}
 		if !before || e.drain {
 			continue
 		}
-		if !trusted || o.Index <= w.drains[key] || drained[key] {
-			t.Fatalf("2: the drain of %s, reported at %d, was lifted at %d, trusted %v", key, w.drains[key], o.Index, trusted)
+		if !trusted || o.Index <= m.drains[key] || drained[key] {
+			t.Fatalf("2: the drain of %s, reported at %d, was lifted at %d, trusted %v", key, m.drains[key], o.Index, trusted)
 		}
-		delete(w.drains, key)
+		delete(m.drains, key)
 	}
 }
 
-// checkState checks what holds after every event.
-func (w *world) checkState(t *rapid.T) {
+// checkState checks the invariants that hold after every event.
+func (m *model) checkState(t *rapid.T) {
 	ejectable, ejected := 0, 0
 	addresses, ids := map[string]string{}, map[uint32]string{}
-	for _, change := range w.set.Current() {
-		if w.ready[change.Key] != (change.State == Ready) {
-			t.Fatalf("%s is %v, and the updates say ready %v", change.Key, change.State, w.ready[change.Key])
+	for _, change := range m.set.Current() {
+		if m.ready[change.Key] != (change.State == Ready) {
+			t.Fatalf("%s is %v, but according to the updates ready is %v", change.Key, change.State, m.ready[change.Key])
 		}
 		if other, ok := ids[change.ID]; ok || change.ID != EndpointID(change.Key) {
 			t.Fatalf("10: %s and %s share id %d", change.Key, other, change.ID)
@@ -176,83 +181,84 @@
 			addresses[change.Addr] = change.Key
 		}
 	}
-	if ejected > int(w.settings.MaxEjected*float64(ejectable)) || (ejectable > 0 && ejected >= ejectable) {
-		t.Fatalf("3: %d of %d are ejected by health", ejected, ejectable)
+	if ejected > int(m.settings.MaxEjected*float64(ejectable)) || (ejectable > 0 && ejected >= ejectable) {
+		t.Fatalf("3: evidence ejected %d of %d endpoints", ejected, ejectable)
 	}
-	for _, e := range w.set.endpoints {
-		if p := e.penalty.at(w.now, &w.settings); p > w.settings.ceiling() {
-			t.Fatalf("7: the penalty of %s is %v", e.Key, p)
+	for _, e := range m.set.endpoints {
+		if p := e.penalty.at(m.now, &m.settings); p > m.settings.ceiling() {
+			t.Fatalf("7: the penalty of %s is %v, above the ceiling", e.Key, p)
 		}
 	}
-	if next, ok := w.set.Next(); ok && next <= w.now {
-		t.Fatalf("Next is %v, not after %v", next, w.now)
+	if next, ok := m.set.Next(); ok && next <= m.now {
+		t.Fatalf("Next is %v, must be after %v", next, m.now)
 	}
 }
 
-// TestFlapsEnd is invariant 7 from outside: however an engine has flapped, it is back MaxSuppress after its last
-// failure, by following Next alone.
-func TestFlapsEnd(t *testing.T) {
+// TestFlappingEndpointReturnsWithinMaxSuppress checks invariant 7 by the endpoint's state: however the endpoint has
+// flapped, it is ready within MaxSuppress after its last failure if Advance is called at the times that Next returns.
+func TestFlappingEndpointReturnsWithinMaxSuppress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, err := New(Defaults())
 		if err != nil {
 			t.Fatal(err)
 		}
 		list := func(passing bool) []Endpoint {
-			all := fleet(8)
+			all := testEndpoints(8)
 			all[0].Passing = passing
 			return all
 		}
 		now, index := time.Duration(0), uint64(1)
-		s.Observe(now, at(index, list(true)))
+		s.Observe(now, trustedAt(index, list(true)))
 		for range rapid.IntRange(1, 200).Draw(t, "flaps") {
-			for _, p := range []bool{false, true} {
+			for _, passing := range []bool{false, true} {
 				now += time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "pause"))
 				index++
-				s.Observe(now, at(index, list(p)))
+				s.Observe(now, trustedAt(index, list(passing)))
 			}
 		}
 		last := now
 		for s.Current()[0].State != Ready {
 			next, ok := s.Next()
 			if !ok {
-				t.Fatal("nothing is due, and the engine is out")
+				t.Fatal("Next reports no change due although the endpoint is not ready")
 			}
 			now = next
 			s.Advance(now)
 		}
 		if now-last > s.settings.MaxSuppress+time.Millisecond {
-			t.Fatalf("back %v after the last failure", now-last)
+			t.Fatalf("7: the endpoint is ready only %v after the last failure", now-last)
 		}
 	})
 }
 
-// TestLossesAreBounded is invariant 5: without a confirmation, no more than MaxLoss leave within LossWindow.
+// TestLossesAreBounded checks invariant 5: without confirmation, at most the share MaxLoss of the endpoints is
+// deregistered within LossWindow.
 func TestLossesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Defaults()
-		s, err := New(set)
+		settings := Defaults()
+		s, err := New(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := rapid.IntRange(2, 40).Draw(t, "engines")
-		all := fleet(n)
+		all := testEndpoints(n)
 		now, index := time.Duration(0), uint64(1)
-		s.Observe(now, at(index, all))
-		gone := 0
-		for now < set.LossWindow {
+		s.Observe(now, trustedAt(index, all))
+		losses := 0
+		for now < settings.LossWindow {
 			now += time.Duration(rapid.Int64Range(1, int64(2*time.Second)).Draw(t, "pause"))
-			if now >= set.ConfirmAfter {
+			if now >= settings.ConfirmAfter {
 				break
 			}
 			index++
-			left := rapid.IntRange(0, len(all)).Draw(t, "left")
-			for _, c := range s.Observe(now, at(index, all[:left])).Changes {
-				if c.Reason == ReasonDeregistered {
-					gone++
+			reported := rapid.IntRange(0, len(all)).Draw(t, "left")
+			for _, change := range s.Observe(now, trustedAt(index, all[:reported])).Changes {
+				if change.Reason == ReasonDeregistered {
+					losses++
 				}
 			}
-			if most := max(1, int(math.Ceil(set.MaxLoss*float64(n)))); gone > most {
-				t.Fatalf("5: %d of %d have left", gone, n)
+			if limit := max(1, int(math.Ceil(settings.MaxLoss*float64(n)))); losses > limit {
+				t.Fatalf("5: %d of %d endpoints are deregistered", losses, n)
 			}
 		}
 	})
--- a/decision/discovery/recorded_test.go
+++ b/decision/discovery/recorded_test.go
@@ -44,13 +44,14 @@
 	}
 }
 
-// catalogue is a registry that behaves now well, now badly.
+// catalogue simulates a catalogue whose registrations change and whose responses may be faulty.
 type catalogue struct {
 	rng     *rand.Rand
 	index   uint64
 	engines []discovery.Endpoint
 }
 
+// entry returns endpoint i, in some draws with an unusual or malformed field.
 func (c *catalogue) entry(i int) discovery.Endpoint {
 	e := discovery.Endpoint{
 		Key:         fmt.Sprintf("node-%d/e%d", i/2, i),
@@ -69,7 +70,7 @@
 	case 1:
 		e.StartedAt = time.Duration(c.rng.IntN(1000)) * time.Second
 	case 2:
-		e.Addr = fmt.Sprintf("10.0.0.%d:80", 1+c.rng.IntN(12)) // perhaps another's
+		e.Addr = fmt.Sprintf("10.0.0.%d:80", 1+c.rng.IntN(12)) // may be the address of another endpoint
 	case 3:
 		e.Weight = []float64{-1, math.NaN(), math.Inf(1), 0}[c.rng.IntN(4)]
 	case 4:
@@ -78,8 +79,8 @@
 	return e
 }
 
-// turn lets something happen in the catalogue.
-func (c *catalogue) turn() {
+// change applies a random change to the registrations and advances the index.
+func (c *catalogue) change() {
 	c.index += 1 + c.rng.Uint64N(3)
 	switch n := c.rng.IntN(12); {
 	case n < 4 && len(c.engines) > 0:
@@ -95,18 +96,19 @@
 		c.engines = append(c.engines, c.entry(c.rng.IntN(20)))
 	case len(c.engines) > 0:
 		i := c.rng.IntN(len(c.engines))
-		at := c.engines[i].Addr
+		addr := c.engines[i].Addr
 		c.engines[i] = c.entry(c.rng.IntN(20))
 		if c.rng.IntN(2) == 0 {
-			c.engines[i].Addr = at
+			c.engines[i].Addr = addr
 		}
 	}
 }
 
-// answer is an observation, which may be wrong.
-func (c *catalogue) answer(bad int) discovery.Observation {
+// observation returns the current registrations with the given fault, or without a fault if there is none of that
+// number.
+func (c *catalogue) observation(fault int) discovery.Observation {
 	o := discovery.Observation{Index: c.index, HasLeader: true, Endpoints: append([]discovery.Endpoint(nil), c.engines...)}
-	switch bad {
+	switch fault {
 	case 1:
 		o.HasLeader = false
 	case 2:
@@ -123,10 +125,10 @@
 	return o
 }
 
-// Moods of a catalogue from 1 to 6 are the faults that answer knows; in this one checks flap.
-const flappingMood = 7
+// flappingFault makes the checks of some engines flap. The faults 1 to 6 are those of catalogue.observation.
+const flappingFault = 7
 
-// run is an EndpointSet that observes a catalogue whose moods change.
+// run is an EndpointSet that observes a catalogue whose fault changes from time to time.
 type run struct {
 	rng       *rand.Rand
 	trace     *recorded.Trace
@@ -134,8 +136,8 @@
 	settings  discovery.Settings
 	catalogue *catalogue
 	now       time.Duration
-	mood      int // 0: all is well
-	moodLeft  int // for how many more answers it goes on
+	fault     int // 0: none
+	faultLeft int // number of further steps for which the fault persists
 }
 
 func newRun(t *testing.T, trace *recorded.Trace, seed uint64) *run {
@@ -154,7 +156,7 @@
 	return r
 }
 
-// restore begins with a cached list.
+// restore restores a cached list as the first event of the set.
 func (r *run) restore() {
 	list := slices.Clone(r.catalogue.engines)
 	for i := range list {
@@ -163,10 +165,10 @@
 	traceUpdate(r.trace, r.set.Restore(r.now, list))
 }
 
-// turnCatalogue lets time pass and something happen in the catalogue.
-func (r *run) turnCatalogue() {
+// stepCatalogue advances the time, may change the fault, and changes the catalogue.
+func (r *run) stepCatalogue() {
 	step := 3 * time.Second
-	if r.mood == flappingMood {
+	if r.fault == flappingFault {
 		step = time.Second
 		engines := r.catalogue.engines
 		for i := range engines[:min(4, len(engines))] {
@@ -174,21 +176,21 @@
 		}
 	}
 	r.now += time.Duration(r.rng.Int64N(int64(step)))
-	if r.moodLeft--; r.moodLeft < 0 {
-		if r.mood, r.moodLeft = 0, r.rng.IntN(12); r.rng.IntN(2) == 0 {
-			r.mood, r.moodLeft = 1+r.rng.IntN(flappingMood), r.rng.IntN(30)
+	if r.faultLeft--; r.faultLeft < 0 {
+		if r.fault, r.faultLeft = 0, r.rng.IntN(12); r.rng.IntN(2) == 0 {
+			r.fault, r.faultLeft = 1+r.rng.IntN(flappingFault), r.rng.IntN(30)
 		}
 		if r.rng.IntN(40) == 0 {
-			r.catalogue.index = 10 // it was restored
+			r.catalogue.index = 10 // the catalogue was restored from a backup
 		}
 	}
 	for range r.rng.IntN(3) {
-		r.catalogue.turn()
+		r.catalogue.change()
 	}
 }
 
-// event hands something to the set.
-func (r *run) event(t *testing.T) {
+// applyEvent applies a random event to the set.
+func (r *run) applyEvent(t *testing.T) {
 	t.Helper()
 	switch r.rng.IntN(40) {
 	case 0:
@@ -201,18 +203,18 @@
 	case 2, 3, 4, 5:
 		traceUpdate(r.trace, r.set.Advance(r.now))
 	default:
-		traceUpdate(r.trace, r.set.Observe(r.now, r.catalogue.answer(r.mood)))
+		traceUpdate(r.trace, r.set.Observe(r.now, r.catalogue.observation(r.fault)))
 	}
 }
 
-// traceState adds all that the set tells without an event.
+// traceState adds the state of the set to the trace, and in some steps advances the set to the time that Next returns.
 func (r *run) traceState() {
-	at, due := r.set.Next()
+	next, due := r.set.Next()
 	r.trace.Bool(due, r.set.Suspicious())
 	if due {
-		r.trace.Time(at)
-		if r.rng.IntN(4) == 0 && at < r.now+time.Minute {
-			r.now = at
+		r.trace.Time(next)
+		if r.rng.IntN(4) == 0 && next < r.now+time.Minute {
+			r.now = next
 			traceUpdate(r.trace, r.set.Advance(r.now))
 		}
 	}
@@ -223,7 +225,7 @@
 	}
 }
 
-// What a seeded run of a catalogue with faults leads to is the recorded answer, event by event.
+// TestRecordedRun compares the updates and states of a seeded run of a catalogue with faults with the recorded ones.
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for seed := range uint64(24) {
@@ -232,8 +234,8 @@
 			r.restore()
 		}
 		for range 250 {
-			r.turnCatalogue()
-			r.event(t)
+			r.stepCatalogue()
+			r.applyEvent(t)
 			r.traceState()
 		}
 		trace.Mark()
--- a/decision/discovery/set_test.go
+++ b/decision/discovery/set_test.go
@@ -11,8 +11,8 @@
 
 const second = time.Second
 
-// fleet returns n endpoints as a catalogue reports them when all is well.
-func fleet(n int) []Endpoint {
+// testEndpoints returns n endpoints at different addresses, all passing and none draining.
+func testEndpoints(n int) []Endpoint {
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{
@@ -26,21 +26,21 @@
 	return list
 }
 
-// fresh returns an empty set.
-func fresh(t *testing.T) *EndpointSet {
+// newTestSet returns an empty set with the default settings.
+func newTestSet(t *testing.T) *EndpointSet {
 	t.Helper()
 	s, err := New(Defaults())
 	require.NoError(t, err)
 	return s
 }
 
-// at returns a trusted observation of that index.
-func at(index uint64, list []Endpoint) Observation {
+// trustedAt returns a trusted observation of the given index.
+func trustedAt(index uint64, list []Endpoint) Observation {
 	return Observation{Index: index, HasLeader: true, Endpoints: list}
 }
 
-// with returns a copy of the list with its entry i changed.
-func with(list []Endpoint, i int, change func(*Endpoint)) []Endpoint {
+// withEntry returns a copy of the list in which change has been applied to entry i.
+func withEntry(list []Endpoint, i int, change func(*Endpoint)) []Endpoint {
 	out := append([]Endpoint(nil), list...)
 	change(&out[i])
 	return out
@@ -49,16 +49,16 @@
 func drain(e *Endpoint) { e.Drain = true }
 func fail(e *Endpoint)  { e.Passing = false }
 
-// states counts the engines by state and reason.
+// states counts the endpoints by state and reason.
 func states(s *EndpointSet) map[string]int {
 	n := map[string]int{}
-	for _, b := range s.Current() {
-		n[b.State.String()+", "+string(b.Reason)]++
+	for _, change := range s.Current() {
+		n[change.State.String()+", "+string(change.Reason)]++
 	}
 	return n
 }
 
-// States and reasons, as the function states counts them.
+// Keys of the map that the function states returns.
 const (
 	passing         = "ready, passing"
 	drainRequested  = "draining, drain commanded"
@@ -73,98 +73,98 @@
 	cached          = "ready, from the last good list"
 )
 
-// truthTable is the table of docs/consul.md: what each kind of observation does to an endpoint that was ready.
+// truthTable is the table in docs/consul.md of the effect of each kind of observation on a ready endpoint.
 var truthTable = []struct {
 	name     string
-	reported []Observation // a second apart, after a first list of all at index 10
+	reported []Observation // one second apart, after a first observation of all endpoints at index 10
 	want     map[string]int
 }{
 	{
 		name:     "drain, trusted",
-		reported: []Observation{at(11, with(all, 0, drain))},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain))},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "drain, same index",
-		reported: []Observation{at(10, with(all, 0, drain))},
+		reported: []Observation{trustedAt(10, withEntry(all, 0, drain))},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "drain, earlier index",
-		reported: []Observation{at(5, with(all, 0, drain))},
+		reported: []Observation{trustedAt(5, withEntry(all, 0, drain))},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "drain, no leader",
-		reported: []Observation{{Index: 11, Endpoints: with(all, 0, drain)}},
+		reported: []Observation{{Index: 11, Endpoints: withEntry(all, 0, drain)}},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "drain, in a suspect list",
-		reported: []Observation{at(11, with(all, 0, drain)[:3])},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)[:3])},
 		want:     map[string]int{passing: 2, drainRequested: 1, suspect: 5},
 	},
 	{
-		name:     "drain of all",
-		reported: []Observation{at(11, drained(all))},
+		name:     "all drain",
+		reported: []Observation{trustedAt(11, drainAll(all))},
 		want:     map[string]int{drainRequested: 8},
 	},
 	{
 		name:     "lift, later index",
-		reported: []Observation{at(11, with(all, 0, drain)), at(12, all)},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)), trustedAt(12, all)},
 		want:     map[string]int{passing: 8},
 	},
 	{
 		name:     "lift, same index",
-		reported: []Observation{at(11, with(all, 0, drain)), at(11, all)},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)), trustedAt(11, all)},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "lift, earlier index",
-		reported: []Observation{at(11, with(all, 0, drain)), at(9, all)},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)), trustedAt(9, all)},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "lift, no leader",
-		reported: []Observation{at(11, with(all, 0, drain)), {Index: 12, Endpoints: all}},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)), {Index: 12, Endpoints: all}},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name: "lift, too stale",
 		reported: []Observation{
-			at(11, with(all, 0, drain)),
+			trustedAt(11, withEntry(all, 0, drain)),
 			{Index: 12, HasLeader: true, LastContact: 3 * second, Endpoints: all},
 		},
 		want: map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
 		name:     "one deregistered",
-		reported: []Observation{at(11, all[1:])},
+		reported: []Observation{trustedAt(11, all[1:])},
 		want:     map[string]int{passing: 7, deregistered: 1},
 	},
 	{
 		name:     "two deregistered",
-		reported: []Observation{at(11, all[2:])},
+		reported: []Observation{trustedAt(11, all[2:])},
 		want:     map[string]int{passing: 6, deregistered: 2},
 	},
 	{
 		name:     "three deregistered at once",
-		reported: []Observation{at(11, all[3:])},
+		reported: []Observation{trustedAt(11, all[3:])},
 		want:     map[string]int{passing: 5, suspect: 3},
 	},
 	{
 		name:     "three deregistered one by one",
-		reported: []Observation{at(11, all[1:]), at(12, all[2:]), at(13, all[3:])},
+		reported: []Observation{trustedAt(11, all[1:]), trustedAt(12, all[2:]), trustedAt(13, all[3:])},
 		want:     map[string]int{passing: 5, deregistered: 2, suspect: 1},
 	},
 	{
 		name:     "one missing, same index",
-		reported: []Observation{at(10, all[1:])},
+		reported: []Observation{trustedAt(10, all[1:])},
 		want:     map[string]int{passing: 7, suspect: 1},
 	},
 	{
 		name:     "one missing, earlier index",
-		reported: []Observation{at(9, all[1:])},
+		reported: []Observation{trustedAt(9, all[1:])},
 		want:     map[string]int{passing: 8},
 	},
 	{
@@ -173,50 +173,50 @@
 		want:     map[string]int{passing: 8},
 	},
 	{
-		name:     "empty",
-		reported: []Observation{at(11, nil)},
+		name:     "empty list",
+		reported: []Observation{trustedAt(11, nil)},
 		want:     map[string]int{emptyList: 8},
 	},
 	{
-		name:     "empty, drained before",
-		reported: []Observation{at(11, with(all, 0, drain)), at(12, nil)},
+		name:     "empty list after a drain",
+		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)), trustedAt(12, nil)},
 		want:     map[string]int{emptyList: 7, drainRequested: 1},
 	},
 	{
 		name:     "one fails",
-		reported: []Observation{at(11, with(all, 0, fail))},
+		reported: []Observation{trustedAt(11, withEntry(all, 0, fail))},
 		want:     map[string]int{passing: 7, checkFailing: 1},
 	},
 	{
 		name:     "one fails, no leader",
-		reported: []Observation{{Index: 11, Endpoints: with(all, 0, fail)}},
+		reported: []Observation{{Index: 11, Endpoints: withEntry(all, 0, fail)}},
 		want:     map[string]int{passing: 8},
 	},
 	{
 		name:     "all fail",
-		reported: []Observation{at(11, failing(all, 8))},
+		reported: []Observation{trustedAt(11, failFirst(all, 8))},
 		want:     map[string]int{checkFailing: 2, failingKept: 6},
 	},
 	{
-		name:     "one fails and passes",
-		reported: []Observation{at(11, with(all, 0, fail)), at(12, all)},
+		name:     "one fails, then passes",
+		reported: []Observation{trustedAt(11, withEntry(all, 0, fail)), trustedAt(12, all)},
 		want:     map[string]int{passing: 8},
 	},
 	{
 		name: "one flaps",
 		reported: []Observation{
-			at(11, with(all, 0, fail)),
-			at(12, all),
-			at(13, with(all, 0, fail)),
-			at(14, all),
-			at(15, with(all, 0, fail)),
-			at(16, all),
+			trustedAt(11, withEntry(all, 0, fail)),
+			trustedAt(12, all),
+			trustedAt(13, withEntry(all, 0, fail)),
+			trustedAt(14, all),
+			trustedAt(15, withEntry(all, 0, fail)),
+			trustedAt(16, all),
 		},
 		want: map[string]int{passing: 7, flapping: 1},
 	},
 	{
-		name: "unusable addresses",
-		reported: []Observation{at(11, append(fleet(8),
+		name: "malformed entries",
+		reported: []Observation{trustedAt(11, append(testEndpoints(8),
 			Endpoint{Key: "n9/x", Addr: "nowhere"},
 			Endpoint{Addr: "10.0.0.9:1"},
 			Endpoint{Key: "n9/y", Addr: "10.0.0.9:0"},
@@ -224,39 +224,39 @@
 		want: map[string]int{passing: 8},
 	},
 	{
-		name:     "a key twice",
-		reported: []Observation{at(11, append(fleet(8), all[3]))},
+		name:     "two entries with one key",
+		reported: []Observation{trustedAt(11, append(testEndpoints(8), all[3]))},
 		want:     map[string]int{passing: 8},
 	},
 	{
-		name:     "a key twice, one drains",
-		reported: []Observation{at(11, append(fleet(8), with(all, 3, drain)[3]))},
+		name:     "two entries with one key, one drains",
+		reported: []Observation{trustedAt(11, append(testEndpoints(8), withEntry(all, 3, drain)[3]))},
 		want:     map[string]int{passing: 7, drainRequested: 1},
 	},
 	{
-		name: "an address twice",
-		reported: []Observation{at(11, append(fleet(8),
+		name: "two endpoints at one address",
+		reported: []Observation{trustedAt(11, append(testEndpoints(8),
 			Endpoint{Key: "z/z", Addr: all[3].Addr, CreateIndex: 99, Passing: true},
 		))},
 		want: map[string]int{passing: 8, addressReused: 1},
 	},
 	{
-		name: "an address twice, the old drains",
-		reported: []Observation{at(11, append(with(all, 3, drain),
+		name: "two endpoints at one address, the earlier one drains",
+		reported: []Observation{trustedAt(11, append(withEntry(all, 3, drain),
 			Endpoint{Key: "z/z", Addr: all[3].Addr, CreateIndex: 99, Passing: true},
 		))},
 		want: map[string]int{passing: 7, drainRequested: 1, addressDraining: 1},
 	},
 }
 
-// all is the fleet of the truth table.
-var all = fleet(8)
+// all lists the endpoints of the truth table.
+var all = testEndpoints(8)
 
 func TestTruthTable(t *testing.T) {
 	for _, row := range truthTable {
 		t.Run(row.name, func(t *testing.T) {
-			s := fresh(t)
-			update := s.Observe(second, at(10, all))
+			s := newTestSet(t)
+			update := s.Observe(second, trustedAt(10, all))
 			require.Len(t, update.Changes, 8)
 			for i, observation := range row.reported {
 				s.Observe(time.Duration(i+2)*second, observation)
@@ -266,7 +266,8 @@
 	}
 }
 
-func drained(list []Endpoint) []Endpoint {
+// drainAll returns a copy of the list in which every endpoint drains.
+func drainAll(list []Endpoint) []Endpoint {
 	out := append([]Endpoint(nil), list...)
 	for i := range out {
 		out[i].Drain = true
@@ -274,7 +275,8 @@
 	return out
 }
 
-func failing(list []Endpoint, n int) []Endpoint {
+// failFirst returns a copy of the list in which the first n endpoints fail.
+func failFirst(list []Endpoint, n int) []Endpoint {
 	out := append([]Endpoint(nil), list...)
 	for i := range n {
 		out[i].Passing = false
@@ -282,15 +284,15 @@
 	return out
 }
 
-func TestShortListIsObeyedOnceConfirmed(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(10, all))
-	update := s.Observe(2*second, at(11, all[4:]))
+func TestSuspectListIsObeyedOnceConfirmed(t *testing.T) {
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(10, all))
+	update := s.Observe(2*second, trustedAt(11, all[4:]))
 	require.True(t, s.Suspicious())
 	require.Equal(t, []Notice{{NoticeListSuspect, 4, "of 8"}}, update.Notices)
-	s.Observe(7*second, at(11, all[4:]))
-	assert.Equal(t, 4, states(s)[suspect], "two reads confirm nothing")
-	update = s.Observe(12*second, at(11, all[4:]))
+	s.Observe(7*second, trustedAt(11, all[4:]))
+	assert.Equal(t, 4, states(s)[suspect], "two reads must not confirm the list")
+	update = s.Observe(12*second, trustedAt(11, all[4:]))
 	require.Equal(t, []Notice{{NoticeListConfirmed, 4, ""}}, update.Notices)
 	assert.Equal(t, 4, states(s)[deregistered])
 	next, ok := s.Next()
@@ -304,10 +306,10 @@
 	assert.False(t, ok)
 }
 
-func TestSuspicionExpires(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(10, all))
-	s.Observe(2*second, at(11, all[4:]))
+func TestSuspectListIsObeyedAfterMaxSuspicion(t *testing.T) {
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(10, all))
+	s.Observe(2*second, trustedAt(11, all[4:]))
 	next, ok := s.Next()
 	require.True(t, ok)
 	require.Equal(t, 62*second, next)
@@ -316,87 +318,87 @@
 	assert.Equal(t, 4, states(s)[deregistered])
 }
 
-// An empty list neither confirms a short one nor is ever obeyed.
+// An empty list is never obeyed, and its reads do not confirm a later list that is short but not empty.
 func TestEmptyListsConfirmNothing(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(10, all))
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(10, all))
 	for i := range 300 {
-		s.Observe(time.Duration(i+2)*second, at(11, nil))
+		s.Observe(time.Duration(i+2)*second, trustedAt(11, nil))
 		s.Advance(time.Duration(i+2) * second)
 	}
 	assert.Equal(t, map[string]int{emptyList: 8}, states(s))
-	s.Observe(400*second, at(12, all[4:]))
+	s.Observe(400*second, trustedAt(12, all[4:]))
 	assert.Equal(t, 4, states(s)[suspect])
-	update := s.Observe(401*second, at(13, all))
+	update := s.Observe(401*second, trustedAt(13, all))
 	assert.Equal(t, NoticeSuspicionCleared, update.Notices[0].Kind)
 	assert.Equal(t, map[string]int{passing: 8}, states(s))
 }
 
-func TestIndexResetIsAcceptedInTheEnd(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(1000, with(all, 0, drain)))
+func TestIndexResetIsAcceptedAfterResetAfter(t *testing.T) {
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(1000, withEntry(all, 0, drain)))
 	for i := range 10 {
-		s.Observe(time.Duration(i+2)*second, at(uint64(5+i), all))
-		require.Equal(t, 1, states(s)[drainRequested], "an earlier index lifts no drain")
+		s.Observe(time.Duration(i+2)*second, trustedAt(uint64(5+i), all))
+		require.Equal(t, 1, states(s)[drainRequested], "an earlier index must not lift a drain")
 	}
-	update := s.Observe(12*second, at(15, all))
+	update := s.Observe(12*second, trustedAt(15, all))
 	require.Equal(t, []Notice{{NoticeIndexReset, 8, "from 1000 to 15"}}, update.Notices)
 	assert.Equal(t, 8, states(s)[passing])
 	for _, c := range update.Changes {
-		assert.Zero(t, c.StartedAt, "an index that was reset does not make another process")
+		assert.Zero(t, c.StartedAt, "an index reset must not look like a process restart")
 	}
 	assert.EqualValues(t, 15, s.Index())
 }
 
-// A drain that the first observation of an epoch reports is not lifted by the next one of the same index.
+// A drain that the first observation of an epoch reports is not lifted by a further observation of the same index.
 func TestDrainOfTheFirstObservationOfAnEpochHolds(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(1000, all))
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(1000, all))
 	for i := range 12 {
-		s.Observe(time.Duration(i+2)*second, at(5, with(all, 0, drain)))
+		s.Observe(time.Duration(i+2)*second, trustedAt(5, withEntry(all, 0, drain)))
 	}
 	require.EqualValues(t, 5, s.Index())
-	s.Observe(20*second, at(5, all))
+	s.Observe(20*second, trustedAt(5, all))
 	assert.Equal(t, 1, states(s)[drainRequested])
-	s.Observe(21*second, at(6, all))
+	s.Observe(21*second, trustedAt(6, all))
 	assert.Equal(t, 8, states(s)[passing])
 }
 
-// A lagging follower whose answers alternate with the leader's does not reset the index.
-func TestAlternatingFollowerIsNoReset(t *testing.T) {
-	s := fresh(t)
+// Responses of a lagging follower that alternate with those of the leader do not reset the index.
+func TestAlternatingLaggingFollowerDoesNotResetTheIndex(t *testing.T) {
+	s := newTestSet(t)
 	for i := range 100 {
-		s.Observe(time.Duration(2*i+1)*second, at(uint64(1000+i), with(all, 0, drain)))
-		update := s.Observe(time.Duration(2*i+2)*second, at(500, all))
-		for _, n := range update.Notices {
-			require.Equal(t, NoticeUntrusted, n.Kind)
+		s.Observe(time.Duration(2*i+1)*second, trustedAt(uint64(1000+i), withEntry(all, 0, drain)))
+		update := s.Observe(time.Duration(2*i+2)*second, trustedAt(500, all))
+		for _, notice := range update.Notices {
+			require.Equal(t, NoticeUntrusted, notice.Kind)
 		}
 	}
 	assert.Equal(t, 1, states(s)[drainRequested])
 }
 
-func TestAnotherProcessHasJustStarted(t *testing.T) {
-	for name, k := range map[string]struct {
-		change  func(*Endpoint)
-		another bool
+func TestStartTimeOfAReplacedProcess(t *testing.T) {
+	for name, testCase := range map[string]struct {
+		change   func(*Endpoint)
+		replaced bool
 	}{
-		"the same":                          {func(*Endpoint) {}, false},
-		"registered anew":                   {func(e *Endpoint) { e.CreateIndex = 50 }, true},
-		"another address":                   {func(e *Endpoint) { e.Addr = "10.0.1.1:9" }, true},
-		"another incarnation":               {func(e *Endpoint) { e.Incarnation = "p2" }, true},
-		"a tag or check that changed":       {func(e *Endpoint) { e.ModifyIndex = 50 }, false},
-		"another weight":                    {func(e *Endpoint) { e.Weight = 3 }, false},
-		"another start, reported by itself": {func(e *Endpoint) { e.CreateIndex, e.StartedAt = 50, 7*second }, true},
+		"unchanged":                   {func(*Endpoint) {}, false},
+		"new registration":            {func(e *Endpoint) { e.CreateIndex = 50 }, true},
+		"new address":                 {func(e *Endpoint) { e.Addr = "10.0.1.1:9" }, true},
+		"new incarnation":             {func(e *Endpoint) { e.Incarnation = "p2" }, true},
+		"new tag or check":            {func(e *Endpoint) { e.ModifyIndex = 50 }, false},
+		"new weight":                  {func(e *Endpoint) { e.Weight = 3 }, false},
+		"new start time, as reported": {func(e *Endpoint) { e.CreateIndex, e.StartedAt = 50, 7*second }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, all := fresh(t), fleet(4)
-			s.Observe(second, at(10, all))
-			s.Observe(9*second, at(11, with(all, 0, k.change)))
+			s, all := newTestSet(t), testEndpoints(4)
+			s.Observe(second, trustedAt(10, all))
+			s.Observe(9*second, trustedAt(11, withEntry(all, 0, testCase.change)))
 			want := time.Duration(0)
-			if k.another {
+			if testCase.replaced {
 				want = 9 * second
 			}
-			if all := with(all, 0, k.change); all[0].StartedAt > 0 {
+			if all := withEntry(all, 0, testCase.change); all[0].StartedAt > 0 {
 				want = all[0].StartedAt
 			}
 			assert.Equal(t, want, s.Current()[0].StartedAt)
@@ -404,19 +406,19 @@
 	}
 }
 
-func TestIncarnationOutweighsRegistration(t *testing.T) {
-	s := fresh(t)
-	all := with(fleet(4), 0, func(e *Endpoint) { e.Incarnation = "p1" })
-	s.Observe(second, at(10, all))
-	s.Observe(2*second, at(11, with(all, 0, func(e *Endpoint) { e.CreateIndex = 40 })))
-	assert.Zero(t, s.Current()[0].StartedAt, "the same process was registered again")
+func TestSameIncarnationIsTheSameProcess(t *testing.T) {
+	s := newTestSet(t)
+	all := withEntry(testEndpoints(4), 0, func(e *Endpoint) { e.Incarnation = "p1" })
+	s.Observe(second, trustedAt(10, all))
+	s.Observe(2*second, trustedAt(11, withEntry(all, 0, func(e *Endpoint) { e.CreateIndex = 40 })))
+	assert.Zero(t, s.Current()[0].StartedAt, "a new registration of the same process is not a restart")
 }
 
-func TestReturnOfADeregisteredEndpoint(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(10, all))
-	s.Observe(2*second, at(11, all[1:]))
-	s.Observe(3*second, at(12, with(all, 0, func(e *Endpoint) { e.Addr, e.CreateIndex = "10.0.2.2:9", 12 })))
+func TestDeregisteredEndpointReturnsAtANewAddress(t *testing.T) {
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(10, all))
+	s.Observe(2*second, trustedAt(11, all[1:]))
+	s.Observe(3*second, trustedAt(12, withEntry(all, 0, func(e *Endpoint) { e.Addr, e.CreateIndex = "10.0.2.2:9", 12 })))
 	change := s.Current()[0]
 	assert.Equal(t, Ready, change.State)
 	assert.Equal(t, "10.0.2.2:9", change.Addr)
@@ -424,37 +426,37 @@
 }
 
 func TestRestore(t *testing.T) {
-	s := fresh(t)
-	update := s.Restore(second, with(all, 0, drain))
+	s := newTestSet(t)
+	update := s.Restore(second, withEntry(all, 0, drain))
 	require.Len(t, update.Changes, 8)
 	assert.Equal(t, map[string]int{cached: 7, drainRequested: 1}, states(s))
-	s.Observe(2*second, at(7, nil))
-	assert.Equal(t, 7, states(s)[emptyList], "an empty first answer drops nobody")
-	s.Observe(3*second, at(8, with(all, 1, drain)))
-	assert.Equal(t, map[string]int{passing: 7, drainRequested: 1}, states(s), "the catalogue counts")
+	s.Observe(2*second, trustedAt(7, nil))
+	assert.Equal(t, 7, states(s)[emptyList], "an empty first response removes no endpoint")
+	s.Observe(3*second, trustedAt(8, withEntry(all, 1, drain)))
+	assert.Equal(t, map[string]int{passing: 7, drainRequested: 1}, states(s), "the catalogue replaces the cached list")
 }
 
-func TestAnotherCatalogue(t *testing.T) {
-	s := fresh(t)
-	s.Observe(second, at(1000, with(all, 0, drain)))
+func TestSwitchToAnotherCatalogue(t *testing.T) {
+	s := newTestSet(t)
+	s.Observe(second, trustedAt(1000, withEntry(all, 0, drain)))
 	s.Switch(2 * second)
 	assert.Equal(t, 1, states(s)[drainRequested])
-	update := s.Observe(3*second, at(4, all))
+	update := s.Observe(3*second, trustedAt(4, all))
 	assert.Equal(t, 8, states(s)[passing])
 	require.Len(t, update.Changes, 1)
 	assert.Zero(t, update.Changes[0].StartedAt)
 }
 
 func TestFirstListNeedNotBeTrusted(t *testing.T) {
-	s := fresh(t)
+	s := newTestSet(t)
 	s.Observe(second, Observation{})
 	assert.Empty(t, s.Current())
-	s.Observe(second, Observation{Index: 4, Endpoints: fleet(2)})
-	assert.Equal(t, 2, states(s)[passing], "any endpoint is better than none")
+	s.Observe(second, Observation{Index: 4, Endpoints: testEndpoints(2)})
+	assert.Equal(t, 2, states(s)[passing], "untrusted endpoints are better than none")
 }
 
-func TestSettingsAreChecked(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"max_out":       func(s *Settings) { s.MaxEjected = 1.5 },
 		"max_loss":      func(s *Settings) { s.MaxLoss = -1 },
 		"max_lag":       func(s *Settings) { s.MaxStaleness = 0 },
@@ -467,7 +469,7 @@
 		"linger":        func(s *Settings) { s.Linger = 0 },
 	} {
 		settings := Defaults()
-		spoil(&settings)
+		invalidate(&settings)
 		_, err := New(settings)
 		assert.ErrorContains(t, err, "membership: "+key+":")
 	}
