--- a/decision/reuse/recorded_test.go
+++ b/decision/reuse/recorded_test.go
@@ -10,7 +10,7 @@
 	"beechcart/internal/recorded"
 )
 
-// The decisions of a seeded run, with each of the switches, are the recorded ones.
+// TestRecordedRun compares the decisions of seeded runs with eight variants of the settings with the recorded ones.
 func TestRecordedRun(t *testing.T) {
 	trace := recorded.NewTrace()
 	for variant := range 8 {
@@ -28,7 +28,7 @@
 		for range 4000 {
 			now += time.Duration(rng.Int64N(int64(100 * time.Millisecond)))
 			engine := uint32(rng.IntN(5))
-			c := reuse.Conn{
+			conn := reuse.Conn{
 				Queries:       rng.IntN(settings.MaxQueries + 50),
 				IdleTime:      time.Duration(rng.Int64N(int64(4 * time.Second))),
 				EngineSilence: time.Duration(rng.Int64N(int64(3 * time.Second))),
@@ -44,13 +44,13 @@
 			case n < 80:
 				policy.StayedQuiet(engine)
 			case n < 160:
-				kept := policy.Keep(engine, c)
+				kept := policy.Keep(engine, conn)
 				trace.Bool(kept)
 				trace.Count("keep " + strconv.FormatBool(kept))
 			case n < 220:
 				policy.Released(engine)
 			default:
-				decision := int(policy.Decide(engine, c, rng.IntN(4) == 0, now))
+				decision := int(policy.Decide(engine, conn, rng.IntN(4) == 0, now))
 				trace.Int(decision)
 				trace.Count("verdict " + strconv.Itoa(decision))
 			}
--- a/decision/reuse/reuse.go
+++ b/decision/reuse/reuse.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Conn is what has to be known of a connection that has just ended a query, or that is idle.
+// Conn describes a connection that has completed a query or is idle.
 type Conn struct {
-	Queries       int           // that it has served
-	IdleTime      time.Duration // since its last response was consumed
-	EngineSilence time.Duration // since anything was heard from its engine
-	Clean         bool          // open, its responses consumed to the last byte, and nothing more has come
-	Closing       bool          // its engine has told that it closes it
+	Queries       int           // queries that the connection has served
+	IdleTime      time.Duration // since the last response was consumed
+	EngineSilence time.Duration // since the last sign of life from the engine
+	Clean         bool          // open, all responses consumed to the last byte, and no surplus data received
+	Closing       bool          // the engine has announced that it closes the connection
 }
 
-// Policy is what one front end decides about the connections to its engines.
+// Policy decides which connections of one front end to its engines are reused.
 type Policy struct {
 	settings        Settings
 	engines         map[uint32]*engineRecord
-	quietInRow      int           // connections that stayed quiet, to all engines
-	distrustedUntil time.Duration // no connection serves again before
+	quietInRow      int           // consecutive connections that stayed quiet, to all engines
+	distrustedUntil time.Duration // until then, no connection is trusted
 	lastFaultAt     time.Duration
-	recentFaults    int // within FaultMemory of each other
-	idle            int // connections that are kept
+	recentFaults    int // each within FaultMemory after the previous one
+	idle            int // kept connections
 }
 
-// engineRecord is about one process of an engine.
+// engineRecord is the state of one process of an engine.
 type engineRecord struct {
-	quietInRow int // connections that stayed quiet
-	idle       int // connections that are kept
+	quietInRow int // consecutive connections that stayed quiet
+	idle       int // kept connections
 }
 
-// New returns a Policy that trusts no connection yet, or an error that names the setting out of range.
+// New returns a Policy that trusts no connection yet. The error names a setting that is out of range.
 func New(settings Settings) (*Policy, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("reuse: %w", err)
@@ -39,7 +39,7 @@
 	return &Policy{settings: settings, engines: map[uint32]*engineRecord{}}, nil
 }
 
-// engine returns the record of an engine, a new one if there is none.
+// engine returns the record of an engine, and creates the record if there is none.
 func (p *Policy) engine(id uint32) *engineRecord {
 	record := p.engines[id]
 	if record == nil {
@@ -49,15 +49,14 @@
 	return record
 }
 
-// RemoveEngine drops an engine whose process has gone or was replaced. Released must have been called for its kept
-// connections before.
+// RemoveEngine discards the record of an engine whose process has ended or was replaced. The caller must first call
+// Released for each kept connection to the engine.
 func (p *Policy) RemoveEngine(id uint32) { delete(p.engines, id) }
 
-// maxDoublings bounds the shift of the distrust.
+// maxDoublings limits the doublings of the distrust period, so that the shift does not overflow.
 const maxDoublings = 30
 
-// Malformed tells that a response of the engine could not be read or could not be right, or that more came than belongs
-// to it.
+// Malformed records a fault: a response of the engine was malformed or implausible, or surplus data followed it.
 func (p *Policy) Malformed(id uint32, now time.Duration) {
 	p.engine(id).quietInRow, p.quietInRow = 0, 0
 	if p.recentFaults > 0 && now-p.lastFaultAt > p.settings.FaultMemory {
@@ -72,14 +71,15 @@
 	p.distrustedUntil = max(p.distrustedUntil, now+distrust)
 }
 
-// StayedQuiet tells that a connection to the engine brought nothing more for QuietPeriod after its last response.
+// StayedQuiet records that a connection to the engine received no further byte for QuietPeriod after its last response.
 func (p *Policy) StayedQuiet(id uint32) {
 	p.engine(id).quietInRow++
 	p.quietInRow++
 }
 
-// Keep decides whether a connection that has just ended a query is kept: to serve again, or at least to prove that it
-// stays quiet. Released is to be called for each one that is kept, once it is closed or used.
+// Keep reports whether to keep a connection that has just completed a query. A kept connection may serve again, or only
+// counts as proof if it stays quiet. The caller must call Released for each kept connection once the connection is
+// closed or used.
 func (p *Policy) Keep(id uint32, c Conn) bool {
 	engine := p.engine(id)
 	switch {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// Released tells that a kept connection is kept no more.
+// Released records that a kept connection to the engine was closed or used.
 func (p *Policy) Released(id uint32) {
 	if engine := p.engines[id]; engine != nil && engine.idle > 0 {
 		engine.idle--
@@ -105,24 +105,24 @@
 	}
 }
 
-// Decision is what is to be done with a kept connection.
+// Decision is the use of a kept connection for a query.
 type Decision int
 
 // The decisions.
 const (
-	KeepIdle      Decision = iota // it stays kept
-	Use                           // it may serve the query
-	Close                         // it is to be closed
-	UseAndConfirm                 // it may serve the query, and the response counts once it was confirmed
+	KeepIdle      Decision = iota // the connection stays idle and does not serve the query
+	Use                           // the connection may serve the query
+	Close                         // the connection must be closed
+	UseAndConfirm                 // the connection may serve the query, but the response must be confirmed
 )
 
-// Decide returns what a kept connection may do for a query, and what becomes of it otherwise.
+// Decide returns the decision on a kept connection for a query to the engine.
 func (p *Policy) Decide(id uint32, c Conn, nonIdempotent bool, now time.Duration) Decision {
 	switch {
 	case !c.Clean || c.Closing || c.IdleTime > p.settings.MaxIdleTime:
 		return Close
 	case now < p.distrustedUntil && !p.settings.ConfirmResponses:
-		return Close // it has proved that it stays quiet, and may do no more
+		return Close // during distrust, a kept connection only proves that it stays quiet
 	case c.IdleTime < p.settings.QuietPeriod || nonIdempotent || c.EngineSilence > p.settings.MaxEngineSilence:
 		return KeepIdle
 	case p.Trusted(id, now):
@@ -133,7 +133,7 @@
 	return KeepIdle
 }
 
-// Trusted reports whether connections to the engine may serve again now without confirmation.
+// Trusted reports whether connections to the engine may currently serve again without confirmation.
 func (p *Policy) Trusted(id uint32, now time.Duration) bool {
 	engine := p.engines[id]
 	if p.settings.Disabled || engine == nil || now < p.distrustedUntil {
@@ -142,8 +142,8 @@
 	return p.quietInRow >= p.settings.ProofConnections && engine.quietInRow >= p.settings.ProofConnectionsPerEngine
 }
 
-// QuietPeriod returns how long a connection must have been quiet before it serves again.
+// QuietPeriod returns the time for which a connection must stay quiet before it serves again.
 func (p *Policy) QuietPeriod() time.Duration { return p.settings.QuietPeriod }
 
-// MaxIdleTime returns how long a connection may be idle.
+// MaxIdleTime returns the longest time for which a connection may be idle before it serves again.
 func (p *Policy) MaxIdleTime() time.Duration { return p.settings.MaxIdleTime }
--- a/decision/reuse/reuse_test.go
+++ b/decision/reuse/reuse_test.go
@@ -11,14 +11,14 @@
 
 const ms = time.Millisecond
 
-// proveConnections lets as many connections to an engine stay quiet as prove it.
+// proveConnections reports enough quiet connections to an engine for reuse to be permitted.
 func proveConnections(p *Policy, id uint32) {
 	for range Defaults().ProofConnections {
 		p.StayedQuiet(id)
 	}
 }
 
-// proved returns a Policy for which the connections to engine 1 are proved, and that confirms nothing.
+// proved returns a Policy without ConfirmResponses that has enough quiet connections to engine 1.
 func proved(t *testing.T) *Policy {
 	t.Helper()
 	settings := Defaults()
@@ -29,7 +29,7 @@
 	return p
 }
 
-// quietConn returns a connection that may serve, with a change.
+// quietConn returns a connection that may serve again, after applying change to it. A nil change applies nothing.
 func quietConn(change func(*Conn)) Conn {
 	c := Conn{Queries: 3, IdleTime: 50 * ms, Clean: true}
 	if change != nil {
@@ -38,30 +38,30 @@
 	return c
 }
 
-// tableRows are decisions about connections to an engine, 1 if none is named.
+// tableRows lists the decision on a connection after some events.
 var tableRows = []struct {
 	name          string
-	before        func(*Policy)
-	engine        uint32
+	before        func(*Policy) // events before the decision
+	engine        uint32        // 0: engine 1
 	change        func(*Conn)
 	nonIdempotent bool
 	want          Decision
 }{
 	{name: "proved and quiet", want: Use},
-	{name: "a load", nonIdempotent: true, want: KeepIdle},
-	{name: "too soon", change: func(c *Conn) { c.IdleTime = 19 * ms }, want: KeepIdle},
-	{name: "idle for long", change: func(c *Conn) { c.IdleTime = 4 * time.Second }, want: Close},
-	{name: "something came", change: func(c *Conn) { c.Clean = false }, want: Close},
-	{name: "to be closed by its engine", change: func(c *Conn) { c.Closing = true }, want: Close},
-	{name: "another engine, not proved", engine: 2, want: KeepIdle},
+	{name: "non-idempotent request", nonIdempotent: true, want: KeepIdle},
+	{name: "quiet for less than QuietPeriod", change: func(c *Conn) { c.IdleTime = 19 * ms }, want: KeepIdle},
+	{name: "idle for more than MaxIdleTime", change: func(c *Conn) { c.IdleTime = 4 * time.Second }, want: Close},
+	{name: "surplus data received", change: func(c *Conn) { c.Clean = false }, want: Close},
+	{name: "engine has announced to close the connection", change: func(c *Conn) { c.Closing = true }, want: Close},
+	{name: "another engine without quiet connections", engine: 2, want: KeepIdle},
 	{
-		name:   "nothing heard from it",
+		name:   "engine is silent for more than MaxEngineSilence",
 		change: func(c *Conn) { c.EngineSilence = 2*time.Second + 1 },
 		want:   KeepIdle,
 	},
-	{name: "another engine's first", before: func(p *Policy) { p.StayedQuiet(2) }, engine: 2, want: Use},
+	{name: "another engine with one quiet connection", before: func(p *Policy) { p.StayedQuiet(2) }, engine: 2, want: Use},
 	{
-		name: "all proved but one, a fault long ago",
+		name: "one quiet connection too few after a fault long ago",
 		before: func(p *Policy) {
 			p.Malformed(2, -2*time.Minute)
 			for range Defaults().ProofConnections - 1 {
@@ -70,10 +70,10 @@
 		},
 		want: KeepIdle,
 	},
-	{name: "a fault of its engine", before: func(p *Policy) { p.Malformed(1, time.Second) }, want: Close},
-	{name: "a fault of another engine", before: func(p *Policy) { p.Malformed(2, time.Second) }, want: Close},
+	{name: "recent fault of the engine", before: func(p *Policy) { p.Malformed(1, time.Second) }, want: Close},
+	{name: "recent fault of another engine", before: func(p *Policy) { p.Malformed(2, time.Second) }, want: Close},
 	{
-		name: "a fault long ago",
+		name: "fault of another engine long ago, followed by enough quiet connections",
 		before: func(p *Policy) {
 			p.Malformed(2, -2*time.Minute)
 			proveConnections(p, 3)
@@ -81,13 +81,13 @@
 		want: Use,
 	},
 	{
-		name:   "its own fault long ago, not proved",
+		name:   "fault of the engine long ago, without quiet connections since",
 		before: func(p *Policy) { p.Malformed(1, -2*time.Minute) },
 		want:   KeepIdle,
 	},
-	{name: "its process was replaced", before: func(p *Policy) { p.RemoveEngine(1) }, want: KeepIdle},
+	{name: "engine's process was replaced", before: func(p *Policy) { p.RemoveEngine(1) }, want: KeepIdle},
 	{
-		name: "two faults, within the doubled distrust",
+		name: "two faults, within the doubled distrust period",
 		before: func(p *Policy) {
 			p.Malformed(2, -3*time.Minute)
 			p.Malformed(2, -90*time.Second)
@@ -96,7 +96,7 @@
 	},
 }
 
-func TestTable(t *testing.T) {
+func TestDecide(t *testing.T) {
 	for _, row := range tableRows {
 		t.Run(row.name, func(t *testing.T) {
 			p := proved(t)
@@ -116,13 +116,13 @@
 	for range settings.MaxIdlePerEngine {
 		require.True(t, p.Keep(1, c))
 	}
-	assert.False(t, p.Keep(1, c), "6: to one engine")
+	assert.False(t, p.Keep(1, c), "6: more than MaxIdlePerEngine kept")
 	p.Released(1)
 	assert.True(t, p.Keep(1, c))
 	for id := settings.MaxIdlePerEngine; id < settings.MaxIdleTotal; id++ {
 		require.True(t, p.Keep(uint32(id), c))
 	}
-	assert.False(t, p.Keep(99, c), "6: of all")
+	assert.False(t, p.Keep(99, c), "6: more than MaxIdleTotal kept")
 	assert.False(t, proved(t).Keep(1, Conn{Queries: settings.MaxQueries, Clean: true}), "5")
 	assert.False(t, proved(t).Keep(1, Conn{Clean: true, Closing: true}))
 	settings.Disabled = true
@@ -131,18 +131,19 @@
 	assert.False(t, disabled.Keep(1, c))
 }
 
-// history is what the invariants need to know of the events so far.
+// history records the events so far, as far as the invariants depend on them.
 type history struct {
 	policy     *Policy
 	settings   Settings
 	now        time.Duration
 	faultAt    time.Duration
-	quiet      map[uint32]int // in a row, by engine
-	quietTotal int            // in a row
-	kept       map[uint32]int // by engine
+	quiet      map[uint32]int // consecutive quiet connections, by engine
+	quietTotal int            // consecutive quiet connections, to all engines
+	kept       map[uint32]int // kept connections, by engine
 }
 
-// TestInvariants plays any history of connections and checks by number.
+// TestInvariants runs random sequences of events. Each failure message begins with the number of the invariant in
+// doc.go.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy, err := New(Defaults())
@@ -158,7 +159,7 @@
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			h.now += time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "pause"))
-			h.draw(t)
+			h.applyEvent(t)
 			h.checkKept(t)
 		}
 	})
@@ -174,8 +175,8 @@
 	}
 }
 
-// draw lets something happen to a connection.
-func (h *history) draw(t *rapid.T) {
+// applyEvent draws an event, applies it to the policy and checks the result.
+func (h *history) applyEvent(t *rapid.T) {
 	id := uint32(rapid.IntRange(1, 3).Draw(t, "engine"))
 	c := drawConn(t)
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
@@ -194,7 +195,7 @@
 		if h.policy.Keep(id, c) {
 			h.kept[id]++
 			if !c.Clean || c.Closing || c.Queries >= h.settings.MaxQueries {
-				t.Fatalf("2, 5: kept %+v", c)
+				t.Fatalf("2, 5: Keep accepts %+v", c)
 			}
 		}
 	case 6:
@@ -208,24 +209,24 @@
 			return
 		}
 		if nonIdempotent {
-			t.Fatal("1: a load on a connection that has served before")
+			t.Fatal("1: non-idempotent request on a connection that has served before")
 		}
 		h.checkUse(t, id, c)
 	}
 }
 
-// checkUse checks a connection that is used without confirmation.
+// checkUse checks a connection that the policy uses without confirmation.
 func (h *history) checkUse(t *rapid.T, id uint32, c Conn) {
 	s := h.settings
 	switch {
 	case !c.Clean || c.Closing || c.IdleTime < s.QuietPeriod:
-		t.Fatalf("2: uses %+v", c)
+		t.Fatalf("2: Decide uses %+v", c)
 	case h.quietTotal < s.ProofConnections || h.quiet[id] < s.ProofConnectionsPerEngine:
-		t.Fatalf("3: uses after %d in a row, %d to its engine", h.quietTotal, h.quiet[id])
+		t.Fatalf("3: Decide uses a connection after %d quiet ones, %d of them to the engine", h.quietTotal, h.quiet[id])
 	case h.now-h.faultAt < s.DistrustPeriod:
-		t.Fatalf("4: uses %v after a malformed response", h.now-h.faultAt)
+		t.Fatalf("4: Decide uses a connection %v after a fault", h.now-h.faultAt)
 	case c.IdleTime > s.MaxIdleTime || c.EngineSilence > s.MaxEngineSilence:
-		t.Fatalf("5: uses %+v", c)
+		t.Fatalf("5: Decide uses %+v", c)
 	}
 }
 
@@ -234,15 +235,15 @@
 	for id, n := range h.kept {
 		total += n
 		if n > h.settings.MaxIdlePerEngine {
-			t.Fatalf("6: %d to engine %d", n, id)
+			t.Fatalf("6: %d connections to engine %d are kept", n, id)
 		}
 	}
 	if total > h.settings.MaxIdleTotal {
-		t.Fatalf("6: %d of all", total)
+		t.Fatalf("6: %d connections are kept in all", total)
 	}
 }
 
-func TestDistrustDoubles(t *testing.T) {
+func TestDistrustPeriodDoubles(t *testing.T) {
 	p := proved(t)
 	settings := Defaults()
 	now := time.Duration(0)
@@ -257,11 +258,11 @@
 	now += 3 * settings.FaultMemory
 	p.Malformed(2, now)
 	proveConnections(p, 1)
-	assert.True(t, p.Trusted(1, now+settings.DistrustPeriod), "a fault that is forgotten doubles nothing")
+	assert.True(t, p.Trusted(1, now+settings.DistrustPeriod), "a fault older than FaultMemory must not double the period")
 }
 
-func TestSettingsAreChecked(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"quiet_period":                 func(s *Settings) { s.QuietPeriod = 0 },
 		"proof_connections":            func(s *Settings) { s.ProofConnections = 0 },
 		"proof_connections_per_engine": func(s *Settings) { s.ProofConnectionsPerEngine = s.ProofConnections + 1 },
@@ -273,22 +274,22 @@
 		"max_engine_silence":           func(s *Settings) { s.MaxEngineSilence = 0 },
 	} {
 		settings := Defaults()
-		spoil(&settings)
+		invalidate(&settings)
 		_, err := New(settings)
 		require.ErrorContains(t, err, "reuse: "+key+":")
 	}
 }
 
-// A connection that is not trusted serves what is idempotent, if the response is confirmed, and nothing else that it
-// did not before (invariant 7).
-func TestUntrustedConnectionsServeConfirmed(t *testing.T) {
+// A connection that is not trusted serves idempotent requests only, and only with confirmation. Otherwise the same
+// rules hold as for a trusted connection (invariant 7).
+func TestUntrustedConnectionsNeedConfirmation(t *testing.T) {
 	p, err := New(Defaults())
 	require.NoError(t, err)
 	c := Conn{Queries: 1, IdleTime: 50 * ms, Clean: true}
-	assert.Equal(t, UseAndConfirm, p.Decide(1, c, false, time.Second), "nothing is proved yet")
-	assert.Equal(t, KeepIdle, p.Decide(1, c, true, time.Second), "a load")
+	assert.Equal(t, UseAndConfirm, p.Decide(1, c, false, time.Second), "no quiet connections yet")
+	assert.Equal(t, KeepIdle, p.Decide(1, c, true, time.Second), "non-idempotent request")
 	p.Malformed(2, time.Second)
-	assert.Equal(t, UseAndConfirm, p.Decide(1, c, false, 2*time.Second), "a fault of another engine")
+	assert.Equal(t, UseAndConfirm, p.Decide(1, c, false, 2*time.Second), "recent fault of another engine")
 	for _, row := range []struct {
 		conn Conn
 		want Decision
--- a/decision/reuse/settings.go
+++ b/decision/reuse/settings.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Settings bound the decisions. [Defaults] has usable values.
+// Settings configures a [Policy]. [Defaults] returns usable values.
 type Settings struct {
 	Disabled                  bool          // no connection is kept
 	QuietPeriod               time.Duration // without a byte after the last response
-	ProofConnections          int           // in a row that stayed quiet
-	ProofConnectionsPerEngine int           // of them to one process of an engine
-	DistrustPeriod            time.Duration // after a malformed response
-	MaxDistrustPeriod         time.Duration
-	FaultMemory               time.Duration // malformed responses within this time double the distrust
+	ProofConnections          int           // consecutive quiet connections that permit reuse
+	ProofConnectionsPerEngine int           // consecutive quiet connections to one process of an engine
+	DistrustPeriod            time.Duration // after malformed or surplus data
+	MaxDistrustPeriod         time.Duration // upper bound of the doubled distrust period
+	FaultMemory               time.Duration // a further fault within this time doubles the distrust period
 	MaxQueries                int           // of one connection
 	MaxIdleTime               time.Duration // of one connection
-	MaxEngineSilence          time.Duration // since anything was heard from the engine
-	MaxIdlePerEngine          int           // connections that are kept
-	MaxIdleTotal              int           // connections that are kept
-	ConfirmResponses          bool          // of connections that are not trusted
+	MaxEngineSilence          time.Duration // since the last sign of life from the engine
+	MaxIdlePerEngine          int           // kept connections to one engine
+	MaxIdleTotal              int           // kept connections to all engines
+	ConfirmResponses          bool          // reuse untrusted connections if the response is confirmed (invariant 7)
 }
 
-// Defaults returns the settings that are in force if nothing else is configured.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		QuietPeriod:               20 * time.Millisecond, // many round trips within a site
@@ -33,7 +33,7 @@
 		MaxDistrustPeriod:         time.Hour,
 		FaultMemory:               2 * time.Hour,
 		MaxQueries:                1000,
-		MaxIdleTime:               3 * time.Second, // far under the idle timeouts of engines and of what stands between
+		MaxIdleTime:               3 * time.Second, // far below the idle timeouts of engines and network devices
 		MaxEngineSilence:          2 * time.Second,
 		MaxIdlePerEngine:          16,
 		MaxIdleTotal:              64,
@@ -41,30 +41,31 @@
 	}
 }
 
-// Check returns an error that names the first setting out of range.
+// Check returns an error that names the first setting that is out of range.
 func (s Settings) Check() error {
 	switch {
 	case s.QuietPeriod <= 0:
-		return fmt.Errorf("quiet_period: %v is not more than 0", s.QuietPeriod)
+		return fmt.Errorf("quiet_period: found %v, must be greater than 0", s.QuietPeriod)
 	case s.ProofConnections < 1:
-		return fmt.Errorf("proof_connections: %d is not at least 1", s.ProofConnections)
+		return fmt.Errorf("proof_connections: found %d, must be at least 1", s.ProofConnections)
 	case s.ProofConnectionsPerEngine < 0 || s.ProofConnectionsPerEngine > s.ProofConnections:
-		return fmt.Errorf("proof_connections_per_engine: %d is not from 0 to proof_connections (%d)",
+		return fmt.Errorf("proof_connections_per_engine: found %d, must be from 0 to proof_connections (%d)",
 			s.ProofConnectionsPerEngine, s.ProofConnections)
 	case s.DistrustPeriod <= 0:
-		return fmt.Errorf("distrust_period: %v is not more than 0", s.DistrustPeriod)
+		return fmt.Errorf("distrust_period: found %v, must be greater than 0", s.DistrustPeriod)
 	case s.MaxDistrustPeriod < s.DistrustPeriod:
-		return fmt.Errorf("max_distrust_period: %v is less than distrust_period (%v)", s.MaxDistrustPeriod, s.DistrustPeriod)
+		return fmt.Errorf("max_distrust_period: found %v, must be at least distrust_period (%v)",
+			s.MaxDistrustPeriod, s.DistrustPeriod)
 	case s.FaultMemory <= 0:
-		return fmt.Errorf("fault_memory: %v is not more than 0", s.FaultMemory)
+		return fmt.Errorf("fault_memory: found %v, must be greater than 0", s.FaultMemory)
 	case s.MaxQueries < 1:
-		return fmt.Errorf("max_queries: %d is not at least 1", s.MaxQueries)
+		return fmt.Errorf("max_queries: found %d, must be at least 1", s.MaxQueries)
 	case s.MaxIdleTime <= s.QuietPeriod:
-		return fmt.Errorf("max_idle_time: %v is not more than quiet_period (%v)", s.MaxIdleTime, s.QuietPeriod)
+		return fmt.Errorf("max_idle_time: found %v, must be greater than quiet_period (%v)", s.MaxIdleTime, s.QuietPeriod)
 	case s.MaxEngineSilence <= 0:
-		return fmt.Errorf("max_engine_silence: %v is not more than 0", s.MaxEngineSilence)
+		return fmt.Errorf("max_engine_silence: found %v, must be greater than 0", s.MaxEngineSilence)
 	case s.MaxIdlePerEngine < 0 || s.MaxIdleTotal < 0:
-		return errors.New("max_idle_per_engine: it is negative")
+		return errors.New("max_idle_per_engine: found a negative number, must be at least 0")
 	}
 	return nil
 }
