--- a/decision/slowstart/recorded_test.go
+++ b/decision/slowstart/recorded_test.go
@@ -12,40 +12,40 @@
 	"beechcart/internal/recorded"
 )
 
-// recording hashes answers in the order in which they come.
+// recording hashes results in the order in which they are added.
 type recording struct {
 	buffer  []byte
-	answers int
+	results int
 }
 
 func (r *recording) number(v uint64) {
-	r.answers++
+	r.results++
 	r.buffer = binary.LittleEndian.AppendUint64(r.buffer, v)
 }
 func (r *recording) float(v float64) { r.number(math.Float64bits(v)) }
-func (r *recording) yes(v bool)      { r.number(map[bool]uint64{true: 1}[v]) }
+func (r *recording) flag(v bool)     { r.number(map[bool]uint64{true: 1}[v]) }
 
 func (r *recording) String() string {
-	return fmt.Sprintf("answers %d\nsha256 %x\n", r.answers, sha256.Sum256(r.buffer))
+	return fmt.Sprintf("answers %d\nsha256 %x\n", r.results, sha256.Sum256(r.buffer))
 }
 
-// TestRecordedAnswersAreTheSame plays lists of engines that change, as each replica of a drawn fleet sees them, and
-// holds all answers to those that were recorded.
-func TestRecordedAnswersAreTheSame(t *testing.T) {
+// TestRecordedRun compares the results for seeded lists of engines that change, as seen by a replica of a random fleet,
+// with the recorded ones.
+func TestRecordedRun(t *testing.T) {
 	random, got := recorded.Random(5), &recording{}
 	capacities := []float64{0, 0, 1, 4, 12, 36, 2.5}
 	for range 60 {
 		window := time.Duration(1+random.Below(3000)) * time.Millisecond
 		slot := time.Duration(0.55 * float64(window))
 		replicas := 1 + random.Below(40)
-		length := 150 * random.Float()
+		size := 150 * random.Float()
 		capacity := make([]float64, random.Below(24))
-		held := make([]slowstart.DelayedQuota, len(capacity))
+		delayed := make([]slowstart.DelayedQuota, len(capacity))
 		now := time.Duration(random.Below(1000)) * time.Millisecond
 		me := random.Below(replicas)
-		for i := range held {
+		for i := range delayed {
 			if random.Float() < 0.2 {
-				held[i] = slowstart.FixedQuota(slowstart.Quota{Senders: 1 + i, Rank: random.Below(1 + i)})
+				delayed[i] = slowstart.FixedQuota(slowstart.Quota{Senders: 1 + i, Rank: random.Below(1 + i)})
 			}
 		}
 		for range 8 {
@@ -55,17 +55,17 @@
 				}
 			}
 			got.number(uint64(slowstart.FirstEngine(capacity, me, replicas)))
-			for i, share := range slowstart.Quotas(capacity, me, replicas, length) {
-				got.number(uint64(share.Senders))
-				got.number(uint64(share.Rank))
-				got.yes(share.Sends())
-				got.float(share.Fraction())
-				held[i] = held[i].Update(share, now, window)
+			for i, quota := range slowstart.Quotas(capacity, me, replicas, size) {
+				got.number(uint64(quota.Senders))
+				got.number(uint64(quota.Rank))
+				got.flag(quota.Sends())
+				got.float(quota.Fraction())
+				delayed[i] = delayed[i].Update(quota, now, window)
 			}
 			for range 6 {
-				for _, h := range held {
-					got.float(h.FractionAt(now, window))
-					got.yes(h.HasTurn(now, slot))
+				for _, delayedQuota := range delayed {
+					got.float(delayedQuota.FractionAt(now, window))
+					got.flag(delayedQuota.HasTurn(now, slot))
 				}
 				recordWindow(got, &random, now, slot)
 				now += time.Duration(random.Float() * 0.6 * float64(window))
@@ -75,6 +75,7 @@
 	recorded.Compare(t, "answers.txt", []byte(got.String()))
 }
 
+// recordWindow adds the results for a random budget to the recording.
 func recordWindow(got *recording, random *recorded.Random, now, slot time.Duration) {
 	window := slowstart.WindowBudget{
 		Total: 40 * random.Float(), MeanWork: random.Float(), FineFraction: 0.6 * random.Float(),
--- a/decision/slowstart/slowstart_test.go
+++ b/decision/slowstart/slowstart_test.go
@@ -11,84 +11,86 @@
 )
 
 func TestQuotasTable(t *testing.T) {
-	for name, k := range map[string]struct {
-		capacity     []float64
+	for name, testCase := range map[string]struct {
+		capacities   []float64
 		me, replicas int
-		length       float64
+		size         float64
 		want         []Quota
 	}{
-		"equal engines, one replica each":  {[]float64{4, 4, 4}, 1, 3, 4, []Quota{{1, -1}, {1, 0}, {1, -1}}},
-		"subsets of two":                   {[]float64{4, 4, 4}, 0, 3, 8, []Quota{{2, 0}, {2, 0}, {2, -1}}},
-		"a subset goes round":              {[]float64{4, 4, 4}, 2, 3, 8, []Quota{{2, 1}, {2, -1}, {2, 1}}},
-		"all draw from all":                {[]float64{4, 4}, 3, 5, 100, []Quota{{5, 3}, {5, 3}}},
-		"a large engine ends more of them": {[]float64{1, 1, 8, 2}, 0, 4, 2, []Quota{{1, 0}, {1, 0}, {3, -1}, {0, -1}}},
-		"an engine that is not in use":     {[]float64{4, 0, 4}, 0, 2, 8, []Quota{{2, 0}, {0, -1}, {2, 0}}},
-		"no engine":                        {nil, 0, 2, 8, []Quota{}},
-		"an engine that no subset reaches": {[]float64{2, 9, 1, 9}, 0, 2, 2, []Quota{{1, 0}, {1, -1}, {0, -1}, {0, -1}}},
+		"equal engines, one replica each":     {[]float64{4, 4, 4}, 1, 3, 4, []Quota{{1, -1}, {1, 0}, {1, -1}}},
+		"subsets of two engines":              {[]float64{4, 4, 4}, 0, 3, 8, []Quota{{2, 0}, {2, 0}, {2, -1}}},
+		"subset crosses the ring's origin":    {[]float64{4, 4, 4}, 2, 3, 8, []Quota{{2, 1}, {2, -1}, {2, 1}}},
+		"all replicas send to all engines":    {[]float64{4, 4}, 3, 5, 100, []Quota{{5, 3}, {5, 3}}},
+		"several subsets end at large engine": {[]float64{1, 1, 8, 2}, 0, 4, 2, []Quota{{1, 0}, {1, 0}, {3, -1}, {0, -1}}},
+		"an engine is not in use":             {[]float64{4, 0, 4}, 0, 2, 8, []Quota{{2, 0}, {0, -1}, {2, 0}}},
+		"no engine":                           {nil, 0, 2, 8, []Quota{}},
+		"some engines are not in any subset":  {[]float64{2, 9, 1, 9}, 0, 2, 2, []Quota{{1, 0}, {1, -1}, {0, -1}, {0, -1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, k.want, Quotas(k.capacity, k.me, k.replicas, k.length))
+			assert.Equal(t, testCase.want, Quotas(testCase.capacities, testCase.me, testCase.replicas, testCase.size))
 		})
 	}
 }
 
 func TestTurnTable(t *testing.T) {
 	const slot = 70 * time.Millisecond
-	for name, k := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		quota Quota
 		now   time.Duration
 		want  bool
 	}{
-		"own slot":             {Quota{3, 1}, slot, true},
-		"the end of its turn":  {Quota{3, 1}, slot + slot/TurnDivisor, true},
-		"after its turn":       {Quota{3, 1}, slot + slot/TurnDivisor + 1, false},
-		"another's slot":       {Quota{3, 1}, 2 * slot, false},
-		"the next round":       {Quota{3, 1}, 4 * slot, true},
-		"alone":                {Quota{1, 0}, 5 * slot, true},
-		"no sender":            {Quota{3, -1}, slot, false},
-		"zero value":           {Quota{}, 0, false},
-		"before the clock's 0": {Quota{1, 0}, -slot, false},
+		"own slot":               {Quota{3, 1}, slot, true},
+		"end of the turn":        {Quota{3, 1}, slot + slot/TurnDivisor, true},
+		"after the turn":         {Quota{3, 1}, slot + slot/TurnDivisor + 1, false},
+		"slot of another sender": {Quota{3, 1}, 2 * slot, false},
+		"next round":             {Quota{3, 1}, 4 * slot, true},
+		"only sender":            {Quota{1, 0}, 5 * slot, true},
+		"not a sender":           {Quota{3, -1}, slot, false},
+		"zero value":             {Quota{}, 0, false},
+		"negative time":          {Quota{1, 0}, -slot, false},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, k.want, k.quota.HasTurn(k.now, slot)) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, testCase.want, testCase.quota.HasTurn(testCase.now, slot)) })
 	}
-	assert.False(t, Quota{1, 0}.HasTurn(0, 0), "no slot")
+	assert.False(t, Quota{1, 0}.HasTurn(0, 0), "slot length is 0")
 }
 
-// fleet draws a ring and the quotas that each replica works out by itself.
-func fleet(t *rapid.T) (capacity []float64, length float64, all [][]Quota) {
-	capacity = rapid.SliceOfN(rapid.SampledFrom([]float64{0, 1, 4, 12, 36}), 1, 30).Draw(t, "capacity")
+// drawFleet draws the capacities of a ring, the number of replicas and the subset size, and returns the quotas of each
+// replica.
+func drawFleet(t *rapid.T) (capacities []float64, size float64, quotas [][]Quota) {
+	capacities = rapid.SliceOfN(rapid.SampledFrom([]float64{0, 1, 4, 12, 36}), 1, 30).Draw(t, "capacity")
 	replicas := rapid.IntRange(1, 60).Draw(t, "replicas")
-	length = rapid.Float64Range(0, 200).Draw(t, "length")
+	size = rapid.Float64Range(0, 200).Draw(t, "length")
 	for me := range replicas {
-		all = append(all, Quotas(capacity, me, replicas, length))
+		quotas = append(quotas, Quotas(capacities, me, replicas, size))
 	}
-	return capacity, length, all
+	return capacities, size, quotas
 }
 
-// reaches walks a subset of its own: whether that of the replica reaches the engine.
-func reaches(capacity []float64, replica, replicas, engine int, length float64) bool {
-	first, between := FirstEngine(capacity, replica, replicas), 0.0
-	for i := first; i%len(capacity) != engine; i++ {
-		between += capacity[i%len(capacity)]
+// reaches reports whether the replica's subset reaches the engine, computed independently of Quotas: the capacity from
+// the replica's first engine up to the engine must be less than the subset size.
+func reaches(capacities []float64, replica, replicas, engine int, size float64) bool {
+	first, between := FirstEngine(capacities, replica, replicas), 0.0
+	for i := first; i%len(capacities) != engine; i++ {
+		between += capacities[i%len(capacities)]
 	}
-	return capacity[engine] > 0 && between < length
+	return capacities[engine] > 0 && between < size
 }
 
-func TestInvariant1SendersAreThoseWhoseSubsetReaches(t *testing.T) {
+func TestInvariant1SendersAreReplicasWhoseSubsetReachesTheEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity, length, all := fleet(t)
-		for engine := range capacity {
+		capacities, size, quotas := drawFleet(t)
+		for engine := range capacities {
 			senders := 0
-			for me := range all {
-				sends := reaches(capacity, me, len(all), engine, length)
-				require.Equal(t, sends, all[me][engine].Sends())
+			for me := range quotas {
+				sends := reaches(capacities, me, len(quotas), engine, size)
+				require.Equal(t, sends, quotas[me][engine].Sends())
 				if sends {
-					require.Equal(t, senders, all[me][engine].Rank)
+					require.Equal(t, senders, quotas[me][engine].Rank)
 					senders++
 				}
 			}
-			for me := range all {
-				require.Equal(t, senders, all[me][engine].Senders)
+			for me := range quotas {
+				require.Equal(t, senders, quotas[me][engine].Senders)
 			}
 		}
 	})
@@ -96,13 +98,13 @@
 
 func TestInvariant2FractionsSumToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity, _, all := fleet(t)
-		for engine := range capacity {
+		capacities, _, quotas := drawFleet(t)
+		for engine := range capacities {
 			sum := 0.0
-			for me := range all {
-				sum += all[me][engine].Fraction()
+			for me := range quotas {
+				sum += quotas[me][engine].Fraction()
 			}
-			if all[0][engine].Senders == 0 {
+			if quotas[0][engine].Senders == 0 {
 				require.Zero(t, sum)
 			} else {
 				require.InDelta(t, 1, sum, 1e-9)
@@ -111,170 +113,174 @@
 	})
 }
 
-func TestInvariant3OneTurnASlot(t *testing.T) {
+func TestInvariant3OneTurnPerSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity, _, all := fleet(t)
+		capacities, _, quotas := drawFleet(t)
 		slot := time.Duration(rapid.Int64Range(1, int64(time.Second)).Draw(t, "slot"))
 		rounds := 2 * time.Duration(rapid.Int64Range(0, 1e7).Draw(t, "rounds before"))
-		for engine := range capacity {
-			senders := time.Duration(all[0][engine].Senders)
-			even, odd := map[int]int{}, map[int]int{}
+		for engine := range capacities {
+			senders := time.Duration(quotas[0][engine].Senders)
+			even, odd := map[int]int{}, map[int]int{} // turns by replica
 			for i := range 2 * senders {
-				number, in := rounds*senders+i, 0
-				for me := range all {
-					if !all[me][engine].HasTurn(number*slot, slot) {
+				number, turns := rounds*senders+i, 0
+				for me := range quotas {
+					if !quotas[me][engine].HasTurn(number*slot, slot) {
 						continue
 					}
-					in++
+					turns++
 					if number%2 == 0 {
 						even[me]++
 					} else {
 						odd[me]++
 					}
 				}
-				require.Equal(t, 1, in, "turns in one slot")
+				require.Equal(t, 1, turns, "turns in one slot")
 				if i == senders-1 {
-					require.Len(t, even, int(senders)-len(odd), "each sender has its turn in the first round")
+					require.Len(t, even, int(senders)-len(odd), "each sender has one turn in the first round")
 				}
 			}
-			require.Len(t, even, int(senders), "turns in slots of even number")
-			require.Len(t, odd, int(senders), "turns in slots of odd number")
+			require.Len(t, even, int(senders), "each sender has a turn in an even slot")
+			require.Len(t, odd, int(senders), "each sender has a turn in an odd slot")
 		}
 	})
 }
 
-func TestInvariant4AWindowMeetsTwoTurns(t *testing.T) {
+func TestInvariant4WindowOverlapsAtMostTwoTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slot := time.Duration(rapid.Int64Range(1000, int64(time.Minute)).Draw(t, "slot"))
 		begin := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "begin"))
 		window := 2*slot - slot/TurnDivisor - 1
-		alone, met := Quota{Senders: 1}, 0
+		onlySender, turns := Quota{Senders: 1}, 0
 		for i := begin / slot; i <= (begin+window)/slot; i++ {
 			turnEnd := i*slot + slot/TurnDivisor
-			require.True(t, alone.HasTurn(i*slot, slot) && alone.HasTurn(turnEnd, slot) && !alone.HasTurn(turnEnd+1, slot))
+			require.True(t, onlySender.HasTurn(i*slot, slot) && onlySender.HasTurn(turnEnd, slot) &&
+				!onlySender.HasTurn(turnEnd+1, slot))
 			if turnEnd >= begin {
-				met++
+				turns++
 			}
 		}
-		require.LessOrEqual(t, met, 2)
+		require.LessOrEqual(t, turns, 2)
 	})
 }
 
-func TestInvariant5EnginesNotInUseChangeNothing(t *testing.T) {
+func TestInvariant5UnusedEnginesDoNotAffectQuotas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity, length, all := fleet(t)
+		capacities, size, quotas := drawFleet(t)
 		var used []float64
-		for _, c := range capacity {
-			if c > 0 {
-				used = append(used, c)
+		for _, capacity := range capacities {
+			if capacity > 0 {
+				used = append(used, capacity)
 			}
 		}
-		for me := range all {
-			without, at := Quotas(used, me, len(all), length), 0
-			for engine, c := range capacity {
-				if c <= 0 {
-					require.Equal(t, Quota{Rank: -1}, all[me][engine])
+		for me := range quotas {
+			ofUsed, at := Quotas(used, me, len(quotas), size), 0
+			for engine, capacity := range capacities {
+				if capacity <= 0 {
+					require.Equal(t, Quota{Rank: -1}, quotas[me][engine])
 					continue
 				}
-				require.Equal(t, without[at], all[me][engine])
+				require.Equal(t, ofUsed[at], quotas[me][engine])
 				at++
 			}
 		}
 	})
 }
 
-func TestInvariant6FractionsGrowOnlyLongAfterAChange(t *testing.T) {
-	const window, hold = time.Second, 1750 * time.Millisecond
-	quota := rapid.Custom(func(t *rapid.T) Quota {
+func TestInvariant6FractionsGrowOnlyAfterTheGrowthDelay(t *testing.T) {
+	const window, growthDelay = time.Second, 1750 * time.Millisecond
+	drawQuota := rapid.Custom(func(t *rapid.T) Quota {
 		senders := rapid.IntRange(0, 6).Draw(t, "senders")
 		return Quota{Senders: senders, Rank: rapid.IntRange(-1, senders-1).Draw(t, "rank")}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
-		fixed := FixedQuota(quota.Draw(t, "fixed"))
-		requireSame(t, fixed.Fraction(), fixed.FractionAt(0, window))
-		h, quiet := DelayedQuota{}, time.Duration(0) // quiet: since when the quota has not changed
+		fixed := FixedQuota(drawQuota.Draw(t, "fixed"))
+		requireSameBits(t, fixed.Fraction(), fixed.FractionAt(0, window))
+		delayed, changedAt := DelayedQuota{}, time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "passes"))
-			before := h.FractionAt(now, window)
+			before := delayed.FractionAt(now, window)
 			if rapid.Bool().Draw(t, "changes") {
-				next := quota.Draw(t, "next")
-				if next != h.Quota {
-					quiet = now
+				next := drawQuota.Draw(t, "next")
+				if next != delayed.Quota {
+					changedAt = now
 				}
-				h = h.Update(next, now, window)
+				delayed = delayed.Update(next, now, window)
 			}
-			fraction := h.FractionAt(now, window)
-			require.LessOrEqual(t, fraction, h.Fraction())
-			if quiet == now {
+			fraction := delayed.FractionAt(now, window)
+			require.LessOrEqual(t, fraction, delayed.Fraction())
+			if changedAt == now {
 				require.LessOrEqual(t, fraction, before)
 			}
-			if now >= quiet+hold {
-				requireSame(t, h.Fraction(), fraction)
+			if now >= changedAt+growthDelay {
+				requireSameBits(t, delayed.Fraction(), fraction)
 			} else {
-				requireSame(t, fraction, h.FractionAt(quiet+hold-1, window)) // does not grow
+				// The fraction does not grow before the end of the delay.
+				requireSameBits(t, fraction, delayed.FractionAt(changedAt+growthDelay-1, window))
 			}
 		}
 	})
 }
 
-// requireSame holds two numbers to the same bits.
-func requireSame(t *rapid.T, want, got float64) {
+// requireSameBits requires two numbers to have the same bits.
+func requireSameBits(t *rapid.T, want, got float64) {
 	t.Helper()
 	require.Equal(t, math.Float64bits(want), math.Float64bits(got), "%v and %v", want, got)
 }
 
-// window draws what an engine may get, and a request of more work than a turn's fraction.
-func window(t *rapid.T) (w WindowBudget, work float64) {
-	w = WindowBudget{
+// drawBudget draws a budget, and the work of a heavy request: more than the turn's fraction of the budget.
+func drawBudget(t *rapid.T) (budget WindowBudget, work float64) {
+	budget = WindowBudget{
 		Total:        rapid.Float64Range(0.1, 200).Draw(t, "budget"),
 		MeanWork:     rapid.Float64Range(0.01, 10).Draw(t, "mean"),
 		FineFraction: 0.5, TurnFraction: 0.27,
 	}
-	return w, w.TurnFraction * w.Total * rapid.Float64Range(1, 20).Draw(t, "times the turn's fraction")
+	return budget, budget.TurnFraction * budget.Total * rapid.Float64Range(1, 20).Draw(t, "times the turn's fraction")
 }
 
 func TestInvariant7NoWindowOverloadsTheEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, work := window(t)
+		budget, work := drawBudget(t)
 		number := time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "slot number"))
-		sum := w.FineFraction * w.Total
-		for i := range time.Duration(2) { // the turns that the window meets
-			if w.HeavyProbability(work, number+i, 1) > 0 {
+		sum := budget.FineFraction * budget.Total
+		for i := range time.Duration(2) { // the two turns that the window overlaps
+			if budget.HeavyProbability(work, number+i, 1) > 0 {
 				sum += work
 			} else {
-				sum += w.TurnFraction * w.Total
+				sum += budget.TurnFraction * budget.Total
 			}
 		}
-		// The fractions alone may make up a little more.
-		most := math.Max(w.OverloadWork(), (w.FineFraction+2*w.TurnFraction)*w.Total)
-		require.LessOrEqual(t, sum, most+1e-9)
+		// The fractions alone may add up to slightly more than OverloadWork.
+		limit := math.Max(budget.OverloadWork(), (budget.FineFraction+2*budget.TurnFraction)*budget.Total)
+		require.LessOrEqual(t, sum, limit+1e-9)
 	})
 }
 
-func TestInvariant8HeavyRequestsAverageToTheTurns(t *testing.T) {
+func TestInvariant8HeavyRequestsAverageToTheTurnFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, work := window(t)
+		budget, work := drawBudget(t)
 		number := time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "slot number"))
-		sum := w.HeavyProbability(work, number, 1) + w.HeavyProbability(work, number+1, 1)
-		require.LessOrEqual(t, sum*work, 2*w.TurnFraction*w.Total+1e-9)
+		sum := budget.HeavyProbability(work, number, 1) + budget.HeavyProbability(work, number+1, 1)
+		require.LessOrEqual(t, sum*work, 2*budget.TurnFraction*budget.Total+1e-9)
 	})
 }
 
 func TestHeavyProbabilityTable(t *testing.T) {
-	w := WindowBudget{Total: 16, MeanWork: 1, FineFraction: 0.5, TurnFraction: 0.25} // overload at 26
-	for name, k := range map[string]struct {
+	budget := WindowBudget{Total: 16, MeanWork: 1, FineFraction: 0.5, TurnFraction: 0.25} // OverloadWork is 26
+	for name, testCase := range map[string]struct {
 		work float64
 		slot time.Duration
 		want float64
 	}{
-		"two fit":                   {8, 1, 0.5},
-		"two just fit":              {9, 0, 4.0 / 9},
-		"one fits, in an even slot": {10, 2, 0.8},
-		"one fits, in an odd slot":  {10, 3, 0},
-		"one just fits":             {14, 0, 8.0 / 14},
-		"one is too much":           {14.1, 0, 0},
+		"two requests fit":             {8, 1, 0.5},
+		"two requests just fit":        {9, 0, 4.0 / 9},
+		"one request fits, even slot":  {10, 2, 0.8},
+		"one request fits, odd slot":   {10, 3, 0},
+		"one request just fits":        {14, 0, 8.0 / 14},
+		"one request exceeds the room": {14.1, 0, 0},
 	} {
-		t.Run(name, func(t *testing.T) { assert.InDelta(t, k.want, w.HeavyProbability(k.work, k.slot, 1), 1e-9) })
+		t.Run(name, func(t *testing.T) {
+			assert.InDelta(t, testCase.want, budget.HeavyProbability(testCase.work, testCase.slot, 1), 1e-9)
+		})
 	}
 }
