--- a/decision/watchtimeout/recorded_test.go
+++ b/decision/watchtimeout/recorded_test.go
@@ -9,7 +9,7 @@
 	"beechcart/internal/recorded"
 )
 
-// The bounds that a seeded run of answers, silences and dials leads to are the recorded ones.
+// TestRecordedRun compares the timeouts of a seeded run of responses, dials and their failures with the recorded ones.
 func TestRecordedRun(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	trace := recorded.NewTrace()
--- a/decision/watchtimeout/timeouts.go
+++ b/decision/watchtimeout/timeouts.go
@@ -1,30 +1,31 @@
 // Package watchtimeout decides how long each step of watching a change log may last, so that a drain is received within
-// the configured grace although the connection that should bring it has gone silent.
+// the configured grace even if the connection of the watch stops responding.
 //
-// A [Timeouts] is told how long dials and responses took, or that they timed out, and answers with the next timeouts.
-// It does no I/O, keeps no clock and starts no goroutine. It is not safe for concurrent use.
+// The caller reports to a [Timeouts] how long dials and responses took, or that they timed out. A Timeouts returns the
+// timeouts of the next steps. It does no I/O, keeps no clock and starts no goroutine. A Timeouts is not safe for
+// concurrent use.
 //
 // # Invariants
 //
-//  1. PollWait, twice Response and Dial sum up to no more than the grace (MaxDelay): a poll that goes silent right
-//     after it was sent times out after PollWait and Response, and the next one brings what the log has held meanwhile
-//     within Dial and Response.
-//  2. A log that responds more slowly than Response allows, or accepts connections more slowly than Dial, is followed
-//     all the same: one attempt in fullTimeoutEvery has the full timeout, and twice what it took is allowed from then
-//     on.
-//  3. Each timeout is long enough for a machine under load (minPollWait, minResponse), so a grace under 150 ms can't be
-//     kept with a watch that goes silent. MaxDelay tells it.
+//  1. PollWait, twice Response and Dial add up to no more than the grace; MaxDelay returns this sum. A poll whose
+//     connection stops responding right after the poll was sent times out after PollWait and Response. The next poll
+//     receives the events that the log has recorded in the meantime within Dial and Response.
+//  2. A log that responds more slowly than Response, or accepts connections more slowly than Dial, is followed
+//     nevertheless: one attempt in fullTimeoutEvery has the full timeout, and twice the duration of that attempt is
+//     allowed from then on.
+//  3. Each timeout is long enough for a machine under load (minPollWait, minResponse). A grace under 150 ms can
+//     therefore not be kept if a watch stops responding; MaxDelay returns the delay that can be kept.
 //
-// # What it gives up
+// # Trade-offs
 //
 // While no connection succeeds, the one attempt that has the full timeout may last longer than the grace. The log is
-// polled every PollWait, five times a second at a grace of 500 ms. Two polls side by side would not do with fewer: all
-// open watches may go silent at once, and then each has to time out in the same time.
+// polled every PollWait, five times a second at a grace of 500 ms. Two concurrent polls would not reduce that rate: all
+// open watches may stop responding at once, and each must then time out within the same time.
 package watchtimeout
 
 import "time"
 
-// Shares of the grace that the steps may take, in percent: 85 in all with the second response.
+// Shares of the grace for each step, in percent. PollWait, Dial and two responses take 85 % together.
 const (
 	pollWaitPercent   = 40
 	responsePercent   = 15
@@ -32,7 +33,7 @@
 	retryDelayPercent = 10
 )
 
-// Bounds of the steps, whatever the grace.
+// Bounds of the steps, independent of the grace.
 const (
 	minPollWait   = 20 * time.Millisecond
 	maxPollWait   = time.Second
@@ -45,10 +46,10 @@
 const (
 	// defaultGrace is the grace if none is configured.
 	defaultGrace = time.Second
-	// fullTimeoutEvery is the number of attempts in a row of which the last has the full timeout.
+	// fullTimeoutEvery is the number of consecutive attempts of which the last has the full timeout.
 	fullTimeoutEvery = 8
-	// recentDecay is the part of a recent duration, one in so many, that is forgotten with each success.
-	recentDecay = 8
+	// recentDecayDivisor divides a recent duration to give the decrease of that duration with each success.
+	recentDecayDivisor = 8
 )
 
 // Timeouts holds the timeouts for one change log.
@@ -59,7 +60,8 @@
 	dial       adaptiveTimeout
 }
 
-// New returns the timeouts for a grace. connect is how long a connection may take to be established.
+// New returns the timeouts for a grace. A grace of 0 or less means the default, one second. The argument connect is the
+// full timeout for establishing a connection.
 func New(grace, connect time.Duration) *Timeouts {
 	if grace <= 0 {
 		grace = defaultGrace
@@ -74,47 +76,48 @@
 	}
 }
 
-// share returns that percentage of the grace, within bounds.
+// share returns the given percentage of the grace, limited to the range from lower to upper.
 func share(grace time.Duration, percent int, lower, upper time.Duration) time.Duration {
 	return min(max(grace*time.Duration(percent)/100, lower), upper)
 }
 
-// PollWait returns how long the log may hold a poll for which it has no event.
+// PollWait returns how long the log may hold a poll while there is no event.
 func (t *Timeouts) PollWait() time.Duration { return t.pollWait }
 
-// RetryDelay returns how long after a failure that took no time the log is polled again.
+// RetryDelay returns the delay of the next attempt after a failure that is not a timeout.
 func (t *Timeouts) RetryDelay() time.Duration { return t.retryDelay }
 
-// Response returns how much later than PollWait the response may come.
+// Response returns how long the response may take in addition to PollWait.
 func (t *Timeouts) Response() time.Duration { return t.response.next() }
 
-// Dial returns how long the connection may take to be established.
+// Dial returns the timeout for establishing the connection.
 func (t *Timeouts) Dial() time.Duration { return t.dial.next() }
 
-// MaxDelay returns the greatest age of an event if one watch goes silent and the next is answered.
+// MaxDelay returns the longest delay with which an event is received if one poll times out and the next poll succeeds.
+// The delay is computed from the usual timeouts, without adaptation to a slow log.
 func (t *Timeouts) MaxDelay() time.Duration { return t.pollWait + 2*t.response.usual + t.dial.usual }
 
-// ResponseReceived tells that a response came so long after its poll was sent. A response within PollWait says nothing
-// about delays.
+// ResponseReceived records the time from sending a poll to its response. A response within PollWait counts as
+// immediate, as the log may have held the poll.
 func (t *Timeouts) ResponseReceived(took time.Duration) {
 	t.response.succeeded(max(0, took-t.pollWait))
 }
 
-// ResponseTimedOut tells that a response did not come in time.
+// ResponseTimedOut records that a response did not arrive in time.
 func (t *Timeouts) ResponseTimedOut() { t.response.failures++ }
 
-// DialSucceeded tells how long a connection took to be established.
+// DialSucceeded records how long it took to establish a connection.
 func (t *Timeouts) DialSucceeded(took time.Duration) { t.dial.succeeded(took) }
 
-// DialFailed tells that a connection was not established in time.
+// DialFailed records that a connection was not established in time.
 func (t *Timeouts) DialFailed() { t.dial.failures++ }
 
-// adaptiveTimeout is a timeout that grows with what a step took recently.
+// adaptiveTimeout is a timeout that grows with the recent duration of a step.
 type adaptiveTimeout struct {
-	usual    time.Duration // if the step is quick
-	full     time.Duration // that one attempt in fullTimeoutEvery has
-	recent   time.Duration // that the step took, decaying
-	failures int           // in a row
+	usual    time.Duration // lower bound of the timeout
+	full     time.Duration // upper bound unless usual is longer; the timeout of one attempt in fullTimeoutEvery
+	recent   time.Duration // recent duration of the step, decays with each success
+	failures int           // consecutive
 }
 
 // next returns the timeout of the next attempt.
@@ -127,5 +130,5 @@
 
 func (a *adaptiveTimeout) succeeded(took time.Duration) {
 	a.failures = 0
-	a.recent = max(took, a.recent-a.recent/recentDecay)
+	a.recent = max(took, a.recent-a.recent/recentDecayDivisor)
 }
--- a/decision/watchtimeout/timeouts_test.go
+++ b/decision/watchtimeout/timeouts_test.go
@@ -9,22 +9,23 @@
 
 const connect = 250 * time.Millisecond
 
-// Invariants 1 and 3.
+// Checks invariants 1 and 3.
 func TestMaxDelayStaysWithinTheGrace(t *testing.T) {
 	for grace := 150 * time.Millisecond; grace <= 5*time.Second; grace += 10 * time.Millisecond {
 		timeouts := New(grace, connect)
 		assert.LessOrEqual(t, timeouts.MaxDelay(), grace)
-		silent := timeouts.PollWait() + timeouts.Response()
-		next := timeouts.Dial() + timeouts.Response()
-		assert.Equal(t, timeouts.MaxDelay(), silent+next, "the sum of what is waited for")
-		assert.Less(t, timeouts.Dial()+timeouts.RetryDelay()+next, grace, "a log that is back while it is not polled")
+		timedOutPoll := timeouts.PollWait() + timeouts.Response()
+		nextPoll := timeouts.Dial() + timeouts.Response()
+		assert.Equal(t, timeouts.MaxDelay(), timedOutPoll+nextPoll, "MaxDelay is the sum of the timeouts")
+		assert.Less(t, timeouts.Dial()+timeouts.RetryDelay()+nextPoll, grace, "delay after a failed dial and a retry")
 	}
 	assert.Equal(t, 425*time.Millisecond, New(500*time.Millisecond, connect).MaxDelay())
-	assert.Equal(t, 110*time.Millisecond, New(time.Millisecond, connect).MaxDelay(), "what can't be kept is told")
+	assert.Equal(t, 110*time.Millisecond, New(time.Millisecond, connect).MaxDelay(), "MaxDelay may exceed a short grace")
 	assert.Equal(t, New(defaultGrace, connect).MaxDelay(), New(0, connect).MaxDelay())
 }
 
-// Invariant 2: whatever a log takes, up to the full timeout, it is followed from the eighth attempt on.
+// Checks invariant 2: a log whose steps take up to the full timeout is followed without further failures after
+// 2*fullTimeoutEvery attempts.
 func TestSlowLogIsFollowed(t *testing.T) {
 	for took := time.Millisecond; took < connect; took += time.Millisecond {
 		timeouts := New(150*time.Millisecond, connect)
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestTimeoutsFallBackOnceALogIsQuick(t *testing.T) {
+func TestTimeoutsShrinkOnceALogIsFast(t *testing.T) {
 	timeouts := New(500*time.Millisecond, connect)
 	usual := timeouts.Response()
 	timeouts.ResponseReceived(timeouts.PollWait() + 200*time.Millisecond)
