--- a/decision/discovery/observation.go
+++ b/decision/discovery/observation.go
@@ -43,7 +43,8 @@
 	return cmp.Or(cmp.Compare(a.CreateIndex, b.CreateIndex), cmp.Compare(a.ModifyIndex, b.ModifyIndex))
 }
 
-// noteMalformed adds a notice with the number of entries left out, or clears the notice if there are none.
+// noteMalformed adds a notice with the number of entries left out. The notice is not repeated until a list has no such
+// entry.
 func (s *EndpointSet) noteMalformed(update *Update, malformed int) {
 	if malformed > 0 {
 		s.notifyOnce(update, NoticeMalformed, malformed, "")
@@ -71,7 +72,8 @@
 	}
 }
 
-// trusts reports whether an observation may have effects other than drains (invariant 6). It also detects index resets.
+// trusts reports whether an observation may have effects other than drains (invariant 6). If an index reset is
+// confirmed, trusts begins a new epoch.
 func (s *EndpointSet) trusts(update *Update, observation Observation, list []Endpoint) bool {
 	sound := observation.Index > 0 && observation.HasLeader && observation.LastContact <= s.settings.MaxStaleness
 	if !s.initialized {
@@ -121,8 +123,8 @@
 	return e
 }
 
-// merge applies one entry of a trusted list. It returns false if the entry is left out because another endpoint has the
-// same id. A process that is new in the set and does not report its start counts as started at assumedStart.
+// merge applies one entry of a trusted list, or returns false and leaves the entry out if another endpoint has the same
+// id. A process that is new in the set and does not report its start counts as started at assumedStart.
 func (s *EndpointSet) merge(reported Endpoint, assumedStart time.Duration) bool {
 	e := s.endpoints[reported.Key]
 	switch {
--- a/decision/discovery/property_test.go
+++ b/decision/discovery/property_test.go
@@ -210,10 +210,10 @@
 		now, index := time.Duration(0), uint64(1)
 		s.Observe(now, trustedAt(index, list(true)))
 		for range rapid.IntRange(1, 200).Draw(t, "flaps") {
-			for _, passing := range []bool{false, true} {
+			for _, pass := range []bool{false, true} {
 				now += time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "pause"))
 				index++
-				s.Observe(now, trustedAt(index, list(passing)))
+				s.Observe(now, trustedAt(index, list(pass)))
 			}
 		}
 		last := now
--- a/decision/discovery/set_test.go
+++ b/decision/discovery/set_test.go
@@ -382,7 +382,7 @@
 		change   func(*Endpoint)
 		replaced bool
 	}{
-		"unchanged":                   {func(*Endpoint) {}, false},
+		"no change":                   {func(*Endpoint) {}, false},
 		"new registration":            {func(e *Endpoint) { e.CreateIndex = 50 }, true},
 		"new address":                 {func(e *Endpoint) { e.Addr = "10.0.1.1:9" }, true},
 		"new incarnation":             {func(e *Endpoint) { e.Incarnation = "p2" }, true},
--- a/decision/reuse/reuse_test.go
+++ b/decision/reuse/reuse_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// proved returns a Policy without ConfirmResponses that has enough quiet connections to engine 1.
-func proved(t *testing.T) *Policy {
+// newTrustingPolicy returns a Policy without ConfirmResponses that has seen enough quiet connections to engine 1.
+func newTrustingPolicy(t *testing.T) *Policy {
 	t.Helper()
 	settings := Defaults()
 	settings.ConfirmResponses = false
@@ -47,7 +47,7 @@
 	nonIdempotent bool
 	want          Decision
 }{
-	{name: "proved and quiet", want: Use},
+	{name: "trusted and quiet", want: Use},
 	{name: "non-idempotent request", nonIdempotent: true, want: KeepIdle},
 	{name: "quiet for less than QuietPeriod", change: func(c *Conn) { c.IdleTime = 19 * ms }, want: KeepIdle},
 	{name: "idle for more than MaxIdleTime", change: func(c *Conn) { c.IdleTime = 4 * time.Second }, want: Close},
@@ -99,7 +99,7 @@
 func TestDecide(t *testing.T) {
 	for _, row := range tableRows {
 		t.Run(row.name, func(t *testing.T) {
-			p := proved(t)
+			p := newTrustingPolicy(t)
 			if row.before != nil {
 				row.before(p)
 			}
@@ -110,7 +110,7 @@
 }
 
 func TestKeepIsBounded(t *testing.T) {
-	p := proved(t)
+	p := newTrustingPolicy(t)
 	settings := Defaults()
 	c := Conn{Queries: 1, Clean: true}
 	for range settings.MaxIdlePerEngine {
@@ -123,8 +123,8 @@
 		require.True(t, p.Keep(uint32(id), c))
 	}
 	assert.False(t, p.Keep(99, c), "6: more than MaxIdleTotal kept")
-	assert.False(t, proved(t).Keep(1, Conn{Queries: settings.MaxQueries, Clean: true}), "5")
-	assert.False(t, proved(t).Keep(1, Conn{Clean: true, Closing: true}))
+	assert.False(t, newTrustingPolicy(t).Keep(1, Conn{Queries: settings.MaxQueries, Clean: true}), "5")
+	assert.False(t, newTrustingPolicy(t).Keep(1, Conn{Clean: true, Closing: true}))
 	settings.Disabled = true
 	disabled, err := New(settings)
 	require.NoError(t, err)
@@ -244,7 +244,7 @@
 }
 
 func TestDistrustPeriodDoubles(t *testing.T) {
-	p := proved(t)
+	p := newTrustingPolicy(t)
 	settings := Defaults()
 	now := time.Duration(0)
 	for i := range 12 {
