--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -14,31 +14,32 @@
 
 const (
 	readBufferBytes = 16 << 10
-	// maxChunkLineBytes bounds the line with the size of a chunk.
+	// maxChunkLineBytes bounds the chunk-size line of a chunk, extensions included.
 	maxChunkLineBytes = 64
 )
 
-// Conn is a client connection with one call at a time. Its methods are for one goroutine, but for Close, which is for
-// any.
+// Conn is a client connection that carries one call at a time. Only Close may be called concurrently with other
+// methods.
 type Conn struct {
-	raw          net.Conn
-	reader       *bufio.Reader
-	host         string
-	request      []byte // the request that is written; its memory is used again by the next one
-	lastResponse bool   // the connection ends with the current response
+	raw     net.Conn
+	reader  *bufio.Reader
+	host    string
+	request []byte // the encoded request; the buffer is reused for the next request
+	closing bool   // the connection closes after the current response
 
 	bodyDeadline time.Time
-	stallTimeout time.Duration // between two pieces of the current body
+	stallTimeout time.Duration // the longest wait for further bytes of the current body
 }
 
-// Limits are the limits of a response, in bytes.
+// Limits are the maximum sizes of a response's head and body, in bytes.
 type Limits struct{ Head, Body int }
 
-// Secure makes a secure connection of a raw one. It is a function, so that programs without TLS do not link it.
+// Secure performs the TLS handshake on a raw connection and returns the secured connection. TLS is injected as a
+// function, so that programs without TLS do not link the TLS library.
 type Secure func(ctx context.Context, raw net.Conn) (net.Conn, error)
 
-// Dial connects to host:port, and secures the connection where secure is not nil. The end of ctx closes the
-// connection, during the handshake and after it.
+// Dial connects to address (host:port), and secures the connection if secure is not nil. The timeout covers the connect
+// and the handshake. When ctx ends, the connection is closed, during the handshake or later.
 func Dial(ctx context.Context, address string, timeout time.Duration, secure Secure) (*Conn, error) {
 	deadline := time.Now().Add(timeout)
 	raw, err := netpoll.DialConnection("tcp", address, timeout)
@@ -60,16 +61,16 @@
 	return c, nil
 }
 
-// Close ends the connection and any call on it.
+// Close closes the connection and aborts the call in flight. Any goroutine may call Close.
 func (c *Conn) Close() { _ = c.raw.Close() }
 
-// Field is a field of a request's head.
+// Field is a header field of a request.
 type Field struct{ Name, Value string }
 
 // Request is a request without a body.
 type Request struct {
 	Method, Path string
-	Fields       []Field // in this order
+	Fields       []Field // sent in this order
 }
 
 // Response is the head of a response.
@@ -78,12 +79,12 @@
 	framing    Framing
 }
 
-// FieldFunc takes a field of a response's head. The slices are valid during the call only. An error ends the call of
-// Do.
+// FieldFunc handles a header field of a response. The slices are valid only until FieldFunc returns. Do fails with the
+// error that FieldFunc returns.
 type FieldFunc func(name, value []byte) error
 
-// Do sends a request and reads the head of its response before the deadline. Each field that does not belong to the
-// framing goes to field. Interim responses (1xx) are skipped.
+// Do sends a request and reads the head of the response before the deadline. Do calls field for each header field of
+// the final response that is not part of the framing. Interim responses (1xx) are skipped.
 func (c *Conn) Do(request Request, deadline time.Time, limits Limits, field FieldFunc) (Response, error) {
 	if err := c.raw.SetDeadline(deadline); err != nil {
 		return Response{}, err
@@ -91,13 +92,13 @@
 	if err := c.write(request); err != nil {
 		return Response{}, err
 	}
-	left := limits.Head
+	remaining := limits.Head
 	for {
-		r, err := c.readHead(&left, field)
+		r, err := c.readHead(&remaining, field)
 		if err != nil || r.StatusCode >= statusOK {
 			return r, err
 		}
-		if r.StatusCode == statusSwitchingProtocols { // no request asks for another protocol
+		if r.StatusCode == statusSwitchingProtocols { // requests never ask for a protocol upgrade
 			return r, ErrMalformed
 		}
 	}
@@ -114,10 +115,11 @@
 	return err
 }
 
-// readHead reads one head, interim or final, of at most left bytes, and reduces left by its size.
-func (c *Conn) readHead(left *int, field FieldFunc) (Response, error) {
+// readHead reads the head of one response, interim or final, of at most remaining bytes, and subtracts the head's size
+// from remaining.
+func (c *Conn) readHead(remaining *int, field FieldFunc) (Response, error) {
 	var r Response
-	line, err := c.readLine(left)
+	line, err := c.readLine(remaining)
 	if err != nil {
 		return r, err
 	}
@@ -127,7 +129,7 @@
 	}
 	r.framing = NewFraming(http10)
 	for {
-		if line, err = c.readLine(left); err != nil {
+		if line, err = c.readLine(remaining); err != nil {
 			return r, err
 		}
 		if len(line) == 0 {
@@ -137,17 +139,17 @@
 			return r, err
 		}
 	}
-	c.lastResponse = r.framing.Closes()
+	c.closing = r.framing.Closes()
 	return r, r.framing.Check()
 }
 
-// parseField reads one line of the head. The fields of interim responses are ignored, but for the framing.
+// parseField parses one header line. Of an interim response only the framing fields are read.
 func (r *Response) parseField(line []byte, field FieldFunc) error {
 	name, value, err := ParseField(line)
 	if err != nil {
 		return err
 	}
-	if known, err := r.framing.ParseField(name, value); known || err != nil {
+	if isFraming, err := r.framing.ParseField(name, value); isFraming || err != nil {
 		return err
 	}
 	if r.StatusCode < statusOK {
@@ -156,30 +158,31 @@
 	return field(name, value)
 }
 
-// readLine reads one line without its end. The line is valid until the next read.
-func (c *Conn) readLine(left *int) ([]byte, error) {
+// readLine reads one line, strips the CRLF and subtracts the line's size from remaining. The line is valid until the
+// next read.
+func (c *Conn) readLine(remaining *int) ([]byte, error) {
 	line, err := c.reader.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) || len(line) > *left {
+	if errors.Is(err, bufio.ErrBufferFull) || len(line) > *remaining {
 		return nil, ErrTooLarge
 	}
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
-	*left -= len(line)
+	*remaining -= len(line)
 	if !bytes.HasSuffix(line, []byte("\r\n")) {
 		return nil, ErrMalformed
 	}
 	return line[:len(line)-2], nil
 }
 
-// Body writes the body of a response to w as it arrives. It may take until the deadline, if some of it arrives within
-// each stallTimeout: a large body is not cut off, and silence in the middle of one is found out.
+// Body writes the body of a response to w as the body arrives. Body fails when the deadline has passed, or when no byte
+// arrives within stallTimeout: a large body has time until the deadline, and a stalled peer is detected sooner.
 func (c *Conn) Body(
 	r Response, limits Limits, deadline time.Time, stallTimeout time.Duration, w io.Writer,
 ) error {
 	c.bodyDeadline, c.stallTimeout = deadline, stallTimeout
 	length, chunked, err := r.framing.Body(r.StatusCode, limits.Body)
-	c.lastResponse = c.lastResponse || r.framing.Closes()
+	c.closing = c.closing || r.framing.Closes()
 	if err != nil {
 		return err
 	}
@@ -199,13 +202,13 @@
 		if err := c.copy(w, size); err != nil {
 			return err
 		}
-		left := len("\r\n")
-		line, err := c.readLine(&left)
+		remaining := len("\r\n")
+		line, err := c.readLine(&remaining)
 		if err != nil {
 			return err
 		}
 		if len(line) > 0 {
-			return ErrMalformed // trailers are not used here
+			return ErrMalformed // trailers are not supported
 		}
 		if size == 0 {
 			return nil
@@ -217,15 +220,15 @@
 	if err := c.awaitInput(); err != nil {
 		return 0, err
 	}
-	left := maxChunkLineBytes
-	line, err := c.readLine(&left)
+	remaining := maxChunkLineBytes
+	line, err := c.readLine(&remaining)
 	if err != nil {
 		return 0, err
 	}
 	return ParseChunkSize(line, maxSize)
 }
 
-// copy writes n bytes of the body to w, straight from the read buffer.
+// copy writes n bytes of the body from the read buffer to w.
 func (c *Conn) copy(w io.Writer, n int) error {
 	for n > 0 {
 		if err := c.awaitInput(); err != nil {
@@ -243,7 +246,8 @@
 	return nil
 }
 
-// awaitInput waits until a part of the body has arrived.
+// awaitInput waits until the read buffer holds at least one byte. The wait ends at the body's deadline or after the
+// stall timeout, whichever comes first.
 func (c *Conn) awaitInput() error {
 	if c.reader.Buffered() > 0 {
 		return nil
@@ -259,11 +263,12 @@
 	return unexpectedEOF(err)
 }
 
-// Reusable reports whether the connection may carry a further call, once the body has been read. A connection that
-// has brought more than belonged to the response may not: the rest would be read as the next response.
-func (c *Conn) Reusable() bool { return !c.lastResponse && c.reader.Buffered() == 0 }
+// Reusable reports whether the connection may carry another call. Reusable must be called after the body has been read.
+// A connection with surplus bytes after the response is not reusable: the next call would read those bytes as its
+// response.
+func (c *Conn) Reusable() bool { return !c.closing && c.reader.Buffered() == 0 }
 
-// unexpectedEOF tells the end of a connection in the middle of a response from that of an idle connection.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, for a connection that closes in the middle of a response.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/conn_test.go
+++ b/internal/http1/conn_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// servePieces answers the first call of each connection with the pieces, one write each, and keeps the connection open.
+// servePieces starts a server and returns its address. The server writes the pieces one by one in response to the first
+// read of each connection, and then keeps the connection open until the client closes it or sends more.
 func servePieces(t *testing.T, pieces ...string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +43,7 @@
 	return l.Addr().String()
 }
 
-// call makes one call, and returns its X-Field and its body.
+// call sends one request, and returns the value of X-Field followed by the body.
 func call(t *testing.T, address string) (string, *Conn, error) {
 	t.Helper()
 	limits := Limits{Head: 512, Body: 64}
@@ -64,54 +65,54 @@
 }
 
 func TestResponses(t *testing.T) {
-	const ok = "HTTP/1.1 200 OK\r\n"
-	const chunked = ok + "Transfer-Encoding: chunked\r\n\r\n"
-	full := strings.Repeat("a", 64)
-	for name, k := range map[string]struct {
+	const statusLine = "HTTP/1.1 200 OK\r\n"
+	const chunked = statusLine + "Transfer-Encoding: chunked\r\n\r\n"
+	maxBody := strings.Repeat("a", 64)
+	for name, tc := range map[string]struct {
 		text  string
 		body  string
 		err   bool
 		reuse bool
 	}{
-		"a length":           {ok + "Content-Length: 3\r\nX-Field: f\r\n\r\nabc", "fabc", false, true},
-		"chunks":             {chunked + "2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", "abc", false, true},
+		"fixed length":       {statusLine + "Content-Length: 3\r\nX-Field: f\r\n\r\nabc", "fabc", false, true},
+		"chunked":            {chunked + "2\r\nab\r\n1;x=y\r\nc\r\n0\r\n\r\n", "abc", false, true},
 		"no content":         {"HTTP/1.1 204 No Content\r\n\r\n", "", false, true},
-		"interim answers":    {"HTTP/1.1 103 Early\r\n\r\n" + ok + "Content-Length: 1\r\n\r\na", "a", false, true},
-		"more than its own":  {ok + "Content-Length: 1\r\n\r\nab", "a", false, false},
-		"its last":           {ok + "Connection: close\r\nContent-Length: 1\r\n\r\na", "a", false, false},
-		"old":                {"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
-		"cut short":          {ok + "Content-Length: 5\r\n\r\nab", "ab", true, false},
-		"a chunk cut short":  {chunked + "5\r\nab", "ab", true, false},
-		"no length":          {ok + "\r\nabc", "", true, false},
-		"two lengths":        {ok + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", "", true, false},
-		"length and chunks":  {ok + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", "", true, false},
-		"over the bound":     {ok + "Content-Length: 65\r\n\r\n" + strings.Repeat("a", 65), "", true, false},
-		"chunks over it":     {chunked + "40\r\n" + full + "\r\n1\r\na\r\n0\r\n\r\n", full, true, false},
-		"a large head":       {ok + strings.Repeat("A: b\r\n", 200) + "\r\n", "", true, false},
-		"a bare line feed":   {"HTTP/1.1 200 OK\nContent-Length: 1\r\n\r\na", "", true, false},
-		"noise":              {"hello there, this is no HTTP\r\n\r\n", "", true, false},
-		"another protocol":   {"HTTP/1.1 101 Switching\r\n\r\n", "", true, false},
-		"a chunk of no size": {chunked + "zz\r\n", "", true, false},
+		"interim response":   {"HTTP/1.1 103 Early\r\n\r\n" + statusLine + "Content-Length: 1\r\n\r\na", "a", false, true},
+		"surplus bytes":      {statusLine + "Content-Length: 1\r\n\r\nab", "a", false, false},
+		"connection close":   {statusLine + "Connection: close\r\nContent-Length: 1\r\n\r\na", "a", false, false},
+		"version 1.0":        {"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
+		"truncated body":     {statusLine + "Content-Length: 5\r\n\r\nab", "ab", true, false},
+		"truncated chunk":    {chunked + "5\r\nab", "ab", true, false},
+		"missing length":     {statusLine + "\r\nabc", "", true, false},
+		"repeated length":    {statusLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na", "", true, false},
+		"length and chunked": {statusLine + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", "", true, false},
+		"body above limit":   {statusLine + "Content-Length: 65\r\n\r\n" + strings.Repeat("a", 65), "", true, false},
+		"chunks above limit": {chunked + "40\r\n" + maxBody + "\r\n1\r\na\r\n0\r\n\r\n", maxBody, true, false},
+		"head above limit":   {statusLine + strings.Repeat("A: b\r\n", 200) + "\r\n", "", true, false},
+		"bare line feed":     {"HTTP/1.1 200 OK\nContent-Length: 1\r\n\r\na", "", true, false},
+		"not HTTP":           {"hello there, this is no HTTP\r\n\r\n", "", true, false},
+		"protocol switch":    {"HTTP/1.1 101 Switching\r\n\r\n", "", true, false},
+		"invalid chunk size": {chunked + "zz\r\n", "", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			whole := servePieces(t, k.text)
-			body, c, err := call(t, whole)
-			assert.Equal(t, k.err, err != nil, "%v", err)
-			assert.Equal(t, k.body, body)
+			address := servePieces(t, tc.text)
+			body, c, err := call(t, address)
+			assert.Equal(t, tc.err, err != nil, "%v", err)
+			assert.Equal(t, tc.body, body)
 			if err == nil {
-				assert.Equal(t, k.reuse, c.Reusable())
+				assert.Equal(t, tc.reuse, c.Reusable())
 			}
-			// The same response, byte by byte.
-			split, _, err := call(t, servePieces(t, strings.Split(k.text, "")...))
-			assert.Equal(t, k.err, err != nil, "%v", err)
-			if !k.err {
-				assert.Equal(t, k.body, split)
+			// The same response, sent one byte per write.
+			split, _, err := call(t, servePieces(t, strings.Split(tc.text, "")...))
+			assert.Equal(t, tc.err, err != nil, "%v", err)
+			if !tc.err {
+				assert.Equal(t, tc.body, split)
 			}
 		})
 	}
 }
 
-func TestEndOfContextEndsACall(t *testing.T) {
+func TestContextCancellationAbortsCall(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c, err := Dial(ctx, servePieces(t), time.Second, nil)
 	require.NoError(t, err)
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -1,21 +1,24 @@
 package http1
 
-// absent is the Content-Length of a head without one.
+// absent is the length of a response without a Content-Length.
 const absent = -1
 
-// Framing is what the head of a response says about the end of its body and of the connection (RFC 9112, section 6).
+// Framing holds the header fields that determine the length of a response's body, and whether the connection closes
+// after the response (RFC 9112, section 6).
 type Framing struct {
 	length  int // absent: no Content-Length
 	chunked bool
 	closes  bool
 }
 
-// NewFraming returns the framing of a response whose version is 1.0 or not, before any field is read.
+// NewFraming returns the framing of a response before any header field is read. http10 reports whether the response's
+// version is HTTP/1.0.
 func NewFraming(http10 bool) Framing { return Framing{length: absent, closes: http10} }
 
-// ParseField reads a field that belongs to the framing; known is false for any other field. A Content-Length or a
-// Transfer-Encoding that comes twice is malformed: it contradicts itself, or would if it had been meant.
-func (f *Framing) ParseField(name, value []byte) (known bool, err error) {
+// ParseField parses a header field. isFraming is false for a field that is not part of the framing, and the field is
+// then ignored. The framing must be unambiguous, so a repeated Content-Length or Transfer-Encoding is malformed, even if
+// both values are equal.
+func (f *Framing) ParseField(name, value []byte) (isFraming bool, err error) {
 	switch {
 	case EqualName(name, "Content-Length"):
 		if f.length != absent {
@@ -36,7 +39,7 @@
 	return false, nil
 }
 
-// Check reports a head with both a Content-Length and a Transfer-Encoding as malformed.
+// Check returns ErrMalformed for a response with both a Content-Length and a Transfer-Encoding.
 func (f *Framing) Check() error {
 	if f.chunked && f.length != absent {
 		return ErrMalformed
@@ -44,9 +47,10 @@
 	return nil
 }
 
-// Body returns the length of the body of a response with that status, or that it is chunked. A response other than an
-// error must say where its body ends: a body up to the end of the connection might be cut short. An error without a
-// length has no body, and ends the connection.
+// Body returns the length of the body of a response with the given status, or chunked if the body is chunked. A
+// response with a status below 300 must have a length or chunks: a body that ends with the connection cannot be told
+// from a truncated one. A response with a status of 300 or above and neither of them is taken as empty, and closes the
+// connection.
 func (f *Framing) Body(status, maxBody int) (length int, chunked bool, err error) {
 	switch {
 	case status < statusOK || status == statusNoContent || status == statusNotModified:
@@ -64,5 +68,5 @@
 	return f.length, false, nil
 }
 
-// Closes reports whether the connection ends with the response.
+// Closes reports whether the connection closes after the response.
 func (f *Framing) Closes() bool { return f.closes }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 holds the rules by which all HTTP clients of this program read a response (RFC 9112), and a client
-// connection for large responses, with or without TLS. internal/engine reads small responses in place, by the same
-// rules.
+// Package http1 parses HTTP/1.1 responses (RFC 9112) and provides a client connection for large responses, with or
+// without TLS. All HTTP clients of this program share the parsing functions. internal/engine uses them to parse small
+// responses in place, without Conn.
 package http1
 
 import (
@@ -10,13 +10,13 @@
 )
 
 var (
-	// ErrMalformed reports a response that can't be read, or that leaves open where it ends.
+	// ErrMalformed reports a response that cannot be parsed, or whose end cannot be determined.
 	ErrMalformed = errors.New("http: malformed response")
-	// ErrTooLarge reports a response that exceeds a limit.
+	// ErrTooLarge reports a response that exceeds a size limit.
 	ErrTooLarge = errors.New("http: response too large")
 )
 
-// Status codes that decide how a response is read.
+// Status codes that determine how a response is parsed.
 const (
 	statusSwitchingProtocols = 101
 	statusOK                 = 200
@@ -25,10 +25,11 @@
 	statusNotModified        = 304
 )
 
-// statusLineSize is the size of a status line up to its status code.
+// statusLineSize is the length of a status line up to and including the status code.
 const statusLineSize = len("HTTP/1.1 200")
 
-// ParseStatusLine reads a status line, HTTP-version SP code SP reason, and reports whether the version is 1.0.
+// ParseStatusLine parses a status line (HTTP-version SP code SP reason). http10 reports whether the version is
+// HTTP/1.0.
 func ParseStatusLine(line []byte) (code int, http10 bool, err error) {
 	if len(line) < statusLineSize || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' ||
 		(len(line) > statusLineSize && line[statusLineSize] != ' ') {
@@ -40,7 +41,7 @@
 	return code, line[7] == '0', nil
 }
 
-// ParseField splits a line of the head into the name and the value of its field. Both are slices of the line.
+// ParseField splits a header line into the name and the value of the field. Both results are slices of the line.
 func ParseField(line []byte) (name, value []byte, err error) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok || !IsToken(name) {
@@ -49,7 +50,7 @@
 	return name, bytes.TrimSpace(value), nil
 }
 
-// IsToken reports whether a name has neither blanks nor control characters, and is not empty.
+// IsToken reports whether a name is not empty and contains only printable ASCII characters without spaces.
 func IsToken(name []byte) bool {
 	for _, c := range name {
 		if c <= ' ' || c >= 0x7f {
@@ -59,7 +60,7 @@
 	return len(name) > 0
 }
 
-// ParseDigits reads an integer of digits only, of at most 39 bits.
+// ParseDigits parses an unsigned decimal integer without a sign, of at most 39 bits.
 func ParseDigits(text []byte) (int, error) {
 	for _, c := range text {
 		if c < '0' || c > '9' {
@@ -73,12 +74,13 @@
 	return int(n), nil
 }
 
-// EqualName compares the name of a field, or a value such as "close", without regard to case.
+// EqualName reports whether a field name, or a value such as "close", equals name without regard to case.
 func EqualName(b []byte, name string) bool {
 	return len(b) == len(name) && bytes.EqualFold(b, []byte(name))
 }
 
-// ParseChunkSize reads the line that begins a chunk, without its line end. Extensions are ignored.
+// ParseChunkSize parses the chunk-size line of a chunk, given without its CRLF. Extensions are ignored. A size above
+// maxSize is ErrTooLarge.
 func ParseChunkSize(line []byte, maxSize int) (int, error) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 32)
