--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -10,40 +10,42 @@
 )
 
 const (
-	// minTimeLeft is the time below which a query is no longer sent.
+	// minTimeLeft is the shortest time before the deadline at which a query is still sent.
 	minTimeLeft = time.Millisecond
-	// singleWriteBytes is what any socket accepts in one write: a smaller write that fails at once has sent nothing.
+	// singleWriteBytes is the request size up to which every socket accepts a request in one write. If such a write fails
+	// without a timeout, no byte has been sent.
 	singleWriteBytes = 8 << 10
 )
 
-// attempt is one query on one engine, from its POST until it is proved that the query no longer runs. Its methods are
-// for one goroutine.
+// attempt is one query on one engine, from the POST until there is proof that the query no longer runs. The methods of
+// an attempt must be called from one goroutine.
 //
-// An answer does not say which query it belongs to, so what is left of another query's answer, however late it
-// arrives, must not be read as this query's answer. A connection that has carried another query is used only where
+// A response does not identify the query that it belongs to, so a leftover response to another query, however late,
+// must not be read as the response to this query. A connection that has carried another query is reused only where
 // decision/reuse allows it.
 type attempt struct {
 	client    *Client
 	exchange  *exchange.Exchange
 	number    int
-	instance  *instance // nil: the engine is not known
+	instance  *instance // nil: the endpoint list does not contain the engine
 	engine    uint32
 	terms     admission.Terms
 	startedAt time.Time
 	deadline  time.Time
-	notAfter  time.Time // the query is not sent later; zero: no such bound
+	notAfter  time.Time // the query is not sent after this time; zero: no limit
 
-	cancelled       chan struct{} // closed when the attempt is given up
-	cancelRequested bool          // guarded by the client's lock; cancelled is closed
+	cancelled       chan struct{} // closed when the attempt is cancelled
+	cancelRequested bool          // guarded by client.mu; true once cancelled is closed
 
 	outcome    admission.Outcome
-	conn       *connection // nil or closed: the next call opens one
-	lastCallAt time.Time   // the last time at which the engine may have received a call for the query
-	// acknowledged reports that the engine has answered for the query, so the query exists there unless its end was
-	// reported. Otherwise the POST got no answer, and the engine may not have read it yet.
+	conn       *connection // nil or closed: the next call opens a connection
+	lastCallAt time.Time   // the latest time at which the engine may have received a call for the query
+	// acknowledged reports that the engine has responded to a call for the query, so the engine has the query unless the
+	// response reported the end of the query. If false, the POST got no response, and the engine may not have read the
+	// POST yet.
 	acknowledged bool
-	// unconfirmed is a connection that has carried another query and is not trusted. What it brings may be the other
-	// query's answer, and counts only once it has been confirmed.
+	// unconfirmed is a connection that has carried another query and is not trusted. A response on this connection may
+	// belong to the other query, and counts only once confirm has succeeded.
 	unconfirmed *connection
 }
 
@@ -56,7 +58,7 @@
 	}
 }
 
-// run carries the attempt out and returns its status, and the whole result when it was served.
+// run executes the attempt. run returns the status, and the complete result if the status is OK.
 func (a *attempt) run() (admission.Status, []byte) {
 	if a.instance == nil || a.exchange.Settled() {
 		return admission.NotSent, nil
@@ -87,7 +89,8 @@
 			}
 			err = a.discardUnconfirmed()
 		case unconfirmed:
-			// Another query's error would let this query be sent again while it runs.
+			// If this is the error of another query, returning it would cause a retry of this query while this query
+			// runs.
 			err = a.discardUnconfirmed()
 		default:
 			return a.errorStatus(r), nil
@@ -95,7 +98,8 @@
 	}
 }
 
-// post sends the query. Any status but OK ends the attempt, and the query has not run.
+// post sends the query and reads the response. A status other than OK ends the attempt and guarantees that the query
+// has not run.
 func (a *attempt) post() (r response, status admission.Status, err error) {
 	for posts := 1; ; posts++ {
 		if status := a.connect(); status != admission.OK {
@@ -107,9 +111,9 @@
 			break
 		}
 		if isTimeout(err) || len(a.conn.request) > singleWriteBytes {
-			break // a part of it may have been sent
+			break // a part of the request may have been sent
 		}
-		// The kernel knew already that the connection was closed, and has sent nothing.
+		// The kernel had already registered the closing of the connection, and has sent nothing.
 		a.conn.close()
 		a.client.options.Counters.Add("unwritten", 1)
 		if posts == maxDials {
@@ -117,7 +121,7 @@
 		}
 	}
 	if err == nil {
-		r, err = a.readAnswer(checkPollAnswer)
+		r, err = a.readResponse(checkPollResponse)
 	}
 	return r, admission.OK, err
 }
@@ -133,7 +137,7 @@
 	}
 }
 
-// connect opens the connection for the POST. Any status but OK ends the attempt.
+// connect acquires the connection for the POST. A status other than OK ends the attempt.
 func (a *attempt) connect() admission.Status {
 	var err error
 	var needsConfirmation bool
@@ -147,26 +151,26 @@
 	if a.unconfirmed = nil; needsConfirmation {
 		a.unconfirmed = a.conn
 	}
-	// While the connection came up, the engine may have begun to drain, the client may have gone, or the deadline or the
-	// deduplication window may have passed. The exchange is asked whether its client has gone: where queries may not be
-	// cancelled, nobody cancels the attempt.
-	late := time.Until(a.deadline) < minTimeLeft || (!a.notAfter.IsZero() && time.Now().After(a.notAfter))
-	if late || a.isCancelled() || !a.instance.isReady() || a.exchange.Abandoned() {
+	// During the connect the engine may have begun to drain, the client may have disconnected, or the deadline or the
+	// deduplication window may have passed. Abandoned is checked in addition to isCancelled, because where queries may not
+	// be deleted, the disconnect of a client does not cancel the attempt.
+	tooLate := time.Until(a.deadline) < minTimeLeft || (!a.notAfter.IsZero() && time.Now().After(a.notAfter))
+	if tooLate || a.isCancelled() || !a.instance.isReady() || a.exchange.Abandoned() {
 		a.client.options.Counters.Add("unsent", 1)
 		return admission.NotSent
 	}
 	return admission.OK
 }
 
-// closeConnection closes the current connection, if there is one.
+// closeConnection closes the current connection, if any.
 func (a *attempt) closeConnection() {
 	if a.conn != nil {
 		a.conn.close()
 	}
 }
 
-// releaseConnection hands the connection to the idle pool, which keeps it or closes it. No answer is due on it: a
-// call that was not answered, or whose answer was malformed, has closed its connection.
+// releaseConnection passes the connection to the idle pool, which keeps or closes the connection. No response is
+// outstanding on the connection: a call that gets no response or a malformed one closes its connection.
 func (a *attempt) releaseConnection() {
 	if a.conn != nil {
 		a.client.idlePool.put(a.instance, a.conn)
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// answerTimeout is how long the answer to a call is waited for: an engine answers within 250 ms, or later by as much
-// as its process is stopped. Polling again on another connection does no harm then, and where a connection has gone
-// silent a short request still has time for a retry.
-const answerTimeout = 350 * time.Millisecond
+// callTimeout is how long a call waits for its response. An engine responds within 250 ms, plus any time for which its
+// process is stopped. After a timeout the query is polled on another connection, which is harmless if the engine was
+// only late. If a connection delivers nothing more, 350 ms leave a short request time for a retry.
+const callTimeout = 350 * time.Millisecond
 
 var (
-	errRetired     = errors.New("engine: gone from the list")
-	errUnreachable = errors.New("engine: not reached")
+	errRetired     = errors.New("engine: removed from the endpoint list or replaced by another process")
+	errUnreachable = errors.New("engine: connection could not be opened")
 )
 
-// call makes a call for the query on the current connection, or on a new one where that can't carry another call. check
-// validates the answer.
+// call sends a call for the query and returns the response. The call uses the current connection, or a new one if the
+// current connection is not reusable. check validates the response.
 func (a *attempt) call(method, path string, check func(response) error) (response, error) {
 	if a.conn == nil || !a.conn.reusable() {
 		if a.conn != nil && a.conn.hasSurplus() {
@@ -31,26 +31,26 @@
 		a.conn = conn
 	}
 	a.conn.writeRequestLine(method, path, a.instance.address)
-	a.lastCallAt = time.Now() // the engine may receive the call even where sending it fails
+	a.lastCallAt = time.Now() // the engine may receive the call even if send fails
 	if err := a.conn.send(nil); err != nil {
 		a.conn.close()
 		a.client.options.Counters.Add("lost_call", 1)
 		return response{}, err
 	}
-	return a.readAnswer(check)
+	return a.readResponse(check)
 }
 
-// readAnswer reads the answer to the call that was sent, and validates it.
-func (a *attempt) readAnswer(check func(response) error) (response, error) {
+// readResponse reads the response to the call that was sent, and validates the response with check.
+func (a *attempt) readResponse(check func(response) error) (response, error) {
 	a.lastCallAt = time.Now()
-	r, err := a.conn.receive(a.lastCallAt.Add(answerTimeout))
+	r, err := a.conn.receive(a.lastCallAt.Add(callTimeout))
 	if err == nil {
 		err = check(r)
 	}
 	if err != nil {
 		a.conn.abort()
 	}
-	// The engine may have received the call until it was answered, or until its connection was reset.
+	// The engine may have received the call at any time until the response arrived or the connection was reset.
 	a.lastCallAt = time.Now()
 	if err != nil {
 		if isMalformed(err) {
@@ -62,12 +62,12 @@
 		return r, err
 	}
 	a.acknowledged = true
-	a.instance.recordAnswer()
+	a.instance.recordResponse()
 	return r, nil
 }
 
-// redial opens a further connection to the engine. It fails with errRetired once the engine's process has ended: its
-// successor at the same address knows nothing of the query.
+// redial opens a new connection to the engine. redial fails with errRetired once the engine's process has ended: a new
+// process at the same address does not have the query.
 func (a *attempt) redial() (*connection, error) {
 	if a.instance.isRetired() {
 		return nil, errRetired
--- a/internal/engine/changelog.go
+++ b/internal/engine/changelog.go
@@ -10,27 +10,27 @@
 	"beechcart/decision/watchtimeout"
 )
 
-var errChangeLogClosed = errors.New("change log: connection closed")
+var errChangeLogClosed = errors.New("change log: connection not reusable after a response")
 
-// changeLogWatch is the state of following one change log.
+// changeLogWatch is the state of the watch of one change log.
 type changeLogWatch struct {
 	client   *Client
 	address  string
-	since    int64 // the number of the last event that was taken
-	take     func(body []byte) (int64, error)
+	since    int64 // the number of the last event that was applied
+	apply    func(body []byte) (int64, error)
 	timeouts *watchtimeout.Timeouts
 }
 
-// FollowChangeLog polls the change log at an address until ctx ends. Each answer goes to take, which returns the
-// number of the last event that it has taken; the polls begin after event since. The outcome of each poll goes to
-// report. A lost connection is opened again, however often. decision/watchtimeout decides how long each step may
-// last. The end of ctx ends a dial or a poll at once: a new configuration may have replaced an address that no longer
-// answers.
+// FollowChangeLog polls the change log at an address until ctx ends. The first poll asks for the events after event
+// number since. FollowChangeLog passes the body of each response to apply, which returns the number of the last event
+// that was applied, and the outcome of each poll to report. A lost connection is replaced, without a limit on the
+// number of tries. decision/watchtimeout sets the timeouts and the delay before a retry. When ctx ends, a dial or poll
+// in progress is aborted at once, since a new configuration may have replaced an address that no longer responds.
 func (c *Client) FollowChangeLog(
-	ctx context.Context, address string, since int64, take func([]byte) (int64, error), report func(error),
+	ctx context.Context, address string, since int64, apply func([]byte) (int64, error), report func(error),
 ) {
 	watch := &changeLogWatch{
-		client: c, address: address, since: since, take: take,
+		client: c, address: address, since: since, apply: apply,
 		timeouts: watchtimeout.New(c.options.DrainGrace, c.options.ConnectTimeout),
 	}
 	for ctx.Err() == nil {
@@ -39,7 +39,7 @@
 			return
 		}
 		if report(err); isTimeout(err) {
-			continue // it has taken its time already
+			continue // the timeout has already delayed the retry
 		}
 		select {
 		case <-ctx.Done():
@@ -48,7 +48,7 @@
 	}
 }
 
-// followOnce polls on one connection until that fails.
+// followOnce opens one connection and polls on it until a poll fails.
 func (w *changeLogWatch) followOnce(ctx context.Context, report func(error)) error {
 	began := time.Now()
 	conn, err := w.client.sockets.dial(ctx, w.address, w.timeouts.Dial(), urgentUse)
@@ -85,9 +85,9 @@
 	}
 	w.timeouts.ResponseReceived(time.Since(sent))
 	if r.status != statusOK {
-		return fmt.Errorf("change log: status %d", r.status)
+		return fmt.Errorf("change log: found status %d, must be 200", r.status)
 	}
-	if w.since, err = w.take(r.body); err != nil {
+	if w.since, err = w.apply(r.body); err != nil {
 		return err
 	}
 	if !conn.reusable() {
--- a/internal/engine/chunks.go
+++ b/internal/engine/chunks.go
@@ -7,18 +7,19 @@
 	"beechcart/internal/http1"
 )
 
-// maxChunkLineBytes bounds the line with the size of a chunk.
+// maxChunkLineBytes bounds the chunk-size line of a chunk, extensions included.
 const maxChunkLineBytes = 64
 
-// joinChunks joins the chunks at the start of buf in place, and returns the body and the number of bytes read. It
-// changes buf only once the last chunk is there: a message is read again from its start when more of it has arrived.
+// joinChunks joins the chunks at the start of buf in place, and returns the body and the number of bytes read.
+// joinChunks changes buf only once buf holds the last chunk: an incomplete response is parsed again from its start when
+// more bytes have arrived.
 func joinChunks(buf []byte, maxBody int) (body []byte, n int, err error) {
-	for at := 0; ; {
-		size, start, err := parseChunk(buf[at:], maxBody)
+	for offset := 0; ; {
+		size, start, err := parseChunk(buf[offset:], maxBody)
 		if err != nil {
 			return nil, 0, err
 		}
-		if at += start + size + len("\r\n"); at > maxBody {
+		if offset += start + size + len("\r\n"); offset > maxBody {
 			return nil, 0, errTooLarge
 		}
 		if size == 0 {
@@ -40,7 +41,7 @@
 	}
 }
 
-// parseChunk returns the size of the chunk at the start of buf, and where its content starts.
+// parseChunk returns the size of the chunk at the start of buf, and the offset of the chunk's content.
 func parseChunk(buf []byte, maxBody int) (size, start int, err error) {
 	end := bytes.Index(buf, []byte("\r\n"))
 	if end < 0 {
@@ -57,7 +58,7 @@
 		return 0, 0, errIncomplete
 	}
 	if buf[start+size] != '\r' || buf[start+size+1] != '\n' {
-		return 0, 0, errMalformed // trailers are not used here
+		return 0, 0, errMalformed // trailers are not supported
 	}
 	return size, start, nil
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,7 +1,7 @@
-// Package engine is the client of the engines: it carries attempts, health checks and the polls of the change log
-// over HTTP/1.1. An attempt posts a query, polls it until it ends, reads its result page by page, and is reported as
-// done only once it is proved that the query no longer runs, and won't. The package knows nothing of the gateway's
-// own clients.
+// Package engine implements the HTTP/1.1 client that sends queries and health checks to engines and polls the change
+// log. An attempt posts a query, polls the engine until the query ends, and reads the result page by page. An attempt
+// is reported as done only once there is proof that the query does not run and will not run later. The connections of
+// the gateway's own clients are handled elsewhere.
 package engine
 
 import (
@@ -17,9 +17,10 @@
 	"beechcart/internal/invariant"
 )
 
-// Sink takes the reports of a Client. Its methods are called from any goroutine.
+// Sink receives the reports of a Client. A Client calls the methods of its Sink from any goroutine.
 type Sink interface {
-	// AttemptDone reports the outcome of an attempt; rows is the whole result of one that was served.
+	// AttemptDone reports the outcome of an attempt. rows is the complete result if the status is admission.OK, and nil
+	// otherwise.
 	AttemptDone(x *exchange.Exchange, outcome admission.Outcome, rows []byte)
 	// Notify reports the progress of an attempt or the result of a health check.
 	Notify(ev admission.Event)
@@ -28,16 +29,17 @@
 // Options are the settings of a Client.
 type Options struct {
 	ConnectTimeout time.Duration
-	DrainGrace     time.Duration // within which the drain of an engine has to be known
-	Sockets        int           // connections at once, the reserve included
+	DrainGrace     time.Duration // the time within which the change log must report the drain of an engine
+	Sockets        int           // maximum number of open connections, including the reserve
 	Classes        []admission.Class
-	MayDelete      bool          // abandoned queries may be deleted; otherwise they are no longer polled, and expire
-	Reuse          *reuse.Policy // nil: no connection serves again
+	MayDelete      bool          // abandoned queries may be deleted; if false, they are left to expire without polls
+	Reuse          *reuse.Policy // nil: connections are not reused
 	Counters       *invariant.Counters
 }
 
-// reservedSockets is the part of the sockets that attempts may not use, as a divisor.
-const reservedSockets = 8
+// socketReserveDivisor sets the socket reserve: of N sockets, the POSTs of attempts leave N/socketReserveDivisor
+// unused.
+const socketReserveDivisor = 8
 
 // Client sends attempts and health checks to the engines of the endpoint list. Its methods are safe for concurrent use.
 type Client struct {
@@ -47,27 +49,27 @@
 	sink     Sink
 
 	mu        sync.Mutex
-	instances map[uint32]*instance    // by engine; guarded by mu
+	instances map[uint32]*instance    // by engine ID; guarded by mu
 	inFlight  map[attemptKey]*attempt // guarded by mu
 }
 
-// attemptKey identifies an attempt: the id of its request, and its number.
+// attemptKey identifies an attempt by the ID of the request and the number of the attempt.
 type attemptKey struct {
 	id      string
 	attempt int
 }
 
-// New returns a Client that knows no engine yet, and reports to sink.
+// New returns a Client that reports to sink. The Client has no engines before the first call of Update.
 func New(options Options, sink Sink) *Client {
 	return &Client{
 		options: options, sink: sink, instances: map[uint32]*instance{}, inFlight: map[attemptKey]*attempt{},
-		sockets:  &sockets{limit: options.Sockets, reserve: options.Sockets / reservedSockets},
+		sockets:  &sockets{limit: options.Sockets, reserve: options.Sockets / socketReserveDivisor},
 		idlePool: newIdlePool(options.Reuse, func(counter string) { options.Counters.Add(counter, 1) }),
 	}
 }
 
-// Update applies a change of the endpoint list. It must be called before the controller hears of the change, so that
-// nothing is sent on the older list.
+// Update applies a change of the endpoint list. The caller must call Update before the change reaches the controller,
+// so that no query is sent on the basis of the previous list.
 func (c *Client) Update(l endpoints.List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,42 +79,43 @@
 		c.updateInstance(e)
 	}
 	if l.Complete {
-		for id, known := range c.instances {
+		for id, inst := range c.instances {
 			if !listed[id] {
-				known.retire()
+				inst.retire()
 				delete(c.instances, id)
 			}
 		}
 	}
 }
 
-// updateInstance applies one entry of a list; the lock is held. An address may pass from an engine to another one,
-// and an engine's process may have been restarted: attempts belong to one process of one engine.
+// updateInstance applies one entry of an endpoint list; the caller holds mu. An address may be reassigned to another
+// engine, and an engine's process may have restarted, so an attempt is bound to one process of one engine.
 func (c *Client) updateInstance(e endpoints.Endpoint) {
-	known := c.instances[e.ID]
-	if known == nil || known.replacedBy(e) {
-		if known != nil {
-			known.retire()
+	inst := c.instances[e.ID]
+	if inst == nil || inst.replacedBy(e) {
+		if inst != nil {
+			inst.retire()
 		}
-		known = &instance{client: c, id: e.ID, address: e.Address, started: e.Started}
-		c.instances[e.ID] = known
+		inst = &instance{client: c, id: e.ID, address: e.Address, started: e.Started}
+		c.instances[e.ID] = inst
 	}
-	known.setState(e.State)
+	inst.setState(e.State)
 	if e.State == admission.Removed {
-		known.retire()
+		inst.retire()
 		delete(c.instances, e.ID)
 	}
 }
 
-// instance is the current instance of an engine; nil where the list does not name it.
+// instance returns the current instance of an engine, or nil if the endpoint list does not contain the engine.
 func (c *Client) instance(engine uint32) *instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.instances[engine]
 }
 
-// Start begins an attempt, and returns at once; Sink.AttemptDone is called once for it. The attempt may last for
-// timeout. Its query is not sent after notAfter, unless that is zero.
+// Start begins an attempt and returns at once. The Client calls Sink.AttemptDone exactly once for the attempt. The
+// deadline of the attempt is timeout from now. The query is not sent after notAfter; a zero notAfter sets no such
+// limit.
 func (c *Client) Start(
 	x *exchange.Exchange, number int, engine uint32, terms admission.Terms, timeout time.Duration, notAfter time.Time,
 ) {
@@ -136,13 +139,14 @@
 	}()
 }
 
-// Drained reports whether an engine that is not ready has no attempt in flight, and will get none: an attempt is
-// registered before it checks whether its engine is ready. An engine that is still ready here is not drained, even
-// when it has no attempt: its exclusion may be on its way.
+// Drained reports whether an engine is not ready, has no attempt in flight and will get none. No attempt can start
+// unnoticed, because each attempt is registered before the check that its engine is ready. An engine that is still
+// ready is not drained, even without an attempt in flight: the controller may not have applied the engine's exclusion
+// yet.
 func (c *Client) Drained(engine uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.instances[engine]; known != nil && known.isReady() {
+	if inst := c.instances[engine]; inst != nil && inst.isReady() {
 		return false
 	}
 	for _, a := range c.inFlight {
@@ -153,7 +157,7 @@
 	return true
 }
 
-// Cancel gives up on an attempt. Its outcome is reported once its end is proved.
+// Cancel cancels an attempt. The outcome is reported once there is proof that the query has ended.
 func (c *Client) Cancel(id string, number int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,18 +169,19 @@
 
 // CloseIdle closes the idle connections to an engine.
 func (c *Client) CloseIdle(engine uint32) {
-	if known := c.instance(engine); known != nil {
-		c.idlePool.drop(known)
+	if inst := c.instance(engine); inst != nil {
+		c.idlePool.drop(inst)
 	}
 }
 
-// nonIdempotent reports whether a request must not run twice. A request of an unknown class must not.
+// nonIdempotent reports whether the class of a request is not idempotent. An unknown class counts as non-idempotent.
 func (c *Client) nonIdempotent(x *exchange.Exchange) bool {
 	classes := c.options.Classes
 	return x.Class < 0 || x.Class >= len(classes) || classes[x.Class].Idempotency != admission.Idempotent
 }
 
-// dial opens a new connection to an engine. Where no socket is free, an idle connection is closed for it.
+// dial opens a new connection to an engine. If no socket is free, dial closes the connection that has been idle for
+// longest and tries again.
 func (c *Client) dial(address string, use socketUse) (*connection, error) {
 	for {
 		conn, err := c.sockets.dial(context.Background(), address, c.options.ConnectTimeout, use)
--- a/internal/engine/confirm.go
+++ b/internal/engine/confirm.go
@@ -5,12 +5,13 @@
 	"errors"
 )
 
-// errUnconfirmed reports that an answer is not proved to be this query's.
-var errUnconfirmed = errors.New("engine: an answer that was not confirmed")
+// errUnconfirmed reports a response that is not proved to belong to this query.
+var errUnconfirmed = errors.New("engine: response on an untrusted connection not confirmed")
 
-// confirm asks for the first page once more, behind the answer that was read, and reports whether it is the same.
+// confirm requests the first page again after the result has been read, and reports whether pageCount and body match
+// the second response.
 func (a *attempt) confirm(pageCount int, body []byte) bool {
-	r, err := a.call("GET", pagePath(a.exchange.ID, 0), checkPollAnswer)
+	r, err := a.call("GET", pagePath(a.exchange.ID, 0), checkPollResponse)
 	if err == nil && r.status == statusOK && r.pageCount == pageCount && bytes.Equal(r.body, body) {
 		return true
 	}
@@ -20,8 +21,8 @@
 	return false
 }
 
-// discardUnconfirmed closes a connection whose answers are not proved to be this query's. All that is known then is
-// that the query was sent: the engine may not have read it yet.
+// discardUnconfirmed closes a connection whose responses are not proved to belong to this query. The attempt then
+// counts as sent but not acknowledged: the engine may not have read the query yet.
 func (a *attempt) discardUnconfirmed() error {
 	a.client.options.Counters.Add("unproved_answer", 1)
 	if a.conn != nil {
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -13,20 +13,20 @@
 	"beechcart/internal/copycount"
 )
 
-// responseTimeout is how long the rest of a response may take once it has begun.
-const responseTimeout = 150 * time.Millisecond
+// partialResponseTimeout is how long the rest of a response may take after its first bytes have arrived.
+const partialResponseTimeout = 150 * time.Millisecond
 
-// connection is one HTTP/1.1 connection with one call at a time. Its methods are for one goroutine, but for close,
-// which is for any.
+// connection is an HTTP/1.1 connection that carries one call at a time. Only close may be called concurrently with
+// other methods.
 type connection struct {
 	raw           netpoll.Connection
-	sockets       *sockets // gets the socket back
+	sockets       *sockets // close releases the socket here
 	closeOnce     sync.Once
-	request       []byte // the call that is written; its memory is used again by the next call
-	responseBytes int    // bytes of the current response, which are still in the buffer
-	lastResponse  bool   // the connection ends with that response
-	bodyLimit     int    // bytes of the body of a response; 0: maxBodyBytes
-	queries       int    // queries and health checks that it has carried
+	request       []byte // the encoded call; the buffer is reused for the next call
+	responseBytes int    // size of the current response, which is still in the read buffer
+	closing       bool   // the connection closes after the current response
+	bodyLimit     int    // maximum size of a response's body in bytes; 0: maxBodyBytes
+	queries       int    // number of queries and health checks carried so far
 }
 
 func (c *connection) close() {
@@ -36,7 +36,7 @@
 	})
 }
 
-// abort closes the connection with a reset, so that nothing more is sent of a call that got no answer.
+// abort closes the connection with a TCP reset, so that the kernel sends no more bytes of a call without a response.
 func (c *connection) abort() {
 	if conn, ok := c.raw.(netpoll.Conn); ok && c.raw.IsActive() {
 		_ = syscall.SetsockoptLinger(conn.Fd(), syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
@@ -44,8 +44,8 @@
 	c.close()
 }
 
-// reusable releases the current response, and reports whether the connection may carry a further call. A connection
-// that has brought more than belonged to the response may not: the rest would be read as the next answer.
+// reusable releases the current response, and reports whether the connection may carry another call. A connection with
+// surplus bytes after the response is not reusable: the next call would read those bytes as its response.
 func (c *connection) reusable() bool {
 	if c.responseBytes > 0 {
 		err := c.raw.Reader().Skip(c.responseBytes)
@@ -56,27 +56,27 @@
 			return false
 		}
 	}
-	return !c.lastResponse && c.raw.IsActive() && c.raw.Reader().Len() == 0
+	return !c.closing && c.raw.IsActive() && c.raw.Reader().Len() == 0
 }
 
-// hasSurplus reports whether the engine has sent more than belonged to the last response. reusable must have been
-// called.
+// hasSurplus reports whether the engine has sent more bytes than the last response. The caller must have called
+// reusable before.
 func (c *connection) hasSurplus() bool {
 	return c.responseBytes == 0 && c.raw.IsActive() && c.raw.Reader().Len() > 0
 }
 
-// writeRequestLine begins a call.
+// writeRequestLine starts a new call with the request line and the Host header.
 func (c *connection) writeRequestLine(method, path, host string) {
 	c.request = append(append(append(append(c.request[:0], method...), ' '), path...), " HTTP/1.1\r\n"...)
 	c.writeHeader(headerHost, host)
 }
 
-// writeHeader adds a header to the call.
+// writeHeader appends a header to the call.
 func (c *connection) writeHeader(name, value string) {
 	c.request = append(append(append(append(c.request, name...), ": "...), value...), "\r\n"...)
 }
 
-// send sends the call with its body; nil: it has none.
+// send sends the call with the given body. A nil body sends no Content-Length.
 func (c *connection) send(body []byte) error {
 	if body != nil {
 		c.writeHeader(headerContentLength, strconv.Itoa(len(body)))
@@ -89,9 +89,9 @@
 	return c.raw.Writer().Flush()
 }
 
-// receive reads one response before the deadline. Its slices are valid until reusable or close is called. The rest of
-// a response that has begun has responseTimeout: an engine may stop in the middle of one and keep the connection
-// open.
+// receive reads one response before the deadline. The slices of the response are valid until reusable or close is
+// called. Once a response has begun, the rest of the response must arrive within partialResponseTimeout: an engine may
+// stop in the middle of a response and keep the connection open.
 func (c *connection) receive(deadline time.Time) (response, error) {
 	r := c.raw.Reader()
 	for want := 1; ; want = r.Len() + 1 {
@@ -109,10 +109,10 @@
 		}
 		parsed, n, err := parseResponse(buf, cmp.Or(c.bodyLimit, maxBodyBytes))
 		if !errors.Is(err, errIncomplete) {
-			c.responseBytes, c.lastResponse = n, parsed.closes
+			c.responseBytes, c.closing = n, parsed.closes
 			return parsed, err
 		}
-		if end := time.Now().Add(responseTimeout); want == 1 && end.Before(deadline) {
+		if end := time.Now().Add(partialResponseTimeout); want == 1 && end.Before(deadline) {
 			deadline = end
 		}
 	}
--- a/internal/engine/health_check.go
+++ b/internal/engine/health_check.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// healthCheckTimeout is how long the answer to a health check is waited for.
+	// healthCheckTimeout is how long a health check waits for its response.
 	healthCheckTimeout = 250 * time.Millisecond
-	// maxHealthCheckTries bounds the tries of one health check. A reset or a malformed answer may come from the network
-	// alone.
+	// maxHealthCheckTries bounds the tries of one health check. The check is repeated because the network alone may cause
+	// a reset or a malformed response.
 	maxHealthCheckTries = 3
 )
 
-// CheckHealth checks the health of an engine, and returns at once; the result goes to Sink.Notify. There is none
-// where this process has no socket left for the check.
+// CheckHealth starts a health check of an engine and returns at once. The result goes to Sink.Notify. If this process
+// has no free socket for the check, no result is reported.
 func (c *Client) CheckHealth(engine uint32) {
-	known := c.instance(engine)
+	inst := c.instance(engine)
 	go func() {
 		began := time.Now()
 		result := admission.HealthCheckResult{Engine: engine, Status: admission.ConnectFailed}
-		if known != nil {
+		if inst != nil {
 			var err error
-			if result.Status, result.Report, err = known.checkHealth(); errors.Is(err, errNoSocket) {
+			if result.Status, result.Report, err = inst.checkHealth(); errors.Is(err, errNoSocket) {
 				c.options.Counters.Add("no_socket", 1)
 				return
 			}
@@ -44,7 +44,7 @@
 }
 
 func (i *instance) checkHealthOnce() (admission.Status, *admission.Report, error) {
-	// An idle connection may bring the report of an earlier call, which does no harm.
+	// On a reused connection the load report may belong to an earlier call, which is harmless.
 	conn, _, err := i.acquire(false, urgentUse)
 	if err != nil {
 		return admission.ConnectFailed, nil, err
@@ -65,7 +65,7 @@
 		}
 		return admission.Reset, nil, err
 	}
-	i.recordAnswer()
+	i.recordResponse()
 	report, status := parseLoadReport(r.loadReport), admission.OK
 	if r.status != statusOK {
 		status = admission.Errored
--- a/internal/engine/idle_pool.go
+++ b/internal/engine/idle_pool.go
@@ -7,34 +7,34 @@
 	"beechcart/decision/reuse"
 )
 
-// checkInterval is how often idle connections are checked for input. netpoll reads all that an engine sends into
-// memory, whether anyone waits for it or not.
+// checkInterval is the longest interval between two checks of the idle connections for input. The checks bound the
+// memory use: netpoll reads into memory everything that an engine sends, even without a pending read.
 const checkInterval = 25 * time.Millisecond
 
-// Idle connections are checked for expiry at least so often in reuse.Policy's MaxIdleTime.
+// expiryChecksPerIdleTime is how often idle connections are checked for expiry within reuse.Policy's MaxIdleTime.
 const expiryChecksPerIdleTime = 4
 
-// idlePool keeps the connections that have ended a query or a health check, and lets them carry another one where
-// decision/reuse allows it. All its methods are safe for concurrent use, and on a nil pool, which keeps nothing.
+// idlePool keeps connections after a query or a health check, and returns them for further ones where decision/reuse
+// allows reuse. A nil pool keeps no connections. Methods that do not require mu to be held are safe for concurrent use.
 type idlePool struct {
 	count func(counter string)
 	start time.Time
 
 	mu             sync.Mutex
 	policy         *reuse.Policy             // guarded by mu
-	byInstance     map[*instance][]*idleConn // guarded by mu; the latest connection is the last
+	byInstance     map[*instance][]*idleConn // guarded by mu; ordered by the time of put, oldest first
 	checkScheduled bool                      // guarded by mu
-	checkedAt      time.Time                 // guarded by mu; when all connections were last checked for expiry
+	checkedAt      time.Time                 // guarded by mu; the time of the last check of all connections for expiry
 }
 
-// idleConn is a connection that carries no call.
+// idleConn is an idle connection.
 type idleConn struct {
-	conn            *connection
-	since           time.Time
-	silenceReported bool // the policy has been told that it brought nothing in the quiet period
+	conn          *connection
+	since         time.Time
+	quietReported bool // StayedQuiet was called: no input arrived within the quiet period
 }
 
-// newIdlePool returns a pool; nil where policy is nil.
+// newIdlePool returns a pool, or nil if policy is nil. The pool calls count with the name of each counter to increment.
 func newIdlePool(policy *reuse.Policy, count func(counter string)) *idlePool {
 	if policy == nil {
 		return nil
@@ -44,8 +44,8 @@
 
 func (p *idlePool) now() time.Duration { return time.Since(p.start) }
 
-// put takes a connection that has ended its query or health check, and closes it where it may not carry another one.
-// Input that follows an answer is looked for here, after the quiet period, and when the connection is taken again.
+// put adds a connection whose query or health check has ended, or closes the connection if it may not be reused.
+// Surplus input after the response is detected in put, in each periodic check, and when the connection is taken again.
 func (p *idlePool) put(owner *instance, conn *connection) {
 	if p == nil {
 		conn.close()
@@ -58,7 +58,7 @@
 	if !reusable && conn.hasSurplus() {
 		p.distrust(owner)
 	}
-	state := reuse.Conn{Queries: conn.queries, Clean: reusable, Closing: conn.lastResponse}
+	state := reuse.Conn{Queries: conn.queries, Clean: reusable, Closing: conn.closing}
 	if !owner.isReady() || !p.policy.Keep(owner.id, state) {
 		conn.close()
 		return
@@ -67,8 +67,8 @@
 	p.scheduleCheck()
 }
 
-// take returns a connection for a query; nil where there is none. needsConfirmation reports that an answer on it
-// counts only once it has been confirmed.
+// take removes an idle connection from the pool and returns it for a query, or returns nil if there is none.
+// needsConfirmation reports that a response on the connection counts only once it has been confirmed.
 func (p *idlePool) take(owner *instance, nonIdempotent bool) (conn *connection, needsConfirmation bool) {
 	if p == nil {
 		return nil, false
@@ -86,33 +86,35 @@
 			return p.remove(owner, i), true
 		case reuse.Close:
 			p.remove(owner, i).close()
-		default: // it stays idle
+		default: // the connection stays idle
 		}
 	}
 	return nil, false
 }
 
-// decide tells the policy what an idle connection has brought, and asks what it may do; the lock is held.
+// decide reports surplus input, or its absence during the quiet period, to the policy, and returns the policy's
+// decision on an idle connection; the caller holds mu.
 func (p *idlePool) decide(owner *instance, idle *idleConn, nonIdempotent bool) reuse.Decision {
 	idleTime := time.Since(idle.since)
 	reusable := idle.conn.reusable()
 	if !reusable && idle.conn.hasSurplus() {
 		p.distrust(owner)
-	} else if reusable && !idle.silenceReported && idleTime >= p.policy.QuietPeriod() {
-		idle.silenceReported = true
+	} else if reusable && !idle.quietReported && idleTime >= p.policy.QuietPeriod() {
+		idle.quietReported = true
 		p.policy.StayedQuiet(owner.id)
 	}
 	state := reuse.Conn{
-		Queries: idle.conn.queries, IdleTime: idleTime, EngineSilence: owner.sinceAnswer(), Clean: reusable,
+		Queries: idle.conn.queries, IdleTime: idleTime, EngineSilence: owner.sinceLastResponse(), Clean: reusable,
 	}
 	return p.policy.Decide(owner.id, state, nonIdempotent, p.now())
 }
 
-// remove removes the connection at that place; those before it keep their places. The lock is held.
-func (p *idlePool) remove(owner *instance, at int) *connection {
+// remove removes the connection at the given index and returns it. Connections at lower indexes keep their index. The
+// caller holds mu.
+func (p *idlePool) remove(owner *instance, index int) *connection {
 	list := p.byInstance[owner]
-	conn := list[at].conn
-	list = append(list[:at], list[at+1:]...)
+	conn := list[index].conn
+	list = append(list[:index], list[index+1:]...)
 	if p.byInstance[owner] = list; len(list) == 0 {
 		delete(p.byInstance, owner)
 	}
@@ -120,7 +122,7 @@
 	return conn
 }
 
-// reportMalformed reports that an engine has sent a malformed answer.
+// reportMalformed tells the policy that an engine has sent a malformed response.
 func (p *idlePool) reportMalformed(owner *instance) {
 	if p == nil {
 		return
@@ -130,14 +132,14 @@
 	p.distrust(owner)
 }
 
-// distrust tells the policy that an engine has sent a malformed answer, or more than belonged to its answer; the lock
-// is held.
+// distrust tells the policy that an engine has sent a malformed response, or surplus bytes after a response; the caller
+// holds mu.
 func (p *idlePool) distrust(owner *instance) {
 	p.policy.Malformed(owner.id, p.now())
 	p.count("reuse_distrust")
 }
 
-// drop closes the connections to an instance that gets no more queries, so that others can use their sockets.
+// drop closes the idle connections to an instance that gets no more queries, and so releases their sockets.
 func (p *idlePool) drop(owner *instance) {
 	if p == nil {
 		return
@@ -147,8 +149,8 @@
 	p.closeAll(owner)
 }
 
-// forget closes the connections to an instance that has ended, and forgets what is known of it: a connection of the
-// old process must not carry a query to the new one.
+// forget closes the idle connections to an instance that has ended, and removes the engine's state from the policy: a
+// connection to the old process must not carry a query for the new process.
 func (p *idlePool) forget(owner *instance) {
 	if p == nil {
 		return
@@ -159,14 +161,14 @@
 	p.policy.RemoveEngine(owner.id)
 }
 
-// closeAll closes all connections to an instance; the lock is held.
+// closeAll closes all idle connections to an instance; the caller holds mu.
 func (p *idlePool) closeAll(owner *instance) {
 	for n := len(p.byInstance[owner]); n > 0; n-- {
 		p.remove(owner, n-1).close()
 	}
 }
 
-// evict closes the connection that has been idle for longest; false where there is none.
+// evict closes the connection that has been idle for longest. evict returns false if the pool is empty.
 func (p *idlePool) evict() bool {
 	if p == nil {
 		return false
@@ -186,7 +188,7 @@
 	return true
 }
 
-// scheduleCheck schedules closeExpired where that has not been done; the lock is held.
+// scheduleCheck schedules closeExpired, unless it is already scheduled; the caller holds mu.
 func (p *idlePool) scheduleCheck() {
 	if !p.checkScheduled {
 		p.checkScheduled = true
@@ -194,8 +196,9 @@
 	}
 }
 
-// closeExpired closes the connections that have brought input and, from time to time, all that may no longer carry a
-// query. It runs on a timer's goroutine, and schedules itself again while the pool is not empty.
+// closeExpired closes the idle connections that have received input or lost their peer, if the policy says so. Every
+// MaxIdleTime/expiryChecksPerIdleTime, closeExpired checks all idle connections. closeExpired runs on the goroutine of
+// a timer, and schedules itself again while the pool is not empty.
 func (p *idlePool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/engine/instance.go
+++ b/internal/engine/instance.go
@@ -15,18 +15,20 @@
 	address string
 	started time.Duration // Unix time; 0: not known
 
-	mu         sync.Mutex
-	ready      bool      // guarded by mu; it gets queries
-	retired    bool      // guarded by mu; the process has ended
-	answeredAt time.Time // guarded by mu; its last answer
+	mu             sync.Mutex
+	ready          bool      // guarded by mu; the instance may get queries
+	retired        bool      // guarded by mu; the process has ended or left the endpoint list
+	lastResponseAt time.Time // guarded by mu; the time of the last response
 }
 
-// replacedBy reports whether an entry of the endpoint list names another process.
+// replacedBy reports whether an entry of the endpoint list stands for another process than i. Fields that the entry
+// leaves empty are not compared.
 func (i *instance) replacedBy(e endpoints.Endpoint) bool {
 	return (e.Address != "" && i.address != e.Address) || (e.Started > 0 && i.started != e.Started)
 }
 
-// setState applies the engine's state of the endpoint list.
+// setState applies the state that the endpoint list gives the engine. Idle connections are closed if the engine is not
+// ready.
 func (i *instance) setState(state admission.State) {
 	ready := state == admission.Ready
 	i.mu.Lock()
@@ -37,7 +39,7 @@
 	}
 }
 
-// retire records that the process has ended.
+// retire records that the process has ended, and closes the idle connections to the process.
 func (i *instance) retire() {
 	i.mu.Lock()
 	i.ready, i.retired = false, true
@@ -45,21 +47,21 @@
 	i.client.idlePool.forget(i)
 }
 
-// recordAnswer records that the engine has just answered. Only the idle pool uses it.
-func (i *instance) recordAnswer() {
+// recordResponse records the time of a response. Only the idle pool uses this time.
+func (i *instance) recordResponse() {
 	if i.client.idlePool == nil {
 		return
 	}
 	i.mu.Lock()
-	i.answeredAt = time.Now()
+	i.lastResponseAt = time.Now()
 	i.mu.Unlock()
 }
 
-// sinceAnswer is how long ago the engine answered last.
-func (i *instance) sinceAnswer() time.Duration {
+// sinceLastResponse returns the time since the last response of the engine.
+func (i *instance) sinceLastResponse() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return time.Since(i.answeredAt)
+	return time.Since(i.lastResponseAt)
 }
 
 func (i *instance) isReady() bool {
@@ -74,8 +76,8 @@
 	return i.retired
 }
 
-// acquire returns a connection for a query or a health check: an idle one, or a new one. needsConfirmation reports
-// that an answer on it counts only once it has been confirmed.
+// acquire returns an idle or a new connection for a query or a health check. needsConfirmation reports that a response
+// on the connection counts only once it has been confirmed.
 func (i *instance) acquire(nonIdempotent bool, use socketUse) (conn *connection, needsConfirmation bool, err error) {
 	if conn, needsConfirmation = i.client.idlePool.take(i, nonIdempotent); conn != nil {
 		return conn, needsConfirmation, nil
--- a/internal/engine/load_report.go
+++ b/internal/engine/load_report.go
@@ -6,11 +6,11 @@
 	"beechcart/admission"
 )
 
-// notReported is the value of a field that a load report does not have.
+// notReported is the value of a field that is missing from a load report.
 const notReported = -1
 
-// parseLoadReport reads a load report such as inflight:7;util:0.61; nil where there is none. Unknown and malformed
-// fields are skipped.
+// parseLoadReport parses a load report such as "inflight:7;util:0.61". The result is nil for an empty text. Unknown and
+// malformed fields are skipped.
 func parseLoadReport(text []byte) *admission.Report {
 	if len(text) == 0 {
 		return nil
--- a/internal/engine/poll.go
+++ b/internal/engine/poll.go
@@ -8,29 +8,30 @@
 	"beechcart/internal/exchange"
 )
 
-// queryExpiry is how long after its last call a query has ended for certain: an engine ends a query that was not
-// polled for 2 s.
+// queryExpiry is the time after the last call for a query at which the query is certain to have ended: an engine ends a
+// query that was not polled for 2 s.
 const queryExpiry = 2100 * time.Millisecond
 
-// poll asks how the query stands, or deletes it when the attempt is cancelled.
+// poll requests the state of the query, or deletes the query if the attempt is cancelled.
 func (a *attempt) poll() (response, error) {
 	if a.isCancelled() {
-		return a.call("DELETE", queryPath(a.exchange.ID), checkPollAnswer)
+		return a.call("DELETE", queryPath(a.exchange.ID), checkPollResponse)
 	}
-	return a.call("GET", pagePath(a.exchange.ID, 0), checkPollAnswer)
+	return a.call("GET", pagePath(a.exchange.ID, 0), checkPollResponse)
 }
 
-// checkPollAnswer validates an answer that tells how a query stands.
-func checkPollAnswer(r response) error {
+// checkPollResponse validates a response to the POST, a poll or the DELETE of a query.
+func checkPollResponse(r response) error {
 	switch {
 	case r.status == statusOK && (r.pageCount < 1 || r.pageCount > maxPages):
-		return fmt.Errorf("%w: %d pages", errMalformed, r.pageCount)
+		return fmt.Errorf("%w: found page count %d, must be at least 1 and within the page limit",
+			errMalformed, r.pageCount)
 	case r.status == statusOK:
 		return checkRows(r)
 	case r.status == statusAccepted || r.status == statusNoContent || r.status >= statusFirstError:
 		return nil
 	}
-	return fmt.Errorf("%w: status %d", errMalformed, r.status)
+	return fmt.Errorf("%w: found status %d, must be 200, 202, 204 or at least 400", errMalformed, r.status)
 }
 
 func checkRows(r response) error {
@@ -40,7 +41,8 @@
 	return nil
 }
 
-// reportProgress passes on what the engine reports of a running query.
+// reportProgress passes the progress of a running query on to the sink. An unknown kind or a malformed value is
+// skipped.
 func (a *attempt) reportProgress(r response) {
 	progress := admission.Progress{ID: a.exchange.ID, Attempt: a.number, Engine: a.engine}
 	switch string(r.progressKind) {
@@ -59,11 +61,12 @@
 	}
 }
 
-// mustAwaitExpiry reports whether nobody waits for the query any more and it may not be deleted.
+// mustAwaitExpiry reports whether the exchange is settled, so that the result is no longer needed, and the query may
+// not be deleted.
 func (a *attempt) mustAwaitExpiry() bool { return !a.client.options.MayDelete && a.exchange.Settled() }
 
-// awaitExpiry stops polling the query, and returns once its engine has ended it for that. Polling on would keep a
-// query that never ends in flight forever, and with it its part of every limit.
+// awaitExpiry stops polling the query, and returns once the engine has ended the unpolled query. Further polls would
+// keep a query that never ends in flight forever, and the query would occupy its share of every limit.
 func (a *attempt) awaitExpiry() admission.Status {
 	a.conn.abort()
 	a.client.options.Counters.Add("left_attempt", 1)
@@ -71,7 +74,8 @@
 	return admission.Cancelled
 }
 
-// errorStatus is what an answer proves that is neither a result nor the progress of a running query.
+// errorStatus returns the status of an attempt for a response that is neither a result nor the progress of a running
+// query.
 func (a *attempt) errorStatus(r response) admission.Status {
 	switch {
 	case r.status == statusNoContent, a.isCancelled() && !r.notRun:
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -2,20 +2,20 @@
 
 import "strconv"
 
-// Paths of the engines' interface, and of the change log's.
+// Paths of the engine API and of the change log API.
 const (
 	queriesPath = "/v2/q"
 	healthPath  = "/-/gauges"
 	changesPath = "/changes"
 )
 
-// Headers of HTTP.
+// Standard HTTP headers.
 const (
 	headerHost          = "Host"
 	headerContentLength = "Content-Length"
 )
 
-// Headers of a call.
+// Request headers of the engine API.
 const (
 	headerRequestID      = "X-Txn"
 	headerClass          = "X-Lane"
@@ -24,9 +24,9 @@
 	headerReservedMemory = "X-Reserve" // megabytes
 )
 
-// Headers of an answer.
+// Response headers of the engine API.
 const (
-	headerNotRun        = "X-Unrun" // 1: the query has not run, and won't
+	headerNotRun        = "X-Unrun" // 1: the query has not run and will not run
 	headerProgressKind  = "X-How"
 	headerProgressValue = "X-Num"
 	headerLoadReport    = "X-Gauges"
@@ -43,7 +43,7 @@
 	progressWaits  = "waits"
 )
 
-// Status codes of an answer.
+// Status codes of a response.
 const (
 	statusSwitchingProtocols = 101
 	statusOK                 = 200
@@ -55,8 +55,9 @@
 	statusGatewayTimeout     = 504
 )
 
-// queryPath is the path of a query.
+// queryPath returns the path of a query.
 func queryPath(id string) string { return queriesPath + "/" + id }
 
-// pagePath is the path of a page of a query's result. The first page also tells whether the query is still running.
+// pagePath returns the path of a page of a query's result. While the query runs, a request for page 0 returns status
+// 202.
 func pagePath(id string, page int) string { return queriesPath + "/" + id + "/" + strconv.Itoa(page) }
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// repollWindow is how long after the last call a lost poll is repeated. An engine ends a query that was not polled
-	// for 2 s.
+	// repollWindow is the time after the last call during which a lost poll is repeated. An engine ends a query that was
+	// not polled for 2 s.
 	repollWindow = 1600 * time.Millisecond
 	redialPause  = 20 * time.Millisecond
-	// withdrawDelay is the time in which an engine reads a POST that had arrived before its connection was reset.
+	// withdrawDelay is the time within which an engine reads a POST that arrived before its connection was reset.
 	withdrawDelay = 100 * time.Millisecond
 	// maxTimeouts bounds the calls in a row that time out. A process may hang while its kernel accepts connections, and
-	// each call may be one that it receives: polling on would keep the attempt in flight until its client has gone.
+	// each call may still reach the process, so unlimited polls would keep the attempt in flight until the client
+	// disconnects.
 	maxTimeouts = 4
-	// maxPolls bounds the calls in a row that are reset or get a malformed answer, which takes no time.
+	// maxPolls bounds the calls that fail in a row. A reset or a malformed response takes almost no time, so a time limit
+	// alone would not bound their number.
 	maxPolls = 10
 )
 
-// recoverQuery polls, on other connections, a query whose call was lost or got a malformed answer. The query is bound
-// to no connection, so it may well be running. Any status but OK ends the attempt: the engine's process has ended,
-// the engine does not know the query and never will, or the engine has ended it because it was not polled.
+// recoverQuery polls a query on new connections after a call was lost or got a malformed response. A query is not bound
+// to a connection, so the query may still be running. A status other than OK ends the attempt, for one of three
+// reasons: the engine's process has ended, the engine does not have the query and never will, or the engine has ended
+// the query because it was not polled.
 func (a *attempt) recoverQuery(cause error) (response, admission.Status) {
 	acknowledged := a.acknowledged
 	timeouts := 0
@@ -36,7 +39,7 @@
 		case errors.Is(err, errRetired):
 			polls = maxPolls
 		case isRefused(err):
-			return r, admission.Reset // the process has ended, and the query with it
+			return r, admission.Reset // the process has ended, and with it the query
 		case errors.Is(err, errUnreachable):
 			time.Sleep(redialPause)
 		case isTimeout(err):
@@ -45,7 +48,7 @@
 		case err != nil:
 			polls++
 		case !acknowledged && (r.status == statusInternalError || r.status == statusNoContent):
-			// The engine had not read the query when it answered, or the query failed and its answer was lost.
+			// Either the engine has not read the POST yet, or the query failed and the response to the POST was lost.
 			if !a.withdraw() {
 				polls++
 				continue
@@ -66,18 +69,18 @@
 	return response{}, admission.Reset
 }
 
-// withdraw takes back a POST that got no answer, of a query that the engine does not know. The connection of the POST
-// is closed, so nothing more of it is sent; what had arrived at the engine's machine may be read after the reset, and
-// withdrawDelay leaves time for that. It returns true once the engine has answered the DELETE: the query does not
-// run, and won't.
+// withdraw deletes a query whose POST got no response and which the engine does not have. The connection of the POST is
+// closed, so no more bytes of the POST are sent. The engine may still read bytes that arrived at its host before the
+// reset, and withdrawDelay leaves time for that. withdraw returns true if the engine has confirmed the DELETE: the
+// query does not run and will not run.
 func (a *attempt) withdraw() bool {
 	time.Sleep(withdrawDelay)
-	r, err := a.call("DELETE", queryPath(a.exchange.ID), checkPollAnswer)
+	r, err := a.call("DELETE", queryPath(a.exchange.ID), checkPollResponse)
 	return err == nil && (r.status == statusNoContent || r.status == statusInternalError)
 }
 
-// withdrawnStatus is the status of an attempt whose POST was withdrawn: only its connection was lost, and the engine
-// is alive.
+// withdrawnStatus returns the status of an attempt whose POST was withdrawn, and marks the engine as alive: only the
+// connection was lost.
 func (a *attempt) withdrawnStatus() admission.Status {
 	a.outcome.EngineAlive = true
 	if a.isCancelled() {
--- a/internal/engine/response.go
+++ b/internal/engine/response.go
@@ -8,27 +8,27 @@
 	"beechcart/internal/http1"
 )
 
-// Limits of what an engine, or the change log, may send.
+// Size limits of the responses of engines and of the change log.
 const (
 	maxHeadBytes      = 16 << 10
 	maxBodyBytes      = 256 << 10 // of an engine's response
-	maxChangeLogBytes = 4 << 20   // of the change log's body: some 27,000 engines in one list
+	maxChangeLogBytes = 4 << 20   // of a response of the change log: some 27,000 engines in one list
 )
 
-// maxNumber bounds the numbers of a response: milliseconds of work, megabytes, shares.
+// maxNumber bounds the numbers in a response: milliseconds of work, megabytes of memory, and fractions.
 const maxNumber = 1e12
 
 var (
-	// errIncomplete reports that more of a response has to be read.
-	errIncomplete = errors.New("http: the message is not whole yet")
+	// errIncomplete reports that the buffer does not hold the whole response yet.
+	errIncomplete = errors.New("http: incomplete response")
 	errMalformed  = http1.ErrMalformed
 	errTooLarge   = http1.ErrTooLarge
 )
 
-// isMalformed reports an error of a response that was received and can't be used.
+// isMalformed reports whether err is due to a malformed or oversized response.
 func isMalformed(err error) bool { return errors.Is(err, errMalformed) || errors.Is(err, errTooLarge) }
 
-// response is a parsed response. Its slices point into the buffer that it was read into.
+// response is a parsed response. The slices of a response point into the read buffer.
 type response struct {
 	status        int
 	body          []byte
@@ -40,12 +40,12 @@
 	pageNumber    int // -1: absent
 	workMs        float64
 	memoryMB      float64
-	closes        bool // the connection ends with this response
+	closes        bool // the connection closes after this response
 }
 
-// parseResponse reads one response with a body of at most maxBody bytes from the start of buf. It returns the number
-// of bytes read, those of interim responses (1xx) ahead of it included, or errIncomplete where more has to be read.
-// The chunks of a body are joined in place, so buf is changed.
+// parseResponse parses one response with a body of at most maxBody bytes from the start of buf. parseResponse returns
+// the number of bytes read, including interim responses (1xx) before the final one, or errIncomplete if buf does not
+// hold the whole response. Chunks of a body are joined in place, which changes buf.
 func parseResponse(buf []byte, maxBody int) (r response, n int, err error) {
 	for {
 		var size int
@@ -55,14 +55,14 @@
 		if n += size; r.status >= statusOK {
 			return r, n, nil
 		}
-		if r.status == statusSwitchingProtocols || n > maxHeadBytes { // no call asks for another protocol
+		if r.status == statusSwitchingProtocols || n > maxHeadBytes { // calls never ask for a protocol upgrade
 			return r, 0, errMalformed
 		}
 	}
 }
 
-// parseMessage reads one response, interim or final. Whatever leaves open where a response ends is an error: a
-// misread response could reach a client as a result that no engine has sent.
+// parseMessage parses one response, interim or final. A response whose end cannot be determined is an error: if the end
+// were misread, a client could get a result that no engine has sent.
 func parseMessage(buf []byte, maxBody int) (r response, n int, err error) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -86,7 +86,7 @@
 	return r, n + size, nil
 }
 
-// parseHead reads a status line and the headers. An engine's own header that comes twice is an error.
+// parseHead parses the status line and the headers. A repeated header of the engine API is an error.
 func parseHead(head []byte) (r response, framing http1.Framing, err error) {
 	r.pageNumber = -1
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
@@ -102,9 +102,9 @@
 		if err != nil {
 			return r, framing, err
 		}
-		if known, err := framing.ParseField(name, value); err != nil {
+		if isFraming, err := framing.ParseField(name, value); err != nil {
 			return r, framing, err
-		} else if known {
+		} else if isFraming {
 			continue
 		}
 		header, err := r.parseHeader(name, value)
@@ -116,7 +116,7 @@
 	return r, framing, framing.Check()
 }
 
-// parseBody reads the body from the start of buf, and returns the number of bytes read.
+// parseBody parses the body from the start of buf, and returns the number of bytes read.
 func (r *response) parseBody(buf []byte, framing http1.Framing, maxBody int) (n int, err error) {
 	length, chunked, err := framing.Body(r.status, maxBody)
 	r.closes = framing.Closes()
@@ -133,7 +133,7 @@
 	return length, nil
 }
 
-// headerSet is a set of the engines' own headers, which must not come twice.
+// headerSet is a bit set of response headers of the engine API, used to detect repeated headers.
 type headerSet int
 
 const (
@@ -147,8 +147,8 @@
 	usedMemorySeen
 )
 
-// parseHeader reads one of the engines' own headers, and returns it as a set; empty for an unknown one, which is
-// skipped.
+// parseHeader parses a response header of the engine API, and returns the bit of the header. An unknown header is
+// skipped, and the result is 0.
 func (r *response) parseHeader(name, value []byte) (header headerSet, err error) {
 	switch {
 	case http1.EqualName(name, headerNotRun):
@@ -185,7 +185,8 @@
 	return nil
 }
 
-// parseNumber reads a number of at most maxNumber.
+// parseNumber parses a decimal number of at most maxNumber. The second result is false if text is malformed or the
+// number is too large.
 func parseNumber(text []byte) (float64, bool) {
 	number, ok := decimal.Parse(text)
 	return number, ok && number <= maxNumber
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -9,20 +9,20 @@
 	"beechcart/internal/copycount"
 )
 
-// Limits of one result.
+// Size limits of one result.
 const (
 	maxPages       = 1024
 	maxResultBytes = 1 << 20
 )
 
-// readResult reads the whole result of a query that has ended well, beginning with its first page. A page that is
-// lost ends the attempt: half a result must not reach a client.
+// readResult reads the complete result of a query that has succeeded. r is the response with the first page. If a page
+// cannot be read, the attempt ends without rows: a partial result must not reach a client.
 func (a *attempt) readResult(r response) (admission.Status, []byte) {
 	a.outcome.Work = time.Duration(r.workMs * float64(time.Millisecond))
 	a.outcome.MemoryMB = r.memoryMB
 	a.outcome.Report = parseLoadReport(r.loadReport)
 	pageCount := r.pageCount
-	// The rows outlive the connection's buffer: this is the one copy of them on the engines' side.
+	// The rows outlive the connection's buffer. This copy is the only copy of the rows in this package.
 	rows := make([]byte, 0, min(len(r.body)*pageCount, maxResultBytes))
 	rows = append(rows, r.body...)
 	copycount.Add(copycount.Pages, len(r.body))
@@ -40,7 +40,7 @@
 	return admission.OK, rows
 }
 
-// readPage reads one page, again and on a new connection when it is lost or malformed.
+// readPage reads one page. A lost or malformed response is requested again on a new connection.
 func (a *attempt) readPage(page int) (response, admission.Status) {
 	path := pagePath(a.exchange.ID, page)
 	check := func(r response) error { return checkPage(r, page) }
@@ -64,13 +64,14 @@
 	}
 }
 
-// checkPage validates the answer to a call for a page. An error status is valid: the engine no longer has the page.
+// checkPage validates the response to a call for a page. An error status is valid: the engine no longer has the page.
 func checkPage(r response, page int) error {
 	switch {
 	case r.status >= statusFirstError:
 		return nil
 	case r.status != statusOK || r.pageNumber != page:
-		return fmt.Errorf("%w: status %d, page %d in place of %d", errMalformed, r.status, r.pageNumber, page)
+		return fmt.Errorf("%w: found status %d and page %d, must be 200 and page %d",
+			errMalformed, r.status, r.pageNumber, page)
 	}
 	return checkRows(r)
 }
--- a/internal/engine/sockets.go
+++ b/internal/engine/sockets.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// maxDials bounds the tries to open one connection where each is reset.
+	// maxDials bounds the tries to open one connection when each try is reset.
 	maxDials = 4
-	// writeTimeout bounds the write of one call.
+	// writeTimeout is the time limit for writing one call.
 	writeTimeout = time.Second
 )
 
-// errNoSocket reports that this process may open no further connection.
-var errNoSocket = errors.New("engine: no socket is free")
+// errNoSocket reports that the socket limit or the file descriptor limit is reached.
+var errNoSocket = errors.New("engine: no socket available")
 
-// socketUse is what a socket is opened for.
+// socketUse is the purpose of a socket.
 type socketUse int
 
 const (
 	ordinaryUse socketUse = iota // an attempt's POST
-	urgentUse                    // health checks, repeated calls and the change log: these may use the reserve
+	urgentUse                    // a health check, a call on a new connection or the change log; may use the reserve
 )
 
-// sockets limits the connections to engines and to the change log. Attempts leave a reserve, so that a flood of
-// queries does not keep the front end from hearing of its engines.
+// sockets limits the number of connections to engines and to the change log. The POSTs of attempts may not use the
+// reserve, so that health checks and the change log still work under a flood of queries.
 type sockets struct {
 	mu             sync.Mutex
 	used           int // guarded by mu
 	limit, reserve int
 }
 
-// acquire takes a socket; false where none is free for that use.
+// acquire reserves a socket. acquire returns false if no socket is free for the given use.
 func (s *sockets) acquire(use socketUse) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,9 +59,9 @@
 	s.mu.Unlock()
 }
 
-// dial opens a connection, each try within the timeout; the end of ctx ends it. A connection that is reset while it
-// comes up says nothing about the process behind it, and has carried nothing, so it is tried again at once. That this
-// process has no descriptor left says nothing about the engine either: it is errNoSocket.
+// dial opens a connection. The timeout applies to each try, and the end of ctx aborts the dial. A reset during the
+// connect is no evidence about the remote process, and nothing has been sent, so dial tries again at once. dial returns
+// errNoSocket if this process has no file descriptor left, which is no evidence about the engine either.
 func (s *sockets) dial(
 	ctx context.Context, address string, timeout time.Duration, use socketUse,
 ) (*connection, error) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// connect opens a TCP connection. The address of an engine is an IP address, and parsing it here avoids a lookup,
-// which would cost more than the connection.
+// connect opens a TCP connection. The address of an engine is an IP address; parsing the address here avoids a name
+// lookup, which would cost more than the connect.
 func connect(ctx context.Context, address string, timeout time.Duration) (netpoll.Connection, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -98,7 +98,7 @@
 		TCPAddr: net.TCPAddr{IP: ip.AsSlice(), Port: int(parsed.Port()), Zone: ip.Zone()},
 	})
 	if err != nil {
-		return nil, err // a nil *TCPConnection must not become a netpoll.Connection that is not nil
+		return nil, err // returning conn would turn a nil *TCPConnection into a non-nil netpoll.Connection
 	}
 	return conn, nil
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
 // Package http1 parses HTTP/1.1 responses (RFC 9112) and provides a client connection for large responses, with or
-// without TLS. All HTTP clients of this program share the parsing functions. internal/engine uses them to parse small
-// responses in place, without Conn.
+// without TLS. internal/source/consul uses the connection. internal/engine uses only the parsing functions, and parses
+// small responses in place.
 package http1
 
 import (
