--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -19,45 +19,46 @@
 	"beechcart/internal/invariant"
 )
 
-// reportedOutcome is what a client reports of an attempt.
+// reportedOutcome is the outcome and the rows that a Client reports for an attempt.
 type reportedOutcome struct {
 	admission.Outcome
 	rows string
 }
 
-// outcomes is a Sink that passes on the outcomes of attempts.
+// outcomes is a Sink that sends the outcomes of attempts to a channel and ignores other reports.
 type outcomes chan reportedOutcome
 
-func (s outcomes) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
-	s <- reportedOutcome{o, string(rows)}
+func (c outcomes) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
+	c <- reportedOutcome{o, string(rows)}
 }
-func (s outcomes) Notify(admission.Event) {}
+func (c outcomes) Notify(admission.Event) {}
 
-// answerOK is an answer with status 200.
-func answerOK(head, body string) string {
+// responseOK returns a response with status 200, the given extra headers and the given body.
+func responseOK(head, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
 const (
-	answerUnknown   = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-	answerDeleted   = "HTTP/1.1 204 No Content\r\n\r\n"
-	staySilent      = "silent" // in place of an answer: the connection stays open, and nothing is sent
-	resetConnection = ""       // in place of an answer: the connection is reset
+	responseUnknown = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+	responseDeleted = "HTTP/1.1 204 No Content\r\n\r\n"
+	staySilent      = "silent" // special response: send nothing and keep the connection open
+	resetConnection = ""       // special response: reset the connection
 )
 
-var answerServed = answerOK("X-Batches: 1\r\n", "a\tb\tc\n")
+var responseServed = responseOK("X-Batches: 1\r\n", "a\tb\tc\n")
 
-// answerFunc returns the answer to the nth call of its sort.
-type answerFunc func(call string, nth int) string
+// responseFunc returns the response to the nth call of a kind, such as "POST" or "GET 0"; n counts from 1.
+type responseFunc func(call string, nth int) string
 
-// fakeEngine is an engine whose answers are scripted by call, such as "POST" or "GET 0", and by how often it has come.
+// fakeEngine is an engine with scripted responses. The script depends on the kind of a call (the method, and for GET
+// the last path element, such as "POST" or "GET 0") and on the number of calls of this kind so far.
 type fakeEngine struct {
-	answer answerFunc
+	respond responseFunc
 
 	mu          sync.Mutex
 	calls       map[string]int
-	connections map[string]bool // by remote address, those that have carried calls
-	silentEnds  []error         // how the connections ended that stayed silent
+	connections map[string]bool // remote addresses of the connections that have carried calls
+	silentEnds  []error         // read errors at the end of connections that got staySilent
 }
 
 func (e *fakeEngine) count(call string) int {
@@ -66,7 +67,7 @@
 	return e.calls[call]
 }
 
-// connectionCount is the number of connections that have carried calls.
+// connectionCount returns the number of connections that have carried calls.
 func (e *fakeEngine) connectionCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,47 +77,47 @@
 func (e *fakeEngine) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	for r := bufio.NewReader(c); ; {
-		q, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, q.Body)
-		call := q.Method
+		_, _ = io.Copy(io.Discard, request.Body)
+		call := request.Method
 		if call == "GET" {
-			call += " " + q.URL.Path[strings.LastIndex(q.URL.Path, "/")+1:]
+			call += " " + request.URL.Path[strings.LastIndex(request.URL.Path, "/")+1:]
 		}
 		e.mu.Lock()
 		e.calls[call]++
 		nth := e.calls[call]
 		e.connections[c.RemoteAddr().String()] = true
 		e.mu.Unlock()
-		text := e.answer(call, nth)
-		if text == resetConnection {
+		reply := e.respond(call, nth)
+		if reply == resetConnection {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return
 		}
-		if text == staySilent {
+		if reply == staySilent {
 			_, err := r.ReadByte()
 			e.mu.Lock()
 			e.silentEnds = append(e.silentEnds, err)
 			e.mu.Unlock()
 			return
 		}
-		_, _ = io.WriteString(c, text)
+		_, _ = io.WriteString(c, reply)
 	}
 }
 
-// newTestClient returns a client that knows one engine, with id 7, its outcomes and the engine. Without a script the
-// engine serves every query.
-func newTestClient(t *testing.T, most int, script answerFunc) (*Client, outcomes, string, *fakeEngine) {
+// newTestClient starts a fake engine and returns a client whose endpoint list holds this engine with ID 7, the client's
+// sink, the engine's address and the engine. If script is nil, the engine serves every query.
+func newTestClient(t *testing.T, maxSockets int, script responseFunc) (*Client, outcomes, string, *fakeEngine) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	if script == nil {
-		script = func(string, int) string { return answerServed }
+		script = func(string, int) string { return responseServed }
 	}
-	e := &fakeEngine{answer: script, calls: map[string]int{}, connections: map[string]bool{}}
+	e := &fakeEngine{respond: script, calls: map[string]int{}, connections: map[string]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -126,10 +127,10 @@
 			go e.serve(c)
 		}
 	}()
-	s := make(outcomes, 8)
-	c := New(Options{ConnectTimeout: time.Second, Sockets: most, Counters: &invariant.Counters{}}, s)
+	sink := make(outcomes, 8)
+	c := New(Options{ConnectTimeout: time.Second, Sockets: maxSockets, Counters: &invariant.Counters{}}, sink)
 	c.Update(listOf(l.Addr().String(), admission.Ready))
-	return c, s, l.Addr().String(), e
+	return c, sink, l.Addr().String(), e
 }
 
 func listOf(addr string, state admission.State) endpoints.List {
@@ -142,7 +143,7 @@
 	return exchange.New(request, time.Now())
 }
 
-// utilReport is a load report of the utilization alone.
+// utilReport returns a load report with only the utilization.
 func utilReport(util float64) *admission.Report {
 	return &admission.Report{InFlight: -1, Queued: -1, Utilization: util, MemoryUtilization: -1, DiskUtilization: -1}
 }
--- a/internal/engine/recorded_test.go
+++ b/internal/engine/recorded_test.go
@@ -24,10 +24,10 @@
 	"beechcart/internal/recorded"
 )
 
-// reportRecorder takes what the engine client passes on, and keeps it as lines of numbers.
+// reportRecorder is an engine.Sink that turns each report into a line of text.
 type reportRecorder struct {
 	lines chan string
-	hold  chan struct{} // where it is not nil: nothing is taken before it is closed
+	hold  chan struct{} // if not nil, Notify blocks until hold is closed
 }
 
 func (s *reportRecorder) AttemptDone(_ *exchange.Exchange, o admission.Outcome, rows []byte) {
@@ -60,31 +60,31 @@
 	return b.String()
 }
 
-// scriptedPeer answers the calls that come to it in turn. It keeps the bytes of each, with the connection that
-// brought it.
+// scriptedPeer is a server that sends scripted responses in the order of the calls. The peer records the bytes of each
+// call and the number of the connection that carried the call.
 type scriptedPeer struct {
 	address string
 	calls   chan string
 }
 
-// An answer that resets the connection, and one that leaves it open and sends nothing.
+// Special responses: reset the connection, or keep the connection open and send nothing.
 const (
 	resetConn  = "reset"
 	staySilent = "silent"
 )
 
-// variable is what differs from run to run: the port of the peer, and the time that is left.
+// variable matches the parts of a call that differ between runs: the port of the peer and the remaining time.
 var variable = regexp.MustCompile(`(?m)^(Host: 127\.0\.0\.1:|X-Limit-Ms: )\d+`)
 
-// servePeer answers the nth call with answers[n], whatever connection brings it.
-func servePeer(t *testing.T, answers ...string) *scriptedPeer {
+// servePeer starts a peer that responds to the nth call with responses[n], on any connection.
+func servePeer(t *testing.T, responses ...string) *scriptedPeer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	p := &scriptedPeer{address: l.Addr().String(), calls: make(chan string, 100)}
-	pending := make(chan string, len(answers))
-	for _, a := range answers {
+	pending := make(chan string, len(responses))
+	for _, a := range responses {
 		pending <- a
 	}
 	go func() {
@@ -122,7 +122,7 @@
 	}
 }
 
-// readCall reads the bytes of one call, its body included.
+// readCall reads the bytes of one call, including the body.
 func readCall(r *bufio.Reader) (string, error) {
 	var b strings.Builder
 	length := 0
@@ -146,33 +146,33 @@
 	return b.String() + string(body), err
 }
 
-func answer(status, head, body string) string {
+func response(status, head, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, head, len(body), body)
 }
 
 var (
-	servedOnce = answer("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\n"+
+	servedOnce = response("200 OK", "X-Batches: 1\r\nX-Spent: 12.5\r\nX-Wanted: 96\r\n"+
 		"X-Gauges: inflight:7;util:0.61;x0:0.25\r\n", "a\tb\tc\n")
-	running   = answer("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
-	spilling  = answer("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
-	waiting   = answer("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
-	odd       = answer("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
-	unknown   = answer("500 Error", "", "")
-	noContent = "HTTP/1.1 204 No Content\r\n\r\n"
-	chunked   = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\n" +
+	running         = response("202 Accepted", "X-How: done\r\nX-Num: 0.5\r\n", "")
+	spilling        = response("202 Accepted", "X-How: spills\r\nX-Num: 3\r\n", "")
+	waiting         = response("202 Accepted", "X-How: waits\r\nX-Num: 1\r\n", "")
+	unknownKind     = response("202 Accepted", "X-How: odd\r\nX-Num: 1\r\n", "")
+	internalError   = response("500 Error", "", "")
+	noContent       = "HTTP/1.1 204 No Content\r\n\r\n"
+	chunkedResponse = "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Batches: 1\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n3\r\na\tb\r\n3;x=y\r\n\tc\n\r\n0\r\n\r\n"
 )
 
-func newRecordedClient(p *scriptedPeer) (*engine.Client, *reportRecorder) {
-	s := &reportRecorder{lines: make(chan string, 100)}
-	f := engine.New(engine.Options{
+func newRecordedClient(peer *scriptedPeer) (*engine.Client, *reportRecorder) {
+	recorder := &reportRecorder{lines: make(chan string, 100)}
+	client := engine.New(engine.Options{
 		ConnectTimeout: time.Second, DrainGrace: time.Second, Sockets: 100, MayDelete: true, Counters: &invariant.Counters{},
 		Classes: []admission.Class{{Idempotency: admission.Idempotent}, {Idempotency: admission.NonIdempotent}},
-	}, s)
-	f.Update(endpoints.List{Endpoints: []endpoints.Endpoint{
-		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Address: p.address},
+	}, recorder)
+	client.Update(endpoints.List{Endpoints: []endpoints.Endpoint{
+		{Engine: admission.Engine{ID: 7, State: admission.Ready}, Name: "s-7", Address: peer.address},
 	}})
-	return f, s
+	return client, recorder
 }
 
 func newRequest() *exchange.Exchange {
@@ -181,111 +181,115 @@
 	}, time.Now())
 }
 
-// The calls of an attempt, and what it ends with, are as they were recorded.
+// The bytes of each call of an attempt and the reported outcome must match the recording.
 func TestRecordedAttempts(t *testing.T) {
-	for _, k := range []struct {
-		name    string
-		answers []string
+	for _, tc := range []struct {
+		name      string
+		responses []string
 	}{
 		{"served", []string{servedOnce}},
-		{"served-in-chunks", []string{chunked}},
-		{"polled", []string{running, spilling, waiting, odd, servedOnce}},
-		{"pages", []string{answer("200 OK", "X-Batches: 3\r\n", "a\tb\tc\n"), answer("200 OK", "X-Batch: 1\r\n", "d\te\tf\n"),
-			answer("200 OK", "X-Batch: 1\r\n", "not\tthis\tone\n"), answer("200 OK", "X-Batch: 2\r\n", "g\th\ti\n")}},
-		{"page-not-there", []string{answer("200 OK", "X-Batches: 2\r\n", "a\tb\tc\n"), unknown}},
-		{"error", []string{unknown}},
-		{"overloaded", []string{answer("503 Full", "X-Unrun: 1\r\n", "")}},
-		{"overloaded-after-start", []string{answer("503 Full", "", "")}},
-		{"not-run-in-time", []string{answer("504 Late", "X-Unrun: 1\r\n", "")}},
+		{"served-in-chunks", []string{chunkedResponse}},
+		{"polled", []string{running, spilling, waiting, unknownKind, servedOnce}},
+		{"pages", []string{response("200 OK", "X-Batches: 3\r\n", "a\tb\tc\n"),
+			response("200 OK", "X-Batch: 1\r\n", "d\te\tf\n"),
+			response("200 OK", "X-Batch: 1\r\n", "not\tthis\tone\n"), response("200 OK", "X-Batch: 2\r\n", "g\th\ti\n")}},
+		{"page-not-there", []string{response("200 OK", "X-Batches: 2\r\n", "a\tb\tc\n"), internalError}},
+		{"error", []string{internalError}},
+		{"overloaded", []string{response("503 Full", "X-Unrun: 1\r\n", "")}},
+		{"overloaded-after-start", []string{response("503 Full", "", "")}},
+		{"not-run-in-time", []string{response("504 Late", "X-Unrun: 1\r\n", "")}},
 		{"deleted-elsewhere", []string{noContent}},
 		{"reset-then-served", []string{resetConn, servedOnce}},
-		{"reset-never-arrived", []string{resetConn, unknown, noContent}},
-		{"reset-while-running", []string{running, resetConn, running, unknown}},
+		{"reset-never-arrived", []string{resetConn, internalError, noContent}},
+		{"reset-while-running", []string{running, resetConn, running, internalError}},
 		{"silent-then-served", []string{staySilent, servedOnce}},
-		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", answer("302 Found", "", ""),
-			answer("200 OK", "X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
-		{"closed-then-polled", []string{answer("202 Accepted", "Connection: close\r\n", ""), servedOnce}},
+		{"malformed-then-served", []string{"\x8c\x6d\x4f\r\n\r\n", response("302 Found", "", ""),
+			response("200 OK", "X-Batches: 1\r\n", "a\tb\n"), servedOnce}},
+		{"closed-then-polled", []string{response("202 Accepted", "Connection: close\r\n", ""), servedOnce}},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			p := servePeer(t, k.answers...)
-			f, s := newRecordedClient(p)
-			f.Start(newRequest(), 2, 7, admission.Terms{Priority: 3, GrantMB: 144.5}, 10*time.Second, time.Time{})
-			recorded.Compare(t, k.name, collect(p, s))
+			peer := servePeer(t, tc.responses...)
+			client, recorder := newRecordedClient(peer)
+			client.Start(newRequest(), 2, 7, admission.Terms{Priority: 3, GrantMB: 144.5}, 10*time.Second, time.Time{})
+			recorded.Compare(t, tc.name, collect(peer, recorder))
 		})
 	}
 }
 
-// collect returns the calls, and then the reports, up to the end of the attempt.
-func collect(p *scriptedPeer, s *reportRecorder) []byte {
+// collect waits for the end of an attempt, and returns the recorded calls followed by the reports.
+func collect(peer *scriptedPeer, recorder *reportRecorder) []byte {
 	var out bytes.Buffer
 	var lines []string
 	for len(lines) == 0 || !strings.HasPrefix(lines[len(lines)-1], "end ") {
-		lines = append(lines, <-s.lines)
+		lines = append(lines, <-recorder.lines)
 	}
-	for len(p.calls) > 0 {
-		out.WriteString(<-p.calls)
+	for len(peer.calls) > 0 {
+		out.WriteString(<-peer.calls)
 	}
 	out.WriteString(strings.Join(lines, ""))
 	return out.Bytes()
 }
 
-// An attempt that is given up asks its engine to delete the query.
+// A cancelled attempt sends a DELETE for its query.
 func TestRecordedCancel(t *testing.T) {
 	hold := make(chan struct{})
-	p := servePeer(t, running, noContent)
-	f, s := newRecordedClient(p)
-	s.hold = hold
+	peer := servePeer(t, running, noContent)
+	client, recorder := newRecordedClient(peer)
+	recorder.hold = hold
 	x := newRequest()
-	f.Start(x, 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
-	call := <-p.calls
-	f.Cancel(x.ID, 0)
-	close(hold) // the note of the first answer passes only now, so the poll after it comes behind the cancellation
-	recorded.Compare(t, "cancelled", append([]byte(call), collect(p, s)...))
+	client.Start(x, 0, 7, admission.Terms{Priority: 1}, 10*time.Second, time.Time{})
+	call := <-peer.calls
+	client.Cancel(x.ID, 0)
+	// Until now the progress report of the first response has blocked the attempt, so the next poll follows the
+	// cancellation.
+	close(hold)
+	recorded.Compare(t, "cancelled", append([]byte(call), collect(peer, recorder)...))
 }
 
-// A health check, and one that is reset and made again.
+// Health checks: one that is repeated after a reset, one without a load report, one with an error status, and one of an
+// unknown engine.
 func TestRecordedHealthCheck(t *testing.T) {
 	gauges := "X-Gauges: outstanding:3;backlog:1;utilization:0.25;x0:0.5;x1:0.75;other:9\r\n"
-	p := servePeer(t, resetConn, answer("200 OK", gauges, ""),
-		answer("200 OK", "", ""), unknown)
-	f, s := newRecordedClient(p)
+	peer := servePeer(t, resetConn, response("200 OK", gauges, ""),
+		response("200 OK", "", ""), internalError)
+	client, recorder := newRecordedClient(peer)
 	var out bytes.Buffer
 	for range 3 {
-		f.CheckHealth(7)
-		out.WriteString(<-s.lines)
+		client.CheckHealth(7)
+		out.WriteString(<-recorder.lines)
 	}
-	f.CheckHealth(8) // nobody knows it
-	out.WriteString(<-s.lines)
-	for len(p.calls) > 0 {
-		out.WriteString(<-p.calls)
+	client.CheckHealth(8) // an engine that is not in the endpoint list
+	out.WriteString(<-recorder.lines)
+	for len(peer.calls) > 0 {
+		out.WriteString(<-peer.calls)
 	}
 	recorded.Compare(t, "health-check", out.Bytes())
 }
 
-// The polls of the change log say which event came last, and how long to wait.
+// Each poll of the change log contains the number of the last event and the time to wait.
 func TestRecordedChangeLog(t *testing.T) {
-	p := servePeer(t, answer("200 OK", "", "first"), answer("200 OK", "", "second"), unknown,
-		answer("200 OK", "", "third"), staySilent)
-	f, _ := newRecordedClient(p)
+	peer := servePeer(t, response("200 OK", "", "first"), response("200 OK", "", "second"), internalError,
+		response("200 OK", "", "third"), staySilent)
+	client, _ := newRecordedClient(peer)
 	ctx, cancel := context.WithCancel(context.Background())
-	taken := make(chan string, 10)
+	applied := make(chan string, 10)
 	ended := make(chan struct{})
 	var since int64 = 41
 	go func() {
 		defer close(ended)
-		f.FollowChangeLog(ctx, p.address, 41, func(text []byte) (int64, error) {
+		client.FollowChangeLog(ctx, peer.address, 41, func(text []byte) (int64, error) {
 			since++
-			taken <- string(text)
+			applied <- string(text)
 			return since, nil
 		}, func(error) {})
 	}()
 	var out bytes.Buffer
 	for range 3 {
-		fmt.Fprintf(&out, "took %q\n", <-taken)
+		fmt.Fprintf(&out, "took %q\n", <-applied)
 	}
 	for range 5 {
-		out.WriteString(<-p.calls)
+		out.WriteString(<-peer.calls)
 	}
 	cancel()
 	<-ended
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -16,8 +16,8 @@
 func NewFraming(http10 bool) Framing { return Framing{length: absent, closes: http10} }
 
 // ParseField parses a header field. isFraming is false for a field that is not part of the framing, and the field is
-// then ignored. The framing must be unambiguous, so a repeated Content-Length or Transfer-Encoding is malformed, even if
-// both values are equal.
+// then ignored. The framing must be unambiguous, so a repeated Content-Length or Transfer-Encoding is malformed, even
+// if both values are equal.
 func (f *Framing) ParseField(name, value []byte) (isFraming bool, err error) {
 	switch {
 	case EqualName(name, "Content-Length"):
