--- a/internal/engine/idle_pool.go
+++ b/internal/engine/idle_pool.go
@@ -15,7 +15,8 @@
 const expiryChecksPerIdleTime = 4
 
 // idlePool keeps connections after a query or a health check, and returns them for further ones where decision/reuse
-// allows reuse. A nil pool keeps no connections. Methods that do not require mu to be held are safe for concurrent use.
+// allows reuse. Methods that do not require mu to be held are safe for concurrent use, and may be called on a nil pool,
+// which keeps no connections.
 type idlePool struct {
 	count func(counter string)
 	start time.Time
