--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves local requests about a running program: a Unix socket that takes the name of a command and
-// answers with one JSON document. It is off unless the operators' settings name a path, and reaches nobody beyond the
-// machine.
+// Package admin serves local requests about a running program on a Unix socket. A client sends the name of a command on
+// one line, and the server answers with one JSON document. The socket is opened only if the operators' settings name a
+// path for it, and cannot be reached from other machines.
 package admin
 
 import (
@@ -17,34 +17,34 @@
 	"time"
 )
 
-// Command answers requests of one name. It may be called from several goroutines at once.
+// Command produces the answer to the requests for one command. It may be called from several goroutines at once.
 type Command func() (any, error)
 
 const (
 	callTimeout = 5 * time.Second
-	// probeTimeout is how long another program that may listen on the socket has to accept.
+	// probeTimeout limits the connection attempt that detects another program listening on the socket.
 	probeTimeout       = time.Second
 	acceptRetryDelay   = 100 * time.Millisecond
-	maxConcurrentCalls = 4 // each holds a descriptor
+	maxConcurrentCalls = 4 // each call holds a file descriptor
 	maxNameBytes       = 64
 	maxAnswerBytes     = 64 << 20
 )
 
-// answer is the document that goes over the socket.
+// answer is the JSON document that the server sends. One of its fields is set.
 type answer struct {
 	Error string          `json:"error,omitempty"`
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// Server is a listening socket.
+// Server answers requests on a Unix socket. Close stops it.
 type Server struct {
 	listener net.Listener
 	commands map[string]Command
-	slots    chan struct{} // holds one value for each call
+	slots    chan struct{} // holds one value for each call in progress
 }
 
-// Listen opens a socket at path that only its owner can use, and serves it until Close. A socket that nobody listens on
-// is replaced; anything else at that path is an error.
+// Listen opens a socket at path with permissions for its owner only, and serves commands on it until Close. It replaces
+// a socket on which no program listens. It returns an error if path holds a socket in use or a file of another type.
 func Listen(path string, commands map[string]Command) (*Server, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
@@ -65,14 +65,14 @@
 func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // net.Listen tells what else is wrong with the path
+		return nil // net.Listen reports any other problem with the path
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("admin_socket: %s is there and no socket", path)
+		return fmt.Errorf("admin_socket: %s exists and is not a socket", path)
 	}
 	if c, err := net.DialTimeout("unix", path, probeTimeout); err == nil {
 		c.Close()
-		return fmt.Errorf("admin_socket: another program listens on %s", path)
+		return fmt.Errorf("admin_socket: another program is listening on %s", path)
 	}
 	if err := os.Remove(path); err != nil {
 		return fmt.Errorf("admin_socket: %w", err)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Close ends the socket. Calls that are being answered go on.
+// Close closes the listening socket. Calls in progress are still answered.
 func (s *Server) Close() { s.listener.Close() }
 
 func (s *Server) serve() {
@@ -90,7 +90,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryDelay) // out of descriptors, most likely
+			time.Sleep(acceptRetryDelay) // most likely the process is out of file descriptors
 			continue
 		}
 		s.slots <- struct{}{}
@@ -111,7 +111,7 @@
 	_ = json.NewEncoder(c).Encode(s.run(strings.TrimSpace(line)))
 }
 
-// run answers a request for the command of a name.
+// run runs the named command and returns its result, or an error if the command is unknown or fails.
 func (s *Server) run(name string) answer {
 	command := s.commands[name]
 	if command == nil {
@@ -129,7 +129,8 @@
 	return answer{Value: document}
 }
 
-// Call runs a command of the program that listens at path, and returns its answer.
+// Call runs the named command in the program that listens at path, and returns the command's value as JSON. An error of
+// the command is returned with the command's own text.
 func Call(path, name string) (json.RawMessage, error) {
 	c, err := net.DialTimeout("unix", path, callTimeout)
 	if err != nil {
