--- a/internal/mysql/answer.go
+++ b/internal/mysql/answer.go
@@ -11,7 +11,8 @@
 	"beechcart/internal/exchange"
 )
 
-// copiedWriteBytes is the size below which netpoll's writer copies a buffer; it links larger ones.
+// copiedWriteBytes is the size in bytes below which netpoll's writer copies a buffer. netpoll links larger buffers
+// without a copy.
 const copiedWriteBytes = 4 << 10
 
 func (s *session) write(b []byte) error {
@@ -24,23 +25,23 @@
 	return s.conn.Writer().Flush()
 }
 
-// ok writes an OK packet; false ends the session.
+// ok writes an OK packet. The caller must end the session if ok returns false.
 func (s *session) ok() bool { return s.write(appendOK(nil, &s.sequence)) == nil }
 
-// fail writes an error packet; false ends the session.
+// fail writes an error packet. The caller must end the session if fail returns false.
 func (s *session) fail(code errorCode, message string) bool {
 	return s.write(appendError(nil, &s.sequence, code, message)) == nil
 }
 
-// failAndDrain writes a last error and ends the session; it returns false. Closing a connection with unread input
-// resets it, and the client may lose the error with that. So the input is read and discarded until the client closes
-// the connection, for at most drainTimeout.
+// failAndDrain writes a final error and returns false, so that the caller ends the session. A connection that is closed
+// with unread input is reset, and the client may then not receive the error. failAndDrain therefore reads and discards
+// input until the client closes the connection, for at most drainTimeout and maxDrainBytes.
 func (s *session) failAndDrain(code errorCode, message string) bool {
 	if !s.fail(code, message) {
 		return false
 	}
 	s.enter(closing)
-	// The descriptor can't be reused by another connection while this callback runs.
+	// The descriptor is valid: it is not reused for another connection while this callback runs.
 	if c, ok := s.conn.(netpoll.Conn); ok {
 		_ = syscall.Shutdown(c.Fd(), syscall.SHUT_WR)
 	}
@@ -62,11 +63,11 @@
 	return false
 }
 
-// answer writes the final answer of a request; false ends the session.
+// answer writes the final answer to a request. The caller must end the session if answer returns false.
 func (s *session) answer(a exchange.Answer) bool {
 	switch a.Kind {
 	case exchange.Served:
-		// The engine client passes on whole rows only, and half a row must not reach a client.
+		// An incomplete row must not reach a client. The engine client passes on complete rows only; this is checked.
 		size, whole := resultSize(a.Rows)
 		if !s.server.options.Counters.Hold(whole, "whole_rows") {
 			return s.fail(errUnknown, "the result was malformed")
@@ -74,7 +75,7 @@
 		return s.writeResult(a.Rows, size)
 	case exchange.Rejected:
 		if a.RetryAfter > 0 {
-			// Client programs parse w=; the rest is for people.
+			// Client programs parse w=; the rest of the text is for human readers.
 			a.Reason += fmt.Sprintf("; retry after %d ms; w=%[1]d", a.RetryAfter.Milliseconds())
 		}
 		return s.fail(errTooManyConnections, a.Reason)
@@ -85,7 +86,8 @@
 	}
 }
 
-// writeResult encodes rows into the connection's output buffer, without a buffer in between, and writes them at once.
+// writeResult encodes rows directly into the connection's output buffer, of which the result takes size bytes, and
+// flushes the buffer.
 func (s *session) writeResult(rows []byte, size int) bool {
 	out, err := s.conn.Writer().Malloc(size)
 	if err != nil {
--- a/internal/mysql/command.go
+++ b/internal/mysql/command.go
@@ -7,7 +7,7 @@
 	"beechcart/internal/exchange"
 )
 
-// servePacket reads one packet and answers it; false ends the session.
+// servePacket reads and answers one packet. The caller must end the session if servePacket returns false.
 func (s *session) servePacket() bool {
 	r := s.conn.Reader()
 	header, err := r.Next(headerSize)
@@ -16,7 +16,7 @@
 	}
 	size := packetSize(header)
 	s.sequence = header[3] + 1
-	// A client may send valid packets without end, and netpoll reads all of it into memory.
+	// netpoll buffers all input of a client in memory, and a client may send valid packets faster than they are served.
 	if r.Len() > maxInputBytes {
 		s.server.options.Counters.Add("sessions_flooded", 1)
 		return false
@@ -34,7 +34,7 @@
 	return ok
 }
 
-// serve answers a login or a command; false ends the session.
+// serve answers a login or a command. The caller must end the session if serve returns false.
 func (s *session) serve(payload []byte) bool {
 	if !s.loggedIn {
 		return s.login(payload)
@@ -74,7 +74,8 @@
 	return s.ok()
 }
 
-// query serves one COM_QUERY and returns once its answer is written. It blocks the session's own goroutine only.
+// query serves one COM_QUERY and returns after writing the answer. Only the goroutine of this session is blocked
+// meanwhile. The caller must end the session if query returns false.
 func (s *session) query(q []byte) bool {
 	arrived := time.Now()
 	if id, ok := parseKillQuery(q); ok {
--- a/internal/mysql/field.go
+++ b/internal/mysql/field.go
@@ -8,7 +8,7 @@
 	"beechcart/internal/platformconfig"
 )
 
-// Names of the fields of a request, as the platform spells them.
+// Names of the fields of a request. The platform defines them.
 const (
 	fieldClass        = "c"
 	fieldID           = "i"
@@ -23,22 +23,22 @@
 	fieldClass, fieldID, fieldTimeout, fieldTenant, fieldWorkEstimate, fieldMemory, fieldRetry,
 }
 
-// Upper bounds of the numbers of a request.
+// Upper bounds of the numeric fields of a request.
 const (
 	maxTimeoutMs = 3600 * 1000
 	maxEstimate  = 1e9 // milliseconds of work, or megabytes
 )
 
-// idSize is the number of hexadecimal digits of a request's id.
+// idSize is the number of hexadecimal digits in the id of a request.
 const idSize = 16
 
-// fieldSet holds the names of the fields that a comment has had.
+// fieldSet is the set of field names found in a comment so far.
 type fieldSet struct {
 	known   uint8 // one bit for each of fieldNames
 	unknown map[string]bool
 }
 
-// add adds a name; false where it was there.
+// add adds a name. It returns false if the set already contains the name.
 func (s *fieldSet) add(name []byte) bool {
 	for i, n := range fieldNames {
 		if string(name) == n {
@@ -58,9 +58,9 @@
 	return true
 }
 
-// setField sets one field of a request; false where its value can't be used. Values are checked here, before the
-// request is passed on: neither an engine nor the controller must see one that is out of bounds. Unknown fields are
-// skipped.
+// setField sets one field of a request. It returns false if the value is invalid. Values are checked here, before the
+// request is passed on, because neither an engine nor the controller may receive a value out of bounds. Unknown fields
+// are ignored.
 func setField(r *exchange.Request, name, value []byte, names *platformconfig.Names) (ok bool) {
 	switch string(name) {
 	case fieldClass:
@@ -105,7 +105,7 @@
 	return true
 }
 
-// setTenant sets the tenant. An unknown tenant has no quota, so its request is malformed, unless no tenants are
+// setTenant sets the tenant. It returns false for an unknown tenant, which has no quota, unless no tenants are
 // configured.
 func setTenant(r *exchange.Request, value []byte, names *platformconfig.Names) bool {
 	if tenant, ok := names.Tenants[string(value)]; ok {
@@ -136,7 +136,7 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func parseNumber(value []byte, most float64) (float64, bool) {
+func parseNumber(value []byte, limit float64) (float64, bool) {
 	n, ok := decimal.Parse(value)
-	return n, ok && n <= most
+	return n, ok && n <= limit
 }
--- a/internal/mysql/limits.go
+++ b/internal/mysql/limits.go
@@ -5,20 +5,20 @@
 // Limits of a session's input, in bytes.
 const (
 	maxPacketBytes    = 256 << 10
-	maxPipelinedBytes = 256 << 10                          // unread behind an open request
-	maxInputBytes     = maxPacketBytes + maxPipelinedBytes // unread at any other time
-	maxDrainBytes     = 1 << 20                            // read and discarded after a last error
+	maxPipelinedBytes = 256 << 10                          // unread input while a request is open
+	maxInputBytes     = maxPacketBytes + maxPipelinedBytes // unread input in any other phase
+	maxDrainBytes     = 1 << 20                            // input discarded after a final error
 )
 
 // Time limits of a session. A client that sends nothing of use is answered or disconnected within 3 s.
 const (
-	firstCommandTimeout = 2500 * time.Millisecond // from the connect on
-	silentAfter         = time.Second             // a session that has sent no command by then is unlikely to send one
-	packetTimeout       = 2500 * time.Millisecond // for the rest of a packet that has begun
+	firstCommandTimeout = 2500 * time.Millisecond // measured from the connect
+	noCommandThreshold  = time.Second             // without a command by then, a session is unlikely to send one
+	packetTimeout       = 2500 * time.Millisecond // to receive the rest of a partly received packet
 	defaultIdleTimeout  = 5 * time.Second         // clients close idle connections after 4 s
 	unreadGrace         = 250 * time.Millisecond  // added to a time limit while the session has unread input
 	writeTimeout        = 5 * time.Second
-	drainTimeout        = 500 * time.Millisecond // for the client's close after a last error
+	drainTimeout        = 500 * time.Millisecond // for the client to close the connection after a final error
 )
 
 const (
@@ -26,9 +26,10 @@
 	malformedLogInterval = 5 * time.Second
 )
 
-// admit reports whether a new session may stay, and which sessions have to be closed for it. The least useful session
-// makes room, so that silent clients can't use up all sessions. A rejected session stays registered until its client
-// has read the error, or until the next one connects, so there is at most one such session.
+// admit reports whether a new session fits into the limit of sessions, and returns the sessions that the caller must
+// close for it. evictionCandidate chooses them, so that clients that send nothing cannot use up all sessions. A
+// rejected session stays registered until its client has read the error or the next session connects, so there is at
+// most one such session.
 func (s *Server) admit(ses *session) (evicted []*session, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +44,8 @@
 	return evicted, true
 }
 
-// closeExpired closes the sessions that have been in a phase for too long, or have too much unread input, until stop is
-// closed.
+// closeExpired periodically closes the sessions that have exceeded the timeout of their phase or the limit of unread
+// input. It returns when stop is closed.
 func (s *Server) closeExpired(stop <-chan struct{}) {
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
--- a/internal/mysql/login.go
+++ b/internal/mysql/login.go
@@ -10,13 +10,13 @@
 	protocolVersion = 10
 	serverVersion   = "8.0.0-beechcart"
 
-	// The scramble protects no password, since the password is empty, so it may be the same for all sessions.
+	// The scramble may be the same for all sessions, since the password is empty and needs no protection.
 	scrambleStart = "beechcar"
 	scrambleRest  = "tbeechcartbe"
-	scrambleSize  = len(scrambleStart) + len(scrambleRest) + 1 // with its NUL
+	scrambleSize  = len(scrambleStart) + len(scrambleRest) + 1 // includes the final NUL
 )
 
-// appendGreeting appends the server's first packet, a HandshakeV10.
+// appendGreeting appends the first packet of a session, a HandshakeV10.
 func appendGreeting(b []byte, sessionID uint32) []byte {
 	sequence := byte(0)
 	return appendPacket(b, &sequence, func(b []byte) []byte {
@@ -32,24 +32,25 @@
 }
 
 var (
-	errShortPacket  = errors.New("mysql: packet too short")
-	errOldProtocol  = errors.New("mysql: protocol 4.1 is needed")
-	errNoEncryption = errors.New("mysql: encryption is not offered")
+	errShortPacket  = errors.New("mysql: login packet is truncated")
+	errOldProtocol  = errors.New("mysql: client does not use protocol 4.1, the only protocol served")
+	errNoEncryption = errors.New("mysql: client requests encryption, which the server does not support")
 )
 
-// loginHeadSize is the size of what comes before the user: capabilities, greatest packet, character set and filler.
+// loginHeadSize is the size in bytes of the fields before the user name: capabilities, maximum packet size, character
+// set and filler.
 const loginHeadSize = 32
 
 var nulTerminator = []byte{0}
 
-// login is a HandshakeResponse41.
+// login is a parsed HandshakeResponse41.
 type login struct {
 	capabilities   uint32
 	user, database []byte
 	auth           []byte
 }
 
-// parseLogin reads a HandshakeResponse41. The slices of the result point into p.
+// parseLogin parses a HandshakeResponse41. The slices of the result alias p.
 func parseLogin(p []byte) (l login, err error) {
 	if len(p) < 4 {
 		return l, errShortPacket
@@ -77,7 +78,7 @@
 	return l, nil
 }
 
-// cutAuth cuts the authentication data off the start of p.
+// cutAuth splits p into the authentication data at its start and the rest. ok is false if the data is truncated.
 func cutAuth(p []byte, capabilities uint32) (auth, rest []byte, ok bool) {
 	if capabilities&(capPluginAuthData|capSecureConn) == 0 {
 		return bytes.Cut(p, nulTerminator)
--- a/internal/mysql/packet.go
+++ b/internal/mysql/packet.go
@@ -2,13 +2,13 @@
 
 import "encoding/binary"
 
-// headerSize is the size of a packet's header: three bytes of length, one of sequence number.
+// headerSize is the size of a packet's header in bytes: three bytes of payload size and one of sequence number.
 const headerSize = 4
 
-// packetSize is the size of a packet's payload, from its header.
+// packetSize returns the size of a packet's payload in bytes, as its header states.
 func packetSize(header []byte) int { return int(header[0]) | int(header[1])<<8 | int(header[2])<<16 }
 
-// appendPacket appends a packet with its header. build appends the payload.
+// appendPacket appends a header and the payload that build appends, and increments sequence.
 func appendPacket(b []byte, sequence *byte, build func([]byte) []byte) []byte {
 	at := len(b)
 	b = appendHeader(b, sequence)
@@ -17,14 +17,14 @@
 	return b
 }
 
-// appendHeader appends a header whose size setPacketSize is still to set.
+// appendHeader appends a header with a size of zero, which the caller sets with setPacketSize after the payload.
 func appendHeader(b []byte, sequence *byte) []byte {
 	b = append(b, 0, 0, 0, *sequence)
 	*sequence++
 	return b
 }
 
-// setPacketSize sets the size of the packet that begins at that place and is the last one in b.
+// setPacketSize sets the size in the header at offset at. The packet's payload must extend to the end of b.
 func setPacketSize(b []byte, at int) {
 	n := len(b) - at - headerSize
 	b[at], b[at+1], b[at+2] = byte(n), byte(n>>8), byte(n>>16)
@@ -43,7 +43,7 @@
 	return binary.LittleEndian.AppendUint64(append(b, 0xfe), uint64(n))
 }
 
-// lengthSize is the size of a length-encoded integer.
+// lengthSize returns the size in bytes of n as a length-encoded integer.
 func lengthSize(n int) int {
 	switch {
 	case n < 251:
--- a/internal/mysql/protocol.go
+++ b/internal/mysql/protocol.go
@@ -22,7 +22,7 @@
 	comPing   = 0x0e
 )
 
-// First bytes of the packets of an answer.
+// First bytes of OK, EOF and error packets.
 const (
 	okMarker  = 0x00
 	eofMarker = 0xfe
@@ -35,14 +35,14 @@
 	typeVarString    = 0xfd
 )
 
-// What a login has to name.
+// Values that a login must have. A login without a database is accepted too.
 const (
 	user       = "app"
 	database   = "bi"
 	authPlugin = "mysql_native_password"
 )
 
-// errorCode is an error of the protocol: its number and its SQL state.
+// errorCode is a MySQL error number with its SQL state.
 type errorCode struct {
 	number uint16
 	state  string
@@ -56,7 +56,7 @@
 	errUnknownDatabase    = errorCode{1049, "42000"}
 	errMalformedQuery     = errorCode{1064, "42000"}
 	errUnknownThread      = errorCode{1094, "HY000"}
-	errUnknown            = errorCode{1105, "HY000"} // the request failed, and may have run
+	errUnknown            = errorCode{1105, "HY000"} // the request failed and may have been executed
 	errPacketTooLarge     = errorCode{1153, "08S01"}
 	errQueryInterrupted   = errorCode{1317, "70100"}
 )
--- a/internal/mysql/result.go
+++ b/internal/mysql/result.go
@@ -7,15 +7,15 @@
 	"beechcart/internal/exchange"
 )
 
-// columnCount is the number of columns of every result, all of them text.
+// columnCount is the number of columns of every result. All columns are text.
 const columnCount = exchange.ColumnCount
 
-// maxColumnBytes is the greatest size of a value that a column's definition declares.
+// maxColumnBytes is the maximum value size in bytes that each column definition declares.
 const maxColumnBytes = 1<<16 - 1
 
-// resultHead is what precedes the rows of every result: the number of columns, their definitions and an EOF packet.
-// Its packets are numbered from 1, like those of every answer to a command. rowSequence is the number of the packet
-// after it.
+// resultHead holds the packets before the rows of every result: the number of columns, the column definitions and an
+// EOF packet. Its packets are numbered from 1, as in every answer to a command. rowSequence is the sequence number of
+// the first packet after the head.
 var resultHead, rowSequence = encodeResultHead()
 
 func encodeResultHead() ([]byte, byte) {
@@ -40,10 +40,11 @@
 	return append(b, typeVarString, 0, 0, 0, 0, 0) // type, flags, decimals, filler
 }
 
-// eofSize is the size of an EOF packet.
+// eofSize is the size of an EOF packet in bytes, with its header.
 const eofSize = headerSize + 5
 
-// resultSize is the size of an encoded result; false where rows are not whole rows (exchange.CheckRows).
+// resultSize returns the size in bytes of the encoded result. It returns false if rows does not consist of complete
+// rows in the sense of exchange.CheckRows.
 func resultSize(rows []byte) (int, bool) {
 	size := len(resultHead) + eofSize
 	for len(rows) > 0 {
@@ -61,7 +62,8 @@
 	return size, true
 }
 
-// rowSize is the size of an encoded row without its header; false where it has another number of columns.
+// rowSize returns the size in bytes of an encoded row without its packet header. ok is false if the row does not have
+// columnCount columns.
 func rowSize(row []byte) (size int, ok bool) {
 	for i := range columnCount {
 		cell := bytes.IndexByte(row, '\t')
@@ -77,8 +79,9 @@
 	return size, true
 }
 
-// appendResult appends an encoded result; resultSize must have accepted the rows. This is the one copy of the rows on
-// the client's side: each cell gets its length in front, so the rows can't be written as they came from the engine.
+// appendResult appends an encoded result. resultSize must have accepted the rows. The encoding copies the rows, the
+// only copy on the client's side: the protocol puts a length before each cell, so the rows cannot be written in the
+// form in which the engine sent them.
 func appendResult(b []byte, sequence *byte, rows []byte) []byte {
 	b = append(b, resultHead...)
 	*sequence = rowSequence
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -1,6 +1,6 @@
-// Package mysql serves clients: the MySQL client protocol 4.1 with text results, as far as gateways of the platform
-// use it. It turns each statement into an exchange, hands it to a [RequestHandler] and writes the exchange's answer.
-// It knows nothing of engines.
+// Package mysql implements the server side of the MySQL client protocol 4.1 with text results, limited to the subset
+// that the platform's gateways use. A [Server] turns each statement into an exchange, hands the exchange to a
+// [RequestHandler] and writes the answer to the client. The package knows nothing of engines.
 package mysql
 
 import (
@@ -18,9 +18,9 @@
 	"beechcart/internal/platformconfig"
 )
 
-// RequestHandler takes the requests of clients. Its methods are called from any goroutine.
+// RequestHandler handles the requests of clients. Its methods are called from several goroutines at once.
 type RequestHandler interface {
-	// Accept takes a request, and settles its exchange with the final answer.
+	// Accept starts handling a request. The handler settles the exchange with the final answer, during Accept or later.
 	Accept(x *exchange.Exchange)
 	// ClientGone reports that the client of a request has disconnected or has cancelled it.
 	ClientGone(x *exchange.Exchange)
@@ -29,13 +29,13 @@
 // Options are the settings of a server.
 type Options struct {
 	Names       platformconfig.Names
-	MaxSessions int           // at once
-	IdleTimeout time.Duration // between two commands of a session; 0: defaultIdleTimeout
+	MaxSessions int           // limit of concurrent sessions
+	IdleTimeout time.Duration // between two commands of a session; 0 means defaultIdleTimeout
 	Counters    *invariant.Counters
 	Log         *slog.Logger
 }
 
-// Server serves sessions on one listener.
+// Server accepts and serves client sessions on one listener.
 type Server struct {
 	options   Options
 	handler   RequestHandler
@@ -47,10 +47,10 @@
 	malformedLoggedAt time.Time        // guarded by mu
 }
 
-// sessionKey is the key of a connection's session in its context.
+// sessionKey is the context key under which a connection's context holds its session.
 type sessionKey struct{}
 
-// New returns a server that hands requests to handler.
+// New returns a server that hands requests to handler. Serve starts it.
 func New(options Options, handler RequestHandler) (*Server, error) {
 	if options.IdleTimeout == 0 {
 		options.IdleTimeout = defaultIdleTimeout
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// Serve accepts sessions at the address until Shutdown.
+// Serve listens at the TCP address and serves sessions until Shutdown.
 func (s *Server) Serve(address string) error {
 	l, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
@@ -82,12 +82,12 @@
 	return s.eventLoop.Serve(l)
 }
 
-// onAccept registers a connection as soon as it is accepted. It runs on the goroutine that reads all connections, so
-// it must not close one: netpoll would wait there for itself.
+// onAccept registers a connection as soon as it is accepted. netpoll calls onAccept on the goroutine that polls all
+// connections, so onAccept must not close a connection: the close would wait for that same goroutine.
 func (s *Server) onAccept(c netpoll.Connection) context.Context {
 	ses := &session{server: s, conn: c, fd: fileDescriptor(c), phaseSince: time.Now()}
 	s.mu.Lock()
-	// The id lets anyone cancel the session's query, so it must not be predictable.
+	// Any client that knows the id can cancel the session's query, so the id must not be predictable.
 	for ses.id == 0 || s.sessions.byID[ses.id] != nil {
 		ses.id = rand.Uint32()
 	}
@@ -96,7 +96,8 @@
 	return context.WithValue(context.Background(), sessionKey{}, ses)
 }
 
-// onConnect makes room for a new session, or rejects it, and greets its client.
+// onConnect sends the greeting to a new session, after evicting other sessions if the limit is exceeded. If no session
+// can be evicted, onConnect rejects the new session with an error.
 func (s *Server) onConnect(ctx context.Context, c netpoll.Connection) context.Context {
 	ses := ctx.Value(sessionKey{}).(*session)
 	evicted, ok := s.admit(ses)
@@ -114,7 +115,8 @@
 	return ctx
 }
 
-// onDisconnect is called as soon as the client has closed the connection, also while a request is being served.
+// onDisconnect removes the session and cancels its open request. netpoll calls it as soon as the client has closed the
+// connection, also while a request is being served.
 func (s *Server) onDisconnect(ctx context.Context, _ netpoll.Connection) {
 	ses, _ := ctx.Value(sessionKey{}).(*session)
 	if ses == nil {
@@ -126,7 +128,7 @@
 	ses.abandonRequest()
 }
 
-// onRequest reads what a client has sent. netpoll calls it for one packet of a session at a time.
+// onRequest reads and serves one packet. netpoll makes one call at a time for each session.
 func (s *Server) onRequest(ctx context.Context, c netpoll.Connection) error {
 	ses, _ := ctx.Value(sessionKey{}).(*session)
 	if ses == nil {
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// killQuery cancels the open request of the session with that id; false when there is no such session.
+// killQuery cancels the open request of the session with the given id. It returns false if there is no such session.
 func (s *Server) killQuery(id uint32) bool {
 	s.mu.Lock()
 	ses := s.sessions.byID[id]
@@ -150,15 +152,16 @@
 	}
 	s.options.Counters.Add("kills", 1)
 	s.mu.Lock()
-	// A KILL QUERY may overtake its query on the way through this program. Nobody would wait for that query.
+	// KILL QUERY may be processed before the query that it cancels has been read. The session remembers the
+	// cancellation, so that the query is not run for a client that no longer waits for its answer.
 	ses.killed = ses.open == nil && (ses.readingPacket || ses.hasUnread())
 	s.mu.Unlock()
 	ses.abandonRequest()
 	return true
 }
 
-// countMalformed counts input that can't be used, and logs some of it.
-func (s *Server) countMalformed(ses *session, why string) {
+// countMalformed counts malformed input, and logs the reason at most once per malformedLogInterval.
+func (s *Server) countMalformed(ses *session, reason string) {
 	s.options.Counters.Add("malformed", 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,5 +169,5 @@
 		return
 	}
 	s.malformedLoggedAt = time.Now()
-	s.options.Log.Warn("malformed input", "peer", ses.conn.RemoteAddr().String(), "why", why)
+	s.options.Log.Warn("malformed input", "peer", ses.conn.RemoteAddr().String(), "why", reason)
 }
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -9,41 +9,41 @@
 	"beechcart/internal/exchange"
 )
 
-// phase is what a session is doing.
+// phase is the state of a session.
 type phase int
 
 const (
-	greeted    phase = iota // it has sent no command yet, and may have logged in
+	greeted    phase = iota // no command received yet; the login may be complete
 	idle                    // between commands
-	reading                 // a packet has begun
+	reading                 // a packet has been partly received
 	serving                 // a request is open
-	closing                 // the last error has been written
+	closing                 // the final error has been written
 	phaseCount              // the number of phases
 )
 
-// session is one connection of a client.
+// session is the state of one client connection.
 type session struct {
 	server *Server
 	id     uint32
 	conn   netpoll.Connection
-	fd     int32 // of conn; -1: not known
+	fd     int32 // descriptor of conn; -1 if unknown
 
 	// Owned by the goroutine that serves the session's packets.
-	sequence    byte // of the next packet to write
+	sequence    byte // number of the next packet to write
 	loggedIn    bool
 	sentCommand bool
 
 	// Guarded by the server's lock.
 	open          *exchange.Exchange // the request being served
 	readingPacket bool
-	killed        bool // KILL QUERY has overtaken the query that it is meant for
+	killed        bool // KILL QUERY was processed before the query that it cancels
 	phase         phase
-	phaseSince    time.Time // while greeted: when it connected
-	registered    bool      // its requests are accepted; whoever closes the session removes it first
-	prev, next    *session  // of the same phase
+	phaseSince    time.Time // start of the phase; while greeted, the time of the connect
+	registered    bool      // requests are accepted; set to false before the connection is closed
+	prev, next    *session  // neighbours in the queue of the phase
 }
 
-// close closes the session. No request of it is accepted any more.
+// close unregisters the session, so that no further request is accepted, and closes its connection.
 func (s *session) close() error {
 	s.server.mu.Lock()
 	s.server.sessions.remove(s)
@@ -51,7 +51,7 @@
 	return s.conn.Close()
 }
 
-// abandonRequest reports that nobody waits for the open request any more.
+// abandonRequest reports to the handler that the client no longer waits for the open request, if there is one.
 func (s *session) abandonRequest() {
 	s.server.mu.Lock()
 	x := s.open
@@ -61,12 +61,13 @@
 	}
 }
 
-// enter moves the session to a phase. Until its first command it stays greeted, whatever it sends.
+// enter moves the session to a phase. A session stays in the phase greeted until its first command, also while it sends
+// its login.
 func (s *session) enter(p phase) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	if s.readingPacket = p == reading; p == idle {
-		s.killed = false // the packet was not a query
+		s.killed = false // the packet was not a query, so there is nothing to cancel
 	}
 	if s.phase == greeted && (p == reading || (p == idle && !s.sentCommand)) {
 		return
@@ -74,9 +75,9 @@
 	s.server.sessions.move(s, p, time.Now())
 }
 
-// openRequest makes a request the open one. ok is false where the session was removed before, because its client has
-// gone or to make room: no request of it is accepted then, however much it has sent. Both happen under the same lock.
-// killed reports that the request was cancelled before it was read.
+// openRequest records x as the open request. ok is false if the session was removed before, because its client has
+// disconnected or because the session was evicted: its remaining requests are not accepted then. The check and the
+// removal hold the same lock. killed reports that KILL QUERY cancelled the request before it was read.
 func (s *session) openRequest(x *exchange.Exchange) (ok, killed bool) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -87,15 +88,14 @@
 	return s.registered, killed
 }
 
-// closeRequest ends the open request, once it is settled.
+// closeRequest clears the open request after it has been settled.
 func (s *session) closeRequest() {
 	s.server.mu.Lock()
 	s.open = nil
 	s.server.mu.Unlock()
 }
 
-// hasUnread reports whether the client has sent something that has not been read, whether it is in netpoll's buffer
-// or in the kernel's.
+// hasUnread reports whether netpoll's buffer or the kernel's receive buffer holds unread input.
 func (s *session) hasUnread() bool {
 	if s.conn.Reader().Len() > 0 {
 		return true
--- a/internal/mysql/session_list.go
+++ b/internal/mysql/session_list.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// sessionList holds the registered sessions of a server, by id and by phase. The queue of a phase is in the order in
-// which its sessions entered it, which is the order of their time limits: finding expired sessions, or the one to
-// evict, does not look at the thousands of others. It is guarded by the server's lock.
+// sessionList holds the registered sessions of a server, by id and by phase. The queue of a phase lists its sessions in
+// the order in which they entered the phase. All sessions of a phase have the same timeout, so this is also the order
+// in which they expire: finding expired sessions, or the session to evict, does not visit thousands of other sessions.
+// The list is guarded by the server's lock.
 type sessionList struct {
 	byID    map[uint32]*session
 	byPhase [phaseCount]sessionQueue
 }
 
-// sessionQueue is a doubly linked list through the sessions.
+// sessionQueue is a doubly linked list of sessions, linked by their prev and next fields.
 type sessionQueue struct{ head, tail *session }
 
-// firstQuiet is the first session that is not reading a packet and has no unread input; nil when there is none.
-func (q *sessionQueue) firstQuiet() *session {
+// firstWithoutInput returns the first session that is not reading a packet and has no unread input, or nil.
+func (q *sessionQueue) firstWithoutInput() *session {
 	for s := q.head; s != nil; s = s.next {
 		if !s.readingPacket && !s.hasUnread() {
 			return s
@@ -52,7 +53,7 @@
 	l.byPhase[s.phase].push(s)
 }
 
-// remove removes a session; a session that was removed before is left alone.
+// remove removes a session. Removing a session again has no effect.
 func (l *sessionList) remove(s *session) {
 	if !s.registered {
 		return
@@ -62,7 +63,7 @@
 	l.byPhase[s.phase].unlink(s)
 }
 
-// move moves a session to a phase.
+// move moves a session to the end of the queue of phase p.
 func (l *sessionList) move(s *session, p phase, now time.Time) {
 	if s.registered {
 		l.byPhase[s.phase].unlink(s)
@@ -71,47 +72,52 @@
 	s.phase, s.phaseSince = p, now
 }
 
-// evictionCandidate is the session that may be closed to make room for a new one: first a session whose last error
-// has been written, then a silent one, then the one that has been idle for longest, since a client resends a request
-// that crosses the close. A session that has just connected goes after these: it is about to send its first command,
-// which would be lost. A session with unread input is never chosen, because its request may have come long enough
-// before the close to be lost. When all others are at work the new session itself is returned.
-func (l *sessionList) evictionCandidate(newcomer *session) *session {
+// evictionCandidate returns the session to close when a new session exceeds the limit. The order of preference is:
+//  1. a session whose final error has been written;
+//  2. a session that has sent no command for noCommandThreshold since it connected;
+//  3. the session that has been idle for longest, since clients resend a request that is sent while the server closes
+//     an idle connection;
+//  4. a session that connected more recently than that: its client is about to send a first command, which would be
+//     lost.
+//
+// A session with unread input is not evicted in steps 2 to 4, because its client may have sent a request long before
+// the close and would not resend it. If all other sessions are busy, evictionCandidate returns the new session itself.
+func (l *sessionList) evictionCandidate(newSession *session) *session {
 	if s := l.byPhase[closing].head; s != nil {
 		return s
 	}
-	silent := l.byPhase[greeted].firstQuiet()
-	if silent != nil && newcomer.phaseSince.Sub(silent.phaseSince) >= silentAfter {
-		return silent
+	noCommand := l.byPhase[greeted].firstWithoutInput()
+	if noCommand != nil && newSession.phaseSince.Sub(noCommand.phaseSince) >= noCommandThreshold {
+		return noCommand
 	}
-	if s := l.byPhase[idle].firstQuiet(); s != nil {
+	if s := l.byPhase[idle].firstWithoutInput(); s != nil {
 		return s
 	}
-	if silent != nil {
-		return silent
+	if noCommand != nil {
+		return noCommand
 	}
-	return newcomer
+	return newSession
 }
 
-// expiredFunc takes a session that has exceeded a limit, and the name of the counter of that limit.
+// expiredFunc receives a session that has exceeded a limit, and the name of the counter for that limit.
 type expiredFunc func(s *session, counter string)
 
-// removeExpired removes each session that has exceeded a limit, and hands it to expired.
+// removeExpired removes each session that has exceeded a time or input limit, and calls expired for it.
 func (l *sessionList) removeExpired(now time.Time, idleTimeout time.Duration, expired expiredFunc) {
-	l.removeOverdue(now, idleTimeout, expired)
+	l.removeTimedOut(now, idleTimeout, expired)
 	l.removeFlooded(expired)
 }
 
-// removeOverdue removes the sessions that have been in a phase for too long. A client that was cut off would hold its
-// descriptor forever otherwise.
-func (l *sessionList) removeOverdue(now time.Time, idleTimeout time.Duration, expired expiredFunc) {
+// removeTimedOut removes the sessions that have been in a phase for longer than its timeout. Without the timeouts, the
+// session of a client that lost its network connection would hold a file descriptor forever.
+func (l *sessionList) removeTimedOut(now time.Time, idleTimeout time.Duration, expired expiredFunc) {
 	for _, limit := range []struct {
 		phase   phase
 		timeout time.Duration
 	}{{greeted, firstCommandTimeout}, {reading, packetTimeout}, {idle, idleTimeout}} {
 		for s := l.byPhase[limit.phase].head; s != nil && now.Sub(s.phaseSince) > limit.timeout; {
 			next := s.next
-			// While this process had no processor, input may have come in time without being looked at.
+			// Input that arrived in time is still unread if this process was not scheduled in between.
 			hasInput := func() bool { return s.readingPacket || s.hasUnread() }
 			if limit.phase == reading || now.Sub(s.phaseSince) > limit.timeout+unreadGrace || !hasInput() {
 				expired(s, "sessions_swept")
@@ -122,7 +128,8 @@
 	}
 }
 
-// removeFlooded removes the sessions with too much unread input: netpoll reads all that a client sends into memory.
+// removeFlooded removes the sessions with too much unread input. netpoll buffers all input of a client in memory,
+// without a limit of its own.
 func (l *sessionList) removeFlooded(expired expiredFunc) {
 	for _, limit := range []struct {
 		phase phase
--- a/internal/mysql/shutdown.go
+++ b/internal/mysql/shutdown.go
@@ -8,19 +8,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// quietChecks is how many checks in a row have to find no work before the listener is closed: a connection is for a
-// moment neither in the kernel's accept queue nor registered.
-const quietChecks = 2
+// requiredIdleChecks is the number of consecutive checks that must find neither a pending connection nor a busy session
+// before the listener is closed. One check could miss a connection that has left the kernel's accept queue and is not
+// registered yet.
+const requiredIdleChecks = 2
 
-// Shutdown closes each session as soon as it has no open request, and then the listener. It returns at the end of ctx,
-// whatever is open then. The listener is closed last, once the accept queue is empty: clients cancel queries on new
-// connections, and a request that was written to a connection in the accept queue counts as accepted.
+// Shutdown closes each session as soon as it has no open request, and then the listener. When ctx ends, Shutdown closes
+// everything that is still open and returns the error of ctx. The listener is closed last, once the accept queue is
+// empty: clients cancel queries on new connections, and a request that was written to a connection in the accept queue
+// counts as accepted.
 func (s *Server) Shutdown(ctx context.Context) error {
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
-	for quiet := 0; quiet < quietChecks; quiet++ {
+	for idleChecks := 0; idleChecks < requiredIdleChecks; idleChecks++ {
 		if s.acceptPending() || s.closeIdle() > 0 {
-			quiet = -1
+			idleChecks = -1
 		}
 		select {
 		case <-ctx.Done():
@@ -31,7 +33,8 @@
 	return s.closeAll(ctx)
 }
 
-// closeAll closes the listener and the remaining sessions. No request of theirs is accepted any more.
+// closeAll unregisters the remaining sessions, so that no further request is accepted, and closes them and the
+// listener.
 func (s *Server) closeAll(ctx context.Context) error {
 	s.mu.Lock()
 	for _, ses := range s.sessions.byID {
@@ -54,8 +57,9 @@
 	return err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
 }
 
-// closeIdle closes the sessions that have neither an open request nor unread input, and returns the number of the
-// others. A session that has just connected stays open: it may be about to cancel another session's query.
+// closeIdle closes the sessions that have neither an open request nor unread input, and returns the number of busy
+// sessions. A session that has just connected stays open and is not counted: its client may be about to cancel another
+// session's query.
 func (s *Server) closeIdle() (busy int) {
 	var idleSessions []*session
 	s.mu.Lock()
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -11,7 +11,7 @@
 	"beechcart/internal/platformconfig"
 )
 
-// unknownIndex stands for a class, a tenant or a table group that a query does not name.
+// unknownIndex is the index of a class, tenant or table group that a query does not name.
 const unknownIndex = -1
 
 var (
@@ -23,8 +23,8 @@
 	errEmptyStatement = errors.New("there is no statement")
 )
 
-// parseQuery reads a query: a comment with the fields of the request, and a statement. The result owns its memory,
-// since a request outlives the buffer that it was read into.
+// parseQuery parses a query: a comment with the fields of the request, followed by a statement. The result does not
+// alias q, since a request outlives the input buffer.
 func parseQuery(q []byte, names platformconfig.Names) (r exchange.Request, err error) {
 	fields, statement, err := splitComment(q)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return r, nil
 }
 
-// splitComment splits a query into the content of its leading comment and the statement behind it.
+// splitComment splits a query into the content of its leading comment and the statement after the comment.
 func splitComment(q []byte) (fields, statement []byte, err error) {
 	q = bytes.TrimSpace(q)
 	if !bytes.HasPrefix(q, []byte("/*")) {
@@ -63,8 +63,8 @@
 	return q[2:end], bytes.TrimLeft(q[end+2:], " \t\r\n"), nil
 }
 
-// parseFields reads fields such as c=report,d=1500 into a request. Unknown fields are skipped. A field that comes
-// twice is an error: it might mean one thing here and another at the engine.
+// parseFields parses fields such as c=report,d=1500 into a request. Unknown fields are ignored. A repeated field is an
+// error, because the engine might use the other one of the two values.
 func parseFields(r *exchange.Request, fields []byte, names *platformconfig.Names) error {
 	var seen fieldSet
 	for len(fields) > 0 {
@@ -84,10 +84,10 @@
 	return nil
 }
 
-// maxKillQueryBytes bounds what is looked at as a KILL QUERY.
+// maxKillQueryBytes is the maximum size of a KILL QUERY statement. Longer statements are not parsed as one.
 const maxKillQueryBytes = 64
 
-// parseKillQuery reads KILL QUERY with the id of a session; ok is false for any other statement.
+// parseKillQuery returns the session id of a KILL QUERY statement. ok is false for any other statement.
 func parseKillQuery(q []byte) (sessionID uint32, ok bool) {
 	if len(q) > maxKillQueryBytes {
 		return 0, false
--- a/internal/mysql/table_group.go
+++ b/internal/mysql/table_group.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// stagingSchema is the schema prefix whose number is no table group.
+// stagingSchema is the prefix of the staging schemas, whose numbers are not table groups.
 const stagingSchema = "staging"
 
-// tableGroup finds the table group of a statement: the number behind the last underscore of the schema that it reads
-// or writes, such as 17 in sales_17.orders; unknownIndex when it names none. Strings, comments and staging schemas do
-// not count. A schema behind FROM, JOIN, INTO, UPDATE or TABLE takes precedence over one that only qualifies a
-// column.
+// tableGroup returns the table group of a statement, or unknownIndex if the statement names none. The table group is
+// the number after the last underscore of a schema name, such as 17 in sales_17.orders. Strings, comments and staging
+// schemas are ignored. A schema after FROM, JOIN, INTO, UPDATE or TABLE takes precedence over a schema that only
+// qualifies a column. Otherwise the first schema in the statement counts.
 func tableGroup(q []byte) int {
 	first := unknownIndex
 	for i := 0; i < len(q); {
@@ -47,7 +47,7 @@
 	return len(q) > 2 && q[0] == '-' && q[1] == '-' && (q[2] == ' ' || q[2] == '\t' || q[2] == '\n')
 }
 
-// skipPast returns the place behind the next end from i on, or the end of q.
+// skipPast returns the offset after the next occurrence of end at or after offset i, or len(q) if there is none.
 func skipPast(q []byte, i int, end string) int {
 	if n := bytes.Index(q[i:], []byte(end)); n >= 0 {
 		return i + n + len(end)
@@ -55,8 +55,8 @@
 	return len(q)
 }
 
-// skipString returns the place behind the string that begins at i. A quote may be escaped by a backslash or by
-// doubling it.
+// skipString returns the offset after the string literal that begins at offset i, or len(q) if the literal is not
+// closed. A backslash or a second quote escapes a quote.
 func skipString(q []byte, i int) int {
 	for quote, j := q[i], i+1; j < len(q); j++ {
 		switch {
@@ -71,8 +71,9 @@
 	return len(q)
 }
 
-// readSchema reads an identifier and, where it qualifies another one, returns it as a schema with the place behind
-// both. Of any other identifier it returns nil and the place behind it.
+// readSchema reads the identifier at offset i. If a dot and a second identifier follow, readSchema returns the first
+// identifier as the schema, and the offset after the second one. Otherwise it returns nil and the offset after the
+// identifier.
 func readSchema(q []byte, i int) (schema []byte, next int) {
 	identifier, end := readIdentifier(q, i)
 	dot := skipSpace(q, end)
@@ -83,7 +84,7 @@
 	return identifier, next
 }
 
-// readIdentifier reads an identifier, quoted or not, and returns the place behind it.
+// readIdentifier returns the quoted or unquoted identifier at offset i, and the offset after it.
 func readIdentifier(q []byte, i int) (identifier []byte, next int) {
 	if i < len(q) && q[i] == '`' {
 		n := bytes.IndexByte(q[i+1:], '`')
@@ -110,7 +111,7 @@
 	return c == '_' || c == '$' || c >= 0x80 || (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z')
 }
 
-// followsTableKeyword reports whether the text ends with a keyword that a table follows.
+// followsTableKeyword reports whether q, the text before a name, ends with a keyword that precedes a table name.
 func followsTableKeyword(q []byte) bool {
 	q = bytes.TrimRight(q, " \t\r\n")
 	start := len(q)
@@ -125,7 +126,8 @@
 	return false
 }
 
-// groupOf is the number at the end of a schema's name; unknownIndex when it has none, or is a staging schema.
+// groupOf returns the number after the last underscore of a schema name, or unknownIndex if the name has no such number
+// or names a staging schema.
 func groupOf(schema []byte) int {
 	at := bytes.LastIndexByte(schema, '_')
 	if at < 0 || bytes.EqualFold(schema[:at], []byte(stagingSchema)) {
