--- a/internal/mysql/session_list.go
+++ b/internal/mysql/session_list.go
@@ -77,7 +77,7 @@
 //  2. a session that has sent no command for noCommandThreshold since it connected;
 //  3. the session that has been idle for longest, since clients resend a request that is sent while the server closes
 //     an idle connection;
-//  4. a session that connected more recently than that: its client is about to send a first command, which would be
+//  4. a session that connected within noCommandThreshold: its client is about to send a first command, which would be
 //     lost.
 //
 // A session with unread input is not evicted in steps 2 to 4, because its client may have sent a request long before
@@ -117,7 +117,7 @@
 	}{{greeted, firstCommandTimeout}, {reading, packetTimeout}, {idle, idleTimeout}} {
 		for s := l.byPhase[limit.phase].head; s != nil && now.Sub(s.phaseSince) > limit.timeout; {
 			next := s.next
-			// Input that arrived in time is still unread if this process was not scheduled in between.
+			// Input that arrived in time may still be unread if this process was not scheduled meanwhile.
 			hasInput := func() bool { return s.readingPacket || s.hasUnread() }
 			if limit.phase == reading || now.Sub(s.phaseSince) > limit.timeout+unreadGrace || !hasInput() {
 				expired(s, "sessions_swept")
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -12,29 +12,29 @@
 	"beechcart/internal/platformconfig"
 )
 
-// The field stats holds the work of an attempt in milliseconds, times statsScale, plus the memory that it needed in
-// units of memoryUnitMB.
+// The field stats packs two values: the work of an attempt in milliseconds, multiplied by statsScale, plus the memory
+// that the attempt used in units of memoryUnitMB.
 const (
 	statsScale   = 4096
 	memoryUnitMB = 4
 )
 
-// unknown marks a value that a message does not tell.
+// unknown is the value of a number that a message does not contain.
 const unknown = -1
 
-// decode turns a message into an event; nil for a message of no known name.
+// decode converts a message to an event. The event is nil if the name of the message is unknown.
 func (s *server) decode(g *gateway, m message) (admission.Event, error) {
 	r := &fieldReader{message: m}
 	var event admission.Event
 	switch m.name {
 	case "endpoints":
-		event = s.endpointsChanged(g, r)
+		event = s.decodeEndpoints(g, r)
 	case "work_item":
-		event = request(g, r)
+		event = decodeRequest(g, r)
 	case "established":
 		event = admission.FirstByte{ID: r.text("ticket"), Attempt: r.attempt(), Engine: r.engine()}
 	case "response":
-		event = outcome(r)
+		event = decodeOutcome(r)
 	case "cancelled_by_client":
 		event = admission.ClientDisconnected{ID: r.text("ticket")}
 	case "deadline_hit":
@@ -44,7 +44,7 @@
 			Engine: r.engine(), Status: r.status(), Latency: r.latency(), Report: r.loadReport(),
 		}
 	case "memo":
-		event = gossip(r)
+		event = decodeGossip(r)
 	case "heartbeat":
 		event = admission.Progress{
 			ID: r.text("ticket"), Attempt: r.attempt(), Engine: r.engine(),
@@ -74,7 +74,7 @@
 	return admission.Status(n)
 }
 
-// loadReport reads a load report; nil when none came.
+// loadReport reads a load report. It returns nil if the message contains none.
 func (r *fieldReader) loadReport() *admission.Report {
 	v := r.get("gauge")
 	if v == "" || v == noValue {
@@ -86,7 +86,7 @@
 		name, value, ok := strings.Cut(pair, ":")
 		f, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
-			r.fail(fmt.Errorf("%s: field gauge: bad pair %q", r.name, clip(pair)))
+			r.fail(fmt.Errorf("%s: field gauge: bad pair %q", r.name, truncate(pair)))
 			return nil
 		}
 		switch name {
@@ -105,8 +105,8 @@
 	return report
 }
 
-// outcome reads the end of an attempt.
-func outcome(r *fieldReader) admission.Outcome {
+// decodeOutcome reads the outcome of an attempt.
+func decodeOutcome(r *fieldReader) admission.Outcome {
 	o := admission.Outcome{
 		ID:      r.text("ticket"),
 		Attempt: r.attempt(),
@@ -123,7 +123,7 @@
 	return o
 }
 
-func gossip(r *fieldReader) admission.GossipReceived {
+func decodeGossip(r *fieldReader) admission.GossipReceived {
 	g := admission.GossipReceived{From: int(r.number("src_peer"))}
 	if data := r.get("data"); data != noValue {
 		var err error
@@ -134,13 +134,13 @@
 	return g
 }
 
-func request(g *gateway, r *fieldReader) admission.Request {
+func decodeRequest(g *gateway, r *fieldReader) admission.Request {
 	name := r.text("band")
 	class, known := g.names.Classes[name]
 	if !known {
-		r.fail(fmt.Errorf("work_item: field band: %q is not in the settings", clip(name)))
+		r.fail(fmt.Errorf("work_item: field band: %q is not in the settings", truncate(name)))
 	}
-	read := admission.Request{
+	req := admission.Request{
 		ID:         r.text("ticket"),
 		Class:      class,
 		Tenant:     platformconfig.IndexOf(g.names.Tenants, r.get("org")),
@@ -153,9 +153,9 @@
 		Write:      r.optionalNumber("update") == 1,
 	}
 	if r.get("source_set") != "" {
-		read.TableGroup = int(r.float("source_set"))
+		req.TableGroup = int(r.float("source_set"))
 	}
-	return read
+	return req
 }
 
 var listKinds = map[string]admission.ListKind{
@@ -165,12 +165,12 @@
 	"Error":     admission.ListError,
 }
 
-// endpointsChanged reads a change of the engine list, which refers to a catalog.
-func (s *server) endpointsChanged(g *gateway, r *fieldReader) admission.Event {
+// decodeEndpoints reads a change of the endpoint list. Except for ListError, the message refers to a catalog.
+func (s *server) decodeEndpoints(g *gateway, r *fieldReader) admission.Event {
 	scope := r.text("scope")
 	kind, known := listKinds[scope]
 	if !known {
-		r.fail(fmt.Errorf("endpoints: field scope: %q is not known", clip(scope)))
+		r.fail(fmt.Errorf("endpoints: field scope: %q is not known", truncate(scope)))
 		return nil
 	}
 	changed := admission.EndpointsChanged{Kind: kind}
@@ -183,13 +183,14 @@
 		r.fail(fmt.Errorf("endpoints: field roster_id: no catalog %d", id))
 	}
 	for _, fields := range list {
-		changed.Engines = append(changed.Engines, engine(g, r, fields))
+		changed.Engines = append(changed.Engines, decodeEngine(g, r, fields))
 	}
 	return changed
 }
 
-// engine reads one engine of a catalog. Its errors are kept by the reader of the message that refers to the catalog.
-func engine(g *gateway, changed *fieldReader, fields map[string]string) admission.Engine {
+// decodeEngine reads one engine of a catalog. An error is recorded in changed, the reader of the message that refers to
+// the catalog.
+func decodeEngine(g *gateway, changed *fieldReader, fields map[string]string) admission.Engine {
 	r := &fieldReader{message: message{name: "engine", fields: fields}}
 	e := admission.Engine{
 		ID:      r.engine(),
@@ -206,7 +207,7 @@
 	case "terminated":
 		e.State = admission.Removed
 	default:
-		r.fail(fmt.Errorf("engine: field state: %q is not known", clip(fields["state"])))
+		r.fail(fmt.Errorf("engine: field state: %q is not known", truncate(fields["state"])))
 	}
 	if r.err != nil {
 		changed.fail(r.err)
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -9,8 +9,8 @@
 	"beechcart/admission"
 )
 
-// write puts one action of a gateway on the wire.
-func (s *server) write(id int, action admission.Action) {
+// writeAction writes one action of the gateway with the given id.
+func (s *server) writeAction(id int, action admission.Action) {
 	w := s.out
 	switch a := action.(type) {
 	case admission.Send:
@@ -49,7 +49,7 @@
 	}
 }
 
-// writeGossip sends to one gateway, or to all of them where the action names none.
+// writeGossip writes a gossip message to one gateway, or to all others if a.To is negative.
 func (s *server) writeGossip(id int, a admission.SendGossip) {
 	to := "*"
 	if a.To >= 0 {
@@ -62,5 +62,5 @@
 	fmt.Fprintf(s.out, "share who=%d to=%s data=%s\n", id, to, data)
 }
 
-// oneLine keeps a text from ending its message.
+// oneLine replaces line breaks with spaces, since a line break ends a message.
 func oneLine(text string) string { return strings.NewReplacer("\n", " ", "\r", " ").Replace(text) }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// noValue stands for an empty value.
+// noValue is the encoding of an empty value.
 const noValue = "-"
 
-// maxShownLength bounds what an error shows of a message, in bytes.
+// maxShownLength is the maximum number of bytes of a message that an error quotes.
 const maxShownLength = 40
 
-// message is one parsed line: a name and its fields.
+// message is one parsed line: the message's name and its fields.
 type message struct {
 	name   string
 	fields map[string]string
 }
 
-// textFields run on to the end of their line.
+// textFields are the fields whose value extends to the end of the line.
 var textFields = map[string]bool{"facts": true, "message": true}
 
 func parseMessage(text string) (message, error) {
@@ -29,7 +29,7 @@
 	for rest != "" {
 		field, tail, ok := strings.Cut(rest, "=")
 		if !ok || strings.Contains(field, " ") {
-			return m, fmt.Errorf("%s: want name=value, got %q", name, clip(rest))
+			return m, fmt.Errorf("%s: want name=value, got %q", name, truncate(rest))
 		}
 		if textFields[field] {
 			m.fields[field] = tail
@@ -40,17 +40,17 @@
 	return m, nil
 }
 
-func clip(text string) string {
+func truncate(text string) string {
 	if len(text) > maxShownLength {
 		return text[:maxShownLength] + "..."
 	}
 	return text
 }
 
-// get returns a field; an absent one is empty.
+// get returns the value of a field, or an empty string if the field is absent.
 func (m message) get(field string) string { return m.fields[field] }
 
-// require returns a field that must be there and not empty.
+// require returns the value of a field. An absent or empty field is an error.
 func (m message) require(field string) (string, error) {
 	if v := m.fields[field]; v != "" {
 		return v, nil
@@ -58,7 +58,7 @@
 	return "", fmt.Errorf("%s: field %s is missing", m.name, field)
 }
 
-// number reads a whole number, which must be there.
+// number returns the value of an integer field. An absent or empty field is an error.
 func (m message) number(field string) (int64, error) {
 	if _, err := m.require(field); err != nil {
 		return 0, err
@@ -66,7 +66,7 @@
 	return m.optionalNumber(field)
 }
 
-// optionalNumber reads a whole number; an absent one is zero.
+// optionalNumber returns the value of an integer field, or zero if the field is absent or empty.
 func (m message) optionalNumber(field string) (int64, error) {
 	v := m.fields[field]
 	if v == "" {
@@ -74,7 +74,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s: field %s: %q is not a whole number", m.name, field, clip(v))
+		return 0, fmt.Errorf("%s: field %s: %q is not a whole number", m.name, field, truncate(v))
 	}
 	return n, nil
 }
@@ -84,13 +84,13 @@
 	return int(n), err
 }
 
-// duration reads nanoseconds.
+// duration returns the value of a required field that holds nanoseconds.
 func (m message) duration(field string) (time.Duration, error) {
 	n, err := m.number(field)
 	return time.Duration(n), err
 }
 
-// float reads a finite number; an absent one is zero.
+// float returns the value of a finite number, or zero if the field is absent or empty.
 func (m message) float(field string) (float64, error) {
 	v := m.fields[field]
 	if v == "" {
@@ -98,12 +98,12 @@
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		return 0, fmt.Errorf("%s: field %s: %q is not a number", m.name, field, clip(v))
+		return 0, fmt.Errorf("%s: field %s: %q is not a number", m.name, field, truncate(v))
 	}
 	return f, nil
 }
 
-// fieldReader reads several fields of a message and keeps the first error.
+// fieldReader reads the fields of a message and records the first error in err.
 type fieldReader struct {
 	message
 	err error
@@ -115,7 +115,7 @@
 	}
 }
 
-// The readers of fields return zero where they keep an error.
+// The following methods return a zero value after an error, which they record.
 
 func (r *fieldReader) text(field string) string {
 	v, err := r.require(field)
--- a/internal/wire/recorded_test.go
+++ b/internal/wire/recorded_test.go
@@ -16,8 +16,8 @@
 	"beechcart/internal/wire"
 )
 
-// platform is the settings of the recorded runs. The parts that differ between two sorts of front end are left open.
-const platform = `{"discovery":%q,"family_info":{"size_cores":[8,16],"kind_memory_mb":[16384,32768],` +
+// settingsFormat is the settings of a gateway, without its discovery mode and mode of load reports.
+const settingsFormat = `{"discovery":%q,"family_info":{"size_cores":[8,16],"kind_memory_mb":[16384,32768],` +
 	`"threads_by_class":[1,2,1],` +
 	`"holds_tables":[false,true,false],"waits_for_loads":[true,false,false],"lanes_count":true,"says_cost":true,` +
 	`"tells_every":1000000000,"overbooked":"cut","takes_grants":true,"most_grant":0.5},"locality":"east","me":0,` +
@@ -37,8 +37,8 @@
 	`"tenants":[{"name":"t","fraction":0.7,"allowance_per_s":50},{"name":"u","fraction":0.3,"allowance_per_s":10}],` +
 	`"zones":["east","west"]}`
 
-func begin(who int, discovery, reporting string) string {
-	return fmt.Sprintf("begin who=%d rng_seed=%d facts=%s\n", who, who+1, fmt.Sprintf(platform, discovery, reporting))
+func begin(id int, discovery, reporting string) string {
+	return fmt.Sprintf("begin who=%d rng_seed=%d facts=%s\n", id, id+1, fmt.Sprintf(settingsFormat, discovery, reporting))
 }
 
 func batch(clock int64, lines string) string {
@@ -58,7 +58,7 @@
 	"engine shape=c rack_zone=south state=terminating cell=0 units=1 engine=33\n" +
 	"endpoints who=0 scope=Complete gen=1 roster_id=0\n"
 
-// Each message of the wire is read and answered as it was recorded.
+// TestRecordedMessages sends every kind of message and compares the replies with a recording.
 func TestRecordedMessages(t *testing.T) {
 	in := batch(1e9, "") +
 		batch(2e9, begin(0, "push", "piggyback")+engines) +
@@ -84,7 +84,7 @@
 	recorded.Compare(t, "messages", []byte(serve(t, in)))
 }
 
-// What is said of bad input is as it was recorded.
+// TestRecordedErrors compares the errors for malformed input with a recording.
 func TestRecordedErrors(t *testing.T) {
 	var out strings.Builder
 	for _, bad := range []string{
@@ -117,9 +117,10 @@
 
 var logText = regexp.MustCompile("message=.*")
 
-// A longer run of two front ends, drawn from a seed, gives the output that was recorded.
+// TestRecordedRun sends random batches for two gateways, generated from a fixed seed, and compares the hash and the
+// message counts of the replies with a recording.
 func TestRecordedRun(t *testing.T) {
-	draw := rand.New(rand.NewPCG(20, 7))
+	rng := rand.New(rand.NewPCG(20, 7))
 	var in strings.Builder
 	in.WriteString(batch(1e9, begin(0, "push", "piggyback")+begin(1, "push",
 		"pull")+engines+"endpoints who=1 scope=Complete gen=1 roster_id=0\n"))
@@ -127,40 +128,40 @@
 		"terminating", "terminated"}
 	for tick := range 400 {
 		var lines strings.Builder
-		for n := range draw.IntN(4) {
+		for n := range rng.IntN(4) {
 			fmt.Fprintf(&lines, "work_item who=%d ticket=q%d.%d band=%s org=%s order_key=k%d patience_left=%d est_cost=%d "+
 				"mem_mb=%d source_set=%d repeat=%d\n",
-				draw.IntN(2), tick, n, classes[draw.IntN(3)], tenants[draw.IntN(3)], draw.IntN(3), 1e8+draw.Int64N(4e9),
-				draw.Int64N(2e8),
-				draw.IntN(400), draw.IntN(3), draw.IntN(2))
+				rng.IntN(2), tick, n, classes[rng.IntN(3)], tenants[rng.IntN(3)], rng.IntN(3), 1e8+rng.Int64N(4e9),
+				rng.Int64N(2e8),
+				rng.IntN(400), rng.IntN(3), rng.IntN(2))
 		}
-		for n := range draw.IntN(5) {
+		for n := range rng.IntN(5) {
 			fmt.Fprintf(&lines, "response who=%d ticket=q%d.%d go=%d engine=%d ending=%d wait_time=%d terminal=%d stats=%d "+
 				"gauge=utilization:%.2f\n",
-				draw.IntN(2), max(0, tick-draw.IntN(12)), n, draw.IntN(2), 11*(1+draw.IntN(3)), draw.IntN(8), draw.Int64N(1e9),
-				draw.IntN(2),
-				draw.IntN(200000), draw.Float64())
+				rng.IntN(2), max(0, tick-rng.IntN(12)), n, rng.IntN(2), 11*(1+rng.IntN(3)), rng.IntN(8), rng.Int64N(1e9),
+				rng.IntN(2),
+				rng.IntN(200000), rng.Float64())
 		}
-		switch draw.IntN(12) {
+		switch rng.IntN(12) {
 		case 0:
-			fmt.Fprintf(&lines, "cancelled_by_client who=%d ticket=q%d.0\n", draw.IntN(2), max(0, tick-draw.IntN(5)))
+			fmt.Fprintf(&lines, "cancelled_by_client who=%d ticket=q%d.0\n", rng.IntN(2), max(0, tick-rng.IntN(5)))
 		case 1:
-			fmt.Fprintf(&lines, "ping_result who=%d engine=%d ending=%d wait_time=%d gauge=utilization:%.2f\n", draw.IntN(2),
-				11*(1+draw.IntN(3)),
-				draw.IntN(8), draw.Int64N(1e8), draw.Float64())
+			fmt.Fprintf(&lines, "ping_result who=%d engine=%d ending=%d wait_time=%d gauge=utilization:%.2f\n", rng.IntN(2),
+				11*(1+rng.IntN(3)),
+				rng.IntN(8), rng.Int64N(1e8), rng.Float64())
 		case 2:
 			fmt.Fprintf(&lines, "catalog roster_id=1 records=1\nengine shape=b rack_zone=east state=%s cell=0 units=1 "+
 				"engine=%d\n"+
-				"endpoints who=%d scope=Partial gen=2 roster_id=1\n", states[draw.IntN(3)], 11*(1+draw.IntN(3)), draw.IntN(2))
+				"endpoints who=%d scope=Partial gen=2 roster_id=1\n", states[rng.IntN(3)], 11*(1+rng.IntN(3)), rng.IntN(2))
 		case 3:
-			fmt.Fprintf(&lines, "memo who=%d src_peer=1 data=%08x\n", draw.IntN(2), draw.Uint32())
+			fmt.Fprintf(&lines, "memo who=%d src_peer=1 data=%08x\n", rng.IntN(2), rng.Uint32())
 		}
 		for n := range 3 {
-			fmt.Fprintf(&lines, "deadline_hit who=%d nonce=%d\n", draw.IntN(2), max(0, tick-n))
+			fmt.Fprintf(&lines, "deadline_hit who=%d nonce=%d\n", rng.IntN(2), max(0, tick-n))
 		}
 		in.WriteString(batch(1e9+int64(tick+1)*5e7, lines.String()))
 	}
-	out := logText.ReplaceAllString(serve(t, in.String()), "message=") // text for people may change
+	out := logText.ReplaceAllString(serve(t, in.String()), "message=") // the text of log messages may change
 	counts := map[string]int{}
 	for line := range strings.Lines(out) {
 		op, _, _ := strings.Cut(strings.TrimSpace(line), " ")
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -1,9 +1,10 @@
-// Package wire connects the simulator to controllers: it carries batches of events to one controller for each
-// simulated gateway, and their actions back. It decides nothing.
+// Package wire implements the simulator's line protocol. It passes batches of events to one admission controller for
+// each simulated gateway, and returns the controllers' actions. The package makes no decisions of its own.
 //
-// A batch begins with a tick, which tells the time, and ends with eof_batch. Its reply is the actions of all gateways
-// that had events, and a line that says ready. decode.go maps messages to the controller's events, encode.go its
-// actions to messages; the names of messages and fields are the simulator's.
+// A batch begins with the message tick, which carries the current time, and ends with the line eof_batch. The reply
+// holds the actions of all gateways that had events, followed by the line ready. decode.go converts messages to the
+// controller's events, and encode.go converts its actions to messages. The simulator defines the names of messages and
+// fields.
 package wire
 
 import (
@@ -20,35 +21,36 @@
 	"beechcart/internal/platformconfig"
 )
 
-// The sizes of the buffers, in bytes: a batch and its reply fit in.
+// Sizes of the input and output buffers in bytes. A batch and its reply usually fit.
 const (
 	inputBuffer  = 1 << 20
 	outputBuffer = 1 << 18
 )
 
-// gateway is one simulated gateway: its controller, the names of its settings, and its events of the current batch.
+// gateway is one simulated gateway: its controller, the names in its settings, and its events of the current batch.
 type gateway struct {
 	controller *admission.Controller
 	names      platformconfig.Names
 	batch      []admission.Event
-	running    bool
+	running    bool // false after the message kill or a panic of the controller
 }
 
-// server is the state of one run of the simulator.
+// server is the state of one simulator run.
 type server struct {
 	in       *bufio.Reader
-	out      *bufio.Writer // its first error stays and comes back from Flush
-	line     int
-	now      time.Duration
+	out      *bufio.Writer // keeps its first error, which Flush returns
+	line     int           // number of the last line read, for errors
+	now      time.Duration // time of the current batch
 	gateways map[int]*gateway
-	touched  []int           // gateways with events in this batch, in order of arrival
+	active   []int           // ids of the gateways with events in this batch, in order of arrival
 	catalogs map[int]catalog // engine lists by id, which later messages refer to
 }
 
-// catalog is an engine list: the fields of each engine.
+// catalog is a list of engines, each as the fields of its message.
 type catalog []map[string]string
 
-// Serve reads batches from in and writes one reply each to out, until in ends.
+// Serve reads batches from in and writes one reply to out for each, until in ends. An error names the line of the
+// input.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		in:       bufio.NewReaderSize(in, inputBuffer),
@@ -67,7 +69,7 @@
 	}
 }
 
-// readLine reads one line; ok is false at the end of input.
+// readLine reads one line and removes its line ending. ok is false at the end of input.
 func (s *server) readLine() (text string, ok bool, err error) {
 	text, err = s.in.ReadString('\n')
 	if err == io.EOF && text == "" {
@@ -80,7 +82,7 @@
 	return strings.TrimRight(text, "\r\n"), true, nil
 }
 
-// serveBatch answers one batch; false at the end of input.
+// serveBatch reads and answers one batch. It returns false at the end of input.
 func (s *server) serveBatch() (bool, error) {
 	text, ok, err := s.readLine()
 	for ok && text == "" {
@@ -89,22 +91,22 @@
 	if !ok || err != nil {
 		return false, err
 	}
-	if err := s.tick(text); err != nil {
+	if err := s.readTick(text); err != nil {
 		return false, err
 	}
-	s.touched = s.touched[:0]
+	s.active = s.active[:0]
 	if err := s.readEvents(); err != nil {
 		return false, err
 	}
-	for _, id := range s.touched {
+	for _, id := range s.active {
 		s.step(id)
 	}
 	s.out.WriteString("ready\n")
 	return true, s.out.Flush()
 }
 
-// tick takes the time of a batch.
-func (s *server) tick(text string) error {
+// readTick parses the first message of a batch and sets the current time.
+func (s *server) readTick(text string) error {
 	m, err := parseMessage(text)
 	if err != nil {
 		return err
@@ -116,7 +118,7 @@
 	return err
 }
 
-// readEvents takes the events of a batch up to its end.
+// readEvents reads the messages of a batch up to its end and queues their events.
 func (s *server) readEvents() error {
 	for {
 		text, ok, err := s.readLine()
@@ -129,19 +131,21 @@
 		if text == "eof_batch" {
 			return nil
 		}
-		if err := s.takeEvent(text); err != nil {
+		if err := s.readEvent(text); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *server) takeEvent(text string) error {
+// readEvent parses a message. It applies a begin, kill or catalog message at once, and queues the event of any other
+// message for its gateway. Events for a gateway that is not running are discarded.
+func (s *server) readEvent(text string) error {
 	m, err := parseMessage(text)
 	if err != nil {
 		return err
 	}
 	if m.name == "catalog" {
-		return s.takeCatalog(m)
+		return s.readCatalog(m)
 	}
 	id, err := m.integer("who")
 	if err != nil {
@@ -164,17 +168,17 @@
 		return err
 	}
 	g.batch = append(g.batch, event)
-	s.touch(id)
+	s.markActive(id)
 	return nil
 }
 
-func (s *server) touch(id int) {
-	if !slices.Contains(s.touched, id) {
-		s.touched = append(s.touched, id)
+func (s *server) markActive(id int) {
+	if !slices.Contains(s.active, id) {
+		s.active = append(s.active, id)
 	}
 }
 
-// begin starts a gateway, also in place of one that runs.
+// begin starts a gateway. A gateway with the same id is replaced, even if it is running.
 func (s *server) begin(id int, m message) error {
 	seed, err := strconv.ParseUint(m.get("rng_seed"), 10, 64)
 	if err != nil {
@@ -193,12 +197,12 @@
 		return fmt.Errorf("facts: %w", err)
 	}
 	s.gateways[id] = &gateway{controller: controller, names: names, running: true}
-	s.touch(id)
+	s.markActive(id)
 	return nil
 }
 
-// takeCatalog reads an engine list, one line for each engine.
-func (s *server) takeCatalog(m message) error {
+// readCatalog reads the engines of a catalog, one line for each, and replaces the catalog with the same id.
+func (s *server) readCatalog(m message) error {
 	id, err := m.integer("roster_id")
 	if err != nil {
 		return err
@@ -232,8 +236,8 @@
 	return nil
 }
 
-// step runs a gateway's events through its controller and writes its actions. A controller that panics ends its gateway
-// with the message fatal, and no other.
+// step passes a gateway's events to its controller and writes the resulting actions. If the controller panics, step
+// writes the message fatal and stops the gateway. Other gateways continue.
 func (s *server) step(id int) {
 	g := s.gateways[id]
 	if g == nil || !g.running {
@@ -247,6 +251,6 @@
 		}
 	}()
 	for _, action := range g.controller.Step(s.now, g.batch) {
-		s.write(id, action)
+		s.writeAction(id, action)
 	}
 }
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-const facts = `{"discovery":"push","family_info":{"size_cores":[8,8],"kind_memory_mb":[16384,16384],` +
+// settingsJSON is the settings of a gateway. The unknown field is ignored.
+const settingsJSON = `{"discovery":"push","family_info":{"size_cores":[8,8],"kind_memory_mb":[16384,16384],` +
 	`"threads_by_class":[1,2],"holds_tables":[false,true],"waits_for_loads":[true,false],"lanes_count":true,` +
 	`"overbooked":"cut","takes_grants":true,"unheard_of":{"x":1}},"locality":"east","me":0,"replicas_of_me":1,` +
 	`"permissions":{"attempts_cap":3,"max_retry_after":2000000000,"retry_after":true},` +
@@ -17,12 +18,12 @@
 	`{"name":"big","on_time":3000000000,"deadline":20000000000,"points":4,"semantics":"non_idempotent",` +
 	`"runs_on":["b"]}],"skus":["a","b"],"tenants":[{"name":"t","fraction":1,"allowance_per_s":50}],"zones":["east"]}`
 
-func begin(who int) string {
-	return fmt.Sprintf("begin who=%d rng_seed=%d facts=%s\n", who, who+1, facts) +
+func begin(id int) string {
+	return fmt.Sprintf("begin who=%d rng_seed=%d facts=%s\n", id, id+1, settingsJSON) +
 		"catalog roster_id=0 records=2\n" +
 		"engine shape=a rack_zone=east state=in_service cell=0 units=1 engine=11\n" +
 		"engine shape=b rack_zone=east state=in_service cell=0 units=1 engine=22\n" +
-		fmt.Sprintf("endpoints who=%d scope=Persisted gen=1 roster_id=0\n", who)
+		fmt.Sprintf("endpoints who=%d scope=Persisted gen=1 roster_id=0\n", id)
 }
 
 func batch(clock int64, lines string) string {
@@ -35,7 +36,7 @@
 	return out.String(), err
 }
 
-func TestServesARequest(t *testing.T) {
+func TestServesRequest(t *testing.T) {
 	out, err := serve(batch(1e9, "") + batch(2e9, begin(3)) +
 		batch(21e8, "work_item who=3 ticket=q1 band=big org=t patience_left=20000000000 extra=9 source_set=4\n") +
 		batch(22e8, "response who=3 ticket=q1 go=0 engine=22 ending=1 wait_time=1000 terminal=1 stats=69728 "+
@@ -45,20 +46,22 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out, "ready\n"); n != 4 {
-		t.Errorf("%d replies", n)
+		t.Errorf("got %d replies, want 4", n)
 	}
 	if !strings.HasPrefix(out, "ready\n") {
-		t.Error("an empty batch was not answered with ready alone")
+		t.Error("the reply to an empty batch is not the line ready alone")
 	}
 	if !strings.Contains(out, "transmit who=3 ticket=q1 engine=22 ") {
-		t.Errorf("not sent to the only engine of its kind: %s", out)
+		t.Errorf("the request was not sent to engine 22, the only engine of its kind: %s", out)
 	}
 	if strings.Contains(out, "refuse") || strings.Contains(out, "finish_error") {
-		t.Errorf("answered after it was served: %s", out)
+		t.Errorf("the request was rejected or failed after it was served: %s", out)
 	}
 }
 
-func TestRosterIsResolvedInOrder(t *testing.T) {
+// TestCatalogsAreAppliedInOrder replaces a catalog in the batch in which it is used. Each change of the endpoint list
+// must use the catalog as it is at that point of the batch.
+func TestCatalogsAreAppliedInOrder(t *testing.T) {
 	out, err := serve(batch(1e9, begin(0)+
 		"catalog roster_id=0 records=1\nengine shape=b rack_zone=east state=terminated cell=0 units=1 engine=22\n"+
 		"endpoints who=0 scope=Partial gen=2 roster_id=0\nendpoints who=0 scope=Error gen=0 roster_id=9\n") +
@@ -67,10 +70,12 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out, "transmit") {
-		t.Errorf("sent to an engine that was gone: %s", out)
+		t.Errorf("the request was sent to an engine that had been removed: %s", out)
 	}
 }
 
+// TestKillAndBeginInOneBatch restarts a gateway within a batch. The new gateway must handle its own requests and none
+// of its predecessor's.
 func TestKillAndBeginInOneBatch(t *testing.T) {
 	ask := "work_item who=0 ticket=%s band=small org=t patience_left=2000000000\n"
 	out, err := serve(batch(1e9, begin(0)+fmt.Sprintf(ask, "old")) +
@@ -80,32 +85,34 @@
 	}
 	last := out[strings.LastIndex(out[:len(out)-10], "ready"):]
 	if strings.Contains(last, "old") {
-		t.Errorf("the killed instance's request came back: %s", last)
+		t.Errorf("a request of the killed gateway is in the last reply: %s", last)
 	}
 	if !strings.Contains(out, "ticket=new") {
-		t.Error("the new instance did not take its request")
+		t.Error("the new gateway did not handle its request")
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+// TestGatewaysAreIndependent checks that a gateway acts the same with and without a second gateway in the batch.
+func TestGatewaysAreIndependent(t *testing.T) {
 	ask := "work_item who=%d ticket=q band=small org=t patience_left=2000000000\n"
 	both, err := serve(batch(1e9, begin(0)+begin(1)) + batch(2e9, fmt.Sprintf(ask, 0)+fmt.Sprintf(ask, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for who := range 2 {
-		alone, err := serve(batch(1e9, begin(who)) + batch(2e9, fmt.Sprintf(ask, who)))
+	for id := range 2 {
+		alone, err := serve(batch(1e9, begin(id)) + batch(2e9, fmt.Sprintf(ask, id)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, l := range strings.Split(alone, "\n") {
 			if !strings.Contains(both, l) {
-				t.Errorf("alone %q, not so in company", l)
+				t.Errorf("line %q is in the replies to one gateway alone, but not in the replies to both gateways", l)
 			}
 		}
 	}
 }
 
+// TestMalformedInputNamesLineAndField checks that the error for malformed input names its line and field.
 func TestMalformedInputNamesLineAndField(t *testing.T) {
 	for bad, want := range map[string]string{
 		"work_item who=0 ticket=q band=small patience_left=soon\n":       "patience_left",
@@ -129,19 +136,20 @@
 		}
 	}
 	if _, err := serve("tick clock=1\n"); err == nil {
-		t.Error("a batch without its end was accepted")
+		t.Error("a batch without eof_batch was accepted")
 	}
 }
 
+// TestPanicBecomesFatal checks that a panic of a controller is reported once, with the message fatal.
 func TestPanicBecomesFatal(t *testing.T) {
 	var out strings.Builder
 	s := &server{out: bufio.NewWriter(&out), gateways: map[int]*gateway{4: {running: true}}}
-	s.step(4) // no controller: the step panics
-	s.step(4) // and the instance is not stepped again
+	s.step(4) // panics, since the gateway has no controller
+	s.step(4) // has no effect, since the panic has stopped the gateway
 	if err := s.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	if got := out.String(); !strings.HasPrefix(got, "fatal who=4 message=") || strings.Count(got, "\n") != 1 {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want one line with the message fatal", got)
 	}
 }
