--- a/internal/mysql/limits.go
+++ b/internal/mysql/limits.go
@@ -10,7 +10,7 @@
 	maxDrainBytes     = 1 << 20                            // input discarded after a final error
 )
 
-// Time limits of a session. A client that sends nothing of use is answered or disconnected within 3 s.
+// Time limits of a session. A client that sends no valid input is answered or disconnected within 3 s.
 const (
 	firstCommandTimeout = 2500 * time.Millisecond // measured from the connect
 	noCommandThreshold  = time.Second             // without a command by then, a session is unlikely to send one
--- a/internal/mysql/result_test.go
+++ b/internal/mysql/result_test.go
@@ -11,8 +11,8 @@
 	"beechcart/internal/exchange"
 )
 
-// TestResultSizeAgreesWithCheckRows generates rows, most of them malformed. resultSize must accept the rows that
-// exchange.CheckRows accepts, and return the size that appendResult writes.
+// TestResultSizeAgreesWithCheckRows generates complete rows and random strings. resultSize must accept the same
+// input as exchange.CheckRows, and return the size that appendResult writes.
 func TestResultSizeAgreesWithCheckRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := []byte(rapid.StringOf(rapid.SampledFrom([]rune("ab\t\t\n"))).Draw(t, "rows"))
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -115,8 +115,8 @@
 	return ctx
 }
 
-// onDisconnect removes the session and cancels its open request. netpoll calls it as soon as the client has closed the
-// connection, also while a request is being served.
+// onDisconnect removes the session and cancels its open request. netpoll calls onDisconnect as soon as the client has
+// closed the connection, also while a request is being served.
 func (s *Server) onDisconnect(ctx context.Context, _ netpoll.Connection) {
 	ses, _ := ctx.Value(sessionKey{}).(*session)
 	if ses == nil {
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -13,12 +13,12 @@
 type phase int
 
 const (
-	greeted    phase = iota // no command received yet; the login may be complete
-	idle                    // between commands
-	reading                 // a packet has been partly received
-	serving                 // a request is open
-	closing                 // the final error has been written
-	phaseCount              // the number of phases
+	greeted phase = iota // no command received yet; the login may be complete
+	idle                 // between commands
+	reading              // a packet has been partly received
+	serving              // a request is open
+	closing              // the final error has been written
+	phaseCount
 )
 
 // session is the state of one client connection.
@@ -61,8 +61,8 @@
 	}
 }
 
-// enter moves the session to a phase. A session stays in the phase greeted until its first command, also while it sends
-// its login.
+// enter moves the session to a phase. A session stays in the phase greeted until its first command has been
+// received, whatever else it sends.
 func (s *session) enter(p phase) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -21,7 +21,7 @@
 	"beechcart/internal/platformconfig"
 )
 
-// Sizes of the input and output buffers in bytes. A batch and its reply usually fit.
+// Sizes of the input and output buffers in bytes, large enough for a batch and its reply.
 const (
 	inputBuffer  = 1 << 20
 	outputBuffer = 1 << 18
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestCatalogsAreAppliedInOrder replaces a catalog in the batch in which it is used. Each change of the endpoint list
-// must use the catalog as it is at that point of the batch.
+// TestCatalogsAreAppliedInOrder replaces a catalog within a batch, between two messages that refer to it. Each change
+// of the endpoint list must use the catalog as it is at that point of the batch.
 func TestCatalogsAreAppliedInOrder(t *testing.T) {
 	out, err := serve(batch(1e9, begin(0)+
 		"catalog roster_id=0 records=1\nengine shape=b rack_zone=east state=terminated cell=0 units=1 engine=22\n"+
@@ -77,9 +77,9 @@
 // TestKillAndBeginInOneBatch restarts a gateway within a batch. The new gateway must handle its own requests and none
 // of its predecessor's.
 func TestKillAndBeginInOneBatch(t *testing.T) {
-	ask := "work_item who=0 ticket=%s band=small org=t patience_left=2000000000\n"
-	out, err := serve(batch(1e9, begin(0)+fmt.Sprintf(ask, "old")) +
-		batch(2e9, "kill who=0\n"+begin(0)+fmt.Sprintf(ask, "new")) + batch(9e9, "deadline_hit who=0 nonce=1\n"))
+	workItem := "work_item who=0 ticket=%s band=small org=t patience_left=2000000000\n"
+	out, err := serve(batch(1e9, begin(0)+fmt.Sprintf(workItem, "old")) +
+		batch(2e9, "kill who=0\n"+begin(0)+fmt.Sprintf(workItem, "new")) + batch(9e9, "deadline_hit who=0 nonce=1\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,13 +94,13 @@
 
 // TestGatewaysAreIndependent checks that a gateway acts the same with and without a second gateway in the batch.
 func TestGatewaysAreIndependent(t *testing.T) {
-	ask := "work_item who=%d ticket=q band=small org=t patience_left=2000000000\n"
-	both, err := serve(batch(1e9, begin(0)+begin(1)) + batch(2e9, fmt.Sprintf(ask, 0)+fmt.Sprintf(ask, 1)))
+	workItem := "work_item who=%d ticket=q band=small org=t patience_left=2000000000\n"
+	both, err := serve(batch(1e9, begin(0)+begin(1)) + batch(2e9, fmt.Sprintf(workItem, 0)+fmt.Sprintf(workItem, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for id := range 2 {
-		alone, err := serve(batch(1e9, begin(id)) + batch(2e9, fmt.Sprintf(ask, id)))
+		alone, err := serve(batch(1e9, begin(id)) + batch(2e9, fmt.Sprintf(workItem, id)))
 		if err != nil {
 			t.Fatal(err)
 		}
