--- a/internal/source/exclusion.go
+++ b/internal/source/exclusion.go
@@ -8,11 +8,11 @@
 	"beechcart/internal/endpoints"
 )
 
-// Excluded is the reason of engines that the fleet drains.
+// Excluded is the reason reported for engines that the fleet drains.
 const Excluded = "drained by word of the fleet"
 
-// Exclude drains the engines of these names, whatever the list says, until a later call does not name them. It is
-// safe for concurrent use.
+// Exclude drains the engines with these names, in whatever state the source lists them, until a later call omits their
+// names. It is safe for concurrent use.
 func (f *Feed) Exclude(names NameSet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// applyExclusions returns a list with the excluded engines draining; the lock is held.
+// applyExclusions returns a list in which excluded engines that were ready are draining. The caller holds f.mu.
 func (f *Feed) applyExclusions(l endpoints.List) endpoints.List {
 	if len(f.excluded) == 0 {
 		return l
--- a/internal/source/feed.go
+++ b/internal/source/feed.go
@@ -12,47 +12,48 @@
 	"beechcart/internal/endpoints"
 )
 
-// Feed follows one source at a time and passes its lists on. Its methods are for one goroutine, but for those that
-// say otherwise.
+// Feed follows one source at a time and passes its lists on. Its methods must be called from one goroutine, except those
+// that are documented as safe for concurrent use.
 type Feed struct {
-	ctx         context.Context // ends all sources
+	ctx         context.Context // its end stops the current source
 	take        func(endpoints.List)
 	log         *slog.Logger
-	drainPeriod time.Duration // of engines that a new source does not name
+	drainPeriod time.Duration // how long engines drain that a new source does not list
 
 	stopCurrent    context.CancelFunc // nil before the first source
 	currentStopped chan struct{}      // closed when the current source has returned
 
 	mu              sync.Mutex
-	known           map[uint32]knownEndpoint // guarded by mu; the endpoints that are not gone
-	generation      int                      // guarded by mu; of the current source
-	reporter        StatusReporter           // guarded by mu; the current source where it is one
-	handoverPending bool                     // guarded by mu; a new source's first list is still to come
-	excluded        NameSet                  // guarded by mu
+	known           map[uint32]knownEndpoint // guarded by mu; the endpoints that have not been removed, by ID
+	generation      int                      // guarded by mu; of the current source; Follow increments it
+	reporter        StatusReporter           // guarded by mu; the current source; nil if it reports no statuses
+	handoverPending bool                     // guarded by mu; the first complete list of a new source is awaited
+	excluded        NameSet                  // guarded by mu; names of the engines that Exclude drains
 }
 
-// knownEndpoint is an endpoint and the generation of the source that has named it last.
+// knownEndpoint is an endpoint with the generation of the source that last listed it.
 type knownEndpoint struct {
 	endpoints.Endpoint
 	generation int
 }
 
-// NewFeed returns a Feed that passes lists to take, one at a time. Engines that a new source does not name drain for
-// drainPeriod, so that the queries running there can still be polled, and are gone then.
+// NewFeed returns a Feed that passes lists to take, one at a time. Engines that a new source does not list drain for
+// drainPeriod, so that queries running on them can still be polled, and are then removed.
 func NewFeed(
 	ctx context.Context, take func(endpoints.List), drainPeriod time.Duration, log *slog.Logger,
 ) *Feed {
 	return &Feed{ctx: ctx, take: take, log: log, drainPeriod: drainPeriod, known: map[uint32]knownEndpoint{}}
 }
 
-// Publish passes on a list that was known before the first source.
+// Publish passes on a list that was known before the first call of Follow or Continue.
 func (f *Feed) Publish(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publish(l)
 }
 
-// Follow stops the current source and follows another one, whose first list replaces all that is known.
+// Follow stops the current source and follows another one. Its first complete list replaces the known endpoints: those
+// that the list omits drain and are then removed.
 func (f *Feed) Follow(s Source) {
 	f.Stop()
 	f.mu.Lock()
@@ -64,8 +65,8 @@
 	f.run(s, generation)
 }
 
-// Continue stops the current source and follows one that goes on where it has left off, as the same change log at
-// another address does.
+// Continue stops the current source and follows one that resumes where the current one stopped, such as the same change
+// log at another address.
 func (f *Feed) Continue(s Source) {
 	f.Stop()
 	f.mu.Lock()
@@ -75,7 +76,7 @@
 	f.run(s, generation)
 }
 
-// Stop stops the current source and returns once it has returned.
+// Stop stops the current source and waits until its Run method has returned.
 func (f *Feed) Stop() {
 	if f.stopCurrent != nil {
 		f.stopCurrent()
@@ -83,7 +84,7 @@
 	}
 }
 
-// run runs a source until it is stopped, or the feed's context ends.
+// run starts a source, which runs until Stop is called or the feed's context ends.
 func (f *Feed) run(s Source, generation int) {
 	ctx, stop := context.WithCancel(f.ctx)
 	stopped := make(chan struct{})
@@ -94,7 +95,7 @@
 	}()
 }
 
-// receive takes a list of the source of a generation.
+// receive processes a list from the source of the given generation.
 func (f *Feed) receive(generation int, l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +106,7 @@
 	f.publish(l)
 }
 
-// publish logs a list, remembers it and passes it on; the lock is held.
+// publish logs a list, records its endpoints as known and passes the list on. The caller holds f.mu.
 func (f *Feed) publish(l endpoints.List) {
 	if l.Complete {
 		clear(f.known)
@@ -133,7 +134,8 @@
 	f.log.Info("engine listed", args...)
 }
 
-// Endpoints returns the endpoints that are not gone, as their source has named them. It is safe for concurrent use.
+// Endpoints returns the endpoints that have not been removed, sorted by name, in the state last received from their
+// source: exclusions do not show. It is safe for concurrent use.
 func (f *Feed) Endpoints() []endpoints.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,8 +147,8 @@
 	return list
 }
 
-// Statuses returns what the current source knows of each engine and, for engines that it does not report, what the
-// lists so far have said. It is safe for concurrent use.
+// Statuses returns the status of each engine, sorted by name: as the current source reports it or, for engines that the
+// current source does not report, as last listed. It is safe for concurrent use.
 func (f *Feed) Statuses() []EngineStatus {
 	f.mu.Lock()
 	reporter := f.reporter
--- a/internal/source/feed_test.go
+++ b/internal/source/feed_test.go
@@ -14,7 +14,7 @@
 	"beechcart/internal/endpoints"
 )
 
-// scriptedSource passes on the lists that a test sends.
+// scriptedSource is a Source that passes on the lists that a test sends on the channel.
 type scriptedSource chan endpoints.List
 
 func (s scriptedSource) Run(ctx context.Context, take func(endpoints.List)) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// takenLists keeps the lists that a feed passes on.
+// takenLists records the lists that a Feed passes on.
 type takenLists struct {
 	mu    sync.Mutex
 	lists []endpoints.List
@@ -40,7 +40,7 @@
 	l.mu.Unlock()
 }
 
-// wait returns the nth list, counted from 0.
+// wait waits for the nth list, counted from 0, and returns it.
 func (l *takenLists) wait(t *testing.T, n int) endpoints.List {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -53,14 +53,14 @@
 	return l.lists[n]
 }
 
-func entry(name string, id uint32, s admission.State) endpoints.Endpoint {
+func endpoint(name string, id uint32, s admission.State) endpoints.Endpoint {
 	return endpoints.Endpoint{Engine: admission.Engine{ID: id, State: s}, Name: name, Address: "127.0.0.1:1"}
 }
 
-func named(complete bool, ids ...uint32) endpoints.List {
+func readyList(complete bool, ids ...uint32) endpoints.List {
 	l := endpoints.List{Complete: complete}
 	for _, id := range ids {
-		l.Endpoints = append(l.Endpoints, entry(string(rune('a'+id)), id, admission.Ready))
+		l.Endpoints = append(l.Endpoints, endpoint(string(rune('a'+id)), id, admission.Ready))
 	}
 	return l
 }
@@ -73,19 +73,19 @@
 	return m
 }
 
-// Attempts must not lose their engine because another source names it otherwise, or does not name it.
+// Guards against attempts that are lost when a new source lists their engine under another name or not at all.
 func TestNewSourceDrainsUnnamedEngines(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var got takenLists
 	f := NewFeed(ctx, got.take, 20*time.Millisecond, slog.New(slog.DiscardHandler))
-	f.Publish(named(true, 1, 2, 3))
-	one, two := make(scriptedSource), make(scriptedSource)
-	f.Continue(one)
-	one <- named(false, 4)
-	require.Equal(t, named(false, 4), got.wait(t, 1), "a source that continues passes on its lists")
-	f.Follow(two)
-	two <- named(true, 2, 7)
+	f.Publish(readyList(true, 1, 2, 3))
+	first, second := make(scriptedSource), make(scriptedSource)
+	f.Continue(first)
+	first <- readyList(false, 4)
+	require.Equal(t, readyList(false, 4), got.wait(t, 1), "lists after Continue must be passed on unchanged")
+	f.Follow(second)
+	second <- readyList(true, 2, 7)
 	l := got.wait(t, 2)
 	assert.False(t, l.Complete)
 	assert.Equal(t, map[uint32]admission.State{
@@ -98,22 +98,23 @@
 	f.Stop()
 }
 
-func TestEngineThatTheNewSourceNamesLaterStays(t *testing.T) {
+func TestEngineInLaterListOfNewSourceIsKept(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var got takenLists
 	f := NewFeed(ctx, got.take, 50*time.Millisecond, slog.New(slog.DiscardHandler))
-	f.Publish(named(true, 1, 2))
+	f.Publish(readyList(true, 1, 2))
 	s := make(scriptedSource)
 	f.Follow(s)
-	s <- named(true, 7)
-	s <- named(false, 1)
+	s <- readyList(true, 7)
+	s <- readyList(false, 1)
 	assert.Equal(t, map[uint32]admission.State{2: admission.Removed}, states(got.wait(t, 3)))
 	f.Stop()
 }
 
-// An excluded engine drains whatever its list says, and is in the state of its list once it is no longer excluded.
-func TestExclusionOutlivesTheList(t *testing.T) {
+// An excluded engine drains in whatever state the source lists it, and returns to the listed state when the exclusion
+// ends.
+func TestExclusionOverridesList(t *testing.T) {
 	var got []endpoints.List
 	take := func(l endpoints.List) { got = append(got, l) }
 	f := NewFeed(context.Background(), take, time.Second, slog.New(slog.DiscardHandler))
@@ -128,20 +129,20 @@
 		return -1
 	}
 	f.Publish(endpoints.List{Complete: true, Endpoints: []endpoints.Endpoint{
-		entry("a", 1, admission.Ready), entry("b", 2, admission.Ready),
+		endpoint("a", 1, admission.Ready), endpoint("b", 2, admission.Ready),
 	}})
 	f.Exclude(map[string]bool{"a": true})
 	assert.Equal(t, admission.Draining, state("a"))
 	assert.Equal(t, admission.Ready, state("b"))
 	n := len(got)
 	f.Exclude(map[string]bool{"a": true})
-	assert.Len(t, got, n, "the same exclusions change nothing")
+	assert.Len(t, got, n, "repeating the same exclusions must publish no list")
 	f.Publish(endpoints.List{Endpoints: []endpoints.Endpoint{
-		entry("a", 1, admission.Ready), entry("b", 2, admission.Removed),
+		endpoint("a", 1, admission.Ready), endpoint("b", 2, admission.Removed),
 	}})
-	assert.Equal(t, admission.Draining, state("a"), "a list in which it is ready")
+	assert.Equal(t, admission.Draining, state("a"), "an excluded engine that is listed as ready")
 	assert.Equal(t, admission.Removed, state("b"))
-	assert.Equal(t, admission.Ready, f.Endpoints()[0].State, "the state of its source is kept")
+	assert.Equal(t, admission.Ready, f.Endpoints()[0].State, "Endpoints must return the state from the source")
 	f.Exclude(nil)
 	assert.Equal(t, admission.Ready, state("a"))
 }
--- a/internal/source/handover.go
+++ b/internal/source/handover.go
@@ -8,11 +8,12 @@
 	"beechcart/internal/endpoints"
 )
 
-// Handover is the reason of engines that the previous source has named and the new one does not.
+// Handover is the reason reported for engines that the previous source listed and the new source does not list.
 const Handover = "not named by the new source"
 
-// handover makes the first list of a new source a change of what is known; the lock is held. Engines that it does not
-// name drain: the new authority may name them otherwise, and their attempts must not be lost for that alone.
+// handover converts the first complete list of a new source into a change to the known endpoints. Engines that the list
+// omits drain: the new authority may list them under other names, and their attempts must not be lost because of that.
+// The caller holds f.mu.
 func (f *Feed) handover(generation int, l endpoints.List) endpoints.List {
 	l.Complete = false
 	l.Endpoints = slices.Clone(l.Endpoints)
@@ -35,7 +36,7 @@
 	return l
 }
 
-// removeUnnamed removes the engines that the sources of a generation and after have not named.
+// removeUnnamed removes those of the unnamed engines that no source of this generation or a later one has listed since.
 func (f *Feed) removeUnnamed(generation int, unnamed []uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/source/source.go
+++ b/internal/source/source.go
@@ -1,5 +1,6 @@
-// Package source is where the endpoint list comes from: the platform's change log, a Consul catalogue, or another
-// authority. Each is a package below this one that implements [Source]. A [Feed] follows one of them at a time.
+// Package source obtains the endpoint list from the platform's change log, from a Consul catalogue or from another
+// authority. Each kind of source is a package below this one that implements [Source]. A [Feed] follows one source at a
+// time.
 package source
 
 import (
@@ -8,20 +9,20 @@
 	"beechcart/internal/endpoints"
 )
 
-// Source follows one authority on the endpoint list.
+// Source follows one authority for the endpoint list.
 type Source interface {
-	// Run hands each list to take as it arrives, in order, until ctx ends, and returns only then. It retries whatever
-	// fails at the authority. take must not be called after Run has returned.
+	// Run passes each list to take, in the order of arrival, until ctx ends, and returns only then. Run retries requests
+	// that fail at the authority. take must not be called after Run has returned.
 	Run(ctx context.Context, take func(endpoints.List))
 }
 
-// StatusReporter is a Source that can report what it knows of each engine, and why.
+// StatusReporter reports the status of each engine with its reason. A Source may implement StatusReporter.
 type StatusReporter interface {
-	// Statuses is safe for concurrent use.
+	// Statuses returns one status for each engine that the source knows. It is safe for concurrent use.
 	Statuses() []EngineStatus
 }
 
-// EngineStatus is what a Source knows of one engine, for people and programs.
+// EngineStatus is the status of one engine, for operators and tools.
 type EngineStatus struct {
 	Name    string  `json:"name"`
 	ID      uint32  `json:"id"`
@@ -32,8 +33,8 @@
 	Kind    string  `json:"kind,omitempty"`
 	Cell    int     `json:"cell"`
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // Unix time since which the process has been running; 0: long ago
+	SinceMS int64   `json:"since_ms"` // start of the engine's process, in Unix milliseconds; 0: long ago
 }
 
-// NameSet is a set of engines' names.
+// NameSet is a set of engine names.
 type NameSet map[string]bool
