--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// bodyTimeout is how long the whole body of a response may take once its head has been read.
+	// bodyTimeout bounds the time to read the whole body of a response, from the end of its head.
 	bodyTimeout  = 30 * time.Second
 	maxHeadBytes = 16 << 10
 )
@@ -25,31 +25,32 @@
 	statusInternalError   = 500
 )
 
-// statusError reports a response with another status than 200.
+// statusError reports a response with a status other than 200.
 type statusError struct{ code int }
 
 func (e statusError) Error() string { return "status " + strconv.Itoa(e.code) }
 
-// isDenied reports an error that a retry of the same request does not change.
+// isDenied reports whether err is a client error (4xx) that a retry of the same request does not change: any except 408
+// and 429.
 func isDenied(err error) bool {
 	var s statusError
 	return errors.As(err, &s) && s.code >= statusBadRequest && s.code < statusInternalError &&
 		s.code != statusRequestTimeout && s.code != statusTooManyRequests
 }
 
-// response is one whole response.
+// response is one complete response.
 type response struct {
 	discovery.Observation
-	headAt  time.Time     // when its head had been read
-	latency time.Duration // from the request to its last byte
+	headAt  time.Time     // when the head had been read
+	latency time.Duration // from sending the request to the last byte of the response
 }
 
-// client holds the connection to one address at a time. Its methods are for one goroutine.
+// client holds at most one connection, to one address. Its methods must be called from one goroutine.
 type client struct {
 	options *Options
-	conn    *http1.Conn // nil: none
+	conn    *http1.Conn // nil: not connected
 	address address
-	stop    context.CancelFunc // ends conn
+	stop    context.CancelFunc // ends the context of conn
 }
 
 func (c *client) close() {
@@ -60,8 +61,8 @@
 	}
 }
 
-// do sends one request; the end of ctx ends it. A request that fails on an idle connection is sent again on a new one
-// where there is time: the catalogue may have closed the connection.
+// do sends one request; the end of ctx aborts the request. A request that fails on a reused connection is sent again on
+// a new one if time remains, because the server may have closed the idle connection.
 func (c *client) do(ctx context.Context, at address, request poll.Request, token string) (response, error) {
 	sent := time.Now()
 	deadline := sent.Add(request.HeaderTimeout)
@@ -98,7 +99,7 @@
 		fields = append(fields, http1.Field{Name: "X-Consul-Token", Value: token})
 	}
 	limits := http1.Limits{Head: maxHeadBytes, Body: c.options.MaxBody}
-	r.HasLeader = true // a server that does not tell has one, or it would not answer
+	r.HasLeader = true // unless a header field says otherwise: a server without a leader does not answer
 	call := http1.Request{Method: "GET", Path: c.options.path(request), Fields: fields}
 	head, err := c.conn.Do(call, deadline, limits, r.parseField)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return r, err
 }
 
-// parseField reads a field of the response's head.
+// parseField reads one header field of the response.
 func (r *response) parseField(name, value []byte) error {
 	switch {
 	case http1.EqualName(name, "X-Consul-Index"):
--- a/internal/source/consul/decode.go
+++ b/internal/source/consul/decode.go
@@ -16,9 +16,9 @@
 	maxDepth        = 32
 )
 
-var errShape = errors.New("consul: the answer is not a list of service instances")
+var errMalformed = errors.New("consul: response is not a list of service instances")
 
-// decoderState is where a decoder is in the list.
+// decoderState is the position of a decoder in the list.
 type decoderState int
 
 const (
@@ -29,27 +29,27 @@
 	afterList
 )
 
-// decoder reads the response of /v1/health/service/NAME as it arrives. It holds one element of the list at a time, so
-// that a list of thousands of engines with much metadata needs the memory of one.
+// decoder decodes the response of /v1/health/service/NAME as it arrives. It buffers one element of the list at a time,
+// so that a list of thousands of engines with much metadata needs buffer memory for one engine only.
 type decoder struct {
 	mapping Mapping
 	parser  fastjson.Parser
 	element []byte
 	state   decoderState
-	depth   int  // of braces and brackets in the element
-	quoted  bool // in a string
-	escaped bool // behind a backslash in a string
+	depth   int  // nesting of braces and brackets in the element
+	quoted  bool // inside a string
+	escaped bool // after a backslash in a string
 	list    []discovery.Endpoint
 }
 
 func newDecoder(m Mapping) *decoder { return &decoder{mapping: m} }
 
-// Write takes a piece of the response.
+// Write decodes the next part of the response.
 func (d *decoder) Write(p []byte) (int, error) {
-	start := 0 // in p, of the current element or its rest
+	start := 0 // index in p of the current element, or of the rest of an element that began in an earlier part
 	for i, c := range p {
 		if d.state != inElement {
-			if err := d.betweenElements(c); err != nil {
+			if err := d.scanSeparator(c); err != nil {
 				return 0, err
 			}
 			if d.state == inElement {
@@ -57,7 +57,7 @@
 			}
 			continue
 		}
-		ended, err := d.follow(c)
+		ended, err := d.scanElement(c)
 		if err != nil {
 			return 0, err
 		}
@@ -71,14 +71,14 @@
 	}
 	if d.state == inElement {
 		if d.element = append(d.element, p[start:]...); len(d.element) > maxElementBytes {
-			return 0, fmt.Errorf("consul: an instance has more than %d bytes", maxElementBytes)
+			return 0, fmt.Errorf("consul: service instance in the response exceeds %d bytes", maxElementBytes)
 		}
 	}
 	return len(p), nil
 }
 
-// betweenElements follows one byte outside of the elements.
-func (d *decoder) betweenElements(c byte) error {
+// scanSeparator processes one byte outside the elements.
+func (d *decoder) scanSeparator(c byte) error {
 	switch {
 	case c == ' ' || c == '\n' || c == '\r' || c == '\t':
 	case d.state == beforeList && c == '[':
@@ -90,13 +90,14 @@
 	case d.state == beforeElement && c == '{':
 		d.state, d.depth = inElement, 1
 	default:
-		return errShape
+		return errMalformed
 	}
 	return nil
 }
 
-// follow follows one byte of an element, and reports whether it is the last one. The parser reads what is inside.
-func (d *decoder) follow(c byte) (ended bool, err error) {
+// scanElement processes one byte of an element, and reports whether the element ends with this byte. It tracks only
+// strings and nesting; the JSON parser checks the content.
+func (d *decoder) scanElement(c byte) (ended bool, err error) {
 	switch {
 	case d.escaped:
 		d.escaped = false
@@ -106,7 +107,7 @@
 		d.quoted = true
 	case c == '{' || c == '[':
 		if d.depth++; d.depth > maxDepth {
-			return false, errShape
+			return false, errMalformed
 		}
 	case c == '}' || c == ']':
 		d.depth--
@@ -118,7 +119,7 @@
 // addElement parses the current element and adds it to the list.
 func (d *decoder) addElement() error {
 	if len(d.list) == maxElements {
-		return fmt.Errorf("consul: more than %d instances", maxElements)
+		return fmt.Errorf("consul: response exceeds %d service instances", maxElements)
 	}
 	instance, err := d.parser.ParseBytes(d.element)
 	d.element = d.element[:0]
@@ -133,10 +134,10 @@
 	return nil
 }
 
-// finish returns the list once the whole response has been written.
+// finish returns the list. It must be called after the whole response has been written.
 func (d *decoder) finish() ([]discovery.Endpoint, error) {
 	if d.state != afterList {
-		return nil, errShape
+		return nil, errMalformed
 	}
 	return d.list, nil
 }
--- a/internal/source/consul/decode_test.go
+++ b/internal/source/consul/decode_test.go
@@ -14,7 +14,7 @@
 	"beechcart/decision/poll"
 )
 
-// instance is a service instance with the status of a check left open.
+// instance is the format of a service instance. Its argument is the status of the service's check.
 const instance = `{"Node":{"ID":"4-f","Node":"foobar","Address":"10.1.10.12","Datacenter":"dc1",
 "Meta":{"rack":"r\"}7"}},
 "Service":{"ID":"e1","Service":"engine","Tags":["primary","room=b"],"Address":"","Port":8000,
@@ -23,7 +23,7 @@
 "Checks":[{"Node":"foobar","CheckID":"serfHealth","Status":"passing","ServiceID":""},
 {"Node":"foobar","CheckID":"service:e1","Status":"%s","Output":"]},{","ServiceID":"e1"}]}`
 
-// wantInstance is what instance is read as, with a status of passing.
+// wantInstance is the endpoint that instance is decoded to with the status passing.
 var wantInstance = discovery.Endpoint{
 	Key: "foobar/e1", Addr: "10.1.10.12:8000", Zone: "a", Kind: "std", Cell: 3, Weight: 10, CreateIndex: 12,
 	ModifyIndex: 14, Incarnation: "p1", StartedAt: 1500 * time.Millisecond, Passing: true,
@@ -45,7 +45,7 @@
 	assert.Equal(t, []discovery.Endpoint{want, want}, decode(t, DefaultMapping(), text))
 	assert.Empty(t, decode(t, DefaultMapping(), " [ ] "))
 
-	// The response reads the same, wherever it is split.
+	// The decoded list does not depend on where the response is split.
 	for i := range text {
 		d := newDecoder(DefaultMapping())
 		for _, p := range []string{text[:i], text[i:]} {
@@ -61,29 +61,29 @@
 func TestMapping(t *testing.T) {
 	const ownAddress = `"Address":"","Port"`
 	const firstCheck = `"serfHealth","Status":"passing"`
-	for name, k := range map[string]struct {
+	for name, c := range map[string]struct {
 		status   string
 		from, to string // a replacement in the instance
 		mapping  func(m *Mapping)
-		want     func(e *discovery.Endpoint) // what is other than in wantInstance
+		want     func(e *discovery.Endpoint) // changes a copy of wantInstance to the expected endpoint
 	}{
 		"own address": {"passing", ownAddress, `"Address":"10.9.9.9","Port"`, nil,
 			func(e *discovery.Endpoint) { e.Addr = "10.9.9.9:8000" }},
 		"ipv6": {"passing", ownAddress, `"Address":"::1","Port"`, nil,
 			func(e *discovery.Endpoint) { e.Addr = "[::1]:8000" }},
-		"warning":      {"warning", "", "", nil, func(e *discovery.Endpoint) { e.Weight = 1 }},
-		"critical":     {"critical", "", "", nil, func(e *discovery.Endpoint) { e.Passing = false }},
-		"later status": {"resting", "", "", nil, func(e *discovery.Endpoint) { e.Passing = false }},
+		"warning":        {"warning", "", "", nil, func(e *discovery.Endpoint) { e.Weight = 1 }},
+		"critical":       {"critical", "", "", nil, func(e *discovery.Endpoint) { e.Passing = false }},
+		"unknown status": {"resting", "", "", nil, func(e *discovery.Endpoint) { e.Passing = false }},
 		"service maintenance": {"passing", firstCheck, `"_service_maintenance:e1","Status":"critical"`, nil,
 			func(e *discovery.Endpoint) { e.Drain = true }},
-		"another's maintenance": {"passing", firstCheck, `"_service_maintenance:e2","Status":"critical"`, nil,
+		"maintenance of another service": {"passing", firstCheck, `"_service_maintenance:e2","Status":"critical"`, nil,
 			func(e *discovery.Endpoint) { e.Passing = false }},
 		"node maintenance": {"passing", firstCheck, `"_node_maintenance","Status":"critical"`, nil,
 			func(e *discovery.Endpoint) { e.Drain = true }},
 		"drain tag": {"passing", `"primary"`, `"draining"`, nil, func(e *discovery.Endpoint) { e.Drain = true }},
 		"drain meta": {"passing", `"zone":"a"`, `"draining":"yes"`, nil,
 			func(e *discovery.Endpoint) { e.Zone, e.Drain = "", true }},
-		"drain meta, off": {"passing", `"zone":"a"`, `"draining":"False"`, nil,
+		"drain meta set to false": {"passing", `"zone":"a"`, `"draining":"False"`, nil,
 			func(e *discovery.Endpoint) { e.Zone = "" }},
 		"places": {"passing", "", "", func(m *Mapping) {
 			m.Zone, m.Kind, m.Mark, m.Weight = "tag:room=", "node_meta:rack", "datacenter", "meta:cell"
@@ -93,26 +93,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := DefaultMapping()
-			if k.mapping != nil {
-				k.mapping(&m)
+			if c.mapping != nil {
+				c.mapping(&m)
 			}
-			text := fmt.Sprintf(instance, k.status)
-			require.Contains(t, text, k.from)
+			text := fmt.Sprintf(instance, c.status)
+			require.Contains(t, text, c.from)
 			want := wantInstance
-			k.want(&want)
-			got := decode(t, m, "["+strings.Replace(text, k.from, k.to, 1)+"]")
+			c.want(&want)
+			got := decode(t, m, "["+strings.Replace(text, c.from, c.to, 1)+"]")
 			assert.Equal(t, []discovery.Endpoint{want}, got)
 		})
 	}
 	require.ErrorContains(t, Mapping{Zone: "meta:"}.Check(), "zone")
-	require.ErrorContains(t, Mapping{Cell: "room"}.Check(), `cell: "room" is none of`)
+	require.ErrorContains(t, Mapping{Cell: "room"}.Check(), `cell: found "room", must be`)
 }
 
-// A malformed response is an error as a whole, and takes a bounded amount of memory.
+// A malformed response is rejected as a whole, and decoding it takes bounded memory.
 func TestDecodeMalformed(t *testing.T) {
-	one := fmt.Sprintf(instance, "passing")
-	for _, text := range []string{"", "{}", "null", "[", "[" + one, "[" + one + ",", "[" + one + ",]",
-		"[" + one + one + "]", "[]x", "[1]",
+	valid := fmt.Sprintf(instance, "passing")
+	for _, text := range []string{"", "{}", "null", "[", "[" + valid, "[" + valid + ",", "[" + valid + ",]",
+		"[" + valid + valid + "]", "[]x", "[1]",
 		`[{}]`, `[{"Node":{"Node":"a"},"Service":{}}]`, `[{"Node":{"Node":"a"}]`, `[{"Node":"` + strings.Repeat("x",
 			maxElementBytes+1),
 		"[" + strings.Repeat(`{"a":`, 50), "<html>"} {
@@ -139,14 +139,14 @@
 			return d.finish()
 		}
 		cut = max(0, min(cut, len(text)))
-		whole, err := read(text)
+		complete, err := read(text)
 		split, err2 := read(text[:cut], text[cut:])
 		require.Equal(t, err == nil, err2 == nil)
-		require.Equal(t, fmt.Sprint(whole), fmt.Sprint(split))
+		require.Equal(t, fmt.Sprint(complete), fmt.Sprint(split))
 		if err == nil {
 			s, err := discovery.New(discovery.Defaults())
 			require.NoError(t, err)
-			s.Observe(time.Hour, discovery.Observation{Index: 5, HasLeader: true, Endpoints: whole})
+			s.Observe(time.Hour, discovery.Observation{Index: 5, HasLeader: true, Endpoints: complete})
 		}
 	})
 }
--- a/internal/source/consul/mapping.go
+++ b/internal/source/consul/mapping.go
@@ -12,7 +12,7 @@
 	"beechcart/decision/discovery"
 )
 
-// Kinds of places where a field of an engine may stand.
+// Kinds of places in a service instance that can hold a field of an engine.
 const (
 	placeMeta       = "meta"
 	placeNodeMeta   = "node_meta"
@@ -20,13 +20,14 @@
 	placeDatacenter = "datacenter"
 )
 
-// Check IDs of Consul's maintenance mode. The one of a service is followed by the service's ID.
+// Check IDs of Consul's maintenance mode. The service's ID is appended to serviceMaintenance.
 const (
 	nodeMaintenance    = "_node_maintenance"
 	serviceMaintenance = "_service_maintenance:"
 )
 
-// Statuses of a check. Any other is critical, or of a later version of Consul.
+// Check statuses with which an instance passes. Any other status (critical, or one of a later version of Consul) means
+// that the instance fails.
 const (
 	checkPassing = "passing"
 	checkWarning = "warning"
@@ -35,8 +36,8 @@
 // maxStartedMs bounds the start time of an engine, in Unix milliseconds.
 const maxStartedMs = 1 << 52
 
-// Mapping says where the fields of an engine stand in a service instance. A place is "meta:KEY", "node_meta:KEY",
-// "tag:PREFIX" (the rest of the first tag with that prefix), "datacenter" or "" (nowhere).
+// Mapping names the place in a service instance that holds each field of an engine. A place is "meta:KEY",
+// "node_meta:KEY", "tag:PREFIX" (the rest of the first tag with that prefix), "datacenter" or "" (no place).
 type Mapping struct {
 	Zone, Kind, Cell, Weight, Mark, Started string
 
@@ -44,7 +45,7 @@
 	DrainMeta string // an engine whose meta has this key, with any value but "", "0", "false" or "no", drains
 }
 
-// DefaultMapping returns the Mapping that the settings begin with.
+// DefaultMapping returns the Mapping that applies where the settings name no other places.
 func DefaultMapping() Mapping {
 	return Mapping{
 		Zone: "meta:zone", Kind: "meta:kind", Cell: "meta:cell", Mark: "meta:start", Started: "meta:started_ms",
@@ -52,13 +53,13 @@
 	}
 }
 
-// Check returns an error that names the first place that can't be one.
+// Check returns an error that names the first field whose place is invalid.
 func (m Mapping) Check() error {
 	for _, field := range []struct{ name, place string }{
 		{"zone", m.Zone}, {"kind", m.Kind}, {"cell", m.Cell}, {"weight", m.Weight}, {"mark", m.Mark}, {"started", m.Started},
 	} {
 		if !isPlace(field.place) {
-			return fmt.Errorf(`%s: %q is none of "meta:KEY", "node_meta:KEY", "tag:PREFIX", "datacenter", ""`,
+			return fmt.Errorf(`%s: found %q, must be "meta:KEY", "node_meta:KEY", "tag:PREFIX", "datacenter" or ""`,
 				field.name, field.place)
 		}
 	}
@@ -73,11 +74,11 @@
 	return (kind == placeMeta || kind == placeNodeMeta || kind == placeTag) && key != ""
 }
 
-// endpoint reads one instance. Its strings are copies: they outlive the buffer.
+// endpoint decodes one instance. The strings of the result are copies, because they outlive the decoder's buffer.
 func (m *Mapping) endpoint(instance *fastjson.Value) (discovery.Endpoint, error) {
 	node, service := instance.Get("Node"), instance.Get("Service")
 	if node.GetStringBytes("Node") == nil || service.GetStringBytes("ID") == nil {
-		return discovery.Endpoint{}, errShape
+		return discovery.Endpoint{}, errMalformed
 	}
 	id := string(service.GetStringBytes("ID"))
 	host := string(service.GetStringBytes("Address"))
@@ -113,7 +114,8 @@
 	return e, nil
 }
 
-// applyChecks reads the checks of an instance, and reports whether one is at warning.
+// applyChecks sets the fields of e that depend on the instance's checks, and reports whether a check has the status
+// warning.
 func applyChecks(e *discovery.Endpoint, checks []*fastjson.Value, serviceID string) (warning bool) {
 	for _, c := range checks {
 		check := string(c.GetStringBytes("CheckID"))
@@ -130,7 +132,7 @@
 	return warning
 }
 
-// drains reports whether a tag or a meta key drains an instance.
+// drains reports whether a tag or a meta key of the service marks the instance as draining.
 func (m *Mapping) drains(service *fastjson.Value) bool {
 	for _, t := range service.GetArray("Tags") {
 		if tag, err := t.StringBytes(); err == nil && m.DrainTag != "" && string(tag) == m.DrainTag {
@@ -147,7 +149,7 @@
 	return true
 }
 
-// find reads the field at a place; empty where there is none.
+// find returns the field at a place; empty if the instance does not have it.
 func (m *Mapping) find(place string, instance *fastjson.Value) string {
 	kind, key, _ := strings.Cut(place, ":")
 	switch kind {
--- a/internal/source/consul/options.go
+++ b/internal/source/consul/options.go
@@ -13,7 +13,7 @@
 	"beechcart/decision/poll"
 )
 
-// The consistency modes of Consul that Options.Consistency may name; any other word is the default mode.
+// The values of Options.Consistency that select a consistency mode of Consul. Any other value selects the default mode.
 const (
 	consistencyStale      = "stale"
 	consistencyConsistent = "consistent"
@@ -27,14 +27,14 @@
 	Namespace   string
 	Tag         string
 	Filter      string
-	Passing     bool // ask for passing instances only
+	Passing     bool // request passing instances only
 	Consistency string
 	TokenFile   string
 	CAFile      string
 	ServerName  string
 	CertFile    string
 	KeyFile     string
-	MaxBody     int // bytes of one response
+	MaxBody     int // maximum size of a response body, in bytes
 	Connect     time.Duration
 	Poll        poll.Settings
 	Membership  discovery.Settings
@@ -63,7 +63,7 @@
 	return a, nil
 }
 
-// parseAddresses reads the addresses of the options.
+// parseAddresses parses the addresses of the options.
 func (o *Options) parseAddresses() ([]address, error) {
 	var list []address
 	for _, text := range o.Addresses {
@@ -79,7 +79,7 @@
 	return list, nil
 }
 
-// path is the path and query of a request.
+// path returns the path and query of a request.
 func (o *Options) path(request poll.Request) string {
 	query := url.Values{}
 	set := func(name, value string) {
@@ -105,8 +105,8 @@
 	return path
 }
 
-// readToken reads the token file; empty where none is set. A token of more than one word could add fields to the
-// request.
+// readToken returns the token in the token file, or an empty string if no file is set. White space and control
+// characters within the token are an error, because they could add header fields to the request.
 func (o *Options) readToken() (string, error) {
 	if o.TokenFile == "" {
 		return "", nil
@@ -117,9 +117,9 @@
 	}
 	token := strings.TrimSpace(string(text))
 	if strings.ContainsFunc(token, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
-		return "", fmt.Errorf("token_file: %s holds more than one word", o.TokenFile)
+		return "", fmt.Errorf("token_file: %s: found a space, control or non-ASCII character in the token", o.TokenFile)
 	}
 	return token, nil
 }
 
-var errNoService = errors.New("service: no name is given")
+var errNoService = errors.New("service: found no name, must not be empty")
--- a/internal/source/consul/publish.go
+++ b/internal/source/consul/publish.go
@@ -7,7 +7,8 @@
 	"beechcart/internal/platformconfig"
 )
 
-// publish logs the notices of an update and passes its changes on: the first as a complete list, later ones as changes.
+// publish logs the notices of an update and passes its changes on. The first list that is passed on is complete; later
+// lists hold changes only.
 func (s *Source) publish(update discovery.Update, take func(endpoints.List)) {
 	for _, n := range update.Notices {
 		s.counters.Add("notice_"+counterName(n.Kind), 1)
@@ -36,7 +37,7 @@
 	discovery.Ready: admission.Ready, discovery.Draining: admission.Draining, discovery.Removed: admission.Removed,
 }
 
-// counterName is the name of a notice in the counters.
+// counterName returns the name by which the counters count a kind of notice.
 func counterName(kind discovery.NoticeKind) string {
 	switch kind {
 	case discovery.NoticeListSuspect:
--- a/internal/source/consul/recorded_test.go
+++ b/internal/source/consul/recorded_test.go
@@ -11,8 +11,8 @@
 	"beechcart/internal/recorded"
 )
 
-// answer is a catalogue's answer with every combination of what instances may have.
-func answer() string {
+// catalogueResponse returns a response with every combination of addresses, checks and service fields.
+func catalogueResponse() string {
 	var list []string
 	n := 0
 	for _, address := range []string{"", "10.9.9.9", "::1"} {
@@ -41,13 +41,13 @@
 	return "[ " + strings.Join(list, " ,\n") + "]\n"
 }
 
-// The endpoints that an answer is read as, with each of some mappings, are the recorded ones.
-func TestRecordedAnswer(t *testing.T) {
+// Compares the endpoints that a response is decoded to, under each of two mappings, with the recorded ones.
+func TestRecordedEndpoints(t *testing.T) {
 	other := DefaultMapping()
 	other.Zone, other.Kind, other.Cell, other.Weight, other.Mark = "node_meta:rack", "tag:room=", "", "meta:rate",
 		"datacenter"
 	other.DrainTag, other.DrainMeta = "room=b", ""
-	text := []byte(answer())
+	text := []byte(catalogueResponse())
 	var out bytes.Buffer
 	for i, mapping := range []Mapping{DefaultMapping(), other} {
 		d := newDecoder(mapping)
@@ -73,21 +73,21 @@
 		e.Passing)
 }
 
-// instanceWith is an answer of one instance, with a further field of that value.
+// instanceWith returns a response with one instance, which has an additional field with the given value.
 func instanceWith(value string) string {
 	return `[{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"e","Port":1},"More":` + value + `}]`
 }
 
-// Which answers are read, and which are rejected, is as recorded.
+// Compares with the recording which responses are accepted and which are rejected.
 func TestRecordedLimits(t *testing.T) {
-	deep := func(n int) string { return strings.Repeat(`{"a":`, n) + "1" + strings.Repeat("}", n) }
-	long := func(n int) string { return `"` + strings.Repeat("x", n) + `"` }
+	nested := func(n int) string { return strings.Repeat(`{"a":`, n) + "1" + strings.Repeat("}", n) }
+	longString := func(n int) string { return `"` + strings.Repeat("x", n) + `"` }
 	var out strings.Builder
 	for i, text := range []string{``, `{}`, `[`, `[]`, `[1]`, `[{}]`, `[{"Node":{"Node":"n"},"Service":{}}]`, `[]x`,
 		`[{"Node":nope}]`,
 		instanceWith(`1`), instanceWith(`1`) + "x", strings.Replace(instanceWith(`1`), "}]", "},]", 1),
-		instanceWith(deep(31)),
-		instanceWith(deep(32)), instanceWith(long(1<<20 - 100)), instanceWith(long(1 << 20))} {
+		instanceWith(nested(31)),
+		instanceWith(nested(32)), instanceWith(longString(1<<20 - 100)), instanceWith(longString(1 << 20))} {
 		d := newDecoder(DefaultMapping())
 		_, err := d.Write([]byte(text))
 		list := []discovery.Endpoint(nil)
--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -1,7 +1,7 @@
-// Package consul makes the endpoint list from a Consul catalogue, by blocking queries on the health of one service
+// Package consul obtains the endpoint list from a Consul catalogue, by blocking queries on the health of one service
 // (GET /v1/health/service/NAME: developer.hashicorp.com/consul/api-docs/health). One response holds the node, the
-// service and the checks of each instance. decision/poll decides when and which server is asked, decision/discovery
-// what to believe of a response; this package carries bytes.
+// service and the checks of each instance. decision/poll decides when to send a request and to which server,
+// decision/discovery which changes in a response to accept. This package does the I/O and the decoding.
 package consul
 
 import (
@@ -22,17 +22,17 @@
 	"beechcart/internal/source"
 )
 
-// tokenCheckInterval is how often the token file is read while requests are denied.
+// tokenCheckInterval is the interval at which the token file is read while requests are denied.
 const tokenCheckInterval = 500 * time.Millisecond
 
 // pollerStream is the second half of the poller's random seed.
 const pollerStream = 0x6c6973747321
 
-// Store stores the last good list.
+// Store persists the last good list.
 type Store interface {
-	// Load returns the list that was stored last, and when it was stored.
+	// Load returns the list that was stored last, and the time at which it was stored.
 	Load() (list []discovery.Endpoint, stored time.Time, err error)
-	// Save stores a list; it may delay that, and does not block for long.
+	// Save stores a list. It may defer the write, and does not block for long.
 	Save(list []discovery.Endpoint)
 }
 
@@ -41,26 +41,26 @@
 	options   Options
 	addresses []address
 	names     platformconfig.Names
-	store     Store // nil: none
+	store     Store // nil: lists are not stored
 	counters  *invariant.Counters
 	log       *slog.Logger
 	now       func() time.Duration // Unix time, monotonic
 
 	mu          sync.Mutex
 	set         *discovery.EndpointSet // changed under mu, by Run alone
-	restored    bool
-	predecessor *Source // the one that this one takes over from
+	restored    bool                   // the stored list has been loaded, or a predecessor's state inherited
+	predecessor *Source                // Run inherits its state; nil: none
 
 	// Owned by Run.
 	poller    *poll.Poller
 	client    client
 	token     string
-	lost      bool // requests fail
-	denied    bool
+	lost      bool // the last request failed
+	denied    bool // the catalogue denies requests
 	published bool // a list has been passed on
 }
 
-// New returns a Source, or an error that names the setting that can't be used. store may be nil.
+// New returns a Source, or an error that names the invalid setting. store may be nil.
 func New(
 	options Options, names platformconfig.Names, store Store, counters *invariant.Counters, log *slog.Logger, seed uint64,
 ) (*Source, error) {
@@ -72,7 +72,7 @@
 	return s, nil
 }
 
-// configure checks the options and makes what they configure.
+// configure checks the options and creates the parts of the Source that depend on them.
 func (s *Source) configure(seed uint64) (err error) {
 	if s.options.Service == "" {
 		return errNoService
@@ -94,8 +94,8 @@
 	return err
 }
 
-// Inherit takes over what another Source knows once this one runs; the other must have returned from Run by then. Its
-// drains, suspicions and penalties stay in force: the first response of another catalogue may be wrong like any
+// Inherit makes Run begin with the state of predecessor, whose Run must have returned by then. The drains, suspicions
+// and penalties of predecessor stay in force, because the first response of another catalogue may be as wrong as any
 // other.
 func (s *Source) Inherit(predecessor *Source) { s.predecessor = predecessor }
 
@@ -109,19 +109,19 @@
 	old.mu.Lock()
 	defer old.mu.Unlock()
 	s.set, s.now, s.published, s.restored = old.set, old.now, old.published, true
-	_ = s.set.Configure(s.options.Membership) // New has checked it
+	_ = s.set.Configure(s.options.Membership) // New has checked the settings
 	s.set.Switch(s.now())
 	s.poller.RetryNow(s.now())
 }
 
-// unixClock returns a clock of Unix time that never jumps.
+// unixClock returns a monotonic clock of Unix time, which steps of the system clock do not affect.
 func unixClock() func() time.Duration {
 	start := time.Now()
 	startUnix := time.Duration(start.UnixNano())
 	return func() time.Duration { return startUnix + time.Since(start) }
 }
 
-// Statuses returns what is known of each engine, by name.
+// Statuses returns the status of each engine, ordered by name. It is safe for concurrent use.
 func (s *Source) Statuses() []source.EngineStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 	return statuses
 }
 
-// Run reads the catalogue until ctx ends.
+// Run polls the catalogue until ctx ends.
 func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
 	defer s.client.close()
 	s.inherit()
@@ -154,7 +154,7 @@
 	}
 }
 
-// restore begins with the last good list, so that a start needs no catalogue.
+// restore publishes the last good list, so that a front end can start without the catalogue.
 func (s *Source) restore(take func(endpoints.List)) {
 	if s.store == nil || s.restored {
 		return
@@ -176,7 +176,7 @@
 	s.publish(update, take)
 }
 
-// wait returns when a request is due, and applies what changes with time alone.
+// wait waits until a request is due, and applies the changes that time alone brings about.
 func (s *Source) wait(ctx context.Context, due time.Duration, take func(endpoints.List)) {
 	for ctx.Err() == nil {
 		now := s.now()
@@ -204,7 +204,7 @@
 	}
 }
 
-// updateToken reads the token file, and reports whether it has another token.
+// updateToken reads the token file, and reports whether the token has changed.
 func (s *Source) updateToken() bool {
 	token, err := s.options.readToken()
 	if err != nil || token == s.token {
@@ -214,7 +214,7 @@
 	return true
 }
 
-// advance applies what changes with time alone.
+// advance applies the changes that are due at now without a response, such as the end of a suspicion.
 func (s *Source) advance(now time.Duration, take func(endpoints.List)) {
 	s.mu.Lock()
 	var update discovery.Update
@@ -225,20 +225,20 @@
 	s.publish(update, take)
 }
 
-// pollOutcome is what a request has ended with.
+// pollOutcome is the result of one request.
 type pollOutcome struct {
 	response response
 	err      error
 }
 
-// poll sends one request, and applies what changes with time alone while it waits for the response.
+// poll sends one request, and applies the changes that time alone brings about until the response arrives.
 func (s *Source) poll(ctx context.Context, request poll.Request, take func(endpoints.List)) {
 	s.updateToken()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan pollOutcome, 1)
 	token := s.token
-	go func() { // ends with the request: ctx ends it, and done has room
+	go func() { // ends with the request: ctx aborts the request, and done is buffered
 		r, err := s.client.do(ctx, s.addresses[request.Address], request, token)
 		done <- pollOutcome{r, err}
 	}()
@@ -255,7 +255,7 @@
 			s.advance(s.now(), take)
 		case outcome := <-done:
 			if ctx.Err() != nil {
-				return // the source ends
+				return // the source stops
 			}
 			s.handleOutcome(request, outcome, take)
 			return
--- a/internal/source/consul/tls.go
+++ b/internal/source/consul/tls.go
@@ -14,10 +14,11 @@
 	"beechcart/internal/http1"
 )
 
-// canTLS reports whether this build has TLS.
+// canTLS reports whether this build supports TLS.
 const canTLS = true
 
-// secure returns what secures a connection. It reads the files for each connection, so that new keys need no restart.
+// secure returns the function that performs the TLS handshake with an address. It reads the files for each connection,
+// so that new keys need no restart.
 func (o *Options) secure(at address) (http1.Secure, error) {
 	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: o.ServerName}
 	if config.ServerName == "" {
@@ -30,7 +31,7 @@
 		}
 		config.RootCAs = x509.NewCertPool()
 		if !config.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("ca_file: %s holds no certificate", o.CAFile)
+			return nil, fmt.Errorf("ca_file: %s: found no certificate in PEM format", o.CAFile)
 		}
 	}
 	if o.CertFile != "" {
--- a/internal/source/consul/tls_lean.go
+++ b/internal/source/consul/tls_lean.go
@@ -8,7 +8,7 @@
 	"beechcart/internal/http1"
 )
 
-// canTLS reports whether this build has TLS.
+// canTLS reports whether this build supports TLS.
 const canTLS = false
 
 var errNoTLS = errors.New("this build has no TLS (tag lean)")
--- a/internal/source/feed.go
+++ b/internal/source/feed.go
@@ -12,8 +12,8 @@
 	"beechcart/internal/endpoints"
 )
 
-// Feed follows one source at a time and passes its lists on. Its methods must be called from one goroutine, except those
-// that are documented as safe for concurrent use.
+// Feed follows one source at a time and passes its lists on. Its methods must be called from one goroutine, except
+// those that are documented as safe for concurrent use.
 type Feed struct {
 	ctx         context.Context // its end stops the current source
 	take        func(endpoints.List)
