--- a/internal/source/endpointcache/encode.go
+++ b/internal/source/endpointcache/encode.go
@@ -15,11 +15,11 @@
 const (
 	magic   = "beechcart-list"
 	version = 1
-	// headWords is the number of words of the first line.
+	// headWords is the number of words in the first line.
 	headWords = 4
 )
 
-// Encode encodes a list that was good at that time.
+// Encode encodes a list that was valid at the given time.
 func Encode(list []discovery.Endpoint, at time.Time) []byte {
 	var a fastjson.Arena
 	entries := a.NewArray()
@@ -54,27 +54,27 @@
 	return o
 }
 
-// Decode decodes what Encode has encoded. Its error is one of the reasons of this package.
+// Decode decodes the output of Encode. An error wraps one of the Err variables of this package.
 func Decode(text []byte) (list []discovery.Endpoint, stored time.Time, err error) {
 	if len(text) > maxFileBytes {
-		return nil, stored, fmt.Errorf("%w: more than %d bytes", ErrLarge, maxFileBytes)
+		return nil, stored, fmt.Errorf("%w: file exceeds %d bytes", ErrLarge, maxFileBytes)
 	}
 	head, body, hasBody := bytes.Cut(text, []byte("\n"))
 	if len(text) == 0 || (!hasBody && bytes.HasPrefix([]byte(magic+" "), head)) {
-		return nil, stored, fmt.Errorf("%w: no whole first line", ErrTruncated)
+		return nil, stored, fmt.Errorf("%w: first line is incomplete", ErrTruncated)
 	}
 	words := bytes.Split(head, []byte(" "))
 	if string(words[0]) != magic {
-		return nil, stored, fmt.Errorf("%w: it does not begin with %q", ErrForeign, magic)
+		return nil, stored, fmt.Errorf("%w: file does not begin with %q", ErrForeign, magic)
 	}
 	if len(words) < 2 || !hasBody {
-		return nil, stored, fmt.Errorf("%w: no whole first line", ErrTruncated)
+		return nil, stored, fmt.Errorf("%w: first line is incomplete", ErrTruncated)
 	}
 	if err := checkVersion(words[1]); err != nil {
 		return nil, stored, err
 	}
 	if len(words) != headWords {
-		return nil, stored, fmt.Errorf("%w: its first line has %d words", ErrTorn, len(words))
+		return nil, stored, fmt.Errorf("%w: found %d words in the first line, must be four", ErrTorn, len(words))
 	}
 	if err := checkBody(body, words[2], words[3]); err != nil {
 		return nil, stored, err
@@ -85,10 +85,10 @@
 func checkVersion(text []byte) error {
 	v, err := strconv.Atoi(string(text))
 	if err != nil || v < 1 {
-		return fmt.Errorf("%w: version %q", ErrTorn, text)
+		return fmt.Errorf("%w: found version %q, must be a whole number from 1 on", ErrTorn, text)
 	}
 	if v > version {
-		return fmt.Errorf("%w: version %d, known up to %d", ErrFuture, v, version)
+		return fmt.Errorf("%w: found version %d, must be at most %d", ErrFuture, v, version)
 	}
 	return nil
 }
@@ -99,11 +99,11 @@
 	sum, err2 := strconv.ParseUint(string(checksum), 16, 64)
 	switch {
 	case err != nil || err2 != nil:
-		return fmt.Errorf("%w: its first line does not read", ErrTorn)
+		return fmt.Errorf("%w: length or checksum in the first line is not a number", ErrTorn)
 	case len(body) < size:
-		return fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(body), size)
+		return fmt.Errorf("%w: body has %d of %d bytes", ErrTruncated, len(body), size)
 	case len(body) > size || xxh3.Hash(body) != sum:
-		return fmt.Errorf("%w: its checksum does not fit", ErrTorn)
+		return fmt.Errorf("%w: length or checksum of the body differs from the first line", ErrTorn)
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 	for i, o := range entries {
 		e := decodeEndpoint(o)
 		if e.Key == "" || e.Addr == "" {
-			return nil, stored, fmt.Errorf("%w: engine %d has no key or no address", ErrMalformed, i)
+			return nil, stored, fmt.Errorf("%w: engine %d: found no key or no address, must have both", ErrMalformed, i)
 		}
 		list = append(list, e)
 	}
--- a/internal/source/endpointcache/recorded_test.go
+++ b/internal/source/endpointcache/recorded_test.go
@@ -17,7 +17,7 @@
 	"beechcart/internal/source/endpointcache"
 )
 
-// recordedList is a list with every field of an entry, and when it was good.
+// recordedList returns a list that sets every field of an entry, and the time at which the list was stored.
 func recordedList() ([]discovery.Endpoint, time.Time) {
 	return []discovery.Endpoint{
 		{Key: "node-1/e1", Addr: "10.0.0.1:8000", Zone: "east", Kind: "std", Cell: 3, Weight: 2.5, CreateIndex: 1<<63 + 5,
@@ -28,7 +28,7 @@
 	}, time.UnixMilli(1_790_000_000_456)
 }
 
-// A file that an earlier build wrote is read, and the same list makes the same bytes again.
+// A file written by an earlier build can be stored, and encoding its list again gives the same bytes.
 func TestRecordedFile(t *testing.T) {
 	list, at := recordedList()
 	recorded.Compare(t, "list", endpointcache.Encode(list, at))
@@ -36,16 +36,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, read, err := endpointcache.Decode(text)
-	if err != nil || !slices.Equal(got, list) || !read.Equal(at) {
-		t.Errorf("read %+v of %v, %v", got, read, err)
+	got, stored, err := endpointcache.Decode(text)
+	if err != nil || !slices.Equal(got, list) || !stored.Equal(at) {
+		t.Errorf("Decode returned %+v, stored at %v, error %v", got, stored, err)
 	}
-	if again := endpointcache.Encode(got, read); !bytes.Equal(again, text) {
-		t.Errorf("it is written as %q", again)
+	if again := endpointcache.Encode(got, stored); !bytes.Equal(again, text) {
+		t.Errorf("Encode returned %q", again)
 	}
 }
 
-// The name to which a file that can't be used is moved is the recorded one.
+// Compares the names to which unusable files are renamed with the recorded ones.
 func TestRecordedFaults(t *testing.T) {
 	list, at := recordedList()
 	good := endpointcache.Encode(list, at)
@@ -64,7 +64,7 @@
 		}
 		maxAge := time.Duration(0)
 		if i == 11 {
-			maxAge = 1 // a list of an hour ago is too old
+			maxAge = 1 // 1 ns: a list that is one hour old is too old
 			if err := os.WriteFile(path, endpointcache.Encode(list, time.Now().Add(-time.Hour)), 0o600); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/source/endpointcache/store.go
+++ b/internal/source/endpointcache/store.go
@@ -1,9 +1,10 @@
 // Package endpointcache stores the last good endpoint list in a file, for installations that have a disk, so that a
-// front end that starts while its catalogue is down serves all the same.
+// front end that starts while its catalogue is down can serve requests.
 //
-// A file is one line, "beechcart-list VERSION LENGTH XXH3", and a JSON object of that length. It is replaced as a
-// whole (a new file, synced, renamed over the old one), and read as a whole or not at all: a file that can't be used
-// is renamed to a name that tells the reason, and one such file is kept for each reason.
+// A file holds one line, "beechcart-list VERSION LENGTH XXH3", and a JSON object of LENGTH bytes with that checksum. A
+// write replaces the whole file: a new file is written, synced and renamed over the old one. A file is used as a whole
+// or not at all: an unusable file is renamed to a name that ends in the reason, and the latest one is kept for each
+// reason.
 package endpointcache
 
 import (
@@ -22,20 +23,20 @@
 	"beechcart/decision/discovery"
 )
 
-// maxFileBytes bounds the size of a file.
+// maxFileBytes is the maximum size of a file.
 const maxFileBytes = 64 << 20
 
-// fileMode lets the owner alone read the file.
+// fileMode lets only the owner read and write the file.
 const fileMode = 0o600
 
-// The reasons for which a file is not used. Their texts are part of the name that it is renamed to.
+// The reasons for which a file is not used. The text of a reason is the suffix that the unusable file gets.
 var (
 	ErrForeign   = errors.New("foreign")   // not an endpoint list
-	ErrFuture    = errors.New("future")    // of an unknown version
-	ErrTruncated = errors.New("truncated") // shorter than its first line says
-	ErrTorn      = errors.New("torn")      // its checksum does not match
-	ErrLarge     = errors.New("large")     // over maxFileBytes
-	ErrMalformed = errors.New("malformed") // its checksum matches, and it is not a list
+	ErrFuture    = errors.New("future")    // of a version later than this program knows
+	ErrTruncated = errors.New("truncated") // ends within the first line, or before the length in it
+	ErrTorn      = errors.New("torn")      // the first line, the length or the checksum is wrong
+	ErrLarge     = errors.New("large")     // larger than maxFileBytes
+	ErrMalformed = errors.New("malformed") // the checksum matches, but the content is not a list
 	ErrAge       = errors.New("old")       // older than the settings allow
 )
 
@@ -56,12 +57,13 @@
 	writing sync.Mutex // held during a write
 }
 
-// New returns a Store that writes at most once in writeInterval, and uses no file older than maxAge (0: of any age).
+// New returns a Store that writes at most once per writeInterval, and uses no file older than maxAge (0: no limit).
 func New(path string, writeInterval, maxAge time.Duration, log *slog.Logger) *Store {
 	return &Store{path: path, writeInterval: writeInterval, maxAge: maxAge, log: log}
 }
 
-// Save stores a list, at once or when writeInterval has passed since the last write.
+// Save schedules a write of a list, at once or when writeInterval has passed since the last write. A list that is still
+// pending is dropped.
 func (s *Store) Save(list []discovery.Endpoint) {
 	text := Encode(list, time.Now())
 	s.mu.Lock()
@@ -72,7 +74,7 @@
 	}
 }
 
-// Flush writes the list that has not been written yet.
+// Flush writes the pending list, if there is one.
 func (s *Store) Flush() {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -93,11 +95,12 @@
 	}
 }
 
-// Load reads the file; where there is none, the list is empty. A file that can't be used is renamed.
+// Load reads the file and returns the list with the time at which it was stored. If there is no file, the list is empty.
+// An unusable file is renamed.
 func (s *Store) Load() ([]discovery.Endpoint, time.Time, error) {
 	list, stored, err := ReadFile(s.path)
 	if err == nil && s.maxAge > 0 && time.Since(stored) > s.maxAge {
-		err = fmt.Errorf("%w: kept %v ago", ErrAge, time.Since(stored).Round(time.Second))
+		err = fmt.Errorf("%w: stored %v ago", ErrAge, time.Since(stored).Round(time.Second))
 	}
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -113,16 +116,16 @@
 	return nil, time.Time{}, fmt.Errorf("last good list: %w", err)
 }
 
-// moveAside renames a file that can't be used, and returns the error of Load.
+// moveAside renames an unusable file, and returns the error for Load.
 func (s *Store) moveAside(err, reason error) error {
 	aside := s.path + "." + reason.Error()
 	if renameErr := os.Rename(s.path, aside); renameErr != nil {
-		return fmt.Errorf("last good list %s: %w (and not moved aside: %w)", s.path, err, renameErr)
+		return fmt.Errorf("last good list %s: %w (moving the file aside failed: %w)", s.path, err, renameErr)
 	}
 	return fmt.Errorf("last good list %s: %w; moved to %s", s.path, err, filepath.Base(aside))
 }
 
-// ReadFile reads a file and leaves it in place.
+// ReadFile reads a file, and leaves an unusable file in place.
 func ReadFile(path string) ([]discovery.Endpoint, time.Time, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/source/endpointcache/store_test.go
+++ b/internal/source/endpointcache/store_test.go
@@ -21,13 +21,13 @@
 	{Key: "n2/e2", Addr: "10.0.0.2:80", Weight: 1, Drain: true},
 }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func TestStoreKeepsAList(t *testing.T) {
+func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	s := New(path, time.Hour, time.Hour, quiet)
+	s := New(path, time.Hour, time.Hour, discardLog)
 	got, _, err := s.Load()
-	require.NoError(t, err, "no file is an empty list")
+	require.NoError(t, err, "a missing file must give an empty list")
 	require.Empty(t, got)
 	s.Save(list)
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 10*time.Second, time.Millisecond)
@@ -42,37 +42,37 @@
 	assert.Equal(t, list, got)
 }
 
-// A file is used as a whole or not at all: one that can't be used is renamed by the reason.
-func TestUnusableFileIsMovedAside(t *testing.T) {
+// A file is used as a whole or not at all: an unusable file is renamed with the reason as its suffix.
+func TestUnusableFileIsRenamed(t *testing.T) {
 	good := Encode(list, time.Now())
 	flipped := bytes.Clone(good)
 	flipped[len(flipped)-9] ^= 1
-	for name, k := range map[string]struct {
+	for name, c := range map[string]struct {
 		text []byte
-		why  error
+		want error
 	}{
-		"empty":              {nil, ErrTruncated},
-		"first line cut":     {good[:7], ErrTruncated},
-		"body cut":           {good[:len(good)-1], ErrTruncated},
-		"head only":          {good[:bytes.IndexByte(good, '\n')+1], ErrTruncated},
-		"a bit flipped":      {flipped, ErrTorn},
-		"more after it":      {append(bytes.Clone(good), 'x'), ErrTorn},
-		"another program's":  {[]byte("#!/bin/sh\nexit\n"), ErrForeign},
-		"a later version":    {append([]byte("beechcart-list 2 whatever comes\n"), good...), ErrFuture},
-		"whole and no list":  {bytes.Replace(Encode(nil, time.Now()), []byte(`"engines"`), []byte(`"engineX"`), 1), ErrTorn},
-		"of a week ago":      {Encode(list, time.Now().Add(-168*time.Hour)), ErrAge},
-		"an entry of no key": {Encode([]discovery.Endpoint{{Addr: "10.0.0.1:1"}}, time.Now()), ErrMalformed},
+		"empty":                     {nil, ErrTruncated},
+		"truncated first line":      {good[:7], ErrTruncated},
+		"truncated body":            {good[:len(good)-1], ErrTruncated},
+		"head only":                 {good[:bytes.IndexByte(good, '\n')+1], ErrTruncated},
+		"flipped bit":               {flipped, ErrTorn},
+		"trailing byte":             {append(bytes.Clone(good), 'x'), ErrTorn},
+		"file of another program":   {[]byte("#!/bin/sh\nexit\n"), ErrForeign},
+		"later version":             {append([]byte("beechcart-list 2 whatever comes\n"), good...), ErrFuture},
+		"changed key, old checksum": {bytes.Replace(Encode(nil, time.Now()), []byte(`"engines"`), []byte(`"engineX"`), 1), ErrTorn},
+		"one week old":              {Encode(list, time.Now().Add(-168*time.Hour)), ErrAge},
+		"entry without key":         {Encode([]discovery.Endpoint{{Addr: "10.0.0.1:1"}}, time.Now()), ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "list")
-			require.NoError(t, os.WriteFile(path, k.text, 0o600))
-			_, _, err := New(path, 0, time.Hour, quiet).Load()
-			require.ErrorIs(t, err, k.why)
+			require.NoError(t, os.WriteFile(path, c.text, 0o600))
+			_, _, err := New(path, 0, time.Hour, discardLog).Load()
+			require.ErrorIs(t, err, c.want)
 			_, err = os.Stat(path)
 			require.ErrorIs(t, err, os.ErrNotExist)
-			aside, err := os.ReadFile(path + "." + k.why.Error())
+			renamed, err := os.ReadFile(path + "." + c.want.Error())
 			require.NoError(t, err)
-			assert.Equal(t, string(k.text), string(aside))
+			assert.Equal(t, string(c.text), string(renamed))
 		})
 	}
 }
@@ -82,12 +82,12 @@
 	f.Add([]byte("beechcart-list 1 2 0\n{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, _, err := Decode(text); err != nil {
-			for _, why := range []error{ErrForeign, ErrFuture, ErrTruncated, ErrTorn, ErrLarge, ErrMalformed} {
-				if errors.Is(err, why) {
+			for _, reason := range []error{ErrForeign, ErrFuture, ErrTruncated, ErrTorn, ErrLarge, ErrMalformed} {
+				if errors.Is(err, reason) {
 					return
 				}
 			}
-			t.Fatalf("an error without a name: %v", err)
+			t.Fatalf("error is none of the declared reasons: %v", err)
 		}
 	})
 }
