--- a/internal/source/endpointcache/recorded_test.go
+++ b/internal/source/endpointcache/recorded_test.go
@@ -28,7 +28,7 @@
 	}, time.UnixMilli(1_790_000_000_456)
 }
 
-// A file written by an earlier build can be stored, and encoding its list again gives the same bytes.
+// A file written by an earlier build can be read, and encoding its list again gives the same bytes.
 func TestRecordedFile(t *testing.T) {
 	list, at := recordedList()
 	recorded.Compare(t, "list", endpointcache.Encode(list, at))
--- a/internal/source/endpointcache/store.go
+++ b/internal/source/endpointcache/store.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Load reads the file and returns the list with the time at which it was stored. If there is no file, the list is empty.
-// An unusable file is renamed.
+// Load reads the file, and returns the list and the time at which it was stored. Without a file, the list is empty. An
+// unusable file is renamed.
 func (s *Store) Load() ([]discovery.Endpoint, time.Time, error) {
 	list, stored, err := ReadFile(s.path)
 	if err == nil && s.maxAge > 0 && time.Since(stored) > s.maxAge {
--- a/internal/source/endpointcache/store_test.go
+++ b/internal/source/endpointcache/store_test.go
@@ -51,17 +51,17 @@
 		text []byte
 		want error
 	}{
-		"empty":                     {nil, ErrTruncated},
-		"truncated first line":      {good[:7], ErrTruncated},
-		"truncated body":            {good[:len(good)-1], ErrTruncated},
-		"head only":                 {good[:bytes.IndexByte(good, '\n')+1], ErrTruncated},
-		"flipped bit":               {flipped, ErrTorn},
-		"trailing byte":             {append(bytes.Clone(good), 'x'), ErrTorn},
-		"file of another program":   {[]byte("#!/bin/sh\nexit\n"), ErrForeign},
-		"later version":             {append([]byte("beechcart-list 2 whatever comes\n"), good...), ErrFuture},
-		"changed key, old checksum": {bytes.Replace(Encode(nil, time.Now()), []byte(`"engines"`), []byte(`"engineX"`), 1), ErrTorn},
-		"one week old":              {Encode(list, time.Now().Add(-168*time.Hour)), ErrAge},
-		"entry without key":         {Encode([]discovery.Endpoint{{Addr: "10.0.0.1:1"}}, time.Now()), ErrMalformed},
+		"empty":              {nil, ErrTruncated},
+		"partial first line": {good[:7], ErrTruncated},
+		"partial body":       {good[:len(good)-1], ErrTruncated},
+		"head only":          {good[:bytes.IndexByte(good, '\n')+1], ErrTruncated},
+		"flipped bit":        {flipped, ErrTorn},
+		"trailing byte":      {append(bytes.Clone(good), 'x'), ErrTorn},
+		"foreign file":       {[]byte("#!/bin/sh\nexit\n"), ErrForeign},
+		"later version":      {append([]byte("beechcart-list 2 whatever comes\n"), good...), ErrFuture},
+		"changed key":        {bytes.Replace(Encode(nil, time.Now()), []byte(`"engines"`), []byte(`"engineX"`), 1), ErrTorn},
+		"one week old":       {Encode(list, time.Now().Add(-168*time.Hour)), ErrAge},
+		"entry without key":  {Encode([]discovery.Endpoint{{Addr: "10.0.0.1:1"}}, time.Now()), ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "list")
