--- a/internal/platformconfig/config.go
+++ b/internal/platformconfig/config.go
@@ -1,8 +1,9 @@
-// Package platformconfig decodes the platform's configuration of a front end, and the settings object that it shares
-// with the simulator, into the controller's terms and the names that clients and the change log use.
+// Package platformconfig decodes the platform's configuration of a front end, and the settings object that this
+// configuration shares with the simulator. The result holds the controller's settings, and the names that clients and
+// the change log use.
 //
-// docs/terms.md lists the platform's keys beside the names of the fields; settings.go maps those of the settings
-// object, config.go those around it.
+// docs/terms.md lists the platform's keys beside the names of the fields; settings.go maps the keys of the settings
+// object, config.go the keys around that object.
 package platformconfig
 
 import (
@@ -18,23 +19,23 @@
 	"beechcart/admission"
 )
 
-// Config is what the platform tells a front end at its start.
+// Config is the configuration that the platform gives a front end at its start.
 type Config struct {
 	Name           string
 	Listen         string // host:port for clients
-	ChangeLog      string // host:port; may be empty where the engine list comes from elsewhere
+	ChangeLog      string // host:port; may be empty if the engine list comes from another source
 	Seed           uint64
-	Cores          float64 // of the machine, for this front end
+	Cores          float64 // of the machine, available to this front end
 	MemoryMB       int
-	Descriptors    int    // that it may open at once
-	KnownEvents    []byte // the change log's events so far, as JSON
+	Descriptors    int    // maximum number of file descriptors open at once
+	KnownEvents    []byte // the change log's events up to the start, as JSON
 	Admission      admission.Settings
 	Names          Names
-	ConnectTimeout time.Duration // to engines
+	ConnectTimeout time.Duration // for connections to engines
 	HandshakePrice float64       // points of service for one new connection to an engine for each request
 }
 
-// The values of keys that are absent or zero.
+// Defaults for keys that are absent or zero.
 const (
 	defaultCores          = 1
 	defaultMemoryMB       = 192
@@ -42,10 +43,11 @@
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// minDescriptors is what the listener, the change log, a few clients and a few engines take.
+// minDescriptors is the number of descriptors that the listener, the change log, a few clients and a few engines take.
 const minDescriptors = 16
 
-// Load reads the configuration file and applies the environment's name and address over it.
+// Load reads the configuration file. The environment variables PROXY_NAME and PROXY_LISTEN override the name and the
+// address in the file.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("configuration: PROXY_CONFIG names no file")
@@ -102,8 +104,8 @@
 	if c.Admission, c.Names, err = decodeSettings(settings.value); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// The MySQL server carries Retry-After in the error's message, so the controller computes it also where the settings
-	// have no field for it.
+	// The MySQL server sends Retry-After in the error message, so the controller computes Retry-After even if
+	// permissions.retry_after is false.
 	c.Admission.MaxRetryAfter = settings.duration("permissions.max_retry_after")
 	c.HandshakePrice = settings.number("prices.handshake")
 	if timeout := settings.duration("permissions.connect_timeout"); timeout > 0 {
@@ -112,7 +114,7 @@
 	return c, *settings.err
 }
 
-// parseSeed reads a hex number; an empty text is zero.
+// parseSeed parses a hexadecimal number; an empty text is zero.
 func parseSeed(text string) (uint64, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Check returns a FieldError for the first value that a front end can't serve with.
+// Check returns a FieldError for the first value that would keep a front end from serving.
 func (c *Config) Check() error {
 	a := &c.Admission
 	switch {
--- a/internal/platformconfig/config_test.go
+++ b/internal/platformconfig/config_test.go
@@ -12,7 +12,7 @@
 	"beechcart/admission"
 )
 
-const whole = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":128,
+const valid = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":128,
 "sockets":512},
 "changelog":"10.2.0.1:2379","known":{"seq":0,"results":[]},"settings":{"permissions":{"connect_timeout":300000000,
 "conn_idle":20000000000,"max_retry_after":1000000000,"retry_after":false},"zones":["a","b"],"locality":"b",
@@ -29,13 +29,13 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := load(t, whole, map[string]string{"PROXY_LISTEN": "127.0.0.1:9"})
+	c, err := load(t, valid, map[string]string{"PROXY_LISTEN": "127.0.0.1:9"})
 	require.NoError(t, err)
 	assert.Equal(t, []any{"n3", "127.0.0.1:9", "10.2.0.1:2379", uint64(0x8c1f30d27a5be964), 128, 512},
 		[]any{c.Name, c.Listen, c.ChangeLog, c.Seed, c.MemoryMB, c.Descriptors})
 	assert.Equal(t, 300*time.Millisecond, c.ConnectTimeout)
 	assert.Equal(t, time.Second, c.Admission.MaxRetryAfter,
-		"the pause goes into the message whatever the settings say of a field")
+		"Retry-After must be set for the error message although permissions.retry_after is false")
 	assert.Equal(t, 1, c.Admission.Zone)
 	assert.Equal(t, []admission.Kind{{Cores: 12, MemoryMB: 24576}}, c.Admission.Kinds)
 	assert.Equal(t, []admission.Tenant{{Quota: 0.6, RequestsPerSecond: 117}}, c.Admission.Tenants)
--- a/internal/platformconfig/decoder.go
+++ b/internal/platformconfig/decoder.go
@@ -11,13 +11,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxNumber bounds numbers, so that a time in nanoseconds fits a time.Duration.
+// maxNumber bounds numbers, so that a number of nanoseconds fits in a time.Duration.
 const maxNumber = math.MaxInt64 / 2
 
-// maxShownLength bounds what an error shows of a value, in bytes: it is one line.
+// maxShownLength is the maximum number of bytes of a value that an error shows, so that the error stays on one line.
 const maxShownLength = 60
 
-// FieldError is a value of the configuration that is not allowed.
+// FieldError reports a value that its field does not allow.
 type FieldError struct {
 	Field   string // path of the key, such as settings.services[0].deadline
 	Found   string // the value, shortened
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s: %s is not allowed: it must be %s", e.Field, e.Found, e.Allowed)
 }
 
-// UnknownValueError is a word that a key of the configuration does not know.
+// UnknownValueError reports a string that is none of the values that its field allows.
 type UnknownValueError struct {
 	Field, Found string
 	Known        []string
@@ -38,17 +38,17 @@
 	return fmt.Sprintf("%s: %q is not known: it must be one of %q", e.Field, e.Found, e.Known)
 }
 
-// decoder reads the fields of a JSON object by their paths, and keeps the first error. A path such as rules.cold names
-// a field of an inner object; the empty one names the value itself. What is absent or null reads as zero.
+// decoder decodes the fields of a JSON object by their paths, and records the first error. A path such as rules.cold
+// names a field of a nested object; the empty path names the value itself. A field that is absent or null is zero.
 type decoder struct {
 	value *fastjson.Value
-	name  string // in errors
-	err   *error // the first, shared by the decoders of one document
+	name  string // path of value in errors
+	err   *error // the first error; shared by the decoders of one document
 }
 
 func newDecoder(v *fastjson.Value) *decoder { return &decoder{value: v, err: new(error)} }
 
-// lookup returns the value at a path; nil when it is absent or null.
+// lookup returns the value at a path; nil if the value is absent or null.
 func (d *decoder) lookup(path string) *fastjson.Value {
 	v := d.value
 	if path != "" {
@@ -62,14 +62,14 @@
 
 func (d *decoder) has(path string) bool { return d.lookup(path) != nil }
 
-// fail keeps an error, unless there is one already.
+// fail records an error, unless an earlier one is recorded.
 func (d *decoder) fail(err error) {
 	if *d.err == nil {
 		*d.err = err
 	}
 }
 
-// fieldName is how errors name the field at a path.
+// fieldName returns the name of the field at a path for use in errors.
 func (d *decoder) fieldName(path string) string { return strings.Trim(d.name+"."+path, ".") }
 
 func (d *decoder) notAllowed(path string, v *fastjson.Value, allowed string) {
@@ -80,7 +80,7 @@
 	d.fail(&FieldError{Field: d.fieldName(path), Found: found, Allowed: allowed})
 }
 
-// number reads a number that is not negative.
+// number decodes a non-negative number.
 func (d *decoder) number(path string) float64 {
 	v := d.lookup(path)
 	if v == nil {
@@ -103,7 +103,7 @@
 	return int(n)
 }
 
-// duration reads nanoseconds.
+// duration decodes a number of nanoseconds.
 func (d *decoder) duration(path string) time.Duration { return time.Duration(d.number(path)) }
 
 func (d *decoder) boolean(path string) bool {
@@ -130,7 +130,7 @@
 	return string(b)
 }
 
-// list returns a decoder for each element.
+// list returns a decoder for each element of a list.
 func (d *decoder) list(path string) (list []*decoder) {
 	v := d.lookup(path)
 	if v == nil {
@@ -153,7 +153,7 @@
 	return texts
 }
 
-// element returns the decoder of one element of a list; that of an absent one reads zeroes.
+// element returns the decoder of element i of a list. For an absent element, the decoder returns zero values.
 func element(list []*decoder, i int) *decoder {
 	if i < len(list) {
 		return list[i]
@@ -161,13 +161,13 @@
 	return newDecoder(nil)
 }
 
-// oneOf reads a word, and returns the value that stands for it.
+// oneOf decodes a string, and returns the value that the map values has for this string.
 func oneOf[T any](d *decoder, path string, values map[string]T) T {
-	word := d.text(path)
-	value, known := values[word]
+	found := d.text(path)
+	value, known := values[found]
 	if !known {
 		d.fail(&UnknownValueError{
-			Field: d.fieldName(path), Found: word, Known: slices.Sorted(maps.Keys(values)),
+			Field: d.fieldName(path), Found: found, Known: slices.Sorted(maps.Keys(values)),
 		})
 	}
 	return value
--- a/internal/platformconfig/names.go
+++ b/internal/platformconfig/names.go
@@ -1,16 +1,16 @@
 package platformconfig
 
-// notFound is the index of a name that is not in a list. It equals that of no engine, tenant or class.
+// notFound is the index of a name that is not in a list. No engine, tenant or class has this index.
 const notFound = -1
 
-// Names maps the names of the settings to the indexes that the controller knows.
+// Names maps the names in the settings to the indexes that the controller uses.
 type Names struct {
 	Classes, Tenants, Zones, Kinds map[string]int
 
-	classes []string // by index
+	classes []string // names of the classes, by index
 }
 
-// ClassName is the name of the class of an index, or text, the name that a request spells, where there is none. All
+// ClassName returns the name of class i, or text, the name as written in the request, if there is no class i. All
 // requests of a class share one string.
 func (n *Names) ClassName(i int, text []byte) string {
 	if i < len(n.classes) {
@@ -19,7 +19,7 @@
 	return string(text)
 }
 
-// IndexOf returns the index of a name; -1 when there is none.
+// IndexOf returns the index of a name; -1 if names does not contain it.
 func IndexOf(names map[string]int, name string) int {
 	if i, ok := names[name]; ok {
 		return i
@@ -27,7 +27,7 @@
 	return notFound
 }
 
-// indexes maps names to their places in a list.
+// indexes maps each name to its index in the list.
 func indexes(list []string) map[string]int {
 	byName := make(map[string]int, len(list))
 	for i, name := range list {
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -19,8 +19,8 @@
 	"beechcart/internal/recorded"
 )
 
-// every is a configuration that has each field, and no two alike where they could be mixed up.
-const every = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.5,"memory_mb":128,
+// full is a configuration that sets each field. Fields that could be mixed up have different values.
+const full = `{"name":"n3","listen":"10.0.0.4:7001","seed":"8c1f30d27a5be964","limits":{"cores":1.5,"memory_mb":128,
 "sockets":512},
 "changelog":"10.2.0.1:2379","known":{"seq":2,"results":[{"seq":1}]},"settings":{"discovery":"ask","me":3,
 "replicas_of_me":7,
@@ -45,10 +45,10 @@
 "tenants":[{"name":"acme","fraction":0.6,"allowance_per_s":117.5},{"name":"north","fraction":0.4}],
 "unheard_of":{"x":1}}}`
 
-// least is a configuration that leaves out all that it may.
-const least = `{"listen":"10.0.0.4:7001","settings":{"replicas_of_me":1}}`
+// minimal is a configuration without optional fields.
+const minimal = `{"listen":"10.0.0.4:7001","settings":{"replicas_of_me":1}}`
 
-// encoder writes values in a fixed order, without their names.
+// encoder writes values in a fixed order, without field names.
 type encoder struct{ bytes.Buffer }
 
 func (e *encoder) printf(format string, values ...any) { e.Write(fmt.Appendf(nil, format, values...)) }
@@ -153,42 +153,42 @@
 	return c, nil
 }
 
-// Each field of the platform's configuration comes to the same value as it was recorded.
+// Compares the decoded value of each field with the recording.
 func TestRecordedConfiguration(t *testing.T) {
 	var out encoder
 	for _, k := range []struct {
 		text string
 		env  map[string]string
 	}{
-		{every, nil},
-		{every, map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}},
-		{least, nil},
-		{strings.Replace(every, `"retry_after":true`, `"retry_after":false`, 1), nil},
-		{strings.Replace(every, `"via":"pull"`, `"via":"piggyback"`, 1), nil},
-		{strings.Replace(every, `"via":"pull"`, `"via":"silent"`, 1), nil},
-		{strings.Replace(every, `"overcommit"`, `"cut"`, 1), nil},
-		{strings.Replace(every, `"overcommit"`, `"line_up"`, 1), nil},
-		{strings.Replace(every, `"group":"zone"`, `"group":"all"`, 1), nil},
+		{full, nil},
+		{full, map[string]string{"PROXY_NAME": "other", "PROXY_LISTEN": "127.0.0.1:9"}},
+		{minimal, nil},
+		{strings.Replace(full, `"retry_after":true`, `"retry_after":false`, 1), nil},
+		{strings.Replace(full, `"via":"pull"`, `"via":"piggyback"`, 1), nil},
+		{strings.Replace(full, `"via":"pull"`, `"via":"silent"`, 1), nil},
+		{strings.Replace(full, `"overcommit"`, `"cut"`, 1), nil},
+		{strings.Replace(full, `"overcommit"`, `"line_up"`, 1), nil},
+		{strings.Replace(full, `"group":"zone"`, `"group":"all"`, 1), nil},
 	} {
 		c, err := loadText(t, k.text, k.env)
 		require.NoError(t, err)
-		var one encoder
-		one.config(c)
-		out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
+		var encoded encoder
+		encoded.config(c)
+		out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(encoded.Bytes())))
 		if out.Len() < 100 {
-			out.Write(one.Bytes()) // the first in full
+			out.Write(encoded.Bytes()) // the first configuration in full
 		}
 	}
-	set, names, err := platformconfig.Parse([]byte(every[strings.Index(every, `{"discovery"`) : len(every)-1]))
+	set, names, err := platformconfig.Parse([]byte(full[strings.Index(full, `{"discovery"`) : len(full)-1]))
 	require.NoError(t, err)
-	var one encoder
-	one.settings(&set)
-	one.names(&names)
-	out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(one.Bytes())))
+	var encoded encoder
+	encoded.settings(&set)
+	encoded.names(&names)
+	out.Write(fmt.Appendf(nil, "%x\n", sha256.Sum256(encoded.Bytes())))
 	recorded.Compare(t, "configuration", out.Bytes())
 }
 
-// What is said of a bad configuration is as it was recorded.
+// Compares the errors for invalid configurations with the recording.
 func TestRecordedErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{
@@ -222,15 +222,15 @@
 	recorded.Compare(t, "load-errors", out.Bytes())
 }
 
-// What a check says of a configuration that reads, and that a front end can't serve with, is as it was recorded.
+// Compares the errors of Check for configurations that Load accepts with the recording.
 func TestRecordedChecks(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{
-		every, least, strings.Replace(every, `"sockets":512`, `"sockets":15`, 1), strings.Replace(every,
+		full, minimal, strings.Replace(full, `"sockets":512`, `"sockets":15`, 1), strings.Replace(full,
 			`"replicas_of_me":7`, `"replicas_of_me":0`, 1),
-		strings.Replace(every, `"me":3`, `"me":7`, 1), strings.Replace(every, `"cold_from":0.25`, `"cold_from":1.5`, 1),
-		strings.Replace(every, `"name":"put"`, `"name":""`, 1), strings.Replace(every, `"name":"put"`, `"name":"load"`, 1),
-		strings.Replace(every, `"deadline":1000000016`, `"deadline":0`, 1),
+		strings.Replace(full, `"me":3`, `"me":7`, 1), strings.Replace(full, `"cold_from":0.25`, `"cold_from":1.5`, 1),
+		strings.Replace(full, `"name":"put"`, `"name":""`, 1), strings.Replace(full, `"name":"put"`, `"name":"load"`, 1),
+		strings.Replace(full, `"deadline":1000000016`, `"deadline":0`, 1),
 	} {
 		c, err := loadText(t, text, nil)
 		require.NoError(t, err, text)
--- a/internal/platformconfig/recorded_values_test.go
+++ b/internal/platformconfig/recorded_values_test.go
@@ -20,8 +20,8 @@
 
 const everyField = "testdata/every_field.json"
 
-// leaves lists every number and string that v holds, without names: zero values are left out, so that a
-// field may move into a struct of its own. Lists are sorted at the end, so that fields may change their order.
+// leaves returns every number and string in v, without field names. Zero values are omitted, so that a field may move
+// into another struct. The result is sorted, so that fields may change their order.
 func leaves(v reflect.Value) (list []string) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -47,7 +47,7 @@
 		if v.Len() > 0 {
 			list = []string{strconv.Quote(v.String())}
 		}
-	case reflect.Bool: // what a truth value does shows on the simulator's wire
+	case reflect.Bool: // omitted: the effect of a boolean shows on the simulator's wire
 	case reflect.Float64:
 		if v.Float() != 0 {
 			list = []string{strconv.FormatFloat(v.Float(), 'g', -1, 64)}
@@ -86,7 +86,8 @@
 	recorded.Compare(t, "defaults.txt", []byte(listing(c)))
 }
 
-// paths are those of all values, objects and the first of each list among them, in the order of the keys.
+// paths returns the paths of all values, objects included, in the order of the keys. Of a list, it includes only the
+// first element.
 func paths(v *fastjson.Value, prefix []string) (all [][]string) {
 	var keys []string
 	if object, err := v.Object(); err == nil {
@@ -98,7 +99,7 @@
 	for _, key := range keys {
 		path := append(slices.Clone(prefix), key)
 		all = append(all, path)
-		if key == "known" { // passed on as it is
+		if key == "known" { // passed on without decoding
 			continue
 		}
 		all = append(all, paths(v.Get(key), path)...)
@@ -106,18 +107,18 @@
 	return all
 }
 
-// TestRecordedBadValues puts a bad value in the place of every value. What it does to the front end's settings is
-// recorded as the error's text.
+// TestRecordedBadValues replaces each value in turn with values of other types and ranges, and compares the resulting
+// errors with the recording.
 func TestRecordedBadValues(t *testing.T) {
 	text, err := os.ReadFile(everyField)
 	require.NoError(t, err)
-	whole, err := fastjson.ParseBytes(text)
+	document, err := fastjson.ParseBytes(text)
 	require.NoError(t, err)
-	home, err := filepath.Abs(".")
+	workDir, err := filepath.Abs(".")
 	require.NoError(t, err)
 	t.Chdir(t.TempDir())
 	var b strings.Builder
-	for _, path := range paths(whole, nil) {
+	for _, path := range paths(document, nil) {
 		for _, bad := range []string{`null`, `{"no":1}`, `[]`, `["x"]`, `-1`, `0.5`, `true`, `"x"`} {
 			changed := fastjson.MustParse(string(text))
 			changed.Get(path[:len(path)-1]...).Set(path[len(path)-1], fastjson.MustParse(bad))
@@ -138,6 +139,6 @@
 		_, err := platformconfig.Load(path, env(nil))
 		fmt.Fprintf(&b, "file %q\t%v\n", path, err)
 	}
-	t.Chdir(home)
+	t.Chdir(workDir)
 	recorded.Compare(t, "bad_values.txt", []byte(b.String()))
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -6,8 +6,8 @@
 	"beechcart/admission"
 )
 
-// Parse reads the settings object that the simulator and the configuration share. Keys that are not known are skipped;
-// absent ones are zero; a value of a wrong type is an error that names it.
+// Parse decodes the settings object that the simulator and the configuration share. Unknown keys are skipped; absent
+// keys are zero; a value of a wrong type is an error that names the key.
 func Parse(text []byte) (admission.Settings, Names, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -37,7 +37,7 @@
 		PrioritiesSupported: d.boolean("family_info.lanes_count"),
 		CostReported:        d.boolean("family_info.says_cost"),
 		ProgressInterval:    d.duration("family_info.tells_every"),
-		MemoryShortage:      oneOf(d, "family_info.overbooked", shortages),
+		MemoryShortage:      oneOf(d, "family_info.overbooked", memoryShortages),
 		MaxGrantFraction:    d.number("family_info.most_grant"),
 		CancellationAllowed: d.boolean("permissions.cancel"),
 		HealthChecksAllowed: d.boolean("permissions.probes"),
@@ -78,7 +78,7 @@
 	"pull":      admission.HealthCheckReports,
 }
 
-var shortages = map[string]admission.MemoryShortage{
+var memoryShortages = map[string]admission.MemoryShortage{
 	"":           admission.WaitForMemory,
 	"line_up":    admission.WaitForMemory,
 	"cut":        admission.SpillToDisk,
@@ -107,9 +107,9 @@
 	}
 }
 
-// retryBudget is nil where neither of the keys that limit retries is there.
+// retryBudget returns nil if both keys that limit retries are absent.
 func retryBudget(d *decoder) *admission.RetryBudget {
-	// All keys are read in any case, so that a value of a wrong type is an error.
+	// All keys are decoded in any case, so that a value of a wrong type is an error.
 	budget := admission.RetryBudget{
 		MinRetries: d.number("rules.spare_attempts"),
 		Ratio:      d.number("rules.repeat_ratio"),
@@ -121,7 +121,7 @@
 	return &budget
 }
 
-// kinds reads the kinds of engines. The lists of cores and memory run beside that of the names.
+// kinds decodes the kinds of engines. The lists of cores and memory are parallel to the list of names.
 func kinds(d *decoder) (list []admission.Kind) {
 	cores, memory := d.list("family_info.size_cores"), d.list("family_info.kind_memory_mb")
 	for i := range d.list("skus") {
@@ -132,9 +132,9 @@
 	return list
 }
 
-// class reads the class at place i. What the engines tell of a class stands in lists of the whole settings, d.
+// class decodes class i from c. The engines' properties for each class are in lists of the whole settings, d.
 func class(d *decoder, i int, c *decoder, names Names) admission.Class {
-	read := admission.Class{
+	decoded := admission.Class{
 		LatencyObjective:    c.duration("on_time"),
 		ObjectivePerWork:    c.number("aim_stretch"),
 		Deadline:            c.duration("deadline"),
@@ -149,12 +149,12 @@
 		LocksTables:         element(d.list("family_info.holds_tables"), i).boolean(""),
 		WaitsForLocks:       element(d.list("family_info.waits_for_loads"), i).boolean(""),
 	}
-	// A name that no list holds stays as notFound: it matches no engine, so the bound is kept.
+	// An unknown name becomes notFound, which matches no engine, so that the restriction still holds.
 	for _, zone := range c.texts("stays_in") {
-		read.OnlyZones = append(read.OnlyZones, IndexOf(names.Zones, zone))
+		decoded.OnlyZones = append(decoded.OnlyZones, IndexOf(names.Zones, zone))
 	}
 	for _, kind := range c.texts("runs_on") {
-		read.OnlyKinds = append(read.OnlyKinds, IndexOf(names.Kinds, kind))
+		decoded.OnlyKinds = append(decoded.OnlyKinds, IndexOf(names.Kinds, kind))
 	}
-	return read
+	return decoded
 }
