--- a/internal/operatorconfig/cuefile/cuefile.go
+++ b/internal/operatorconfig/cuefile/cuefile.go
@@ -1,5 +1,6 @@
 // Package cuefile checks the operators' settings in CUE (cuelang.org) and builds the JSON that the front end reads.
-// Only gatewayctl links it: CUE costs more memory and start time than the front end may take (docs/consul.md).
+// Only gatewayctl links this package: CUE takes more memory and start-up time than the front end may use
+// (docs/consul.md).
 package cuefile
 
 import (
@@ -18,34 +19,34 @@
 //go:embed schema.cue
 var schema string
 
-// Schema is the text of the schema, with every field, its default and its range.
+// Schema returns the text of the schema, which holds every field with its default and its range.
 func Schema() string { return schema }
 
-// Read checks a file, and returns its settings with the defaults filled in. The error is a ValidationErrors or that of
-// the file system.
+// Read checks a file, and returns its settings with the defaults filled in. The error is a ValidationErrors, or wraps
+// an error of the file system.
 func Read(path string) (cue.Value, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return cue.Value{}, fmt.Errorf("settings: %w", err)
 	}
 	ctx := cuecontext.New()
-	rules := ctx.CompileString(schema, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Settings"))
-	if err := rules.Err(); err != nil {
-		return cue.Value{}, fmt.Errorf("settings: the schema itself: %w", err)
+	schemaValue := ctx.CompileString(schema, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Settings"))
+	if err := schemaValue.Err(); err != nil {
+		return cue.Value{}, fmt.Errorf("settings: built-in schema is invalid: %w", err)
 	}
 	file := ctx.CompileBytes(text, cue.Filename(path))
 	if err := file.Err(); err != nil {
-		return cue.Value{}, validationErrors(path, err, rules, file)
+		return cue.Value{}, validationErrors(path, err, schemaValue, file)
 	}
-	v := rules.Unify(file)
+	v := schemaValue.Unify(file)
 	if err := v.Validate(cue.Concrete(true), cue.Final()); err != nil {
-		return cue.Value{}, validationErrors(path, err, rules, file)
+		return cue.Value{}, validationErrors(path, err, schemaValue, file)
 	}
 	return v, nil
 }
 
-// Build checks a file and returns the JSON for the front end. What the front end would not take is not built: bounds
-// that hang together are checked by operatorconfig.
+// Build checks a file and returns the JSON for the front end. Bounds between settings are checked by operatorconfig, so
+// that Build returns an error for settings that the front end would reject.
 func Build(path string) ([]byte, error) {
 	v, err := Read(path)
 	if err != nil {
--- a/internal/operatorconfig/cuefile/errors.go
+++ b/internal/operatorconfig/cuefile/errors.go
@@ -10,14 +10,14 @@
 	"cuelang.org/go/cue/token"
 )
 
-// maxShownLength bounds what an error shows of a value, in bytes.
+// maxShownLength is the maximum number of bytes of a value that an error shows.
 const maxShownLength = 60
 
-// ValidationError is one thing wrong with a file. Its JSON is what 'gatewayctl config check --json' prints.
+// ValidationError is one error in a file. 'gatewayctl config check --json' prints its JSON form.
 type ValidationError struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"`  // 0: not at one line
-	Field   string `json:"field"` // empty: the file as a whole
+	Line    int    `json:"line"`  // 0: no single line
+	Field   string `json:"field"` // empty: the error concerns the whole file
 	Found   string `json:"found,omitempty"`
 	Allowed string `json:"allowed,omitempty"`
 	Text    string `json:"text"`
@@ -42,23 +42,23 @@
 	return b.String()
 }
 
-// ValidationErrors are all that is wrong with a file, in the order in which CUE finds them.
+// ValidationErrors holds the errors in a file, in the order in which CUE reports them.
 type ValidationErrors []ValidationError
 
 func (e ValidationErrors) Error() string {
 	var lines []string
-	for _, one := range e {
-		lines = append(lines, one.Error())
+	for _, item := range e {
+		lines = append(lines, item.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// validationErrors translates CUE's errors: one for each field, at its line in the file.
-func validationErrors(path string, err error, rules, file cue.Value) error {
+// validationErrors converts CUE's errors: the first one for each field, with its line in the file.
+func validationErrors(path string, err error, schemaValue, file cue.Value) error {
 	var list ValidationErrors
 	seen := map[string]bool{}
 	for _, cueError := range errors.Errors(err) {
-		e := validationError(cueError, rules, file)
+		e := validationError(cueError, schemaValue, file)
 		if e.Field != "" && seen[e.Field] {
 			continue
 		}
@@ -72,8 +72,8 @@
 	return list
 }
 
-// validationError translates one error, without the file, and with the line only where the field is in the file.
-func validationError(cueError errors.Error, rules, file cue.Value) ValidationError {
+// validationError converts one error. It does not set File, and sets Line only if the field is in the file.
+func validationError(cueError errors.Error, schemaValue, file cue.Value) ValidationError {
 	message, args := cueError.Msg()
 	e := ValidationError{
 		Field: fieldName(cueError.Path()),
@@ -84,21 +84,21 @@
 	}
 	field := cue.ParsePath(e.Field)
 	if v := file.LookupPath(field); v.Exists() {
-		e.Found, e.Line = shown(v), v.Pos().Line()
+		e.Found, e.Line = shortSource(v), v.Pos().Line()
 	}
-	if rule := rules.LookupPath(field); rule.Exists() {
-		e.Allowed, e.Text = allowed(rule), "not allowed"
+	if constraint := schemaValue.LookupPath(field); constraint.Exists() {
+		e.Allowed, e.Text = allowed(constraint), "not allowed"
 		return e
 	}
-	parent := rules
+	parent := schemaValue
 	if i := strings.LastIndexByte(e.Field, '.'); i >= 0 {
-		parent = rules.LookupPath(cue.ParsePath(e.Field[:i]))
+		parent = schemaValue.LookupPath(cue.ParsePath(e.Field[:i]))
 	}
 	e.Text, e.Found, e.Allowed = "not known", "", "one of "+strings.Join(fieldNames(parent), ", ")
 	return e
 }
 
-// fieldName is the path of an error as the file has it.
+// fieldName returns the path of an error as written in the file, without the schema's top-level definition.
 func fieldName(path []string) string {
 	if len(path) > 0 && path[0] == "#Settings" {
 		path = path[1:]
@@ -106,7 +106,7 @@
 	return strings.Join(path, ".")
 }
 
-// lineIn returns the line of an error in a file; 0 where it names none.
+// lineIn returns the line of an error in a file; 0 if the error has no position in this file.
 func lineIn(path string, e errors.Error) int {
 	for _, position := range append([]token.Pos{e.Position()}, e.InputPositions()...) {
 		if position.IsValid() && position.Filename() == path {
@@ -116,14 +116,14 @@
 	return 0
 }
 
-// source returns a value as it would be written in a file, on one line.
+// source returns the CUE source of a value on one line.
 func source(v cue.Value) (string, error) {
 	text, err := format.Node(v.Syntax(cue.Raw()))
 	return strings.Join(strings.Fields(string(text)), " "), err
 }
 
-// shown is the source of a value, shortened.
-func shown(v cue.Value) string {
+// shortSource returns the source of a value, shortened to maxShownLength.
+func shortSource(v cue.Value) string {
 	text, err := source(v)
 	if err != nil {
 		return fmt.Sprint(v)
@@ -135,21 +135,21 @@
 	return text
 }
 
-// allowed is what the schema lets a field be.
-func allowed(rule cue.Value) string {
-	if rule.IncompleteKind() == cue.StructKind {
-		return "a record of " + strings.Join(fieldNames(rule), ", ")
+// allowed describes the values that the schema allows for a field.
+func allowed(constraint cue.Value) string {
+	if constraint.IncompleteKind() == cue.StructKind {
+		return "a record of " + strings.Join(fieldNames(constraint), ", ")
 	}
-	text, err := source(rule)
+	text, err := source(constraint)
 	if err != nil {
-		return fmt.Sprint(rule)
+		return fmt.Sprint(constraint)
 	}
 	return text
 }
 
-func fieldNames(rule cue.Value) []string {
+func fieldNames(constraint cue.Value) []string {
 	var names []string
-	if fields, err := rule.Fields(); err == nil {
+	if fields, err := constraint.Fields(); err == nil {
 		for fields.Next() {
 			names = append(names, fields.Selector().String())
 		}
--- a/internal/operatorconfig/cuefile/recorded_test.go
+++ b/internal/operatorconfig/cuefile/recorded_test.go
@@ -16,9 +16,9 @@
 )
 
 func TestRecordedBuild(t *testing.T) {
-	every, err := cuefile.Build("testdata/every_field.cue")
+	allFields, err := cuefile.Build("testdata/every_field.cue")
 	require.NoError(t, err)
-	recorded.Compare(t, "every_field.json", every)
+	recorded.Compare(t, "every_field.json", allFields)
 	empty := filepath.Join(t.TempDir(), "empty.cue")
 	require.NoError(t, os.WriteFile(empty, nil, 0o600))
 	defaults, err := cuefile.Build(empty)
@@ -26,9 +26,9 @@
 	recorded.Compare(t, "defaults.json", defaults)
 }
 
-func TestRecordedProblems(t *testing.T) {
+func TestRecordedValidationErrors(t *testing.T) {
 	const file = "bad.cue"
-	recordings, err := filepath.Abs(".")
+	workDir, err := filepath.Abs(".")
 	require.NoError(t, err)
 	t.Chdir(t.TempDir())
 	var b strings.Builder
@@ -44,17 +44,17 @@
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		_, err := cuefile.Build(file)
 		fmt.Fprintf(&b, "%q\n", text)
-		var problems cuefile.ValidationErrors
-		if !errors.As(err, &problems) {
+		var validationErrors cuefile.ValidationErrors
+		if !errors.As(err, &validationErrors) {
 			fmt.Fprintf(&b, "\tno list of problems: %v\n", err)
 		}
-		for _, p := range problems {
+		for _, p := range validationErrors {
 			fmt.Fprintf(&b, "\tfile %q line %d field %q found %q allowed %q text %q\n\t%s\n",
 				p.File, p.Line, p.Field, p.Found, p.Allowed, p.Text, p)
 		}
 	}
 	_, err = cuefile.Build("none.cue")
 	fmt.Fprintf(&b, "no file: %v\n", err)
-	t.Chdir(recordings)
+	t.Chdir(workDir)
 	recorded.Compare(t, "problems.txt", []byte(b.String()))
 }
--- a/internal/operatorconfig/cuefile/schema.cue
+++ b/internal/operatorconfig/cuefile/schema.cue
@@ -1,8 +1,8 @@
-// The operators' settings. Times end in _ms (milliseconds), sizes in _mb. A field that is left out has the value
-// after the star; docs/consul.md gives the reason of each.
+// The operators' settings. Fields that end in _ms are times in milliseconds, fields that end in _mb sizes in megabytes.
+// An absent field has the default, the value after the star. docs/consul.md gives the reason for each default.
 
 #Settings: {
-	// where the engine list comes from: "changelog" is the platform's
+	// source of the engine list: "changelog" is the platform's change log
 	source: *"changelog" | "consul"
 
 	log: {
@@ -18,11 +18,11 @@
 		namespace:  string | *""
 		tag:        string | *""
 		filter:     string | *""
-		// ask for passing instances only; a failing check then looks like a deregistration
+		// request passing instances only: an instance with a failing check then looks deregistered
 		passing:     bool | *false
 		consistency: *"default" | "stale" | "consistent"
 
-		// files; "" is none
+		// paths of files; "" means no file
 		token_file:  string | *""
 		ca_file:     string | *""
 		server_name: string | *""
@@ -41,7 +41,7 @@
 		max_pause_ms:   (int & >=10 & <=600000) | *3000
 		hold_ms:        (int & >=1000 & <=3600000) | *30000
 
-		// where the fields of an engine stand: "meta:KEY", "node_meta:KEY", "tag:PREFIX", "datacenter" or ""
+		// places of the fields of an engine: "meta:KEY", "node_meta:KEY", "tag:PREFIX", "datacenter" or "" (none)
 		map: {
 			#place:     "" | "datacenter" | =~"^(meta|node_meta|tag):."
 			zone:       #place | *"meta:zone"
@@ -73,48 +73,48 @@
 	}
 
 	last_good: {
-		// "" keeps no list; needs a disk that outlives the program
+		// "" stores no list; the file needs a disk that persists across restarts
 		path:           string | *""
 		write_every_ms: (int & >=1 & <=3600000) | *1000
-		// 0 is any age
+		// 0 means no limit
 		max_age_ms: (int & >=0 & <=604800000) | *86400000
 	}
 
 	clients: {
-		// a session that asks nothing is closed after this
+		// a session without requests is closed after this time
 		idle_ms: (int & >=1000 & <=86400000) | *5000
-		// 0 is two fifths of the descriptors that the platform's configuration allows; never more than half of them
+		// 0 means two fifths of the descriptors that the platform's configuration allows; the limit is at most half of them
 		max_sessions: (int & >=0 & <=1048576) | *0
 	}
 
 	engines: {
-		// whether connections that have ended a query serve again: "auto" where the platform puts a price on new ones
+		// reuse of a connection after its query has ended: "auto" reuses if the platform puts a price on new connections
 		reuse: *"auto" | "on" | "off"
 	}
 
-	// path of a local socket for gatewayctl; "" is none
+	// path of a local socket for gatewayctl; "" means no socket
 	admin_socket: string | *""
 
-	// What front ends agree on (docs/rollout.md). Off while gossip is "".
+	// Membership in the fleet of front ends (docs/rollout.md). Disabled if gossip is "".
 	fleet: {
-		// HOST:PORT, TCP and UDP, reached by all front ends
+		// HOST:PORT, TCP and UDP, reachable from all front ends
 		gossip:   string | *""
 		room:     string | *""
 		kind:     string | *""
 		revision: string | *""
-		// what this front end can carry, requests a second
+		// capacity of this front end, in requests per second
 		weight: (number & >=0 & <=1000000) | *0
-		// 1, 3, 5 or 7 front ends keep the log, best of as many rooms; alike at all front ends
+		// 1, 3, 5 or 7 front ends that replicate the log, preferably in as many zones (room); the same at all front ends
 		keepers: *[] | [...{name: string, log: string, ask: string, gossip: string}]
-		// folder of the log, at those that keep it
+		// directory of the log, at front ends that replicate the log
 		dir: string | *""
-		// a file with 16, 24 or 32 bytes, alike at all front ends
+		// file with a key of 16, 24 or 32 bytes, the same at all front ends
 		key_file: string | *""
-		// "FROM=TO": addresses that are dialled in place of others
+		// "FROM=TO": address TO is dialled in place of address FROM
 		routes: *[] | [...=~"^.+=.+$"]
-		// for drills: a file that holds "full", "sync" or "slow" while the log's disk is to fail so
+		// for fault tests: file that holds "full", "sync" or "slow" while the log's disk is to fail in that way
 		disk_faults: string | *""
-		// for drills: by how much the clock is taken to be ahead of the machine's
+		// for fault tests: assumed lead of the fleet's clock over the machine's clock
 		ahead_ms: (int & >=0 & <=3600000) | *0
 	}
 }
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -12,10 +12,10 @@
 	"beechcart/internal/source/consul"
 )
 
-// SchemaVersion is the version of the built JSON.
+// SchemaVersion is the version of the JSON that gatewayctl builds.
 const SchemaVersion = 1
 
-// Load reads a file that gatewayctl has built; an empty path gives the defaults.
+// Load reads a file built by gatewayctl. An empty path gives the defaults.
 func Load(path string) (Settings, error) {
 	if path == "" {
 		return Default(), nil
@@ -35,8 +35,8 @@
 	return s, nil
 }
 
-// Parse reads the built JSON. A key that is absent keeps its default; an unknown key is an UnknownFieldError, and a
-// value that is not allowed a FieldError.
+// Parse decodes the JSON that gatewayctl builds. An absent key keeps its default. The error for an unknown key is an
+// UnknownFieldError, that for a value that is not allowed a FieldError.
 func Parse(text []byte) (Settings, error) {
 	s := Default()
 	document, err := fastjson.ParseBytes(text)
--- a/internal/operatorconfig/files.go
+++ b/internal/operatorconfig/files.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// ResolveFiles tells what only the running machine can: files that the settings name and that can't be read. It reads
-// the fleet's key into the settings.
+// ResolveFiles reads the fleet's key into the settings, and returns an error for the first file that the settings name
+// and that is not accessible. Only the machine that the front end runs on can make this check.
 func (s *Settings) ResolveFiles() error {
 	if s.Source == SourceConsul {
 		if err := s.checkConsulFiles(); err != nil {
@@ -39,7 +39,7 @@
 		if _, err := os.Stat(file.path); err != nil {
 			var pathError *fs.PathError
 			if errors.As(err, &pathError) {
-				err = pathError.Err // the path stands in the message already
+				err = pathError.Err // the error below names the path
 			}
 			return fmt.Errorf("consul.%s: %s: %w", file.key, file.path, err)
 		}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Check names the first bound that hangs together with another and is not kept.
+// Check returns an error for the first setting that is out of a bound set by another setting.
 func (s *Settings) Check() error {
 	if err := s.Consul.Membership.Check(); err != nil {
 		return fmt.Errorf("membership.%w", err)
--- a/internal/operatorconfig/recorded_test.go
+++ b/internal/operatorconfig/recorded_test.go
@@ -17,15 +17,15 @@
 	"beechcart/internal/operatorconfig"
 )
 
-// everyField is the built form of a file that sets every field.
+// everyField is the JSON built from a file that sets every field.
 const everyField = "cuefile/testdata/recorded/every_field.json"
 
-// values lists each setting under its key in the file.
+// values returns one line for each setting, with the key that the setting has in the file.
 func values(s *operatorconfig.Settings) string {
 	c, p, m, mp, f := &s.Consul, &s.Consul.Poll, &s.Consul.Membership, &s.Consul.Mapping, &s.Fleet
-	var keepers []string
+	var replicas []string
 	for _, k := range f.ControlReplicas {
-		keepers = append(keepers, strings.Join([]string{k.Name, k.LogAddress, k.APIAddress, k.GossipAddress}, " "))
+		replicas = append(replicas, strings.Join([]string{k.Name, k.LogAddress, k.APIAddress, k.GossipAddress}, " "))
 	}
 	var b strings.Builder
 	for _, setting := range []struct {
@@ -55,7 +55,7 @@
 		{"last_good.max_age_ms", s.EndpointCache.MaxAge}, {"clients.idle_ms", s.Clients.IdleTimeout},
 		{"clients.max_sessions", s.Clients.MaxSessions}, {"engines.reuse", s.Reuse}, {"admin_socket", s.AdminSocket},
 		{"fleet.room", f.Zone}, {"fleet.kind", f.Kind}, {"fleet.revision", f.Revision}, {"fleet.weight", f.CapacityPerSecond},
-		{"fleet.gossip", f.GossipAddress}, {"fleet.keepers", strings.Join(keepers, ", ")}, {"fleet.dir", f.LogDirectory},
+		{"fleet.gossip", f.GossipAddress}, {"fleet.keepers", strings.Join(replicas, ", ")}, {"fleet.dir", f.LogDirectory},
 		{"fleet.key_file", f.KeyFile}, {"fleet.routes", f.DialOverrides}, {"fleet.disk_faults", f.DiskFaultFile},
 		{"fleet.ahead_ms", f.ClockSkew}, {"fleet key", f.Key},
 	} {
@@ -75,7 +75,7 @@
 	assert.Equal(t, values(&defaults), values(&unchanged))
 	for _, line := range strings.Split(strings.TrimSpace(values(&every)), "\n") {
 		if !strings.HasPrefix(line, "fleet key = ") {
-			assert.NotContains(t, values(&defaults), line+"\n", "a value that is the default shows nothing")
+			assert.NotContains(t, values(&defaults), line+"\n", "every field must differ from its default")
 		}
 	}
 }
@@ -83,29 +83,29 @@
 func TestRecordedSessionBounds(t *testing.T) {
 	var b strings.Builder
 	for _, sessions := range []int{0, 1, 100, 1000} {
-		for _, sockets := range []int{16, 250, 511, 4096} {
+		for _, descriptors := range []int{16, 250, 511, 4096} {
 			c := operatorconfig.ClientLimits{MaxSessions: sessions}
-			fmt.Fprintf(&b, "max_sessions %d, %d descriptors: %d\n", sessions, sockets, c.SessionLimit(sockets))
+			fmt.Fprintf(&b, "max_sessions %d, %d descriptors: %d\n", sessions, descriptors, c.SessionLimit(descriptors))
 		}
 	}
 	for _, reuse := range []operatorconfig.ConnectionReuse{"auto", "on", "off"} {
 		for _, price := range []float64{0, 0.01} {
 			s := operatorconfig.Settings{Reuse: reuse}
-			trust, err := s.ReusePolicy(price, 512)
+			policy, err := s.ReusePolicy(price, 512)
 			require.NoError(t, err)
-			fmt.Fprintf(&b, "reuse %s, handshake price %v: %t\n", reuse, price, trust != nil)
+			fmt.Fprintf(&b, "reuse %s, handshake price %v: %t\n", reuse, price, policy != nil)
 		}
 	}
 	recorded.Compare(t, "session_bounds.txt", []byte(b.String()))
 }
 
-// badValues are put in the place of every value.
+// badValues replace each value in turn.
 var badValues = []string{
 	`null`, `{"no":1}`, `[]`, `[{"name":1}]`, `["x"]`, `-1`, `0.5`, `1e12`, `true`,
 	`"a string of more than forty characters, which an error cuts short"`,
 }
 
-// paths are those of all values, objects among them, in the order of the keys.
+// paths returns the paths of all values, objects included, in the order of the keys.
 func paths(v *fastjson.Value, prefix []string) (all [][]string) {
 	object, err := v.Object()
 	if err != nil {
@@ -125,10 +125,10 @@
 func TestRecordedErrorsOfBadValues(t *testing.T) {
 	text, err := os.ReadFile(everyField)
 	require.NoError(t, err)
-	whole, err := fastjson.ParseBytes(text)
+	document, err := fastjson.ParseBytes(text)
 	require.NoError(t, err)
 	var b strings.Builder
-	for _, path := range paths(whole, nil) {
+	for _, path := range paths(document, nil) {
 		for _, bad := range badValues {
 			changed := fastjson.MustParse(string(text))
 			parent := changed.Get(path[:len(path)-1]...)
@@ -145,7 +145,7 @@
 }
 
 func TestRecordedErrorsOfFiles(t *testing.T) {
-	recordings, err := filepath.Abs(".")
+	workDir, err := filepath.Abs(".")
 	require.NoError(t, err)
 	t.Chdir(t.TempDir())
 	require.NoError(t, os.WriteFile("there", []byte(" 0123456789abcdef\n"), 0o600))
@@ -183,6 +183,6 @@
 	require.NoError(t, os.WriteFile("bad", []byte(`{"schema":1,"source":7}`), 0o600))
 	_, err = operatorconfig.Load("bad")
 	fmt.Fprintf(&b, "bad file: %v\n", err)
-	t.Chdir(recordings)
+	t.Chdir(workDir)
 	recorded.Compare(t, "file_errors.txt", []byte(b.String()))
 }
--- a/internal/operatorconfig/settings.go
+++ b/internal/operatorconfig/settings.go
@@ -1,10 +1,10 @@
-// Package operatorconfig holds the operators' own settings: what the platform's configuration does not tell. They are
-// written in CUE, checked and built to JSON by gatewayctl (internal/operatorconfig/cuefile), and read from JSON by
-// the front end, which stays small that way. Without a file the defaults hold, and nothing beyond the platform's page
-// is on.
+// Package operatorconfig holds the operators' settings, which the platform's configuration does not contain. Operators
+// write the settings in CUE. gatewayctl checks them and builds JSON (internal/operatorconfig/cuefile). The front end
+// reads only the JSON, which keeps the front end small. Without a file the defaults apply, which enable nothing beyond
+// the platform's specification.
 //
-// docs/terms.md lists the keys of the file beside the names of the fields here; decode.go is the one place that maps
-// them.
+// docs/terms.md lists the keys of the file beside the names of the fields here; decode.go alone maps the keys to the
+// fields.
 package operatorconfig
 
 import (
@@ -17,21 +17,21 @@
 	"beechcart/internal/source/consul"
 )
 
-// Source names where the engine list comes from.
+// Source selects the source of the engine list.
 type Source string
 
 // The sources of the engine list.
 const (
-	SourceChangeLog Source = "changelog" // the platform's own
+	SourceChangeLog Source = "changelog" // the platform's change log
 	SourceConsul    Source = "consul"
 )
 
-// ConnectionReuse tells whether a connection to an engine that has ended a query is used for another one.
+// ConnectionReuse selects whether a connection to an engine on which a query has ended serves another query.
 type ConnectionReuse string
 
-// The ways to treat connections to engines that have ended a query.
+// The values of ConnectionReuse.
 const (
-	ReuseAuto ConnectionReuse = "auto" // reused where the platform puts a price on new connections
+	ReuseAuto ConnectionReuse = "auto" // reused if the platform puts a price on new connections
 	ReuseOn   ConnectionReuse = "on"
 	ReuseOff  ConnectionReuse = "off"
 )
@@ -48,26 +48,27 @@
 	Fleet         Fleet
 }
 
-// Log is the form of the log.
+// Log holds the settings of the log.
 type Log struct {
 	Level  slog.Level
 	Format string // "text" or "json"
 }
 
-// EndpointCache is the file that keeps the last good engine list.
+// EndpointCache holds the settings of the file that stores the last good engine list.
 type EndpointCache struct {
-	Path          string // empty: none
+	Path          string // empty: no file
 	WriteInterval time.Duration
-	MaxAge        time.Duration // 0: any age
+	MaxAge        time.Duration // 0: no limit
 }
 
-// ClientLimits are the bounds of sessions.
+// ClientLimits holds the limits of client sessions.
 type ClientLimits struct {
 	IdleTimeout time.Duration // a session without a request for this long is closed
 	MaxSessions int           // 0: two fifths of the descriptors
 }
 
-// SessionLimit is the highest number of concurrent sessions of a front end that may open so many descriptors.
+// SessionLimit returns the maximum number of concurrent sessions of a front end that may open the given number of
+// descriptors.
 func (c ClientLimits) SessionLimit(descriptors int) int {
 	if c.MaxSessions > 0 {
 		return min(c.MaxSessions, descriptors/2)
@@ -75,7 +76,7 @@
 	return descriptors * 2 / 5
 }
 
-// Fleet is this front end's membership of the fleet. It is off where GossipAddress is empty.
+// Fleet holds the settings of this front end's membership in the fleet. An empty GossipAddress disables the membership.
 type Fleet struct {
 	Zone              string
 	Kind              string
@@ -83,34 +84,35 @@
 	CapacityPerSecond float64 // requests
 	GossipAddress     string  // host:port, TCP and UDP
 	ControlReplicas   []ControlReplica
-	LogDirectory      string // at a control replica
+	LogDirectory      string // used by control replicas only
 	KeyFile           string
-	Key               string            // contents of KeyFile; ResolveFiles reads it
-	DialOverrides     map[string]string // address to dial, by the address that it stands in for
-	DiskFaultFile     string            // fault tests only: names a fault of the log's disk
-	ClockSkew         time.Duration     // fault tests only: how far the fleet's clock is ahead of the machine's
+	Key               string            // contents of KeyFile, set by ResolveFiles
+	DialOverrides     map[string]string // address to dial, by the address that it replaces
+	DiskFaultFile     string            // fault tests only: file that names a fault of the log's disk
+	ClockSkew         time.Duration     // fault tests only: lead of the fleet's clock over the machine's clock
 }
 
-// ControlReplica is where a front end that replicates the control log is reached; each address is host:port.
+// ControlReplica holds the addresses of a front end that replicates the control log. Each address is host:port.
 type ControlReplica struct {
 	Name          string
-	LogAddress    string // by the other control replicas
-	APIAddress    string // by members and operators
+	LogAddress    string // for the other control replicas
+	APIAddress    string // for members and operators
 	GossipAddress string
 }
 
-// ReusePolicy decides which connections to engines are reused, where one new connection costs handshakePrice points of
-// service and the front end may open so many descriptors. It is nil where none is reused.
+// ReusePolicy returns the policy that decides which connections to engines are reused, or nil if none is.
+// handshakePrice is the cost of one new connection in points of service, descriptors the number of descriptors that the
+// front end may open.
 func (s *Settings) ReusePolicy(handshakePrice float64, descriptors int) (*reuse.Policy, error) {
 	if s.Reuse == ReuseOff || (s.Reuse == ReuseAuto && handshakePrice <= 0) {
 		return nil, nil
 	}
 	set := reuse.Defaults()
-	set.MaxIdleTotal = min(set.MaxIdleTotal, descriptors/8) // idle connections take places at engines, which are scarce
+	set.MaxIdleTotal = min(set.MaxIdleTotal, descriptors/8) // idle connections occupy scarce slots of engines
 	return reuse.New(set)
 }
 
-// Default returns the settings that hold where nothing is set.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Source: SourceChangeLog,
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -15,13 +15,13 @@
 
 const bytesPerMegabyte = 1 << 20
 
-// maxMilliseconds is the longest time that a setting may name: a week.
+// maxMilliseconds is the maximum of a time setting: one week.
 const maxMilliseconds = 7 * 24 * 3600 * 1000
 
-// maxShownLength bounds what an error shows of a value, in bytes.
+// maxShownLength is the maximum number of bytes of a value that an error shows.
 const maxShownLength = 40
 
-// FieldError is a value of the settings that is not allowed.
+// FieldError reports a value that its field does not allow.
 type FieldError struct {
 	Field   string // path of the key, such as consul.addresses[0]
 	Found   string // the value, as JSON, shortened
@@ -41,7 +41,7 @@
 	return &FieldError{Field: path, Found: found, Allowed: allowed}
 }
 
-// UnknownFieldError is a key that the settings do not have.
+// UnknownFieldError reports a key that the settings do not have.
 type UnknownFieldError struct {
 	Field string   // path of the key
 	Known []string // keys of the same object
@@ -51,10 +51,10 @@
 	return fmt.Sprintf("%s: not known; allowed are %s", e.Field, strings.Join(e.Known, ", "))
 }
 
-// decodeFunc decodes one value into the variable that it was made for; path names the value in errors.
+// decodeFunc decodes one value into the variable for which the decodeFunc was created. path names the value in errors.
 type decodeFunc func(path string, v *fastjson.Value) error
 
-// objectDecoder decodes an object, with a decodeFunc for each key that it may have.
+// objectDecoder decodes an object. It holds a decodeFunc for each allowed key.
 type objectDecoder map[string]decodeFunc
 
 // decode stops at the first error.
@@ -156,7 +156,7 @@
 	}
 }
 
-// dialOverrides decodes a list of FROM=TO.
+// dialOverrides decodes a list of strings of the form FROM=TO.
 func dialOverrides(target *map[string]string) decodeFunc {
 	return func(path string, v *fastjson.Value) error {
 		var list []string
@@ -189,7 +189,7 @@
 	}
 }
 
-// numberBetween reads a number from low to high, both included.
+// numberBetween decodes a number from low to high, both included.
 func numberBetween(path string, v *fastjson.Value, low, high float64) (float64, error) {
 	n, err := v.Float64()
 	if err != nil || n < low || n > high || math.IsNaN(n) {
