--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -35,8 +35,8 @@
 	return s, nil
 }
 
-// Parse decodes the JSON that gatewayctl builds. An absent key keeps its default. The error for an unknown key is an
-// UnknownFieldError, that for a value that is not allowed a FieldError.
+// Parse decodes the JSON that gatewayctl builds. An absent key keeps its default. An unknown key is an
+// UnknownFieldError, a value that is not allowed is a FieldError.
 func Parse(text []byte) (Settings, error) {
 	s := Default()
 	document, err := fastjson.ParseBytes(text)
--- a/internal/operatorconfig/files.go
+++ b/internal/operatorconfig/files.go
@@ -9,7 +9,7 @@
 )
 
 // ResolveFiles reads the fleet's key into the settings, and returns an error for the first file that the settings name
-// and that is not accessible. Only the machine that the front end runs on can make this check.
+// and that is not accessible. The check is valid only on the machine that the front end runs on.
 func (s *Settings) ResolveFiles() error {
 	if s.Source == SourceConsul {
 		if err := s.checkConsulFiles(); err != nil {
--- a/internal/operatorconfig/recorded_test.go
+++ b/internal/operatorconfig/recorded_test.go
@@ -24,8 +24,8 @@
 func values(s *operatorconfig.Settings) string {
 	c, p, m, mp, f := &s.Consul, &s.Consul.Poll, &s.Consul.Membership, &s.Consul.Mapping, &s.Fleet
 	var replicas []string
-	for _, k := range f.ControlReplicas {
-		replicas = append(replicas, strings.Join([]string{k.Name, k.LogAddress, k.APIAddress, k.GossipAddress}, " "))
+	for _, r := range f.ControlReplicas {
+		replicas = append(replicas, strings.Join([]string{r.Name, r.LogAddress, r.APIAddress, r.GossipAddress}, " "))
 	}
 	var b strings.Builder
 	for _, setting := range []struct {
--- a/internal/platformconfig/recorded_test.go
+++ b/internal/platformconfig/recorded_test.go
@@ -156,7 +156,7 @@
 // Compares the decoded value of each field with the recording.
 func TestRecordedConfiguration(t *testing.T) {
 	var out encoder
-	for _, k := range []struct {
+	for _, test := range []struct {
 		text string
 		env  map[string]string
 	}{
@@ -170,7 +170,7 @@
 		{strings.Replace(full, `"overcommit"`, `"line_up"`, 1), nil},
 		{strings.Replace(full, `"group":"zone"`, `"group":"all"`, 1), nil},
 	} {
-		c, err := loadText(t, k.text, k.env)
+		c, err := loadText(t, test.text, test.env)
 		require.NoError(t, err)
 		var encoded encoder
 		encoded.config(c)
--- a/internal/source/consul/client.go
+++ b/internal/source/consul/client.go
@@ -99,7 +99,7 @@
 		fields = append(fields, http1.Field{Name: "X-Consul-Token", Value: token})
 	}
 	limits := http1.Limits{Head: maxHeadBytes, Body: c.options.MaxBody}
-	r.HasLeader = true // unless a header field says otherwise: a server without a leader does not answer
+	r.HasLeader = true // a server that omits X-Consul-KnownLeader has a leader, or it would not answer
 	call := http1.Request{Method: "GET", Path: c.options.path(request), Fields: fields}
 	head, err := c.conn.Do(call, deadline, limits, r.parseField)
 	if err != nil {
--- a/internal/source/endpointcache/store.go
+++ b/internal/source/endpointcache/store.go
@@ -36,7 +36,7 @@
 	ErrTruncated = errors.New("truncated") // ends within the first line, or before the length in it
 	ErrTorn      = errors.New("torn")      // the first line, the length or the checksum is wrong
 	ErrLarge     = errors.New("large")     // larger than maxFileBytes
-	ErrMalformed = errors.New("malformed") // the checksum matches, but the content is not a list
+	ErrMalformed = errors.New("malformed") // the checksum matches, but the content is not a valid list
 	ErrAge       = errors.New("old")       // older than the settings allow
 )
 
