--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -59,7 +59,7 @@
 	return o
 }
 
-func TestOptionsNameWhatIsWrong(t *testing.T) {
+func TestCheckNamesTheInvalidOption(t *testing.T) {
 	for want, change := range map[string]func(*Options){
 		"revision":           func(o *Options) { o.Revision = "" },
 		"keepers: found 2":   func(o *Options) { o.ControlReplicas = append(o.ControlReplicas, o.ControlReplicas[0]) },
@@ -84,7 +84,7 @@
 }
 
 // A process after one whose clock was ahead must not be taken for the older.
-func TestIncarnationOutlivesAClockSetBack(t *testing.T) {
+func TestIncarnationIncreasesAfterClockIsSetBack(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "log")
 	ahead := uint64(time.Now().Add(time.Hour).UnixNano())
 	require.NoError(t, os.WriteFile(directory+".process", []byte(strconv.FormatUint(ahead, 10)), 0o600))
@@ -97,7 +97,7 @@
 
 // A replica that has lost its log must not answer calls that are meant for what it was: it would vote with a past that
 // it has lost.
-func TestCallsForALostIdentityAreNotAnswered(t *testing.T) {
+func TestHandshakeRejectsAnotherIdentity(t *testing.T) {
 	o := options(t)
 	address := o.ControlReplicas[0].LogAddress
 	s, err := listenRaft(o, address, "n0.new")
@@ -129,7 +129,7 @@
 }
 
 // What is agreed outlives the process; files without an identity are rejected, and an empty log is another replica.
-func TestReplicaGoesOnFromItsLog(t *testing.T) {
+func TestReplicaRestartsFromItsLog(t *testing.T) {
 	o := options(t)
 	r, err := OpenReplica(o)
 	require.NoError(t, err)
@@ -137,12 +137,12 @@
 	applyEventually(t, r, rollout.Command{ReportStatus: &rollout.ReportStatus{
 		Name: "n0", Zone: "room-a", Incarnation: 1, StatusSequence: 1, Revision: "r1", Phase: rollout.Serving,
 	}})
-	was := r.id
+	identity := r.id
 	r.Close()
 
 	r, err = OpenReplica(o)
 	require.NoError(t, err)
-	assert.Equal(t, was, r.id)
+	assert.Equal(t, identity, r.id)
 	applyEventually(t, r, rollout.Command{Tick: &struct{}{}})
 	r.readState(func(m *rollout.StateMachine) { assert.Equal(t, "r1", m.Members["n0"].Revision) })
 	answer, err := r.serveWatch(httptest.NewRequest(http.MethodGet, "/watch?name=n0", nil))
@@ -157,13 +157,13 @@
 	r, err = OpenReplica(o)
 	require.NoError(t, err)
 	defer r.Close()
-	assert.NotEqual(t, was, r.id)
+	assert.NotEqual(t, identity, r.id)
 	assert.False(t, r.isLeader(), "a replica without a past begins nothing by itself")
 }
 
 // On a full disk the library can't write the term that it votes in, and panics; the front end must serve on. The
 // replica is closed, and goes on from its log once there is space.
-func TestFullDiskEndsTheReplicaOnly(t *testing.T) {
+func TestFullDiskStopsOnlyTheReplica(t *testing.T) {
 	o := options(t)
 	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
 	r, err := OpenReplica(o)
@@ -176,7 +176,7 @@
 	_, err = r.Apply(rollout.Command{Tick: &struct{}{}})
 	require.Error(t, err)
 	<-r.store.failed
-	assert.Equal(t, diskrecovery.NoSpace, classifyFailure(r.store.reason()))
+	assert.Equal(t, diskrecovery.NoSpace, classifyFailure(r.store.firstFailure()))
 	require.Error(t, r.store.Set([]byte("a"), []byte("b")), "nothing more is written after a failure")
 	isCandidate := func() bool { return r.raft.State() == raft.Candidate }
 	require.Eventually(t, isCandidate, 10*time.Second, 10*time.Millisecond, "it stands for election")
@@ -184,7 +184,7 @@
 	go func() {
 		done := false
 		defer func() { returned <- done }()
-		_ = r.store.SetUint64([]byte(currentTerm), 99)
+		_ = r.store.SetUint64([]byte(currentTermKey), 99)
 		done = true
 	}()
 	assert.False(t, <-returned, "the library panics on what this returns")
@@ -203,7 +203,7 @@
 
 // Two of three members end at once, so that nobody shares the suspicion of the third, which must not last the library's
 // default of 5.4 s and more: as long they would count as available. Fault test rollout, seed 2005.
-func TestMembersThatHaveEndedAreSoonNotAlive(t *testing.T) {
+func TestEndedMembersStopBeingAliveWithinFourSeconds(t *testing.T) {
 	first := options(t)
 	var all []*gossip
 	for i := range 3 {
@@ -217,18 +217,18 @@
 		all = append(all, g)
 	}
 	defer all[0].close()
-	alive := func(want int) func() bool { return func() bool { return len(all[0].aliveProcesses()) == want } }
-	require.Eventually(t, alive(3), 10*time.Second, 10*time.Millisecond)
+	aliveCountIs := func(want int) func() bool { return func() bool { return len(all[0].aliveProcesses()) == want } }
+	require.Eventually(t, aliveCountIs(3), 10*time.Second, 10*time.Millisecond)
 	for _, g := range all[1:] {
 		close(g.stop)
 		require.NoError(t, g.members.Shutdown(), "without leaving")
 	}
 	ended := time.Now()
-	require.Eventually(t, alive(1), 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, aliveCountIs(1), 20*time.Second, 10*time.Millisecond)
 	assert.Less(t, time.Since(ended), 4*time.Second)
 }
 
-func TestOnlyWantOfSpaceProvesWhatIsWritten(t *testing.T) {
+func TestOnlyNoSpaceLeavesDurabilityKnown(t *testing.T) {
 	for fault, want := range map[string]diskrecovery.Failure{
 		"full": diskrecovery.NoSpace, "sync": diskrecovery.DurabilityUnknown,
 	} {
@@ -248,7 +248,7 @@
 	assert.Equal(t, diskrecovery.DurabilityUnknown, classifyFailure(io.ErrUnexpectedEOF), "of any other error")
 }
 
-func TestCallsNeedTheKey(t *testing.T) {
+func TestCallsRequireTheKey(t *testing.T) {
 	o := options(t)
 	address := o.ControlReplicas[0].APIAddress
 	r, err := OpenReplica(o)
@@ -266,7 +266,7 @@
 	require.ErrorContains(t, err, "no keeper could be asked", "nobody leads")
 }
 
-func TestCountsAreGatheredByWindow(t *testing.T) {
+func TestCountsAreCollectedByWindow(t *testing.T) {
 	var c countWindows
 	for i, name := range []string{"a", "b", "a"} {
 		counts := rollout.RequestCounts{Requests: int64(i + 1)}
--- a/internal/fleet/http_client.go
+++ b/internal/fleet/http_client.go
@@ -62,7 +62,7 @@
 		return &RejectedError{address + ": the key is not the fleet's"}
 	}
 	var body response
-	if err := json.NewDecoder(io.LimitReader(httpResponse.Body, maxBody)).Decode(&body); err != nil {
+	if err := json.NewDecoder(io.LimitReader(httpResponse.Body, maxBodyBytes)).Decode(&body); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
 	switch {
@@ -89,7 +89,7 @@
 	replicas := c.options.ControlReplicas
 	called := map[string]bool{}
 	var last error
-	try := func(address string) (done bool) {
+	tryReplica := func(address string) (done bool) {
 		if called[address] {
 			return false
 		}
@@ -99,11 +99,11 @@
 		return last == nil || errors.As(last, &rejected)
 	}
 	for i := range replicas {
-		if try(replicas[(first+i)%len(replicas)].APIAddress) {
+		if tryReplica(replicas[(first+i)%len(replicas)].APIAddress) {
 			return last
 		}
 		var notLeader *notLeaderError
-		if errors.As(last, &notLeader) && notLeader.leader != "" && try(notLeader.leader) {
+		if errors.As(last, &notLeader) && notLeader.leader != "" && tryReplica(notLeader.leader) {
 			return last
 		}
 	}
--- a/internal/fleet/http_server.go
+++ b/internal/fleet/http_server.go
@@ -13,8 +13,8 @@
 	"beechcart/decision/rollout"
 )
 
-// maxBody bounds the bodies of calls and answers, in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes bounds the bodies of calls and answers, in bytes.
+const maxBodyBytes = 16 << 20
 
 // keyHeader carries the fleet's key.
 const keyHeader = "X-Key"
@@ -39,7 +39,7 @@
 
 // decodeBody decodes the body of a call, and rejects fields that it does not know.
 func decodeBody(request *http.Request, value any) error {
-	decoder := json.NewDecoder(io.LimitReader(request.Body, maxBody))
+	decoder := json.NewDecoder(io.LimitReader(request.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(value)
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -11,7 +11,7 @@
 // runLeader sends the commands of the leader while this replica leads, until the replica closes.
 func (r *ControlReplica) runLeader(g *gossip, engines func() []rollout.Engine) {
 	defer r.done.Done()
-	notAlive := map[string]time.Time{}
+	notAliveSince := map[string]time.Time{}
 	caughtUp := false
 	for {
 		select {
@@ -21,7 +21,7 @@
 		}
 		if !r.isLeader() {
 			caughtUp = false
-			clear(notAlive)
+			clear(notAliveSince)
 			continue
 		}
 		if !caughtUp { // what was committed under earlier leaders must be applied here first
@@ -30,7 +30,7 @@
 			}
 			caughtUp = true
 		}
-		for _, command := range r.periodicCommands(g.aliveProcesses(), notAlive, engines()) {
+		for _, command := range r.periodicCommands(g.aliveProcesses(), notAliveSince, engines()) {
 			if _, err := r.Apply(command); err != nil {
 				break
 			}
@@ -41,12 +41,12 @@
 // periodicCommands returns the commands that the leader sends by itself. notAlive holds since when members are not
 // alive; it is kept from call to call.
 func (r *ControlReplica) periodicCommands(
-	alive map[string]uint64, notAlive map[string]time.Time, engines []rollout.Engine,
+	alive map[string]uint64, notAliveSince map[string]time.Time, engines []rollout.Engine,
 ) (commands []rollout.Command) {
 	now := r.options.now()
 	windows := r.counts.completeWindows(windowNumber(now) - 2)
 	r.readState(func(m *rollout.StateMachine) {
-		commands = append(commands, suspicions(m, now, alive, notAlive)...)
+		commands = append(commands, suspicions(m, now, alive, notAliveSince)...)
 		commands = append(commands, engineChanges(m, engines)...)
 		commands = append(commands, loadAndHealth(m, windows)...)
 		if deadline, ok := m.NextDeadline(); ok && time.Duration(now.UnixNano()) >= deadline {
@@ -58,20 +58,20 @@
 
 // suspicions returns a command for each member whose process has not been alive for suspicionTimeout.
 func suspicions(
-	m *rollout.StateMachine, now time.Time, alive map[string]uint64, notAlive map[string]time.Time,
+	m *rollout.StateMachine, now time.Time, alive map[string]uint64, notAliveSince map[string]time.Time,
 ) (commands []rollout.Command) {
 	for name, member := range m.Members {
 		if member.Suspected || member.Phase == rollout.Terminated || alive[name] == member.Incarnation {
-			delete(notAlive, name)
+			delete(notAliveSince, name)
 			continue
 		}
-		if notAlive[name].IsZero() {
-			notAlive[name] = now
+		if notAliveSince[name].IsZero() {
+			notAliveSince[name] = now
 		}
-		if now.Sub(notAlive[name]) >= suspicionTimeout {
+		if now.Sub(notAliveSince[name]) >= suspicionTimeout {
 			suspect := &rollout.Suspect{Name: name, Incarnation: member.Incarnation}
 			commands = append(commands, rollout.Command{Suspect: suspect})
-			delete(notAlive, name)
+			delete(notAliveSince, name)
 		}
 	}
 	return commands
@@ -99,8 +99,8 @@
 	return commands
 }
 
-// minLoadChange is the part of the load, one in so many, by which it must change to be worth a command.
-const minLoadChange = 10
+// loadChangeDivisor is the part of the load, one in so many, by which it must change to be worth a command.
+const loadChangeDivisor = 10
 
 // loadAndHealth returns the commands that follow from complete windows of counts: the load where it has changed, and
 // the health of an active release.
@@ -110,7 +110,7 @@
 		for _, counts := range window.counts {
 			load.FrontEnds += counts.Load
 		}
-		change, threshold := load.FrontEnds-m.Load.FrontEnds, m.Load.FrontEnds/minLoadChange
+		change, threshold := load.FrontEnds-m.Load.FrontEnds, m.Load.FrontEnds/loadChangeDivisor
 		if change > threshold || -change > threshold {
 			commands = append(commands, rollout.Command{Load: &load})
 		}
--- a/internal/fleet/log_store.go
+++ b/internal/fleet/log_store.go
@@ -38,7 +38,7 @@
 
 // write makes one write, unless one has failed before.
 func (s *logStore) write(write func() error) error {
-	if err := s.reason(); err != nil {
+	if err := s.firstFailure(); err != nil {
 		return err
 	}
 	err := withInjectedFault(s.faultFile, write)
@@ -54,15 +54,15 @@
 	return err
 }
 
-// reason is the first failure; nil where there was none.
-func (s *logStore) reason() error {
+// firstFailure is the first failure; nil where there was none.
+func (s *logStore) firstFailure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure
 }
 
-// slowWrite is how much longer a write takes under the fault "slow".
-const slowWrite = 500 * time.Millisecond
+// slowWriteDelay is how much longer a write takes under the fault "slow".
+const slowWriteDelay = 500 * time.Millisecond
 
 // withInjectedFault makes a write with the fault that a file names: "full", "sync" or "slow".
 func withInjectedFault(faultFile string, write func() error) error {
@@ -79,7 +79,7 @@
 		}
 		return &os.PathError{Op: "sync", Path: faultFile, Err: syscall.EIO}
 	case "slow":
-		time.Sleep(slowWrite)
+		time.Sleep(slowWriteDelay)
 	}
 	return write()
 }
@@ -120,15 +120,15 @@
 	return s.write(func() error { return s.BoltStore.Set(key, value) })
 }
 
-// currentTerm is the key of the raft library's term.
-const currentTerm = "CurrentTerm"
+// currentTermKey is the key of the raft library's term.
+const currentTermKey = "CurrentTerm"
 
 // SetUint64 implements raft.StableStore. Where the term can't be written the library panics, which would end the front
 // end; the goroutine that writes it ends in place of that: the library's own, or the one that OpenReplica starts it in.
 // The library has promised nothing under that term yet, and the replica is closed now.
 func (s *logStore) SetUint64(key []byte, value uint64) error {
 	err := s.write(func() error { return s.BoltStore.SetUint64(key, value) })
-	if err != nil && string(key) == currentTerm {
+	if err != nil && string(key) == currentTermKey {
 		runtime.Goexit()
 	}
 	return err
@@ -137,12 +137,12 @@
 // durabilityMark is a file in the log's directory that tells the next process of unknown durability.
 const durabilityMark = "doubtful"
 
-func isMarked(directory string) bool {
+func hasDurabilityMark(directory string) bool {
 	_, err := os.Stat(filepath.Join(directory, durabilityMark))
 	return err == nil
 }
 
-func setMark(directory string, failure error) error {
+func writeDurabilityMark(directory string, failure error) error {
 	if err := os.WriteFile(filepath.Join(directory, durabilityMark), []byte(failure.Error()+"\n"), 0o600); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -39,7 +39,7 @@
 	stop          chan struct{} // closed by Close
 	done          sync.WaitGroup
 
-	requestedPermits map[uint64]bool // that were activated; used by watchState alone
+	grantedPermits map[uint64]bool // that were activated; used by watchState alone
 
 	mu           sync.Mutex
 	phase        rollout.Phase // guarded by mu
@@ -62,17 +62,17 @@
 		return nil, err
 	}
 	m := &Member{
-		options:          o,
-		log:              o.Log.With("part", "fleet"),
-		frontEnd:         frontEnd,
-		shutdowns:        make(chan ShutdownGrant, 1),
-		registered:       make(chan struct{}),
-		statusChanged:    make(chan struct{}, 1),
-		statusTaken:      make(chan struct{}, 1),
-		stop:             make(chan struct{}),
-		requestedPermits: map[uint64]bool{},
-		phase:            rollout.Starting,
-		sequence:         1,
+		options:        o,
+		log:            o.Log.With("part", "fleet"),
+		frontEnd:       frontEnd,
+		shutdowns:      make(chan ShutdownGrant, 1),
+		registered:     make(chan struct{}),
+		statusChanged:  make(chan struct{}, 1),
+		statusTaken:    make(chan struct{}, 1),
+		stop:           make(chan struct{}),
+		grantedPermits: map[uint64]bool{},
+		phase:          rollout.Starting,
+		sequence:       1,
 	}
 	m.options.Log = m.log
 	m.client = NewClient(&m.options)
@@ -129,9 +129,9 @@
 }
 
 // Close reports that the process has terminated, for at most that long, and ends the member and its goroutines.
-func (m *Member) Close(within time.Duration) {
+func (m *Member) Close(timeout time.Duration) {
 	m.SetPhase(rollout.Terminated)
-	m.awaitStatusTaken(within)
+	m.awaitStatusTaken(timeout)
 	close(m.stop)
 	m.done.Wait()
 	m.gossip.close()
@@ -141,8 +141,8 @@
 }
 
 // awaitStatusTaken returns once a replica has taken the last status, or after that long.
-func (m *Member) awaitStatusTaken(within time.Duration) {
-	timer := time.NewTimer(within)
+func (m *Member) awaitStatusTaken(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for m.statusPending() {
 		select {
@@ -182,8 +182,8 @@
 	}
 }
 
-// wait returns after that long; false when the member ends.
-func (m *Member) wait(d time.Duration) bool {
+// sleep returns after that long; false when the member ends.
+func (m *Member) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/fleet/member_loops.go
+++ b/internal/fleet/member_loops.go
@@ -29,7 +29,7 @@
 		}
 		result, err := m.client.Apply(rollout.Command{ReportStatus: &status})
 		if err != nil {
-			if !m.wait(retryInterval) {
+			if !m.sleep(retryInterval) {
 				return
 			}
 			continue
@@ -93,7 +93,7 @@
 				version, pause = "", viewInterval
 			}
 		}
-		if pause > 0 && !m.wait(pause) {
+		if pause > 0 && !m.sleep(pause) {
 			return
 		}
 	}
@@ -161,11 +161,11 @@
 // activatePermit asks, immediately before the shutdown, whether the permit still stands, and shuts down on it once;
 // true where it is to be called again.
 func (m *Member) activatePermit(permit *rollout.Permit) (again bool) {
-	if m.requestedPermits[permit.Number] || permit.Cancelled {
+	if m.grantedPermits[permit.Number] || permit.Cancelled {
 		return false
 	}
 	reference := &rollout.PermitReference{Name: m.options.Name, Incarnation: m.incarnation, Permit: permit.Number}
-	asked := time.Now()
+	requestedAt := time.Now()
 	result, err := m.client.Apply(rollout.Command{ActivatePermit: reference})
 	if err != nil {
 		return true
@@ -182,10 +182,10 @@
 		return false
 	}
 	// After a long call, or a process that was stopped with the answer in hand, others may be unavailable by now.
-	if time.Since(asked) > activationTimeout {
+	if time.Since(requestedAt) > activationTimeout {
 		return true
 	}
-	m.requestedPermits[permit.Number] = true
+	m.grantedPermits[permit.Number] = true
 	m.log.Info("shutdown granted",
 		"permit", permit.Number, "purpose", string(permit.Purpose), "revision", permit.Revision)
 	select {
@@ -195,18 +195,18 @@
 	return false
 }
 
-// minWindow is the shortest time that a window's load is divided by, in seconds.
-const minWindow = 0.1
+// minWindowSeconds is the shortest time that a window's load is divided by, in seconds.
+const minWindowSeconds = 0.1
 
 // reportCounts sends the counts of each window to the leader while the process serves. A window that is lost is not
 // sent again. It ends with the member.
 func (m *Member) reportCounts() {
 	defer m.done.Done()
-	last, began := m.frontEnd.RequestCounts(), time.Now()
+	last, start := m.frontEnd.RequestCounts(), time.Now()
 	for {
 		now := m.options.now()
 		end := time.Unix(0, (windowNumber(now)+1)*int64(windowLength))
-		if !m.wait(end.Sub(now)) {
+		if !m.sleep(end.Sub(now)) {
 			return
 		}
 		counts := m.frontEnd.RequestCounts()
@@ -217,8 +217,8 @@
 				Rejected: counts.Rejected - last.Rejected, Slow: counts.Slow - last.Slow,
 			},
 		}
-		window.Load = float64(window.Counts.Requests) / max(time.Since(began).Seconds(), minWindow)
-		last, began = counts, time.Now()
+		window.Load = float64(window.Counts.Requests) / max(time.Since(start).Seconds(), minWindowSeconds)
+		last, start = counts, time.Now()
 		m.mu.Lock()
 		serving := m.phase == rollout.Serving
 		m.mu.Unlock()
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -63,12 +63,12 @@
 	if n := len(o.Key); n != 16 && n != 24 && n != 32 {
 		return fmt.Errorf("fleet: key: found %d bytes, allowed is 16, 24 or 32", n)
 	}
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for i, replica := range o.ControlReplicas {
-		if replica.Name == "" || seen[replica.Name] {
+		if replica.Name == "" || names[replica.Name] {
 			return fmt.Errorf("fleet: keepers[%d]: name: found %q, allowed is one that no other has", i, replica.Name)
 		}
-		seen[replica.Name] = true
+		names[replica.Name] = true
 		if err := replica.check(); err != nil {
 			return fmt.Errorf("fleet: keepers[%d]: %w", i, err)
 		}
@@ -87,11 +87,11 @@
 
 // check returns an error that names an address of the replica by its key in the settings.
 func (r ReplicaAddress) check() error {
-	for _, named := range []struct{ key, address string }{
+	for _, entry := range []struct{ key, address string }{
 		{"log", r.LogAddress}, {"ask", r.APIAddress}, {"gossip", r.GossipAddress},
 	} {
-		if _, _, err := net.SplitHostPort(named.address); err != nil {
-			return fmt.Errorf("%s: found %q, allowed is HOST:PORT", named.key, named.address)
+		if _, _, err := net.SplitHostPort(entry.address); err != nil {
+			return fmt.Errorf("%s: found %q, allowed is HOST:PORT", entry.key, entry.address)
 		}
 	}
 	return nil
--- a/internal/fleet/raft_stream.go
+++ b/internal/fleet/raft_stream.go
@@ -25,8 +25,8 @@
 }
 
 const (
-	handshakeAnswer   = "+"
-	maxHandshake      = 256 // bytes
+	handshakeReply    = "+"
+	maxHandshakeBytes = 256 // bytes
 	acceptRetryPause  = 50 * time.Millisecond
 	handshakeTemplate = "%s %s\n" // identity and key
 )
@@ -63,7 +63,7 @@
 
 // handshake hands over a connection that is meant for this identity, and closes any other.
 func (s *raftStream) handshake(c net.Conn) {
-	if !s.isMeantForThis(c) {
+	if !s.acceptsHandshake(c) {
 		_ = c.Close()
 		return
 	}
@@ -74,16 +74,16 @@
 	}
 }
 
-// isMeantForThis reads the first line and answers it. The caller sends nothing more before the answer, so that the
+// acceptsHandshake reads the first line and answers it. The caller sends nothing more before the answer, so that the
 // reader holds no byte of what follows.
-func (s *raftStream) isMeantForThis(c net.Conn) bool {
+func (s *raftStream) acceptsHandshake(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
-	reader := bufio.NewReaderSize(io.LimitReader(c, maxHandshake), maxHandshake)
+	reader := bufio.NewReaderSize(io.LimitReader(c, maxHandshakeBytes), maxHandshakeBytes)
 	line, err := reader.ReadString('\n')
 	if err != nil || line != fmt.Sprintf(handshakeTemplate, s.identity, s.options.Key) {
 		return false
 	}
-	if _, err := c.Write([]byte(handshakeAnswer)); err != nil {
+	if _, err := c.Write([]byte(handshakeReply)); err != nil {
 		return false
 	}
 	_ = c.SetReadDeadline(time.Time{})
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	_ = c.SetDeadline(time.Now().Add(timeout))
-	var answer [len(handshakeAnswer)]byte
+	var answer [len(handshakeReply)]byte
 	if _, err = fmt.Fprintf(c, handshakeTemplate, identity, s.options.Key); err == nil {
 		_, err = io.ReadFull(c, answer[:])
 	}
--- a/internal/fleet/recorded_calls_test.go
+++ b/internal/fleet/recorded_calls_test.go
@@ -34,16 +34,16 @@
 	Answer string `json:"answer"`
 }
 
-// ask makes calls at a replica. Its addresses, and how far its log is, are replaced in what is recorded.
-func ask(t *testing.T, o *Options, calls []exchange) []exchange {
+// recordCalls makes calls at a replica. Its addresses, and how far its log is, are replaced in what is recorded.
+func recordCalls(t *testing.T, o *Options, calls []exchange) []exchange {
 	t.Helper()
-	me := o.ControlReplicas[0]
-	names := strings.NewReplacer(me.APIAddress, "ASK", me.LogAddress, "LOG", me.GossipAddress, "GOSSIP")
-	index := regexp.MustCompile(`"index":\d+`)
-	done := []exchange{}
+	replica := o.ControlReplicas[0]
+	placeholders := strings.NewReplacer(replica.APIAddress, "ASK", replica.LogAddress, "LOG", replica.GossipAddress, "GOSSIP")
+	indexPattern := regexp.MustCompile(`"index":\d+`)
+	answered := []exchange{}
 	for _, e := range calls {
-		body := strings.NewReplacer("LOG", me.LogAddress).Replace(e.Body)
-		request, err := http.NewRequest(e.Method, "http://"+me.APIAddress+e.Path, strings.NewReader(body))
+		body := strings.NewReplacer("LOG", replica.LogAddress).Replace(e.Body)
+		request, err := http.NewRequest(e.Method, "http://"+replica.APIAddress+e.Path, strings.NewReader(body))
 		require.NoError(t, err)
 		request.Header.Set("X-Key", o.Key)
 		if e.Path == "/status?wrong-key" {
@@ -54,13 +54,13 @@
 		answer, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
-		e.Status, e.Answer = response.StatusCode, index.ReplaceAllString(names.Replace(string(answer)), `"index":0`)
-		done = append(done, e)
+		e.Status, e.Answer = response.StatusCode, indexPattern.ReplaceAllString(placeholders.Replace(string(answer)), `"index":0`)
+		answered = append(answered, e)
 	}
-	return done
+	return answered
 }
 
-func lines[T any](t *testing.T, values []T) []byte {
+func jsonLines[T any](t *testing.T, values []T) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
@@ -71,8 +71,8 @@
 	return out.Bytes()
 }
 
-// fillCounts sets every field of a report of counts.
-func fillCounts(t *testing.T) string {
+// filledCounts sets every field of a report of counts.
+func filledCounts(t *testing.T) string {
 	t.Helper()
 	var report WindowCounts
 	n := 0
@@ -110,7 +110,7 @@
 		get("/watch?name=n0&have="), get("/watch?name=n3&have=x"), get("/watch?name=n9&have="),
 		post("/plan", `{"revision":"r4","waves":[0.2,1],"soak":1000000000}`),
 		post("/plan", `{"revision":"r4","waves":[0.2]}`),
-		post("/counts", fillCounts(t)), post("/counts", `{"odd":1}`), post("/init", `{}`),
+		post("/counts", filledCounts(t)), post("/counts", `{"odd":1}`), post("/init", `{}`),
 		post("/join", `{"Name":"n0","ID":"`+recordedIdentity+`","Log":"LOG"}`),
 		post("/join", `{"Name":"n9","ID":"n9.00","Log":"127.0.0.1:1"}`),
 		post("/apply", `{"odd":1}`), post("/apply", `{"id":"c2","by":"ann","at":0,"drain":{"name":"e1","engine":true}}`),
@@ -125,31 +125,31 @@
 		post("/apply", `{"id":"d4","by":"ann","at":0,"resume":{}}`),
 		post("/apply", `{"id":"d5","by":"ann","at":0,"halt":{"cause":"x"}}`),
 	}
-	done := ask(t, o, calls)
+	exchanges := recordCalls(t, o, calls)
 
-	alone := options(t)
-	replica, err := OpenReplica(alone)
+	unjoined := options(t)
+	replica, err := OpenReplica(unjoined)
 	require.NoError(t, err)
 	t.Cleanup(replica.Close)
-	done = append(done, ask(t, alone, []exchange{
+	exchanges = append(exchanges, recordCalls(t, unjoined, []exchange{
 		get("/status"), get("/watch?name=n0&have="), post("/apply", `{"at":0,"tick":{}}`),
-		post("/join", `{"Name":"n0","ID":"n0.00","Log":"LOG"}`), post("/counts", fillCounts(t)),
+		post("/join", `{"Name":"n0","ID":"n0.00","Log":"LOG"}`), post("/counts", filledCounts(t)),
 	})...)
-	recorded.Compare(t, "answers.jsonl", lines(t, done))
+	recorded.Compare(t, "answers.jsonl", jsonLines(t, exchanges))
 }
 
 // fakeReplica records the calls that it gets, each once, and answers them.
 type fakeReplica struct {
-	mu    sync.Mutex
-	calls map[string]bool
-	note  func(string) string // changes what is noted
-	reply func(path, body string) string
+	mu        sync.Mutex
+	calls     map[string]bool
+	normalize func(string) string // changes what is noted
+	reply     func(path, body string) string
 }
 
 func (f *fakeReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	f.mu.Lock()
-	f.calls[f.note(strings.Join([]string{r.Method, r.URL.String(), r.Header.Get("X-Key"), string(body)}, " "))] = true
+	f.calls[f.normalize(strings.Join([]string{r.Method, r.URL.String(), r.Header.Get("X-Key"), string(body)}, " "))] = true
 	answer := f.reply(r.URL.Path, string(body))
 	f.mu.Unlock()
 	_, _ = io.WriteString(w, answer)
@@ -169,7 +169,7 @@
 // serveFake starts a fake replica at the address where options have the first one asked.
 func serveFake(t *testing.T, o *Options, reply func(path, body string) string) *fakeReplica {
 	t.Helper()
-	f := &fakeReplica{calls: map[string]bool{}, reply: reply, note: func(call string) string { return call }}
+	f := &fakeReplica{calls: map[string]bool{}, reply: reply, normalize: func(call string) string { return call }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := httptest.NewUnstartedServer(f)
@@ -245,8 +245,8 @@
 	<-member.Registered()
 	member.SetPhase(rollout.Serving)
 	select {
-	case permission := <-member.Shutdowns():
-		assert.Equal(t, "{7 restart r2}", fmt.Sprint(permission))
+	case grant := <-member.Shutdowns():
+		assert.Equal(t, "{7 restart r2}", fmt.Sprint(grant))
 	case <-time.After(20 * time.Second):
 		require.Fail(t, "not told to shut down")
 	}
@@ -263,11 +263,11 @@
 	o := options(t)
 	require.NoError(t, os.MkdirAll(o.LogDirectory, 0o700))
 	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "identity"), []byte(recordedIdentity+"\n"), 0o600))
-	others := options(t)
-	f := serveFake(t, others, func(string, string) string { return `{}` })
-	f.note = func(call string) string { return strings.ReplaceAll(call, o.ControlReplicas[0].LogAddress, "LOG") }
+	called := options(t)
+	f := serveFake(t, called, func(string, string) string { return `{}` })
+	f.normalize = func(call string) string { return strings.ReplaceAll(call, o.ControlReplicas[0].LogAddress, "LOG") }
 	for _, name := range []string{"n1", "n2"} {
-		other := others.ControlReplicas[0]
+		other := called.ControlReplicas[0]
 		other.Name = name
 		o.ControlReplicas = append(o.ControlReplicas, other)
 	}
--- a/internal/fleet/recorded_test.go
+++ b/internal/fleet/recorded_test.go
@@ -107,8 +107,8 @@
 	return replica
 }
 
-// awaitLeading waits until the replica leads.
-func awaitLeading(t *testing.T, replica *ControlReplica) {
+// awaitLeader waits until the replica leads.
+func awaitLeader(t *testing.T, replica *ControlReplica) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		status, err := replica.Status()
@@ -124,7 +124,7 @@
 	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "identity"), []byte(recordedIdentity+"\n"), 0o600))
 	replica := openReplica(t, o)
 	require.NoError(t, replica.Init())
-	awaitLeading(t, replica)
+	awaitLeader(t, replica)
 	for _, text := range commandTexts() {
 		_, err := replica.Apply(parseCommand(t, text))
 		require.NoError(t, err, text)
@@ -153,7 +153,7 @@
 
 var entryTime = regexp.MustCompile(`"at":\d+`)
 
-func withoutTimes(text string) string { return entryTime.ReplaceAllString(text, `"at":0`) }
+func withoutEntryTimes(text string) string { return entryTime.ReplaceAllString(text, `"at":0`) }
 
 // recordReplica makes the recorded directory: a log with entries of each command, and a snapshot of all but the last.
 func recordReplica(t *testing.T) {
@@ -214,7 +214,7 @@
 	}
 	recorded.Compare(t, "entries.jsonl", []byte(entries))
 
-	awaitLeading(t, openReplica(t, o))
+	awaitLeader(t, openReplica(t, o))
 	status, err := NewClient(o).Status()
 	require.NoError(t, err)
 	assert.Equal(t, []string{recordedIdentity}, status.Servers)
@@ -239,8 +239,8 @@
 	require.NoError(t, replica.store.Close())
 	entries, err := os.ReadFile(filepath.Join(recordedDir, "entries.jsonl"))
 	require.NoError(t, err)
-	lines := strings.SplitAfter(withoutTimes(string(entries)), "\n")
-	assert.Equal(t, strings.Join(lines[:len(commandTexts())], ""), withoutTimes(logEntries(t, o.LogDirectory)))
+	lines := strings.SplitAfter(withoutEntryTimes(string(entries)), "\n")
+	assert.Equal(t, strings.Join(lines[:len(commandTexts())], ""), withoutEntryTimes(logEntries(t, o.LogDirectory)))
 }
 
 var stateTime = regexp.MustCompile(`"(now|changed|before|granted|begun|started|at|may_stop|soak_from)":\d+`)
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -17,13 +17,13 @@
 
 // Settings of the raft library.
 const (
-	heartbeatTimeout   = 600 * time.Millisecond
-	leaderLeaseTimeout = 400 * time.Millisecond
-	appendInterval     = 20 * time.Millisecond // longest that followers wait to learn what is committed
-	snapshotThreshold  = 4096                  // entries since the last snapshot
-	trailingLogs       = 2048                  // entries kept behind a snapshot, for replicas that are behind
-	snapshotsKept      = 2
-	pooledConnections  = 2 // to each other replica
+	heartbeatTimeout     = 600 * time.Millisecond
+	leaderLeaseTimeout   = 400 * time.Millisecond
+	appendInterval       = 20 * time.Millisecond // longest that followers wait to learn what is committed
+	snapshotThreshold    = 4096                  // entries since the last snapshot
+	trailingLogs         = 2048                  // entries kept behind a snapshot, for replicas that are behind
+	snapshotsKept        = 2
+	maxPooledConnections = 2 // to each other replica
 )
 
 // joinInterval is how often a replica asks to be added to the log.
@@ -100,7 +100,7 @@
 		return err
 	}
 	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: stream, MaxPool: pooledConnections, Timeout: callTimeout, Logger: logger,
+		Stream: stream, MaxPool: maxPooledConnections, Timeout: callTimeout, Logger: logger,
 	})
 	// The library writes its term already as it starts: where that fails, the goroutine that does it ends (SetUint64).
 	started := make(chan struct{})
@@ -112,7 +112,7 @@
 	if r.raft != nil {
 		return nil
 	}
-	if failure := r.store.reason(); failure != nil {
+	if failure := r.store.firstFailure(); failure != nil {
 		err = &DiskError{failure}
 	}
 	_ = r.transport.Close()
--- a/internal/fleet/replica_raft.go
+++ b/internal/fleet/replica_raft.go
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text, err := s.stateMachine.Snapshot()
-	return snapshot(text), err
+	return stateSnapshot(text), err
 }
 
 // Restore implements raft.FSM.
@@ -81,11 +81,11 @@
 	return s.stateMachine.Restore(text)
 }
 
-// snapshot is the state machine's state as JSON.
-type snapshot []byte
+// stateSnapshot is the state machine's state as JSON.
+type stateSnapshot []byte
 
 // Persist implements raft.FSMSnapshot.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
 		return err
@@ -94,7 +94,7 @@
 }
 
 // Release implements raft.FSMSnapshot.
-func (s snapshot) Release() {}
+func (s stateSnapshot) Release() {}
 
 // logWriter writes a library's lines to the log.
 type logWriter struct {
--- a/internal/fleet/replica_recovery.go
+++ b/internal/fleet/replica_recovery.go
@@ -25,7 +25,7 @@
 func (m *Member) startReplica() error {
 	r := &replicaRunner{member: m, started: time.Now()}
 	newPolicy := diskrecovery.New
-	marked := isMarked(m.options.LogDirectory)
+	marked := hasDurabilityMark(m.options.LogDirectory)
 	if marked {
 		newPolicy = diskrecovery.NewMarked
 	}
@@ -58,7 +58,7 @@
 			if !r.serve(replica) {
 				return
 			}
-			r.diskFailed(replica.store.reason())
+			r.diskFailed(replica.store.firstFailure())
 			replica = nil
 		}
 		action := r.policy.Next(r.now(), r.quorum())
@@ -67,7 +67,7 @@
 			r.member.log.Warn("control replica stopped", "why", reason)
 		}
 		if action == diskrecovery.Wait {
-			if !r.member.wait(recoveryInterval) {
+			if !r.member.sleep(recoveryInterval) {
 				return
 			}
 			continue
@@ -124,7 +124,7 @@
 	log := r.member.log
 	failure := classifyFailure(err)
 	if failure == diskrecovery.DurabilityUnknown {
-		if err := setMark(r.member.options.LogDirectory, err); err != nil {
+		if err := writeDurabilityMark(r.member.options.LogDirectory, err); err != nil {
 			log.Error("unknown durability not marked on the disk", "error", err)
 		}
 	}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -22,10 +22,10 @@
 
 // Sizes of headers in bytes, IPv4 without options.
 const (
-	datagramHeader  = 28
-	segmentHeader   = 40
-	segmentPayload  = 65_483 // of the loopback's MTU of 65,536, with TCP timestamps
-	connectionBytes = 200    // to open and to close, one half in each direction
+	datagramHeaderBytes = 28
+	segmentHeaderBytes  = 40
+	segmentPayloadBytes = 65_483 // of the loopback's MTU of 65,536, with TCP timestamps
+	connectionBytes     = 200    // to open and to close, one half in each direction
 )
 
 // maxBlockedWrite is how long a write waits for a cut to end before it fails, as TCP's user timeout would let it.
@@ -49,14 +49,14 @@
 // member that has none uses its sockets directly. A Transport belongs to one member, whose connections it opens from
 // the member's own address, so that the other end can tell whose they are. It is safe for concurrent use.
 type Transport struct {
-	local  *net.TCPAddr
-	meters [trafficKinds]meter
-	cut    atomic.Pointer[cut]
-	http   *http.Client
+	local     *net.TCPAddr
+	meters    [trafficKinds]meter
+	blockList atomic.Pointer[blockList]
+	http      *http.Client
 }
 
-// cut is a set of hosts that nothing is sent to.
-type cut struct {
+// blockList is a set of hosts that nothing is sent to.
+type blockList struct {
 	hosts    HostSet
 	replaced chan struct{} // closed when another cut is in its place
 }
@@ -64,7 +64,7 @@
 // NewTransport returns the transport of a member at a host, an IP address without a port, that restricts nothing yet.
 func NewTransport(host string) *Transport {
 	t := &Transport{local: &net.TCPAddr{IP: net.ParseIP(host)}}
-	t.cut.Store(&cut{replaced: make(chan struct{})})
+	t.blockList.Store(&blockList{replaced: make(chan struct{})})
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return t.dial(ctx, addr, callTraffic)
@@ -77,12 +77,12 @@
 // them are dropped, connections to them don't open, and writes on connections that are open wait for the cut to end,
 // for maxBlockedWrite at most.
 func (t *Transport) Block(hosts HostSet) {
-	last := t.cut.Swap(&cut{hosts, make(chan struct{})})
-	close(last.replaced)
+	previous := t.blockList.Swap(&blockList{hosts, make(chan struct{})})
+	close(previous.replaced)
 }
 
 // Blocked tells whether nothing is sent to a host now.
-func (t *Transport) Blocked(host string) bool { return t.cut.Load().hosts[host] }
+func (t *Transport) Blocked(host string) bool { return t.blockList.Load().hosts[host] }
 
 // Gossip is the traffic of membership: datagrams, and the streams of full exchanges.
 func (t *Transport) Gossip() Traffic { return t.meters[gossipTraffic].read() }
@@ -96,17 +96,17 @@
 // Log is the traffic of the replicated log, at a replica.
 func (t *Transport) Log() Traffic { return t.meters[logTraffic].read() }
 
-// awaitClear returns nil once the host is not blocked, net.ErrClosed when closed is, and os.ErrDeadlineExceeded at the
+// awaitUnblocked returns nil once the host is not blocked, net.ErrClosed when closed is, and os.ErrDeadlineExceeded at the
 // deadline.
-func (t *Transport) awaitClear(host string, closed <-chan struct{}, deadline time.Time) error {
+func (t *Transport) awaitUnblocked(host string, closed <-chan struct{}, deadline time.Time) error {
 	for {
-		now := t.cut.Load()
-		if !now.hosts[host] {
+		current := t.blockList.Load()
+		if !current.hosts[host] {
 			return nil
 		}
 		timer := time.NewTimer(time.Until(deadline))
 		select {
-		case <-now.replaced:
+		case <-current.replaced:
 			timer.Stop()
 		case <-closed:
 			timer.Stop()
@@ -127,7 +127,7 @@
 	if !ok {
 		deadline = time.Now().Add(maxBlockedWrite)
 	}
-	if err := t.awaitClear(host, ctx.Done(), deadline); err != nil {
+	if err := t.awaitUnblocked(host, ctx.Done(), deadline); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
 	dialer := net.Dialer{LocalAddr: t.local}
@@ -140,8 +140,8 @@
 }
 
 // dialWithin is dial with a time limit.
-func (t *Transport) dialWithin(addr string, wait time.Duration, kind trafficKind) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+func (t *Transport) dialWithin(addr string, timeout time.Duration, kind trafficKind) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return t.dial(ctx, addr, kind)
 }
@@ -164,11 +164,11 @@
 }
 
 // dialTCP dials an address, through the transport where there is one.
-func (o *Options) dialTCP(addr string, wait time.Duration, kind trafficKind) (net.Conn, error) {
+func (o *Options) dialTCP(addr string, timeout time.Duration, kind trafficKind) (net.Conn, error) {
 	if o.Transport == nil {
-		return net.DialTimeout("tcp", o.dialAddress(addr), wait)
+		return net.DialTimeout("tcp", o.dialAddress(addr), timeout)
 	}
-	return o.Transport.dialWithin(addr, wait, kind)
+	return o.Transport.dialWithin(addr, timeout, kind)
 }
 
 // meter counts one kind of traffic.
--- a/internal/fleet/transport_conn.go
+++ b/internal/fleet/transport_conn.go
@@ -26,12 +26,12 @@
 // meteredConn is a connection whose traffic is counted, and that sends nothing while its other end is blocked.
 type meteredConn struct {
 	net.Conn
-	transport *Transport
-	meter     *meter
-	peer      string // host of the other end
-	unopened  atomic.Bool
-	closed    chan struct{}
-	closeOnce sync.Once
+	transport            *Transport
+	meter                *meter
+	peer                 string // host of the other end
+	acceptedWhileBlocked atomic.Bool
+	closed               chan struct{}
+	closeOnce            sync.Once
 
 	mu            sync.Mutex
 	readDeadline  time.Time
@@ -44,27 +44,27 @@
 	if err != nil {
 		host = c.RemoteAddr().String()
 	}
-	counted := &meteredConn{Conn: c, transport: t, meter: &t.meters[kind], peer: host, closed: make(chan struct{})}
-	counted.meter.sentBytes.Add(connectionBytes / 2)
-	counted.meter.receivedBytes.Add(connectionBytes / 2)
-	return counted
+	metered := &meteredConn{Conn: c, transport: t, meter: &t.meters[kind], peer: host, closed: make(chan struct{})}
+	metered.meter.sentBytes.Add(connectionBytes / 2)
+	metered.meter.receivedBytes.Add(connectionBytes / 2)
+	return metered
 }
 
 // accepted counts a connection that the other end has opened. On a real network it would not open while the other end
 // is blocked, which gets no answer to its first segment; so nothing is read from it before the cut ends.
 func (t *Transport) accepted(c net.Conn, kind trafficKind) *meteredConn {
-	counted := t.wrap(c, kind)
-	counted.unopened.Store(t.Blocked(counted.peer))
-	return counted
+	metered := t.wrap(c, kind)
+	metered.acceptedWhileBlocked.Store(t.Blocked(metered.peer))
+	return metered
 }
 
 // Read implements net.Conn.
 func (c *meteredConn) Read(b []byte) (int, error) {
-	if c.unopened.Load() {
-		if err := c.transport.awaitClear(c.peer, c.closed, c.limit(&c.readDeadline)); err != nil {
+	if c.acceptedWhileBlocked.Load() {
+		if err := c.transport.awaitUnblocked(c.peer, c.closed, c.waitDeadline(&c.readDeadline)); err != nil {
 			return 0, err
 		}
-		c.unopened.Store(false)
+		c.acceptedWhileBlocked.Store(false)
 	}
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -76,7 +76,7 @@
 // Write implements net.Conn.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	if c.transport.Blocked(c.peer) {
-		if err := c.transport.awaitClear(c.peer, c.closed, c.limit(&c.writeDeadline)); err != nil {
+		if err := c.transport.awaitUnblocked(c.peer, c.closed, c.waitDeadline(&c.writeDeadline)); err != nil {
 			return 0, err
 		}
 	}
@@ -87,8 +87,8 @@
 	return n, err
 }
 
-// limit is until when a blocked read or write waits.
-func (c *meteredConn) limit(deadline *time.Time) time.Time {
+// waitDeadline is until when a blocked read or write waits.
+func (c *meteredConn) waitDeadline(deadline *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	latest := time.Now().Add(maxBlockedWrite)
@@ -130,6 +130,6 @@
 
 // streamHeaders estimates the bytes of headers that a number of bytes of a stream travel under.
 func streamHeaders(bytes int) int {
-	segments := (bytes + segmentPayload - 1) / segmentPayload
-	return segments * segmentHeader
+	segments := (bytes + segmentPayloadBytes - 1) / segmentPayloadBytes
+	return segments * segmentHeaderBytes
 }
--- a/internal/fleet/transport_gossip.go
+++ b/internal/fleet/transport_gossip.go
@@ -14,8 +14,8 @@
 	transport *Transport
 	packets   chan *memberlist.Packet
 	streams   chan net.Conn
-	finished  chan struct{}
-	finish    sync.Once // memberlist shuts its transport down twice where it fails to start
+	closed    chan struct{}
+	closeOnce sync.Once // memberlist shuts its transport down twice where it fails to start
 }
 
 func newGossipTransport(inner *memberlist.NetTransport, transport *Transport) *gossipTransport {
@@ -24,7 +24,7 @@
 		transport:    transport,
 		packets:      make(chan *memberlist.Packet),
 		streams:      make(chan net.Conn),
-		finished:     make(chan struct{}),
+		closed:       make(chan struct{}),
 	}
 	go t.forwardPackets()
 	go t.forwardStreams()
@@ -47,19 +47,19 @@
 	}
 	at, err := t.NetTransport.WriteToAddress(b, a)
 	if err == nil {
-		t.meter().sent(len(b) + datagramHeader)
+		t.meter().sent(len(b) + datagramHeaderBytes)
 	}
 	return at, err
 }
 
 // DialTimeout implements memberlist.Transport.
-func (t *gossipTransport) DialTimeout(addr string, wait time.Duration) (net.Conn, error) {
-	return t.transport.dialWithin(addr, wait, gossipTraffic)
+func (t *gossipTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.transport.dialWithin(addr, timeout, gossipTraffic)
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (t *gossipTransport) DialAddressTimeout(a memberlist.Address, wait time.Duration) (net.Conn, error) {
-	return t.transport.dialWithin(a.Addr, wait, gossipTraffic)
+func (t *gossipTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.transport.dialWithin(a.Addr, timeout, gossipTraffic)
 }
 
 // PacketCh implements memberlist.Transport.
@@ -72,7 +72,7 @@
 // ended.
 func (t *gossipTransport) Shutdown() error {
 	err := t.NetTransport.Shutdown()
-	t.finish.Do(func() { close(t.finished) })
+	t.closeOnce.Do(func() { close(t.closed) })
 	return err
 }
 
@@ -81,13 +81,13 @@
 func (t *gossipTransport) forwardPackets() {
 	for {
 		select {
-		case <-t.finished:
+		case <-t.closed:
 			return
 		case packet := <-t.NetTransport.PacketCh():
-			t.meter().received(len(packet.Buf) + datagramHeader)
+			t.meter().received(len(packet.Buf) + datagramHeaderBytes)
 			select {
 			case t.packets <- packet:
-			case <-t.finished:
+			case <-t.closed:
 				return
 			}
 		}
@@ -97,14 +97,14 @@
 func (t *gossipTransport) forwardStreams() {
 	for {
 		select {
-		case <-t.finished:
+		case <-t.closed:
 			return
 		case c := <-t.NetTransport.StreamCh():
-			counted := t.transport.accepted(c, gossipTraffic)
+			metered := t.transport.accepted(c, gossipTraffic)
 			select {
-			case t.streams <- counted:
-			case <-t.finished:
-				_ = counted.Close()
+			case t.streams <- metered:
+			case <-t.closed:
+				_ = metered.Close()
 				return
 			}
 		}
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -17,30 +17,30 @@
 	"beechcart/decision/rollout"
 )
 
-// longWait is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is done.
-const longWait = 60 * time.Second
+// testTimeout is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is done.
+const testTimeout = 60 * time.Second
 
 // memberPair are the options of two members, each with a transport and a loopback address of its own. The first is the
 // control replica.
 func memberPair(t *testing.T) []*Options {
 	t.Helper()
-	base := ""
-	for i := 0; base == ""; i++ {
+	network := ""
+	for i := 0; network == ""; i++ {
 		require.Less(t, i, 200, "no loopback addresses are free")
 		candidate := fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+i)%200, 20+i)
 		// Test fleets on this machine claim their network by listening there.
 		if l, err := net.Listen("tcp", candidate+".254:7000"); err == nil {
 			t.Cleanup(func() { _ = l.Close() })
-			base = candidate
+			network = candidate
 		}
 	}
 	first := options(t)
 	var all []*Options
 	for i := range 2 {
-		o, host := *first, fmt.Sprintf("%s.%d", base, i+1)
+		o, host := *first, fmt.Sprintf("%s.%d", network, i+1)
 		o.Name, o.GossipAddress, o.Transport = fmt.Sprint("n", i), host+":7004", NewTransport(host)
 		o.ControlReplicas = []ReplicaAddress{{
-			Name: "n0", LogAddress: base + ".1:7002", APIAddress: base + ".1:7003", GossipAddress: base + ".1:7004",
+			Name: "n0", LogAddress: network + ".1:7002", APIAddress: network + ".1:7003", GossipAddress: network + ".1:7004",
 		}}
 		if i > 0 {
 			o.LogDirectory = ""
@@ -66,7 +66,7 @@
 	l, err := to.listenTCP(hostOf(to)+":0", logTraffic)
 	require.NoError(t, err)
 	defer l.Close()
-	dialled, err = from.dialTCP(l.Addr().String(), longWait, logTraffic)
+	dialled, err = from.dialTCP(l.Addr().String(), testTimeout, logTraffic)
 	require.NoError(t, err)
 	accepted, err = l.Accept()
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 func readText(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(longWait)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err := io.ReadFull(c, b)
 	require.NoError(t, err)
 	assert.Equal(t, want, string(b))
@@ -100,7 +100,7 @@
 	return transport
 }
 
-func TestDatagramsAreCountedExactlyAndCut(t *testing.T) {
+func TestDatagramsAreCountedExactlyAndBlocked(t *testing.T) {
 	pair := memberPair(t)
 	sender, receiver := gossipTransportOf(t, pair[0]), gossipTransportOf(t, pair[1])
 	sendTo := func(size int) {
@@ -111,7 +111,7 @@
 		select {
 		case packet := <-receiver.PacketCh():
 			return len(packet.Buf)
-		case <-time.After(longWait):
+		case <-time.After(testTimeout):
 			require.Fail(t, "nothing arrives")
 			return 0
 		}
@@ -135,39 +135,39 @@
 }
 
 // A cut holds for connections that are open, in the direction that is blocked only, and ends without loss.
-func TestACutHoldsForOpenConnections(t *testing.T) {
+func TestBlockAppliesToOpenConnections(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
-	for _, ends := range []struct {
+	for _, direction := range []struct {
 		from, to net.Conn
 		cut      *Options
 		peer     *Options
 	}{{dialled, accepted, pair[0], pair[1]}, {accepted, dialled, pair[1], pair[0]}} {
-		writeText(t, ends.from, "before")
-		readText(t, ends.to, "before")
-		ends.cut.Transport.Block(HostSet{hostOf(ends.peer): true})
-		require.NoError(t, ends.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
-		_, err := ends.from.Write([]byte("lost"))
+		writeText(t, direction.from, "before")
+		readText(t, direction.to, "before")
+		direction.cut.Transport.Block(HostSet{hostOf(direction.peer): true})
+		require.NoError(t, direction.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
+		_, err := direction.from.Write([]byte("lost"))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-		writeText(t, ends.to, "the other way")
-		readText(t, ends.from, "the other way")
-		require.NoError(t, ends.from.SetWriteDeadline(time.Time{}))
-		ends.cut.Transport.Block(nil)
-		writeText(t, ends.from, "after")
-		readText(t, ends.to, "after")
+		writeText(t, direction.to, "the other way")
+		readText(t, direction.from, "the other way")
+		require.NoError(t, direction.from.SetWriteDeadline(time.Time{}))
+		direction.cut.Transport.Block(nil)
+		writeText(t, direction.from, "after")
+		readText(t, direction.to, "after")
 	}
 
 	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
-	waiting := make(chan error, 1)
+	writeErr := make(chan error, 1)
 	go func() {
 		_, err := dialled.Write([]byte("never"))
-		waiting <- err
+		writeErr <- err
 	}()
 	dialled.Close()
-	assert.Error(t, <-waiting, "closing ends a write that waits")
+	assert.Error(t, <-writeErr, "closing ends a write that waits")
 }
 
-func TestACutHoldsForNewConnections(t *testing.T) {
+func TestBlockAppliesToNewConnections(t *testing.T) {
 	pair := memberPair(t)
 	l, err := pair[1].listenTCP(hostOf(pair[1])+":0", callTraffic)
 	require.NoError(t, err)
@@ -184,7 +184,7 @@
 
 	// The other end's first segment arrives, and the answer to it is cut.
 	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
-	dialled, err := pair[0].dialTCP(l.Addr().String(), longWait, callTraffic)
+	dialled, err := pair[0].dialTCP(l.Addr().String(), testTimeout, callTraffic)
 	require.NoError(t, err)
 	defer dialled.Close()
 	accepted, err := l.Accept()
@@ -209,25 +209,25 @@
 	receiver := Traffic{SentBytes: 100, ReceivedBytes: 100 + 10 + 40, ReceivedMessages: 1}
 	assert.Equal(t, receiver, pair[1].Transport.Log())
 	assert.Equal(t, 0, streamHeaders(0))
-	assert.Equal(t, 40, streamHeaders(segmentPayload))
-	assert.Equal(t, 80, streamHeaders(segmentPayload+1))
+	assert.Equal(t, 40, streamHeaders(segmentPayloadBytes))
+	assert.Equal(t, 80, streamHeaders(segmentPayloadBytes+1))
 }
 
-func TestCallsAreCountedAndCut(t *testing.T) {
+func TestCallsAreCountedAndBlocked(t *testing.T) {
 	pair := memberPair(t)
 	replica, err := OpenReplica(pair[0])
 	require.NoError(t, err)
 	defer replica.Close()
 	require.NoError(t, call(pair[1], pair[0].ControlReplicas[0].APIAddress, "/status", nil, nil))
 	assert.Equal(t, uint64(1), pair[1].Transport.Calls().Connections)
-	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeader }
+	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeaderBytes }
 	require.Eventually(t, func() bool { // a write is counted after it, when its other end may have read already
 		calls, served := pair[1].Transport.Calls(), pair[0].Transport.Served()
-		asked, answered := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
-		return asked > connectionBytes && answered > connectionBytes &&
-			asked == payload(served.ReceivedBytes, served.ReceivedMessages) &&
-			answered == payload(calls.ReceivedBytes, calls.ReceivedMessages)
-	}, longWait, time.Millisecond)
+		requestBytes, responseBytes := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
+		return requestBytes > connectionBytes && responseBytes > connectionBytes &&
+			requestBytes == payload(served.ReceivedBytes, served.ReceivedMessages) &&
+			responseBytes == payload(calls.ReceivedBytes, calls.ReceivedMessages)
+	}, testTimeout, time.Millisecond)
 
 	tryOnce := func(wait time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -247,11 +247,11 @@
 	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
 	require.Error(t, tryOnce(50*time.Millisecond), "the answer is cut")
 	pair[0].Transport.Block(nil)
-	assert.NoError(t, tryOnce(longWait))
+	assert.NoError(t, tryOnce(testTimeout))
 }
 
 // Members lose one another under a cut and hear of one another after it; what they send arrives.
-func TestMembersUnderACut(t *testing.T) {
+func TestMembersBlockedFromEachOther(t *testing.T) {
 	pair := memberPair(t)
 	var members []*Member
 	for _, o := range pair {
@@ -260,24 +260,24 @@
 		defer m.Close(0)
 		members = append(members, m)
 	}
-	require.Eventually(t, func() bool { return NewClient(pair[1]).Init() == nil }, longWait, 20*time.Millisecond)
-	hear := func(n int) func() bool {
+	require.Eventually(t, func() bool { return NewClient(pair[1]).Init() == nil }, testTimeout, 20*time.Millisecond)
+	allSee := func(n int) func() bool {
 		return func() bool { return members[0].AliveMembers() == n && members[1].AliveMembers() == n }
 	}
-	require.Eventually(t, hear(2), longWait, 10*time.Millisecond)
+	require.Eventually(t, allSee(2), testTimeout, 10*time.Millisecond)
 	for _, m := range members {
 		select {
 		case <-m.Registered():
-		case <-time.After(longWait):
+		case <-time.After(testTimeout):
 			require.Fail(t, "the log does not take the process")
 		}
 	}
 	blockEachOther(pair[0], pair[1])
-	require.Eventually(t, hear(1), longWait, 10*time.Millisecond)
+	require.Eventually(t, allSee(1), testTimeout, 10*time.Millisecond)
 	for _, o := range pair {
 		o.Transport.Block(nil)
 	}
-	require.Eventually(t, hear(2), longWait, 10*time.Millisecond)
+	require.Eventually(t, allSee(2), testTimeout, 10*time.Millisecond)
 	// What is under way, and what a full buffer has lost, is the difference.
 	require.Eventually(t, func() bool {
 		sent, received := uint64(0), uint64(0)
@@ -286,7 +286,7 @@
 			sent, received = sent+gossip.SentMessages, received+gossip.ReceivedMessages
 		}
 		return sent > 20 && max(sent, received)-min(sent, received) <= sent/10
-	}, longWait, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
 func TestMembersWithoutATransportShareTheClient(t *testing.T) {
