--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -70,7 +70,7 @@
 		},
 		"gossip": func(o *Options) { o.GossipAddress = "" },
 		"dir":    func(o *Options) { o.LogDirectory = "" },
-		"wire": func(o *Options) {
+		"routes": func(o *Options) {
 			o.Transport, o.DialOverrides = NewTransport("127.0.0.1"), map[string]string{"127.0.0.1:1": "127.0.0.1:2"}
 		},
 	} {
@@ -104,7 +104,7 @@
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
 	_, err = s.Dial(serverAddress("n0.old", address), time.Second)
-	require.ErrorContains(t, err, "does not answer to n0.old")
+	require.ErrorContains(t, err, "did not accept the handshake for identity n0.old")
 	wrong := *o
 	wrong.Key = otherKey
 	_, err = (&raftStream{options: &wrong}).Dial(serverAddress("n0.new", address), time.Second)
@@ -201,8 +201,8 @@
 	require.Eventually(t, r.isLeader, 10*time.Second, 10*time.Millisecond)
 }
 
-// Two of three members end at once, so that nobody shares the suspicion of the third, which must not last the library's
-// default of 5.4 s and more: as long they would count as available. Fault test rollout, seed 2005.
+// Two of three members end at once, so that nobody shares the suspicion of the third, which must not last the
+// library's default of 5.4 s and more: as long they would count as available. Fault test rollout, seed 2005.
 func TestEndedMembersStopBeingAliveWithinFourSeconds(t *testing.T) {
 	first := options(t)
 	var all []*gossip
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -10,30 +10,30 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Settings of the gossip library. A member that nobody else suspects stays suspected for the library's longest time,
-// and counts as alive for as long: the multiples keep that short. A suspicion that is wrong costs a permit for a
-// moment.
+// Settings of the gossip library. A member that only one other member suspects stays suspected for the library's
+// longest suspicion timeout, and counts as alive until that timeout ends. The low multiples keep the timeout short. A
+// false suspicion only delays permits briefly.
 const (
 	gossipInterval           = 100 * time.Millisecond
 	gossipProbeInterval      = 300 * time.Millisecond
 	gossipProbeTimeout       = 150 * time.Millisecond
-	gossipExchangeInterval   = 5 * time.Second // of the full state
+	gossipExchangeInterval   = 5 * time.Second // between exchanges of the full state
 	gossipStreamTimeout      = time.Second
-	gossipReclaimTime        = time.Second // after which a member may come back under another address
-	gossipSuspicionMultiple  = 3           // of the probe interval
-	gossipMaxSuspicionFactor = 1           // by which a suspicion that is not shared lasts longer
-	gossipMaxAwareness       = 2           // by which a member's own bad health stretches its probes
+	gossipReclaimTime        = time.Second // before a dead member's name may be used at another address
+	gossipSuspicionMultiple  = 3           // of the probe interval; sets the shortest suspicion timeout
+	gossipMaxSuspicionFactor = 1           // longest suspicion timeout over the shortest
+	gossipMaxAwareness       = 2           // largest factor by which an unhealthy member lengthens its own probes
 	gossipLeaveTimeout       = 500 * time.Millisecond
 )
 
-// Intervals at which replicas that are not alive are contacted: at first, and later.
+// Intervals between attempts to join control replicas that are not alive.
 const (
-	firstRejoinInterval = 300 * time.Millisecond
+	firstRejoinInterval = 300 * time.Millisecond // of the attempts after the start
 	rejoinInterval      = time.Second
 	firstRejoins        = 10
 )
 
-// gossip tells which members are alive.
+// gossip detects which members are alive.
 type gossip struct {
 	options *Options
 	members *memberlist.Memberlist
@@ -41,7 +41,8 @@
 	stop    chan struct{} // closed by close
 }
 
-// processMetadata is what memberlist tells others of this member: the incarnation of its process, in decimal.
+// processMetadata is the metadata that memberlist gossips about this member: the incarnation of its process, in
+// decimal.
 type processMetadata struct{ incarnation uint64 }
 
 // NodeMeta implements memberlist.Delegate.
@@ -59,7 +60,7 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (processMetadata) MergeRemoteState([]byte, bool) {}
 
-// overridingTransport is memberlist's own transport with the addresses of Options.DialOverrides.
+// overridingTransport is memberlist's own transport, but dials the addresses of Options.DialOverrides.
 type overridingTransport struct {
 	*memberlist.NetTransport
 	options *Options
@@ -87,7 +88,7 @@
 	return t.NetTransport.DialAddressTimeout(a, timeout)
 }
 
-// openGossip takes part in gossip under the incarnation of this process. The caller must close it.
+// openGossip starts gossip under the incarnation of this process. The caller must close the gossip.
 func openGossip(o *Options, incarnation uint64) (*gossip, error) {
 	host, portText, err := net.SplitHostPort(o.GossipAddress)
 	if err != nil {
@@ -95,7 +96,7 @@
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: gossip: port %q is no number", portText)
+		return nil, fmt.Errorf("fleet: gossip: port: found %q, must be a number", portText)
 	}
 	logger := log.New(logWriter{o.Log, "memberlist"}, "", 0)
 	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
@@ -128,14 +129,14 @@
 	return g, nil
 }
 
-// rejoin contacts the control replicas that are not alive, until close. Otherwise two halves of a fleet that took each
-// other for dead would stay apart.
+// rejoin contacts the control replicas that are not alive, until close. Otherwise two halves of a fleet that have
+// declared each other dead would stay partitioned.
 func (g *gossip) rejoin() {
 	for i := 0; ; i++ {
 		alive := g.aliveProcesses()
 		for _, replica := range g.options.ControlReplicas {
 			if _, ok := alive[replica.Name]; !ok && replica.Name != g.options.Name {
-				_, _ = g.members.Join([]string{replica.GossipAddress}) // tried again
+				_, _ = g.members.Join([]string{replica.GossipAddress}) // retried after the interval
 			}
 		}
 		interval := firstRejoinInterval
@@ -150,8 +151,8 @@
 	}
 }
 
-// aliveProcesses returns the incarnation of each member that is alive, or that gossip suspects: the library does not
-// tell the two apart.
+// aliveProcesses returns the incarnation of each member that is alive or that gossip suspects: the library's events do
+// not distinguish the two.
 func (g *gossip) aliveProcesses() map[string]uint64 { return g.events.alive() }
 
 func (g *gossip) close() {
--- a/internal/fleet/gossip_events.go
+++ b/internal/fleet/gossip_events.go
@@ -8,11 +8,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// processEvents follows which process of each member is alive, by memberlist's events. Its Members method can't be
-// used: it returns pointers to nodes that the library goes on writing to.
+// processEvents tracks which process of each member is alive, from memberlist's events. The library's Members method
+// can't be used: it returns pointers to nodes that the library keeps writing to.
 type processEvents struct {
 	mu           sync.Mutex
-	incarnations map[string]uint64 // guarded by mu; of the alive process, by member
+	incarnations map[string]uint64 // guarded by mu; of the process that is alive, by member
 }
 
 // alive returns the incarnation of the alive process of each member.
@@ -22,7 +22,7 @@
 	return maps.Clone(p.incarnations)
 }
 
-// NotifyJoin implements memberlist.EventDelegate. The library holds its lock meanwhile.
+// NotifyJoin implements memberlist.EventDelegate. The library calls it with its own lock held.
 func (p *processEvents) NotifyJoin(node *memberlist.Node) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/http_client.go
+++ b/internal/fleet/http_client.go
@@ -13,24 +13,24 @@
 	"beechcart/decision/rollout"
 )
 
-// RejectedError tells that a replica has rejected a call, and that any other would.
+// RejectedError is a replica's rejection of a call. Every other replica would reject the call too.
 type RejectedError struct{ Text string }
 
 func (e *RejectedError) Error() string { return e.Text }
 
-// notLeaderError tells that another replica may carry the call out.
+// notLeaderError is the answer of a replica that can't execute a call that another replica may execute.
 type notLeaderError struct {
-	leader  string // address of the leader's HTTP interface; empty: not known
+	leader  string // address of the leader's HTTP interface; empty: unknown
 	message string
 }
 
 func (e *notLeaderError) Error() string { return e.message }
 
-// sharedClient calls replicas for members without a [Transport]; connections are kept.
+// sharedClient calls replicas for all members without a [Transport]. It reuses connections.
 var sharedClient = &http.Client{}
 
-// call makes one call to a replica: a POST of the request, or a GET where there is none. After an error of another kind
-// than RejectedError another replica may be called.
+// call makes one call to a replica: a POST of the request, or a GET if the request is nil. After any error other than
+// a RejectedError, another replica may be called.
 func call(o *Options, address, path string, request, result any) error {
 	method, body := http.MethodGet, []byte(nil)
 	if request != nil {
@@ -59,7 +59,7 @@
 // decodeResponse decodes the value of an answer into result, which may be nil.
 func decodeResponse(httpResponse *http.Response, address string, result any) error {
 	if httpResponse.StatusCode == http.StatusForbidden {
-		return &RejectedError{address + ": the key is not the fleet's"}
+		return &RejectedError{address + ": control replica rejected the fleet key"}
 	}
 	var body response
 	if err := json.NewDecoder(io.LimitReader(httpResponse.Body, maxBodyBytes)).Decode(&body); err != nil {
@@ -76,15 +76,15 @@
 	return nil
 }
 
-// Client calls the control replicas of a fleet, one after the other. It is safe for concurrent use.
+// Client calls the control replicas of a fleet, one at a time. It is safe for concurrent use.
 type Client struct{ options *Options }
 
-// NewClient returns a client of o.ControlReplicas. Of the other options, only Key, DialOverrides and Transport are
-// used.
+// NewClient returns a client of o.ControlReplicas. The client also uses the options Key, DialOverrides and Transport,
+// and no others.
 func NewClient(o *Options) *Client { return &Client{o} }
 
-// call calls the replicas in turn from the one with that index on, until one carries the call out or rejects it. A
-// leader that a replica names is called next.
+// call calls the replicas in turn, starting at index first, until one executes or rejects the call. If a replica names
+// the leader, the leader is called next. Each address is called at most once.
 func (c *Client) call(first int, path string, request, result any) error {
 	replicas := c.options.ControlReplicas
 	called := map[string]bool{}
@@ -110,20 +110,22 @@
 	return fmt.Errorf("fleet: no keeper could be asked: %w", last)
 }
 
-// Apply sends a command. After an error it is unknown whether it was executed: send it again under the same id.
+// Apply sends a command. After an error, it is unknown whether the command was executed: send the command again under
+// the same id.
 func (c *Client) Apply(command rollout.Command) (result rollout.Result, err error) {
 	anyReplica := int(time.Now().UnixMicro()) % len(c.options.ControlReplicas)
 	err = c.call(anyReplica, "/apply", command, &result)
 	return result, err
 }
 
-// Plan tells what a release would do.
+// Plan returns the waves of a release without starting it.
 func (c *Client) Plan(start rollout.StartRelease) (waves []rollout.Wave, err error) {
 	err = c.call(0, "/plan", start, &waves)
 	return waves, err
 }
 
-// Status returns the status of the leader where there is one, else of the replica that answers and has applied most.
+// Status returns the status of the leader or, if no leader answers, of the answering replica with the highest applied
+// index.
 func (c *Client) Status() (Status, error) {
 	var latest Status
 	var last error
@@ -155,19 +157,20 @@
 			return status, err
 		}
 	}
-	return status, fmt.Errorf("fleet: no keeper has the name %s", name)
+	return status, fmt.Errorf("fleet: keepers: found no control replica named %s", name)
 }
 
-// Init begins a fleet at the first of its replicas; once, when none of them has a log yet.
+// Init starts a new fleet at the first control replica. Every control replica must answer, and none may have a log
+// yet.
 func (c *Client) Init() error {
 	replicas := c.options.ControlReplicas
 	for _, replica := range replicas {
 		var status Status
 		if err := call(c.options, replica.APIAddress, "/status", nil, &status); err != nil {
-			return fmt.Errorf("fleet: all keepers must be up to begin: %s: %w", replica.Name, err)
+			return fmt.Errorf("fleet: init: all control replicas must answer: %s: %w", replica.Name, err)
 		}
 		if servers := len(status.Servers); servers > 0 {
-			return &RejectedError{fmt.Sprintf("%s is in a fleet of %d keepers already", replica.Name, servers)}
+			return &RejectedError{fmt.Sprintf("%s already belongs to a fleet of %d control replicas", replica.Name, servers)}
 		}
 	}
 	return call(c.options, replicas[0].APIAddress, "/init", struct{}{}, nil)
--- a/internal/fleet/http_server.go
+++ b/internal/fleet/http_server.go
@@ -13,7 +13,7 @@
 	"beechcart/decision/rollout"
 )
 
-// maxBodyBytes bounds the bodies of calls and answers, in bytes.
+// maxBodyBytes is the largest body of a call or an answer.
 const maxBodyBytes = 16 << 20
 
 // keyHeader carries the fleet's key.
@@ -37,14 +37,15 @@
 	return mux
 }
 
-// decodeBody decodes the body of a call, and rejects fields that it does not know.
+// decodeBody decodes the JSON body of a call into value, and rejects unknown fields.
 func decodeBody(request *http.Request, value any) error {
 	decoder := json.NewDecoder(io.LimitReader(request.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(value)
 }
 
-// answer checks the key and answers with what serve returns. An answer that another replica may have names the leader.
+// answer returns a handler that checks the fleet key and answers with the result of serve. If the call needs the
+// leader and this replica does not lead, the answer has status 503 and names the leader's address, where known.
 func (r *ControlReplica) answer(serve func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		key := request.Header.Get(keyHeader)
@@ -66,7 +67,7 @@
 				w.WriteHeader(http.StatusBadRequest)
 			}
 		}
-		_ = json.NewEncoder(w).Encode(body) // the caller calls again
+		_ = json.NewEncoder(w).Encode(body) // after a failed write, the caller repeats the call
 	}
 }
 
@@ -104,7 +105,7 @@
 	return waves, err
 }
 
-// serveWatch answers with a member's view once it is another than the one that the caller has, or after watchTimeout.
+// serveWatch answers with a member's view as soon as the view differs from the caller's, or after watchTimeout.
 func (r *ControlReplica) serveWatch(request *http.Request) (any, error) {
 	name, version := request.URL.Query().Get("name"), request.URL.Query().Get("have")
 	timer := time.NewTimer(watchTimeout)
@@ -134,7 +135,7 @@
 	}
 }
 
-// Status returns what this replica knows of the fleet.
+// Status returns the fleet's state as this replica has applied it.
 func (r *ControlReplica) Status() (Status, error) {
 	status := Status{
 		Replica:       r.address.Name,
@@ -152,7 +153,7 @@
 	var err error
 	r.readState(func(m *rollout.StateMachine) {
 		var text []byte
-		if text, err = m.Snapshot(); err == nil { // a copy, as the state machine goes on
+		if text, err = m.Snapshot(); err == nil { // a copy, since the state machine keeps changing
 			err = json.Unmarshal(text, &status.State)
 		}
 		status.Budgets, status.ReleaseBlockers = m.Budgets(), m.ReleaseBlockers()
--- a/internal/fleet/identity.go
+++ b/internal/fleet/identity.go
@@ -18,8 +18,9 @@
 // identityFile holds a replica's identity, in the directory of its log.
 const identityFile = "identity"
 
-// replicaIdentity returns the identity of the log in a directory, and draws one for a log that is empty. A replica that
-// has lost its log has another identity, so that it can't vote with a past that it has lost.
+// replicaIdentity returns the identity of the log in a directory, and writes a random one into an empty directory. A
+// replica that has lost its log thus gets a new identity, and can't vote on behalf of the old one, whose votes and
+// entries it has lost.
 func replicaIdentity(directory, name string) (string, error) {
 	path := filepath.Join(directory, identityFile)
 	text, err := os.ReadFile(path)
@@ -30,10 +31,10 @@
 		return "", fmt.Errorf("fleet: %w", err)
 	}
 	if left, _ := os.ReadDir(directory); len(left) > 0 {
-		return "", fmt.Errorf("fleet: %s holds files and no identity: empty it, and this keeper starts anew", directory)
+		return "", fmt.Errorf("fleet: %s holds files and no identity: empty it to get a new identity", directory)
 	}
 	random := make([]byte, 6)
-	_, _ = rand.Read(random) // which never fails
+	_, _ = rand.Read(random) // never returns an error
 	identity := name + "." + hex.EncodeToString(random)
 	if err := renameio.WriteFile(path, []byte(identity+"\n"), 0o600); err != nil {
 		return "", fmt.Errorf("fleet: %w", err)
@@ -41,12 +42,12 @@
 	return identity, nil
 }
 
-// isIdentityOf tells whether an identity is one of the replica of that name, now or earlier.
+// isIdentityOf reports whether an identity is a present or an earlier one of the replica of that name.
 func isIdentityOf(identity, name string) bool { return strings.HasPrefix(identity, name+".") }
 
-// nextIncarnation numbers this process: by the clock, and above the last process where a file beside the log's
-// directory tells of it. Otherwise every report of a process that starts after the clock was set back would count as
-// stale.
+// nextIncarnation returns the incarnation of this process: the clock in nanoseconds, or the last process's incarnation
+// plus 1 if that is higher. A file beside the log's directory stores the last incarnation. Without the file, every
+// report of a process that starts after the clock was set back would count as stale.
 func nextIncarnation(logDirectory string, clock time.Time) (uint64, error) {
 	incarnation := uint64(clock.UnixNano())
 	if logDirectory == "" {
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -8,7 +8,7 @@
 	"beechcart/decision/rollout"
 )
 
-// runLeader sends the commands of the leader while this replica leads, until the replica closes.
+// runLeader applies the leader's periodic commands while this replica leads, until the replica closes.
 func (r *ControlReplica) runLeader(g *gossip, engines func() []rollout.Engine) {
 	defer r.done.Done()
 	notAliveSince := map[string]time.Time{}
@@ -24,7 +24,7 @@
 			clear(notAliveSince)
 			continue
 		}
-		if !caughtUp { // what was committed under earlier leaders must be applied here first
+		if !caughtUp { // entries committed under earlier leaders must be applied here first
 			if r.raft.Barrier(commitTimeout).Error() != nil {
 				continue
 			}
@@ -38,8 +38,8 @@
 	}
 }
 
-// periodicCommands returns the commands that the leader sends by itself. notAlive holds since when members are not
-// alive; it is kept from call to call.
+// periodicCommands returns the commands that the leader applies without a request. notAliveSince holds the time since
+// which each member is not alive; the caller keeps the map between calls.
 func (r *ControlReplica) periodicCommands(
 	alive map[string]uint64, notAliveSince map[string]time.Time, engines []rollout.Engine,
 ) (commands []rollout.Command) {
@@ -56,7 +56,7 @@
 	return commands
 }
 
-// suspicions returns a command for each member whose process has not been alive for suspicionTimeout.
+// suspicions returns a command for each member whose process has not been alive for at least suspicionTimeout.
 func suspicions(
 	m *rollout.StateMachine, now time.Time, alive map[string]uint64, notAliveSince map[string]time.Time,
 ) (commands []rollout.Command) {
@@ -77,8 +77,8 @@
 	return commands
 }
 
-// engineChanges returns a command for each engine that the leader's endpoint list describes in another way than the
-// state, or does not have. An empty list tells nothing.
+// engineChanges returns a command for each engine whose entry in the leader's endpoint list differs from the state,
+// and for each engine of the state that the list lacks. An empty list marks no engine as unlisted.
 func engineChanges(m *rollout.StateMachine, engines []rollout.Engine) (commands []rollout.Command) {
 	listed := map[string]bool{}
 	for _, engine := range engines {
@@ -99,11 +99,11 @@
 	return commands
 }
 
-// loadChangeDivisor is the part of the load, one in so many, by which it must change to be worth a command.
+// loadChangeDivisor sets the threshold of a load command: the load must change by more than 1/loadChangeDivisor.
 const loadChangeDivisor = 10
 
-// loadAndHealth returns the commands that follow from complete windows of counts: the load where it has changed, and
-// the health of an active release.
+// loadAndHealth returns the commands for complete windows of counts: the load, if it has changed enough, and the
+// health of an active release.
 func loadAndHealth(m *rollout.StateMachine, windows []countWindow) (commands []rollout.Command) {
 	for _, window := range windows {
 		load := rollout.Load{Engines: m.Load.Engines}
@@ -121,7 +121,7 @@
 	return commands
 }
 
-// health sums a window's counts up by zone, for the revision of a release and for all others.
+// health sums a window's counts by zone, separately for the revision of a release and for all other revisions.
 func (w countWindow) health(release *rollout.Release) *rollout.Health {
 	health := &rollout.Health{Release: release.Number, Window: uint64(w.number)}
 	zones := map[string]*rollout.ZoneCounts{}
--- a/internal/fleet/log_store.go
+++ b/internal/fleet/log_store.go
@@ -17,15 +17,15 @@
 	"beechcart/decision/diskrecovery"
 )
 
-// logStore is what the log is stored in. The first write that fails is the last: from then on all fail, and failed is
-// closed. It is safe for concurrent use.
+// logStore stores the log on disk. After the first failed write, every further write fails without reaching the disk,
+// and failed is closed. It is safe for concurrent use.
 type logStore struct {
 	*raftboltdb.BoltStore
 	faultFile string        // names the fault to inject, for fault tests; empty: none
 	failed    chan struct{} // closed at the first failure
 
 	mu      sync.Mutex
-	failure error // guarded by mu; the first one
+	failure error // guarded by mu; of the first failed write
 }
 
 func openLogStore(directory, faultFile string) (*logStore, error) {
@@ -36,7 +36,7 @@
 	return &logStore{BoltStore: store, faultFile: faultFile, failed: make(chan struct{})}, nil
 }
 
-// write makes one write, unless one has failed before.
+// write performs one write. After an earlier failure it returns that failure without writing.
 func (s *logStore) write(write func() error) error {
 	if err := s.firstFailure(); err != nil {
 		return err
@@ -54,22 +54,23 @@
 	return err
 }
 
-// firstFailure is the first failure; nil where there was none.
+// firstFailure returns the error of the first failed write, or nil if no write has failed.
 func (s *logStore) firstFailure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure
 }
 
-// slowWriteDelay is how much longer a write takes under the fault "slow".
+// slowWriteDelay is added to each write under the fault "slow".
 const slowWriteDelay = 500 * time.Millisecond
 
-// withInjectedFault makes a write with the fault that a file names: "full", "sync" or "slow".
+// withInjectedFault performs a write under the fault that a file names: "full" fails without writing, "sync" fails
+// after the write, "slow" delays the write.
 func withInjectedFault(faultFile string, write func() error) error {
 	if faultFile == "" {
 		return write()
 	}
-	fault, _ := os.ReadFile(faultFile) // where there is none, neither is a fault
+	fault, _ := os.ReadFile(faultFile) // a missing file means no fault
 	switch strings.TrimSpace(string(fault)) {
 	case "full":
 		return &os.PathError{Op: "write", Path: faultFile, Err: syscall.ENOSPC}
@@ -84,15 +85,16 @@
 	return write()
 }
 
-// DiskError tells that a log can't be opened because its disk takes no write.
+// DiskError is returned when a log can't be opened because a write to its disk fails.
 type DiskError struct{ Err error }
 
-func (e *DiskError) Error() string { return "the log can't be written: " + e.Err.Error() }
+func (e *DiskError) Error() string { return "control log: write failed: " + e.Err.Error() }
 
 // Unwrap returns the failure of the disk.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// classifyFailure tells what a failure says of the disk. Only want of space proves that what the log holds is valid.
+// classifyFailure classifies a failed write by its effect on durability. Only a lack of space proves that the log's
+// content is valid.
 func classifyFailure(err error) diskrecovery.Failure {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
 		return diskrecovery.NoSpace
@@ -120,12 +122,13 @@
 	return s.write(func() error { return s.BoltStore.Set(key, value) })
 }
 
-// currentTermKey is the key of the raft library's term.
+// currentTermKey is the key under which the raft library stores its current term.
 const currentTermKey = "CurrentTerm"
 
-// SetUint64 implements raft.StableStore. Where the term can't be written the library panics, which would end the front
-// end; the goroutine that writes it ends in place of that: the library's own, or the one that OpenReplica starts it in.
-// The library has promised nothing under that term yet, and the replica is closed now.
+// SetUint64 implements raft.StableStore. If the term can't be written, the library panics, which would end the front
+// end. SetUint64 therefore ends the calling goroutine instead of returning the error: a goroutine of the library, or
+// the one in which OpenReplica starts the library. That is safe: the library has not voted or answered under the new
+// term yet, and the replica is closed because of the failed write.
 func (s *logStore) SetUint64(key []byte, value uint64) error {
 	err := s.write(func() error { return s.BoltStore.SetUint64(key, value) })
 	if err != nil && string(key) == currentTermKey {
@@ -134,7 +137,8 @@
 	return err
 }
 
-// durabilityMark is a file in the log's directory that tells the next process of unknown durability.
+// durabilityMark is the name of a file in the log's directory. The file tells the next process that the durability of
+// the log is unknown.
 const durabilityMark = "doubtful"
 
 func hasDurabilityMark(directory string) bool {
@@ -149,7 +153,7 @@
 	return nil
 }
 
-// setAside renames the log's directory, in place of the one that was set aside before.
+// setAside renames the log's directory by the suffix ".aside", and deletes a directory that was set aside earlier.
 func setAside(directory string) error {
 	aside := directory + ".aside"
 	if err := os.RemoveAll(aside); err != nil {
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -11,19 +11,21 @@
 // EngineSet is a set of engines by name.
 type EngineSet map[string]bool
 
-// FrontEnd is what a member needs of its front end. Its methods are safe for concurrent use, and none blocks.
+// FrontEnd is the interface of a front end to its member. Its methods are safe for concurrent use and don't block.
 type FrontEnd interface {
-	// Exclude keeps the engines of these names from getting more queries; the last call holds.
+	// Exclude stops new queries to these engines, and allows them again to the engines of earlier calls that are not
+	// in the set.
 	Exclude(engines EngineSet)
-	// Drained tells whether an engine is excluded and has no query of this front end; true also where it is not known.
+	// Drained reports whether an engine is excluded and runs no query of this front end. It returns true for an unknown
+	// engine.
 	Drained(engine string) bool
-	// Engines returns the engines as the endpoint list describes them. Only control replicas call it.
+	// Engines returns the engines of the endpoint list. It is called only on control replicas.
 	Engines() []rollout.Engine
-	// RequestCounts returns the counts since the start of the process.
+	// RequestCounts returns the request counts since the start of the process.
 	RequestCounts() rollout.RequestCounts
 }
 
-// Member is a front end's part in the fleet. It is safe for concurrent use.
+// Member is a front end's membership of the fleet. It is safe for concurrent use.
 type Member struct {
 	options     Options
 	log         *slog.Logger
@@ -33,30 +35,31 @@
 	incarnation uint64
 
 	shutdowns     chan ShutdownGrant
-	registered    chan struct{} // closed once the log has this process and its drains are in force here
+	registered    chan struct{} // closed once the log contains this process and its drains are in force here
 	statusChanged chan struct{} // holds one value while there is a status to report
-	statusTaken   chan struct{} // holds one value after a replica has taken a status
+	statusTaken   chan struct{} // holds one value after a replica has acknowledged a status
 	stop          chan struct{} // closed by Close
 	done          sync.WaitGroup
 
-	grantedPermits map[uint64]bool // that were activated; used by watchState alone
+	grantedPermits map[uint64]bool // by number; permits on which a shutdown was granted. Used by watchState alone
 
 	mu           sync.Mutex
 	phase        rollout.Phase // guarded by mu
 	sequence     uint64        // guarded by mu; of the last status
-	acknowledged uint64        // guarded by mu; of the last status that a replica has taken
-	appliedIndex uint64        // guarded by mu; how far the log was where the excluded engines come from
+	acknowledged uint64        // guarded by mu; sequence of the last status that a replica has acknowledged
+	appliedIndex uint64        // guarded by mu; commands applied by the replica that sent the drains in force
 }
 
-// ShutdownGrant tells the front end to shut down: to accept no more requests, to answer all, and to end.
+// ShutdownGrant permits and requests a shutdown: the front end accepts no more requests, answers those in flight, and
+// exits.
 type ShutdownGrant struct {
 	Permit   uint64
 	Purpose  rollout.Purpose
-	Revision string // that the next process is to be started on
+	Revision string // of the next process
 }
 
-// Join enters the fleet. The process is starting until SetPhase tells otherwise. An error tells of what can't be
-// opened; a fleet that can't be reached is none. The caller must close the member.
+// Join starts a member in the phase rollout.Starting. It returns an error if the options are invalid or a port or the
+// log can't be opened; an unreachable fleet or a failed disk is no error. The caller must close the member.
 func Join(o Options, frontEnd FrontEnd) (*Member, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -98,18 +101,18 @@
 	return m, nil
 }
 
-// Shutdowns brings the grant to shut down, once.
+// Shutdowns returns the channel on which the grant to shut down arrives, once.
 func (m *Member) Shutdowns() <-chan ShutdownGrant { return m.shutdowns }
 
-// Registered is closed once the log has this process and the drains in the log are in force here. A front end that
-// served earlier could send to an engine that all others have reported as drained. One that reaches no replica must not
-// wait for it for ever.
+// Registered returns a channel that is closed once the log contains this process and the drains in the log are in
+// force here. A front end that serves before could send queries to an engine that all other front ends have reported
+// as drained. The wait needs a timeout: the channel stays open while no replica can be reached.
 func (m *Member) Registered() <-chan struct{} { return m.registered }
 
-// AliveMembers is how many members this one takes to be alive, itself among them. One that gossip suspects counts.
+// AliveMembers returns the number of members that this member considers alive, including itself and suspected ones.
 func (m *Member) AliveMembers() int { return m.gossip.members.NumMembers() }
 
-// SetPhase reports what the process does from now on. It does not block.
+// SetPhase sets the phase of the process, which the member then reports. It does not block.
 func (m *Member) SetPhase(phase rollout.Phase) {
 	m.mu.Lock()
 	if m.phase != phase {
@@ -120,7 +123,7 @@
 	notify(m.statusChanged)
 }
 
-// notify leaves a value in a channel that holds one, unless there is one already.
+// notify sends to a channel with a buffer of one value, unless the buffer is full.
 func notify(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -128,7 +131,8 @@
 	}
 }
 
-// Close reports that the process has terminated, for at most that long, and ends the member and its goroutines.
+// Close reports that the process has terminated, waits up to timeout for the acknowledgement, and stops the member and
+// its goroutines.
 func (m *Member) Close(timeout time.Duration) {
 	m.SetPhase(rollout.Terminated)
 	m.awaitStatusTaken(timeout)
@@ -140,7 +144,7 @@
 	}
 }
 
-// awaitStatusTaken returns once a replica has taken the last status, or after that long.
+// awaitStatusTaken returns once a replica has acknowledged the last status, or after the timeout.
 func (m *Member) awaitStatusTaken(timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -153,15 +157,15 @@
 	}
 }
 
-// statusPending tells whether there is a status that no replica has taken.
+// statusPending reports whether the last status has not been acknowledged yet.
 func (m *Member) statusPending() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.acknowledged != m.sequence
 }
 
-// exclude puts drains in force, unless the replica that tells of them is behind the one that told of those in force: it
-// may know of no drain yet.
+// exclude puts the drains of a replica in force and returns true, unless the replica has applied fewer commands than
+// the one that sent the drains in force: a replica that is behind may lack the latest drains.
 func (m *Member) exclude(appliedIndex uint64, engines EngineSet) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,7 +186,7 @@
 	}
 }
 
-// sleep returns after that long; false when the member ends.
+// sleep returns true after the duration, or false once the member stops.
 func (m *Member) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/fleet/member_loops.go
+++ b/internal/fleet/member_loops.go
@@ -9,11 +9,11 @@
 
 // Pauses of a member's goroutines.
 const (
-	retryInterval = 100 * time.Millisecond // after a call that no replica has carried out
-	viewInterval  = 50 * time.Millisecond  // before a view is looked at again that is not carried out yet
+	retryInterval = 100 * time.Millisecond // after a failed call
+	viewInterval  = 50 * time.Millisecond  // before the next watch, after a view that is stale or not yet carried out
 )
 
-// reportStatus sends the present status until a replica has taken it, and waits for the next. It ends with the member.
+// reportStatus sends each status until a replica has acknowledged it. It runs until the member stops.
 func (m *Member) reportStatus() {
 	defer m.done.Done()
 	var first sync.Once
@@ -46,7 +46,7 @@
 	}
 }
 
-// status returns the present status, and whether no replica has taken it yet.
+// status returns the current status, and whether no replica has acknowledged it yet.
 func (m *Member) status() (status rollout.ReportStatus, pending bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +65,8 @@
 	return set
 }
 
-// watchState watches what concerns this member, at one replica at a time, and carries it out. It ends with the member.
+// watchState watches this member's view at one replica at a time, and carries the view out. It runs until the member
+// stops.
 func (m *Member) watchState() {
 	defer m.done.Done()
 	replicas := m.options.ControlReplicas
@@ -107,7 +108,7 @@
 	return engines
 }
 
-// applyView carries out what the view asks for; true where it is to be applied again although it has not changed.
+// applyView carries a view out. It returns true if the view must be applied again even if it does not change.
 func (m *Member) applyView(view MemberView) (again bool) {
 	phase := m.refreshStatus(view)
 	if view.Incarnation > m.incarnation {
@@ -123,8 +124,8 @@
 	return again
 }
 
-// refreshStatus reports the status again where the view has an older one, or none, or suspects the process. That does
-// no harm where only the replica is behind. It returns the present phase.
+// refreshStatus reports the status again if the view lacks the process, has an older status or suspects the process.
+// If only the replica is behind, the repeated report is harmless. It returns the current phase.
 func (m *Member) refreshStatus(view MemberView) rollout.Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,7 +142,8 @@
 	return m.phase
 }
 
-// reportDrains reports the engines that have no query of this front end; true where it is to be called again.
+// reportDrains reports each drained engine that runs no query of this front end. It returns true if it must be called
+// again.
 func (m *Member) reportDrains(drains []EngineDrain) (again bool) {
 	for _, drain := range drains {
 		if drain.Acknowledged {
@@ -158,8 +160,8 @@
 	return again
 }
 
-// activatePermit asks, immediately before the shutdown, whether the permit still stands, and shuts down on it once;
-// true where it is to be called again.
+// activatePermit activates the permit in the log, immediately before the shutdown, and grants the shutdown to the
+// front end, once. It returns true if it must be called again.
 func (m *Member) activatePermit(permit *rollout.Permit) (again bool) {
 	if m.grantedPermits[permit.Number] || permit.Cancelled {
 		return false
@@ -172,7 +174,7 @@
 	}
 	if result.Rejected != nil {
 		m.log.Info("shutdown not granted", "permit", permit.Number, "why", result.Rejected.Error())
-		if permit.ActivatedAt > 0 { // it was granted once, and the answer was lost: the process stays, and reports so
+		if permit.ActivatedAt > 0 { // the answer to an earlier activation was lost: keep serving and return the permit
 			_, err := m.client.Apply(rollout.Command{ReturnPermit: reference})
 			return err != nil
 		}
@@ -181,7 +183,8 @@
 	if !result.Shutdown {
 		return false
 	}
-	// After a long call, or a process that was stopped with the answer in hand, others may be unavailable by now.
+	// The answer is stale after a slow call, or if the process was paused after the answer: other members may be
+	// unavailable by now.
 	if time.Since(requestedAt) > activationTimeout {
 		return true
 	}
@@ -195,11 +198,11 @@
 	return false
 }
 
-// minWindowSeconds is the shortest time that a window's load is divided by, in seconds.
+// minWindowSeconds is the smallest divisor in the computation of a window's load.
 const minWindowSeconds = 0.1
 
-// reportCounts sends the counts of each window to the leader while the process serves. A window that is lost is not
-// sent again. It ends with the member.
+// reportCounts sends the counts of each window to the leader while the process serves. It does not retry a failed
+// call, whose counts are lost. It runs until the member stops.
 func (m *Member) reportCounts() {
 	defer m.done.Done()
 	last, start := m.frontEnd.RequestCounts(), time.Now()
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -6,12 +6,12 @@
 	"beechcart/decision/rollout"
 )
 
-// The bodies of the replicas' HTTP interface. Their JSON names are read by members of other builds and by operators.
+// The bodies of the replicas' HTTP interface. Members of other builds and operators read their JSON names.
 
 // response is the body of every answer.
 type response struct {
 	Error  string          `json:"error,omitempty"`
-	Leader string          `json:"leader,omitempty"` // where to call instead
+	Leader string          `json:"leader,omitempty"` // address of the leader's HTTP interface, to be called instead
 	Value  json.RawMessage `json:"value,omitempty"`
 }
 
@@ -22,9 +22,9 @@
 	LogAddress string `json:"Log"`
 }
 
-// Status is what a replica knows of the fleet.
+// Status is the fleet's state as one replica has applied it.
 type Status struct {
-	Replica         string                 `json:"keeper"` // its name
+	Replica         string                 `json:"keeper"` // name of the replica that answers
 	IsLeader        bool                   `json:"leads"`
 	LeaderAddress   string                 `json:"leader,omitempty"` // of the HTTP interface; empty: no leader is known
 	AppliedIndex    uint64                 `json:"index"`            // of the log
@@ -35,7 +35,7 @@
 	DrainBlockers   map[string][]string    `json:"blocks,omitempty"` // by engine
 }
 
-// MemberView is what concerns one member.
+// MemberView is the part of the state that one member needs.
 type MemberView struct {
 	Registered     bool            `json:"known"`
 	Incarnation    uint64          `json:"incarnation"`
@@ -45,18 +45,18 @@
 	TargetRevision string          `json:"wanted"`
 	Permit         *rollout.Permit `json:"permit,omitempty"`
 	Drains         []EngineDrain   `json:"drains,omitempty"`
-	Release        uint64          `json:"release,omitempty"` // active and not rolling back
+	Release        uint64          `json:"release,omitempty"` // 0: no release is active, or it is rolling back
 	Target         string          `json:"target,omitempty"`  // revision of that release
 }
 
-// EngineDrain is an engine that must get no more queries.
+// EngineDrain is a drain of an engine, which must get no more queries.
 type EngineDrain struct {
 	Engine       string `json:"engine"`
 	Permit       uint64 `json:"permit"`
-	Acknowledged bool   `json:"said"` // the member's process has reported that it has no query there
+	Acknowledged bool   `json:"said"` // the member's process has reported that it has no query at the engine
 }
 
-// memberView returns what concerns the member of that name.
+// memberView returns the view of the member of that name.
 func memberView(m *rollout.StateMachine, name string) MemberView {
 	view := MemberView{}
 	if member := m.Members[name]; member != nil {
@@ -84,9 +84,9 @@
 	return view
 }
 
-// watchAnswer is a member's view.
+// watchAnswer is the answer to a watch.
 type watchAnswer struct {
 	View         MemberView `json:"view"`
-	Version      string     `json:"have"`    // of the view, to be sent with the next watch
-	AppliedIndex uint64     `json:"applied"` // commands that the replica has applied
+	Version      string     `json:"have"`    // of the view; the member sends it with the next watch
+	AppliedIndex uint64     `json:"applied"` // number of commands that the replica has applied
 }
--- a/internal/fleet/raft_stream.go
+++ b/internal/fleet/raft_stream.go
@@ -12,14 +12,15 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftStream carries the calls of the raft library. Each connection begins with a line that names the identity that it
-// is meant for and the fleet's key, and with one byte in answer. One that is meant for another identity is closed.
+// raftStream carries the connections of the raft library. Each connection begins with a handshake: the dialling
+// replica sends a line with the identity that the connection is meant for and the fleet's key, and the accepting
+// replica replies with one byte. A connection that is meant for another identity, or has another key, is closed.
 type raftStream struct {
 	options  *Options
 	identity string
 	address  string
 	listener net.Listener
-	accepted chan net.Conn // after their handshake
+	accepted chan net.Conn // connections that have passed the handshake
 	closed   chan struct{}
 	once     sync.Once // closes closed
 }
@@ -28,7 +29,7 @@
 	handshakeReply    = "+"
 	maxHandshakeBytes = 256 // bytes
 	acceptRetryPause  = 50 * time.Millisecond
-	handshakeTemplate = "%s %s\n" // identity and key
+	handshakeTemplate = "%s %s\n" // identity, key
 )
 
 // listenRaft listens at an address for connections that are meant for an identity. The caller must close the stream.
@@ -56,12 +57,12 @@
 		select {
 		case <-s.closed:
 			return
-		case <-time.After(acceptRetryPause): // the process may have no descriptor left
+		case <-time.After(acceptRetryPause): // the process may have run out of file descriptors
 		}
 	}
 }
 
-// handshake hands over a connection that is meant for this identity, and closes any other.
+// handshake passes a connection that is meant for this identity to Accept, and closes any other.
 func (s *raftStream) handshake(c net.Conn) {
 	if !s.acceptsHandshake(c) {
 		_ = c.Close()
@@ -74,8 +75,8 @@
 	}
 }
 
-// acceptsHandshake reads the first line and answers it. The caller sends nothing more before the answer, so that the
-// reader holds no byte of what follows.
+// acceptsHandshake reads the handshake line, and replies and returns true if the line names this identity and the
+// fleet's key. The dialling replica sends nothing more before the reply, so the reader buffers no byte after the line.
 func (s *raftStream) acceptsHandshake(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
 	reader := bufio.NewReaderSize(io.LimitReader(c, maxHandshakeBytes), maxHandshakeBytes)
@@ -106,15 +107,15 @@
 	return s.listener.Close()
 }
 
-// Addr implements net.Listener. It names the identity too, as the other replicas do.
+// Addr implements net.Listener. The address includes the identity, as in the log's configuration.
 func (s *raftStream) Addr() net.Addr { return identityAddr(serverAddress(s.identity, s.address)) }
 
-// serverAddress is where a replica's log is reached, with the identity that calls must be meant for.
+// serverAddress returns the address of a replica in the log's configuration: IDENTITY@HOST:PORT.
 func serverAddress(identity, hostPort string) raft.ServerAddress {
 	return raft.ServerAddress(identity + "@" + hostPort)
 }
 
-// identityAddr is a server address as a net.Addr.
+// identityAddr implements net.Addr for an address that serverAddress has returned.
 type identityAddr string
 
 // Network implements net.Addr.
@@ -122,11 +123,11 @@
 
 func (a identityAddr) String() string { return string(a) }
 
-// Dial implements raft.StreamLayer: it opens a connection to an identity at an address.
+// Dial implements raft.StreamLayer. It opens a connection to an address of the form IDENTITY@HOST:PORT.
 func (s *raftStream) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	identity, hostPort, ok := strings.Cut(string(to), "@")
 	if !ok {
-		return nil, fmt.Errorf("fleet: %q names no identity", to)
+		return nil, fmt.Errorf("fleet: log address: found %q, must be IDENTITY@HOST:PORT", to)
 	}
 	c, err := s.options.dialTCP(hostPort, timeout, logTraffic)
 	if err != nil {
@@ -139,7 +140,7 @@
 	}
 	if err != nil {
 		_ = c.Close()
-		return nil, fmt.Errorf("fleet: %s does not answer to %s: %w", hostPort, identity, err)
+		return nil, fmt.Errorf("fleet: %s did not accept the handshake for identity %s: %w", hostPort, identity, err)
 	}
 	_ = c.SetDeadline(time.Time{})
 	return c, nil
--- a/internal/fleet/recorded_calls_test.go
+++ b/internal/fleet/recorded_calls_test.go
@@ -38,8 +38,8 @@
 func recordCalls(t *testing.T, o *Options, calls []exchange) []exchange {
 	t.Helper()
 	replica := o.ControlReplicas[0]
-	placeholders := strings.NewReplacer(replica.APIAddress, "ASK", replica.LogAddress, "LOG", replica.GossipAddress, "GOSSIP")
-	indexPattern := regexp.MustCompile(`"index":\d+`)
+	masked := strings.NewReplacer(replica.APIAddress, "ASK", replica.LogAddress, "LOG", replica.GossipAddress, "GOSSIP")
+	logIndex := regexp.MustCompile(`"index":\d+`)
 	answered := []exchange{}
 	for _, e := range calls {
 		body := strings.NewReplacer("LOG", replica.LogAddress).Replace(e.Body)
@@ -54,7 +54,7 @@
 		answer, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
-		e.Status, e.Answer = response.StatusCode, indexPattern.ReplaceAllString(placeholders.Replace(string(answer)), `"index":0`)
+		e.Status, e.Answer = response.StatusCode, logIndex.ReplaceAllString(masked.Replace(string(answer)), `"index":0`)
 		answered = append(answered, e)
 	}
 	return answered
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -19,21 +19,21 @@
 const (
 	heartbeatTimeout     = 600 * time.Millisecond
 	leaderLeaseTimeout   = 400 * time.Millisecond
-	appendInterval       = 20 * time.Millisecond // longest that followers wait to learn what is committed
+	appendInterval       = 20 * time.Millisecond // longest time until followers learn of a new commit index
 	snapshotThreshold    = 4096                  // entries since the last snapshot
 	trailingLogs         = 2048                  // entries kept behind a snapshot, for replicas that are behind
 	snapshotsKept        = 2
 	maxPooledConnections = 2 // to each other replica
 )
 
-// joinInterval is how often a replica asks to be added to the log.
+// joinInterval is the pause between a replica's requests to be added to the log.
 const joinInterval = 300 * time.Millisecond
 
 // ControlReplica is a replica of the control log. It is safe for concurrent use.
 type ControlReplica struct {
 	options   *Options
 	address   *ReplicaAddress
-	id        string // identity of its log
+	id        string // identity of the log in options.LogDirectory
 	log       *slog.Logger
 	raft      *raft.Raft
 	store     *logStore
@@ -43,13 +43,13 @@
 
 	mu           sync.Mutex
 	stateMachine *rollout.StateMachine // guarded by mu
-	changed      chan struct{}         // guarded by mu; closed and replaced at each command
+	changed      chan struct{}         // guarded by mu; closed and replaced after each applied command
 
 	stop chan struct{} // closed by Close
 	done sync.WaitGroup
 }
 
-// OpenReplica opens the log in o.LogDirectory and takes part in it. The caller must close the replica.
+// OpenReplica opens the log in o.LogDirectory and starts the replica. The caller must close the replica.
 func OpenReplica(o *Options) (*ControlReplica, error) {
 	r := &ControlReplica{
 		options: o, address: o.self(), log: o.Log, changed: make(chan struct{}), stop: make(chan struct{}),
@@ -73,13 +73,13 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	r.http = &http.Server{Handler: r.handler(), ReadHeaderTimeout: callTimeout}
-	go func() { _ = r.http.Serve(listener) }() // until Close closes the server
+	go func() { _ = r.http.Serve(listener) }() // returns when Close closes the server
 	r.done.Add(1)
 	go r.join()
 	return r, nil
 }
 
-// openRaft opens the log and starts the library on it.
+// openRaft opens the log and starts the raft library on it.
 func (r *ControlReplica) openRaft() error {
 	directory := r.options.LogDirectory
 	logger := hclog.New(&hclog.LoggerOptions{
@@ -102,7 +102,8 @@
 	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: stream, MaxPool: maxPooledConnections, Timeout: callTimeout, Logger: logger,
 	})
-	// The library writes its term already as it starts: where that fails, the goroutine that does it ends (SetUint64).
+	// The library writes its term while it starts. If that write fails, logStore.SetUint64 ends the calling goroutine, so
+	// the library is started in a goroutine of its own.
 	started := make(chan struct{})
 	go func() {
 		defer close(started)
@@ -128,7 +129,7 @@
 	return c
 }
 
-// Close ends the replica and its goroutines; the others go on.
+// Close stops this replica and its goroutines.
 func (r *ControlReplica) Close() {
 	close(r.stop)
 	if r.http != nil {
@@ -140,22 +141,22 @@
 	_ = r.store.Close()
 }
 
-// Init begins a fleet with this replica alone; the others join it. Only an operator may call for it: a replica that
-// finds nobody must not begin a second fleet by itself.
+// Init starts a new fleet with this replica alone; the other replicas join later. Only an operator may request it: a
+// replica that reaches no other replica must not start a second fleet without an operator.
 func (r *ControlReplica) Init() error {
 	return r.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{
 		ID: raft.ServerID(r.id), Address: serverAddress(r.id, r.address.LogAddress),
 	}}}).Error()
 }
 
-// join asks the other replicas to be added to the log, until this one is.
+// join asks the other replicas to add this replica to the log, until the log's configuration contains this replica.
 func (r *ControlReplica) join() {
 	defer r.done.Done()
 	for !r.isVoter() {
 		for _, other := range r.options.ControlReplicas {
 			if other.Name != r.address.Name {
 				request := joinRequest{r.address.Name, r.id, r.address.LogAddress}
-				_ = call(r.options, other.APIAddress, "/join", request, nil) // asked again
+				_ = call(r.options, other.APIAddress, "/join", request, nil) // retried after joinInterval
 			}
 		}
 		select {
@@ -166,7 +167,7 @@
 	}
 }
 
-// isVoter tells whether the log's configuration has this replica, as far as it knows.
+// isVoter reports whether the latest configuration in this replica's log contains this replica.
 func (r *ControlReplica) isVoter() bool {
 	f := r.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -180,7 +181,8 @@
 	return false
 }
 
-// addReplica adds a replica to the log. An earlier identity of the same replica, whose log is lost, is removed first.
+// addReplica adds a replica to the log's configuration. It first removes an earlier identity of the same replica,
+// whose log is lost.
 func (r *ControlReplica) addReplica(request joinRequest) error {
 	configured := false
 	for _, replica := range r.options.ControlReplicas {
@@ -209,13 +211,13 @@
 	return r.raft.AddVoter(raft.ServerID(request.ID), address, 0, commitTimeout).Error()
 }
 
-// errNotLeader tells that the log takes nothing just now, or takes it at another replica.
+// errNotLeader is the answer to a call that needs the leader, when this replica does not lead. Another replica may
+// lead, or none. The text is part of the HTTP interface.
 var errNotLeader = errors.New("fleet: no keeper leads")
 
-// isLeader tells whether this replica leads.
 func (r *ControlReplica) isLeader() bool { return r.raft.State() == raft.Leader }
 
-// leaderAddress is where the HTTP interface of the leader is; empty where none is known.
+// leaderAddress returns the address of the leader's HTTP interface, or "" if no leader is known.
 func (r *ControlReplica) leaderAddress() string {
 	_, id := r.raft.LeaderWithID()
 	for _, replica := range r.options.ControlReplicas {
--- a/internal/fleet/replica_raft.go
+++ b/internal/fleet/replica_raft.go
@@ -13,8 +13,9 @@
 	"beechcart/decision/rollout"
 )
 
-// Apply appends a command to the log, with this replica's time in it, and returns the state machine's result. After an
-// error it is unknown whether the command was appended: the same command, under its id, may be sent again.
+// Apply sets the command's time to this replica's clock, appends the command to the log and returns the state
+// machine's result. After an error it is unknown whether the command was appended: the same command, under the same
+// id, may be sent again.
 func (r *ControlReplica) Apply(command rollout.Command) (rollout.Result, error) {
 	command.At = time.Duration(r.options.now().UnixNano())
 	text, err := json.Marshal(command)
@@ -28,21 +29,21 @@
 	return f.Response().(rollout.Result), nil
 }
 
-// readState calls f with the state machine, which f must not change or keep.
+// readState calls f with the state machine under the lock. f must not change or retain the state machine.
 func (r *ControlReplica) readState(f func(*rollout.StateMachine)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.stateMachine)
 }
 
-// nextChange returns a channel that is closed at the next command.
+// nextChange returns a channel that is closed after the next command is applied.
 func (r *ControlReplica) nextChange() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// raftStateMachine is the replica as the raft library sees it.
+// raftStateMachine implements raft.FSM on a replica.
 type raftStateMachine ControlReplica
 
 // Apply implements raft.FSM.
@@ -81,7 +82,7 @@
 	return s.stateMachine.Restore(text)
 }
 
-// stateSnapshot is the state machine's state as JSON.
+// stateSnapshot is the JSON of the state machine's state.
 type stateSnapshot []byte
 
 // Persist implements raft.FSMSnapshot.
@@ -96,7 +97,7 @@
 // Release implements raft.FSMSnapshot.
 func (s stateSnapshot) Release() {}
 
-// logWriter writes a library's lines to the log.
+// logWriter writes a library's log lines to a slog.Logger at debug level.
 type logWriter struct {
 	log    *slog.Logger
 	source string
--- a/internal/fleet/replica_recovery.go
+++ b/internal/fleet/replica_recovery.go
@@ -7,21 +7,22 @@
 	"beechcart/decision/diskrecovery"
 )
 
-// recoveryInterval is how often a member whose log is not open asks whether it may open it.
+// recoveryInterval is the pause between two questions to the recovery policy while the log is not open.
 const recoveryInterval = 200 * time.Millisecond
 
-// replicaRunner keeps a member's control replica open, and carries out what follows failures of its disk.
+// replicaRunner keeps a member's control replica open, and reopens or reinitializes the log after disk failures, as
+// the recovery policy decides.
 type replicaRunner struct {
 	member  *Member
 	policy  *diskrecovery.Policy
 	started time.Time
 }
 
-// now is the time as the policy counts it.
+// now returns the time since the runner started, which is the policy's clock.
 func (r *replicaRunner) now() time.Duration { return time.Since(r.started) }
 
-// startReplica opens the log for the first time, and keeps it open in a goroutine that ends with the member. An error
-// tells of what can't be opened; a disk that has failed is none: the front end serves without the log.
+// startReplica opens the log and keeps it open in a goroutine that runs until the member stops. It returns an error if
+// the log or a port can't be opened. A failed disk is no error: the front end serves without the log.
 func (m *Member) startReplica() error {
 	r := &replicaRunner{member: m, started: time.Now()}
 	newPolicy := diskrecovery.New
@@ -48,10 +49,10 @@
 	return nil
 }
 
-// run serves the replica, which may be nil, and opens another one as the policy tells, until the member ends.
+// run runs the replica, which may be nil, and reopens the log when the policy decides so, until the member stops.
 func (r *replicaRunner) run(replica *ControlReplica) {
 	defer r.member.done.Done()
-	logged := "" // the reason that was logged last
+	logged := "" // reason in the last log message
 	for {
 		if replica != nil {
 			logged = ""
@@ -76,7 +77,8 @@
 	}
 }
 
-// open opens the log as the policy has told; nil where it can't be opened.
+// open carries out the policy's action, which opens the log as it is or an empty one. It returns nil if the log can't
+// be opened.
 func (r *replicaRunner) open(action diskrecovery.Action) *ControlReplica {
 	options := &r.member.options
 	var err error
@@ -106,7 +108,7 @@
 	return replica
 }
 
-// serve runs the replica until its disk fails; false when the member ends.
+// serve runs the replica. It returns true when the replica's disk fails, and false when the member stops.
 func (r *replicaRunner) serve(replica *ControlReplica) bool {
 	replica.done.Add(1)
 	go replica.runLeader(r.member.gossip, r.member.frontEnd.Engines)
@@ -119,7 +121,8 @@
 	}
 }
 
-// diskFailed tells the policy of a failure. One of unknown durability is marked on the disk, for the next process.
+// diskFailed reports a disk failure to the policy. If the durability of the log is unknown, it also writes the
+// durability mark for the next process.
 func (r *replicaRunner) diskFailed(err error) {
 	log := r.member.log
 	failure := classifyFailure(err)
@@ -132,7 +135,8 @@
 	r.policy.Failed(r.now(), failure)
 }
 
-// quorum asks whether the other replicas have a quorum without this one, which is not open.
+// quorum asks the other replicas whether one of them leads, which proves that they have a quorum while this replica is
+// not open.
 func (r *replicaRunner) quorum() diskrecovery.Quorum {
 	status, err := r.member.client.Status()
 	return diskrecovery.Quorum(err == nil && status.IsLeader)
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// Traffic counts what went through a member's sockets. Bytes include headers of IP and UDP or TCP: those of datagrams
-// exactly, those of streams as an estimate (segmentHeader for each segment of the loopback's size, connectionBytes for
-// a connection; acknowledgements without data, and retransmissions, are not counted).
+// Traffic counts the traffic of a member's sockets. Bytes include the headers of IP and UDP or TCP. Those of datagrams
+// are exact. Those of streams are an estimate: segmentHeaderBytes for each segment of the loopback's size and
+// connectionBytes for each connection, without retransmissions and acknowledgements that carry no data.
 type Traffic struct {
 	SentBytes        uint64
 	ReceivedBytes    uint64
 	SentMessages     uint64 // datagrams, or writes on a stream
 	ReceivedMessages uint64 // datagrams, or reads on a stream
-	Connections      uint64 // opened from this side
+	Connections      uint64 // dialled by this member
 }
 
-// Sizes of headers in bytes, IPv4 without options.
+// Sizes of headers and segments, for IPv4 without options.
 const (
 	datagramHeaderBytes = 28
 	segmentHeaderBytes  = 40
-	segmentPayloadBytes = 65_483 // of the loopback's MTU of 65,536, with TCP timestamps
-	connectionBytes     = 200    // to open and to close, one half in each direction
+	segmentPayloadBytes = 65_483 // fits the loopback's MTU of 65,536 bytes, with TCP timestamps
+	connectionBytes     = 200    // to open and close a connection, half in each direction
 )
 
-// maxBlockedWrite is how long a write waits for a cut to end before it fails, as TCP's user timeout would let it.
+// maxBlockedWrite is the longest time that a read, a write or a dial waits for a blocked host. It stands for the TCP
+// user timeout.
 const maxBlockedWrite = 5 * time.Second
 
-// trafficKind tells what a connection is for.
+// trafficKind is the purpose of a connection.
 type trafficKind int
 
 const (
-	gossipTraffic trafficKind = iota // of memberlist, datagrams and streams
+	gossipTraffic trafficKind = iota // memberlist's datagrams and streams
 	callTraffic                      // HTTP calls that this member makes
 	servedTraffic                    // HTTP calls that this member serves, at a replica
-	logTraffic                       // of the replicated log, at a replica
+	logTraffic                       // the replicated log's connections, at a replica
 	trafficKinds
 )
 
-// HostSet names hosts by their addresses, without ports.
+// HostSet is a set of hosts by IP address, without port.
 type HostSet map[string]bool
 
-// Transport counts what a member sends and receives, and restricts to whom it sends. It serves tests at fleet size: a
-// member that has none uses its sockets directly. A Transport belongs to one member, whose connections it opens from
-// the member's own address, so that the other end can tell whose they are. It is safe for concurrent use.
+// Transport counts what a member sends and receives, and can block traffic to some hosts. It serves tests at fleet
+// size; a member without a Transport uses its sockets directly. A Transport belongs to one member. It dials from the
+// member's own address, so that the other end can identify the member. It is safe for concurrent use.
 type Transport struct {
 	local     *net.TCPAddr
 	meters    [trafficKinds]meter
@@ -55,13 +56,13 @@
 	http      *http.Client
 }
 
-// blockList is a set of hosts that nothing is sent to.
+// blockList is the set of hosts to which a transport sends nothing.
 type blockList struct {
 	hosts    HostSet
-	replaced chan struct{} // closed when another cut is in its place
+	replaced chan struct{} // closed when another block list replaces this one
 }
 
-// NewTransport returns the transport of a member at a host, an IP address without a port, that restricts nothing yet.
+// NewTransport returns a transport for the member at a host, given as an IP address without a port. It blocks no host.
 func NewTransport(host string) *Transport {
 	t := &Transport{local: &net.TCPAddr{IP: net.ParseIP(host)}}
 	t.blockList.Store(&blockList{replaced: make(chan struct{})})
@@ -73,31 +74,31 @@
 	return t
 }
 
-// Block cuts these hosts off from now on, in place of those of the last call: nothing is sent to them. Datagrams to
-// them are dropped, connections to them don't open, and writes on connections that are open wait for the cut to end,
-// for maxBlockedWrite at most.
+// Block stops all traffic from this member to these hosts, and unblocks the other hosts. Datagrams to blocked hosts
+// are dropped, and new connections to them don't open. Writes on open connections wait until the host is unblocked,
+// and fail after maxBlockedWrite.
 func (t *Transport) Block(hosts HostSet) {
 	previous := t.blockList.Swap(&blockList{hosts, make(chan struct{})})
 	close(previous.replaced)
 }
 
-// Blocked tells whether nothing is sent to a host now.
+// Blocked reports whether traffic to a host is blocked.
 func (t *Transport) Blocked(host string) bool { return t.blockList.Load().hosts[host] }
 
-// Gossip is the traffic of membership: datagrams, and the streams of full exchanges.
+// Gossip returns the traffic of memberlist: its datagrams, and the streams of its exchanges of the full state.
 func (t *Transport) Gossip() Traffic { return t.meters[gossipTraffic].read() }
 
-// Calls is the traffic of HTTP calls that the member made.
+// Calls returns the traffic of the HTTP calls that the member made.
 func (t *Transport) Calls() Traffic { return t.meters[callTraffic].read() }
 
-// Served is the traffic of HTTP calls that the member answered, at a replica.
+// Served returns the traffic of the HTTP calls that the member answered as a control replica.
 func (t *Transport) Served() Traffic { return t.meters[servedTraffic].read() }
 
-// Log is the traffic of the replicated log, at a replica.
+// Log returns the traffic of the replicated log, at a control replica.
 func (t *Transport) Log() Traffic { return t.meters[logTraffic].read() }
 
-// awaitUnblocked returns nil once the host is not blocked, net.ErrClosed when closed is, and os.ErrDeadlineExceeded at the
-// deadline.
+// awaitUnblocked returns nil once the host is not blocked, net.ErrClosed once the channel closed is closed, and
+// os.ErrDeadlineExceeded at the deadline.
 func (t *Transport) awaitUnblocked(host string, closed <-chan struct{}, deadline time.Time) error {
 	for {
 		current := t.blockList.Load()
@@ -117,7 +118,8 @@
 	}
 }
 
-// dial opens a connection from the member's own address. One to a blocked host waits, as for an answer that is lost.
+// dial opens a connection from the member's own address. A dial to a blocked host waits, like one whose first segment
+// is lost.
 func (t *Transport) dial(ctx context.Context, addr string, kind trafficKind) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -139,14 +141,14 @@
 	return t.wrap(c, kind), nil
 }
 
-// dialWithin is dial with a time limit.
+// dialWithin calls dial with a timeout.
 func (t *Transport) dialWithin(addr string, timeout time.Duration, kind trafficKind) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return t.dial(ctx, addr, kind)
 }
 
-// httpClient makes the calls to replicas: the member's own with a transport, else one that the process shares.
+// httpClient returns the client for calls to replicas: the transport's own, or sharedClient without a transport.
 func (o *Options) httpClient() *http.Client {
 	if o.Transport == nil {
 		return sharedClient
@@ -154,7 +156,7 @@
 	return o.Transport.http
 }
 
-// listenTCP listens at an address, through the transport where there is one.
+// listenTCP listens at an address, through the transport if one is set.
 func (o *Options) listenTCP(addr string, kind trafficKind) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil || o.Transport == nil {
@@ -163,7 +165,7 @@
 	return &meteredListener{l, o.Transport, kind}, nil
 }
 
-// dialTCP dials an address, through the transport where there is one.
+// dialTCP dials an address, through the transport if one is set.
 func (o *Options) dialTCP(addr string, timeout time.Duration, kind trafficKind) (net.Conn, error) {
 	if o.Transport == nil {
 		return net.DialTimeout("tcp", o.dialAddress(addr), timeout)
@@ -171,7 +173,7 @@
 	return o.Transport.dialWithin(addr, timeout, kind)
 }
 
-// meter counts one kind of traffic.
+// meter counts the traffic of one kind.
 type meter struct {
 	sentBytes, receivedBytes, sentMessages, receivedMessages, connections atomic.Uint64
 }
--- a/internal/fleet/transport_conn.go
+++ b/internal/fleet/transport_conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// meteredListener hands out connections that are counted and restricted by a transport.
+// meteredListener returns accepted connections whose traffic a transport counts and blocks.
 type meteredListener struct {
 	net.Listener
 	transport *Transport
@@ -23,7 +23,7 @@
 	return l.transport.accepted(c, l.kind), nil
 }
 
-// meteredConn is a connection whose traffic is counted, and that sends nothing while its other end is blocked.
+// meteredConn is a connection whose traffic a transport counts. It sends nothing while its peer is blocked.
 type meteredConn struct {
 	net.Conn
 	transport            *Transport
@@ -38,7 +38,7 @@
 	writeDeadline time.Time
 }
 
-// wrap counts a connection that was opened.
+// wrap returns an open connection with its traffic counted, and counts the bytes of its opening and closing.
 func (t *Transport) wrap(c net.Conn, kind trafficKind) *meteredConn {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
@@ -50,8 +50,9 @@
 	return metered
 }
 
-// accepted counts a connection that the other end has opened. On a real network it would not open while the other end
-// is blocked, which gets no answer to its first segment; so nothing is read from it before the cut ends.
+// accepted wraps a connection that the peer has dialled. On a real network, a connection from a blocked peer would not
+// open, since the answer to its first segment is lost. Therefore the connection's reads wait until the peer is
+// unblocked.
 func (t *Transport) accepted(c net.Conn, kind trafficKind) *meteredConn {
 	metered := t.wrap(c, kind)
 	metered.acceptedWhileBlocked.Store(t.Blocked(metered.peer))
@@ -87,7 +88,8 @@
 	return n, err
 }
 
-// waitDeadline is until when a blocked read or write waits.
+// waitDeadline returns the time until which a blocked read or write waits: the given deadline, or maxBlockedWrite from
+// now if that is earlier or the deadline is zero.
 func (c *meteredConn) waitDeadline(deadline *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +130,7 @@
 	return c.Conn.Close()
 }
 
-// streamHeaders estimates the bytes of headers that a number of bytes of a stream travel under.
+// streamHeaders estimates the header bytes of the segments that carry this many bytes of a stream.
 func streamHeaders(bytes int) int {
 	segments := (bytes + segmentPayloadBytes - 1) / segmentPayloadBytes
 	return segments * segmentHeaderBytes
--- a/internal/fleet/transport_gossip.go
+++ b/internal/fleet/transport_gossip.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// gossipTransport is memberlist's own transport, counted and cut by a [Transport].
+// gossipTransport is memberlist's own transport, with its traffic counted and blocked by a [Transport].
 type gossipTransport struct {
 	*memberlist.NetTransport
 	transport *Transport
 	packets   chan *memberlist.Packet
 	streams   chan net.Conn
 	closed    chan struct{}
-	closeOnce sync.Once // memberlist shuts its transport down twice where it fails to start
+	closeOnce sync.Once // memberlist shuts its transport down twice if it fails to start
 }
 
 func newGossipTransport(inner *memberlist.NetTransport, transport *Transport) *gossipTransport {
@@ -43,7 +43,7 @@
 		return time.Time{}, err
 	}
 	if t.transport.Blocked(host) {
-		return time.Now(), nil // lost on its way
+		return time.Now(), nil // the datagram is dropped
 	}
 	at, err := t.NetTransport.WriteToAddress(b, a)
 	if err == nil {
@@ -68,8 +68,8 @@
 // StreamCh implements memberlist.Transport.
 func (t *gossipTransport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown implements memberlist.Transport. It ends the listeners first: they hand over what they hold until they have
-// ended.
+// Shutdown implements memberlist.Transport. It stops the inner transport first: the inner listeners block until each
+// packet and connection that they have received is forwarded.
 func (t *gossipTransport) Shutdown() error {
 	err := t.NetTransport.Shutdown()
 	t.closeOnce.Do(func() { close(t.closed) })
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -17,7 +17,8 @@
 	"beechcart/decision/rollout"
 )
 
-// testTimeout is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is done.
+// testTimeout is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is
+// done.
 const testTimeout = 60 * time.Second
 
 // memberPair are the options of two members, each with a transport and a loopback address of its own. The first is the
@@ -223,10 +224,10 @@
 	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeaderBytes }
 	require.Eventually(t, func() bool { // a write is counted after it, when its other end may have read already
 		calls, served := pair[1].Transport.Calls(), pair[0].Transport.Served()
-		requestBytes, responseBytes := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
-		return requestBytes > connectionBytes && responseBytes > connectionBytes &&
-			requestBytes == payload(served.ReceivedBytes, served.ReceivedMessages) &&
-			responseBytes == payload(calls.ReceivedBytes, calls.ReceivedMessages)
+		requests, responses := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
+		return requests > connectionBytes && responses > connectionBytes &&
+			requests == payload(served.ReceivedBytes, served.ReceivedMessages) &&
+			responses == payload(calls.ReceivedBytes, calls.ReceivedMessages)
 	}, testTimeout, time.Millisecond)
 
 	tryOnce := func(wait time.Duration) error {
--- a/internal/fleet/windows.go
+++ b/internal/fleet/windows.go
@@ -9,35 +9,35 @@
 	"beechcart/decision/rollout"
 )
 
-// WindowCounts is what one front end did in one window. The JSON names are those of the HTTP interface.
+// WindowCounts are one front end's request counts in one window. The JSON names are those of the HTTP interface.
 type WindowCounts struct {
 	Name     string                `json:"Name"`
 	Zone     string                `json:"Room"`
 	Revision string                `json:"Revision"`
-	Window   int64                 `json:"Window"` // Unix time over windowLength
+	Window   int64                 `json:"Window"` // number of the window: Unix time divided by windowLength
 	Load     float64               `json:"Load"`   // requests a second
 	Counts   rollout.RequestCounts `json:"Count"`
 }
 
-// windowNumber is the number of the window at a time.
+// windowNumber returns the number of the window that contains a time.
 func windowNumber(at time.Time) int64 { return at.UnixNano() / int64(windowLength) }
 
 // maxWindowMembers bounds how many members' counts a window holds.
 const maxWindowMembers = 10_000
 
-// countWindow is one window with the counts of the members that have sent theirs.
+// countWindow is one window with the counts that members have reported for it.
 type countWindow struct {
 	number int64
 	counts []WindowCounts
 }
 
-// countWindows gathers counts by window until the windows are complete. It is safe for concurrent use.
+// countWindows collects counts by window until the windows are complete. It is safe for concurrent use.
 type countWindows struct {
 	mu      sync.Mutex
 	windows map[int64]map[string]WindowCounts // guarded by mu; by number of the window and name of the member
 }
 
-// add adds a member's counts of a window, in place of those that it has sent before.
+// add stores a member's counts of a window, and replaces earlier counts of the same member and window.
 func (c *countWindows) add(counts WindowCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// completeWindows removes the windows up to that number and returns them in order.
+// completeWindows removes the windows up to and including that number, and returns them in order.
 func (c *countWindows) completeWindows(last int64) (complete []countWindow) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
