--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 	otherKey = "fedcba9876543210"
 )
 
-// freeAddress returns a loopback address at which nothing listens, over TCP or UDP: gossip needs both.
+// freeAddress returns a loopback address whose port is free over TCP and UDP. Gossip needs both.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -41,11 +41,11 @@
 			return address
 		}
 	}
-	require.Fail(t, "no port is free over TCP and UDP")
+	require.Fail(t, "found no port that is free over TCP and UDP in 100 attempts")
 	return ""
 }
 
-// options are those of a fleet of one control replica.
+// options returns the options of the only control replica of a fleet.
 func options(t *testing.T) *Options {
 	t.Helper()
 	o := &Options{
@@ -83,20 +83,21 @@
 	}
 }
 
-// A process after one whose clock was ahead must not be taken for the older.
+// The clock is set back between two processes of a front end. The later process must have the higher incarnation, or
+// its reports would count as stale.
 func TestIncarnationIncreasesAfterClockIsSetBack(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "log")
-	ahead := uint64(time.Now().Add(time.Hour).UnixNano())
-	require.NoError(t, os.WriteFile(directory+".process", []byte(strconv.FormatUint(ahead, 10)), 0o600))
-	for _, want := range []uint64{ahead + 1, ahead + 2} {
+	storedIncarnation := uint64(time.Now().Add(time.Hour).UnixNano())
+	require.NoError(t, os.WriteFile(directory+".process", []byte(strconv.FormatUint(storedIncarnation, 10)), 0o600))
+	for _, want := range []uint64{storedIncarnation + 1, storedIncarnation + 2} {
 		got, err := nextIncarnation(directory, time.Now())
 		require.NoError(t, err)
 		assert.Equal(t, want, got)
 	}
 }
 
-// A replica that has lost its log must not answer calls that are meant for what it was: it would vote with a past that
-// it has lost.
+// A replica that has lost its log must not accept connections that are meant for its old identity. Otherwise the
+// replica would vote on behalf of an identity whose votes and entries it has lost.
 func TestHandshakeRejectsAnotherIdentity(t *testing.T) {
 	o := options(t)
 	address := o.ControlReplicas[0].LogAddress
@@ -105,10 +106,10 @@
 	defer func() { _ = s.Close() }()
 	_, err = s.Dial(serverAddress("n0.old", address), time.Second)
 	require.ErrorContains(t, err, "did not accept the handshake for identity n0.old")
-	wrong := *o
-	wrong.Key = otherKey
-	_, err = (&raftStream{options: &wrong}).Dial(serverAddress("n0.new", address), time.Second)
-	require.Error(t, err, "another key")
+	otherKeyOptions := *o
+	otherKeyOptions.Key = otherKey
+	_, err = (&raftStream{options: &otherKeyOptions}).Dial(serverAddress("n0.new", address), time.Second)
+	require.Error(t, err, "handshake with another fleet key")
 	dialled, err := s.Dial(serverAddress("n0.new", address), time.Second)
 	require.NoError(t, err)
 	defer dialled.Close()
@@ -119,7 +120,7 @@
 	readText(t, accepted, "x")
 }
 
-// applyEventually sends a command until the replica leads.
+// applyEventually repeats a command until the replica leads and applies it.
 func applyEventually(t *testing.T, r *ControlReplica, command rollout.Command) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -128,7 +129,8 @@
 	}, 10*time.Second, 20*time.Millisecond)
 }
 
-// What is agreed outlives the process; files without an identity are rejected, and an empty log is another replica.
+// A replica that reopens its log has its old identity and the committed state. Log files without an identity file are
+// rejected. An empty directory gives the replica a new identity, and the replica does not start a fleet without Init.
 func TestReplicaRestartsFromItsLog(t *testing.T) {
 	o := options(t)
 	r, err := OpenReplica(o)
@@ -158,11 +160,11 @@
 	require.NoError(t, err)
 	defer r.Close()
 	assert.NotEqual(t, identity, r.id)
-	assert.False(t, r.isLeader(), "a replica without a past begins nothing by itself")
+	assert.False(t, r.isLeader(), "a replica with an empty log leads without Init")
 }
 
-// On a full disk the library can't write the term that it votes in, and panics; the front end must serve on. The
-// replica is closed, and goes on from its log once there is space.
+// On a full disk the raft library can't write its term, and would panic. Only the replica may stop, not the process of
+// the front end. The replica reopens its log once there is space.
 func TestFullDiskStopsOnlyTheReplica(t *testing.T) {
 	o := options(t)
 	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
@@ -177,9 +179,9 @@
 	require.Error(t, err)
 	<-r.store.failed
 	assert.Equal(t, diskrecovery.NoSpace, classifyFailure(r.store.firstFailure()))
-	require.Error(t, r.store.Set([]byte("a"), []byte("b")), "nothing more is written after a failure")
+	require.Error(t, r.store.Set([]byte("a"), []byte("b")), "no write may follow a failed write")
 	isCandidate := func() bool { return r.raft.State() == raft.Candidate }
-	require.Eventually(t, isCandidate, 10*time.Second, 10*time.Millisecond, "it stands for election")
+	require.Eventually(t, isCandidate, 10*time.Second, 10*time.Millisecond, "the replica did not become a candidate")
 	returned := make(chan bool, 1)
 	go func() {
 		done := false
@@ -187,12 +189,12 @@
 		_ = r.store.SetUint64([]byte(currentTermKey), 99)
 		done = true
 	}()
-	assert.False(t, <-returned, "the library panics on what this returns")
+	assert.False(t, <-returned, "SetUint64 returned, and the library panics on its error")
 	r.Close()
 
 	_, err = OpenReplica(o)
 	var diskErr *DiskError
-	require.ErrorAs(t, err, &diskErr, "it can't be opened to be written")
+	require.ErrorAs(t, err, &diskErr, "opening the log on a full disk")
 	require.NoError(t, os.Remove(o.DiskFaultFile))
 	r, err = OpenReplica(o)
 	require.NoError(t, err)
@@ -201,8 +203,9 @@
 	require.Eventually(t, r.isLeader, 10*time.Second, 10*time.Millisecond)
 }
 
-// Two of three members end at once, so that nobody shares the suspicion of the third, which must not last the
-// library's default of 5.4 s and more: as long they would count as available. Fault test rollout, seed 2005.
+// Two of three members end at once, so no other member confirms the suspicions of the remaining one. With the
+// library's defaults, an unconfirmed suspicion lasts 5.4 s or more, and the ended members would count as available
+// for that long. Fault test rollout, seed 2005.
 func TestEndedMembersStopBeingAliveWithinFourSeconds(t *testing.T) {
 	first := options(t)
 	var all []*gossip
@@ -221,7 +224,7 @@
 	require.Eventually(t, aliveCountIs(3), 10*time.Second, 10*time.Millisecond)
 	for _, g := range all[1:] {
 		close(g.stop)
-		require.NoError(t, g.members.Shutdown(), "without leaving")
+		require.NoError(t, g.members.Shutdown(), "shutdown without a leave message")
 	}
 	ended := time.Now()
 	require.Eventually(t, aliveCountIs(1), 20*time.Second, 10*time.Millisecond)
@@ -245,7 +248,7 @@
 			assert.Equal(t, want == diskrecovery.DurabilityUnknown, wrote)
 		})
 	}
-	assert.Equal(t, diskrecovery.DurabilityUnknown, classifyFailure(io.ErrUnexpectedEOF), "of any other error")
+	assert.Equal(t, diskrecovery.DurabilityUnknown, classifyFailure(io.ErrUnexpectedEOF), "an error other than no space")
 }
 
 func TestCallsRequireTheKey(t *testing.T) {
@@ -263,7 +266,7 @@
 	assert.Equal(t, "n0", status.Replica)
 	require.ErrorContains(t, call(o, address, "/apply", map[string]int{"odd": 1}, nil), "odd")
 	_, err = NewClient(o).Apply(rollout.Command{Tick: &struct{}{}})
-	require.ErrorContains(t, err, "no keeper could be asked", "nobody leads")
+	require.ErrorContains(t, err, "no keeper could be asked", "no replica leads")
 }
 
 func TestCountsAreCollectedByWindow(t *testing.T) {
@@ -276,7 +279,7 @@
 	windows := c.completeWindows(5)
 	require.Len(t, windows, 1)
 	assert.Equal(t, int64(5), windows[0].number)
-	require.Len(t, windows[0].counts, 2, "counts that come twice count once")
+	require.Len(t, windows[0].counts, 2, "a member's later counts replace its earlier ones")
 	assert.Empty(t, c.completeWindows(5))
 	text, err := json.Marshal(rollout.Command{Tick: &struct{}{}})
 	require.NoError(t, err)
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -78,7 +78,7 @@
 }
 
 // engineChanges returns a command for each engine whose entry in the leader's endpoint list differs from the state,
-// and for each engine of the state that the list lacks. An empty list marks no engine as unlisted.
+// and for each engine that the state has as listed and the list lacks. An empty list marks no engine as unlisted.
 func engineChanges(m *rollout.StateMachine, engines []rollout.Engine) (commands []rollout.Command) {
 	listed := map[string]bool{}
 	for _, engine := range engines {
--- a/internal/fleet/log_store.go
+++ b/internal/fleet/log_store.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// setAside renames the log's directory by the suffix ".aside", and deletes a directory that was set aside earlier.
+// setAside appends ".aside" to the name of the log's directory, after deleting a directory that was set aside earlier.
 func setAside(directory string) error {
 	aside := directory + ".aside"
 	if err := os.RemoveAll(aside); err != nil {
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -34,12 +34,12 @@
 	gossip      *gossip
 	incarnation uint64
 
-	shutdowns     chan ShutdownGrant
-	registered    chan struct{} // closed once the log contains this process and its drains are in force here
-	statusChanged chan struct{} // holds one value while there is a status to report
-	statusTaken   chan struct{} // holds one value after a replica has acknowledged a status
-	stop          chan struct{} // closed by Close
-	done          sync.WaitGroup
+	shutdowns          chan ShutdownGrant
+	registered         chan struct{} // closed once the log contains this process and its drains are in force here
+	statusChanged      chan struct{} // holds one value while there is a status to report
+	statusAcknowledged chan struct{} // holds one value after a replica has acknowledged a status
+	stop               chan struct{} // closed by Close
+	done               sync.WaitGroup
 
 	grantedPermits map[uint64]bool // by number; permits on which a shutdown was granted. Used by watchState alone
 
@@ -65,17 +65,17 @@
 		return nil, err
 	}
 	m := &Member{
-		options:        o,
-		log:            o.Log.With("part", "fleet"),
-		frontEnd:       frontEnd,
-		shutdowns:      make(chan ShutdownGrant, 1),
-		registered:     make(chan struct{}),
-		statusChanged:  make(chan struct{}, 1),
-		statusTaken:    make(chan struct{}, 1),
-		stop:           make(chan struct{}),
-		grantedPermits: map[uint64]bool{},
-		phase:          rollout.Starting,
-		sequence:       1,
+		options:            o,
+		log:                o.Log.With("part", "fleet"),
+		frontEnd:           frontEnd,
+		shutdowns:          make(chan ShutdownGrant, 1),
+		registered:         make(chan struct{}),
+		statusChanged:      make(chan struct{}, 1),
+		statusAcknowledged: make(chan struct{}, 1),
+		stop:               make(chan struct{}),
+		grantedPermits:     map[uint64]bool{},
+		phase:              rollout.Starting,
+		sequence:           1,
 	}
 	m.options.Log = m.log
 	m.client = NewClient(&m.options)
@@ -135,7 +135,7 @@
 // its goroutines.
 func (m *Member) Close(timeout time.Duration) {
 	m.SetPhase(rollout.Terminated)
-	m.awaitStatusTaken(timeout)
+	m.awaitStatusAcknowledged(timeout)
 	close(m.stop)
 	m.done.Wait()
 	m.gossip.close()
@@ -144,13 +144,13 @@
 	}
 }
 
-// awaitStatusTaken returns once a replica has acknowledged the last status, or after the timeout.
-func (m *Member) awaitStatusTaken(timeout time.Duration) {
+// awaitStatusAcknowledged returns once a replica has acknowledged the last status, or after the timeout.
+func (m *Member) awaitStatusAcknowledged(timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for m.statusPending() {
 		select {
-		case <-m.statusTaken:
+		case <-m.statusAcknowledged:
 		case <-timer.C:
 			return
 		}
--- a/internal/fleet/member_loops.go
+++ b/internal/fleet/member_loops.go
@@ -13,7 +13,8 @@
 	viewInterval  = 50 * time.Millisecond  // before the next watch, after a view that is stale or not yet carried out
 )
 
-// reportStatus sends each status until a replica has acknowledged it. It runs until the member stops.
+// reportStatus sends the current status until a replica has acknowledged it, then waits for the next status. It runs
+// until the member stops.
 func (m *Member) reportStatus() {
 	defer m.done.Done()
 	var first sync.Once
@@ -41,7 +42,7 @@
 		m.mu.Lock()
 		m.acknowledged = max(m.acknowledged, status.StatusSequence)
 		m.mu.Unlock()
-		notify(m.statusTaken)
+		notify(m.statusAcknowledged)
 		first.Do(func() { close(m.registered) })
 	}
 }
--- a/internal/fleet/recorded_calls_test.go
+++ b/internal/fleet/recorded_calls_test.go
@@ -25,7 +25,7 @@
 	"beechcart/internal/recorded"
 )
 
-// exchange is one call of the replicas' HTTP interface.
+// exchange is one call of the replicas' HTTP interface and its answer.
 type exchange struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -34,7 +34,8 @@
 	Answer string `json:"answer"`
 }
 
-// recordCalls makes calls at a replica. Its addresses, and how far its log is, are replaced in what is recorded.
+// recordCalls calls a replica, and returns the calls with their answers. The replica's addresses and its log index,
+// which differ from run to run, are replaced by fixed texts in the answers.
 func recordCalls(t *testing.T, o *Options, calls []exchange) []exchange {
 	t.Helper()
 	replica := o.ControlReplicas[0]
@@ -71,7 +72,7 @@
 	return out.Bytes()
 }
 
-// filledCounts sets every field of a report of counts.
+// filledCounts returns the JSON of WindowCounts with every field set.
 func filledCounts(t *testing.T) string {
 	t.Helper()
 	var report WindowCounts
@@ -91,7 +92,7 @@
 		case reflect.Float64:
 			v.SetFloat(float64(n) + 0.25)
 		default:
-			require.Fail(t, "no value for a "+v.Kind().String())
+			require.Fail(t, "filledCounts: found a field of unsupported kind "+v.Kind().String())
 		}
 	}
 	fill(reflect.ValueOf(&report).Elem())
@@ -100,7 +101,8 @@
 	return string(text)
 }
 
-// checkAnswers makes each call of the HTTP interface, at a replica that leads and at one that belongs to no fleet.
+// checkAnswers compares the answers to calls of the HTTP interface with the recording, at a replica that leads and at
+// one that belongs to no fleet.
 func checkAnswers(t *testing.T, o *Options) {
 	t.Helper()
 	post := func(path, body string) exchange { return exchange{Method: http.MethodPost, Path: path, Body: body} }
@@ -138,11 +140,11 @@
 	recorded.Compare(t, "answers.jsonl", jsonLines(t, exchanges))
 }
 
-// fakeReplica records the calls that it gets, each once, and answers them.
+// fakeReplica is a replica's HTTP interface that records each distinct call and answers with reply.
 type fakeReplica struct {
 	mu        sync.Mutex
 	calls     map[string]bool
-	normalize func(string) string // changes what is noted
+	normalize func(string) string // replaces the parts of a call that differ from run to run
 	reply     func(path, body string) string
 }
 
@@ -166,7 +168,7 @@
 	return all
 }
 
-// serveFake starts a fake replica at the address where options have the first one asked.
+// serveFake starts a fake replica, and sets its address as the API address of the options' first control replica.
 func serveFake(t *testing.T, o *Options, reply func(path, body string) string) *fakeReplica {
 	t.Helper()
 	f := &fakeReplica{calls: map[string]bool{}, reply: reply, normalize: func(call string) string { return call }}
@@ -180,10 +182,10 @@
 	return f
 }
 
-// What operators' clients send.
+// The calls of a Client, as operators' tools make them, are as recorded.
 func TestRecordedClientCalls(t *testing.T) {
 	o := options(t)
-	f := serveFake(t, o, func(string, string) string { return `{"value":{}}` })
+	fake := serveFake(t, o, func(string, string) string { return `{"value":{}}` })
 	client := NewClient(o)
 	for _, text := range commandTexts() {
 		_, err := client.Apply(parseCommand(t, text))
@@ -192,17 +194,17 @@
 	var start rollout.StartRelease
 	require.NoError(t, json.Unmarshal([]byte(`{"revision":"r4","from":"r1","waves":[0.2,1],"soak":1000000000}`), &start))
 	_, err := client.Plan(start)
-	require.Error(t, err, "the fake's answer is no list")
+	require.Error(t, err, "the fake replica answers with an object, a plan is a list")
 	_, err = client.Status()
 	require.NoError(t, err)
 	require.NoError(t, client.Init())
-	recorded.Compare(t, "client.txt", []byte(strings.Join(f.sorted(), "\n")+"\n"))
+	recorded.Compare(t, "client.txt", []byte(strings.Join(fake.sorted(), "\n")+"\n"))
 }
 
-// A replica that can't carry a call out names the leader, which the client asks next.
+// A replica that does not lead names the leader in its answer, and the client calls the leader next.
 func TestRecordedRedirect(t *testing.T) {
 	leader := options(t)
-	f := serveFake(t, leader, func(string, string) string { return `{"value":{"permit":5}}` })
+	fake := serveFake(t, leader, func(string, string) string { return `{"value":{"permit":5}}` })
 	follower := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = fmt.Fprintf(w, `{"error":"fleet: no keeper leads","leader":%q}`, leader.ControlReplicas[0].APIAddress)
@@ -213,22 +215,22 @@
 	result, err := NewClient(o).Apply(parseCommand(t, `{"at":0,"tick":{}}`))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(5), result.Permit)
-	assert.Len(t, f.sorted(), 1)
+	assert.Len(t, fake.sorted(), 1)
 }
 
-// What a member sends from its start to its end, by way of an engine's drain and a permit of its own. It numbers its
-// process after the one that its file names.
+// The calls of a member from its start to its end, with an engine's drain and a permit to restart, are as recorded.
+// The incarnation of the process is one more than the incarnation in the member's file.
 func TestRecordedMemberCalls(t *testing.T) {
 	o := options(t)
 	o.Kind, o.CapacityPerSecond = "std-12", 100
 	const process = "4000000000000000001"
 	require.NoError(t, os.WriteFile(o.LogDirectory+".process", []byte("4000000000000000000\n"), 0o600))
-	o.Name = "n1" // it keeps no log
+	o.Name = "n1" // not a control replica
 	view := `{"view":{"known":true,"incarnation":` + process + `,"seq":2,"phase":"serving","doubted":false,` +
 		`"wanted":"r1","permit":{"number":7,"holder":"n1","for":"restart","revision":"r2","release":1,"granted":5,` +
 		`"incarnation":` + process + `},` +
 		`"drains":[{"engine":"e0","permit":3,"said":false}],"release":1,"target":"r2"},"have":"abc","applied":9}`
-	f := serveFake(t, o, func(path, body string) string {
+	fake := serveFake(t, o, func(path, body string) string {
 		switch {
 		case path == "/watch":
 			time.Sleep(5 * time.Millisecond)
@@ -248,24 +250,24 @@
 	case grant := <-member.Shutdowns():
 		assert.Equal(t, "{7 restart r2}", fmt.Sprint(grant))
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "not told to shut down")
+		require.Fail(t, "the member got no shutdown grant within 20 s")
 	}
 	member.Close(20 * time.Second)
-	calls := slices.DeleteFunc(f.sorted(), func(call string) bool { return strings.Contains(call, "/counts") })
+	calls := slices.DeleteFunc(fake.sorted(), func(call string) bool { return strings.Contains(call, "/counts") })
 	recorded.Compare(t, "member.txt", []byte(strings.Join(calls, "\n")+"\n"))
 	written, err := os.ReadFile(o.LogDirectory + ".process")
 	require.NoError(t, err)
 	assert.Equal(t, process+"\n", string(written))
 }
 
-// What a replica sends that is to be added to the log.
+// The call by which a replica asks to be added to the log is as recorded.
 func TestRecordedJoinCall(t *testing.T) {
 	o := options(t)
 	require.NoError(t, os.MkdirAll(o.LogDirectory, 0o700))
 	require.NoError(t, os.WriteFile(filepath.Join(o.LogDirectory, "identity"), []byte(recordedIdentity+"\n"), 0o600))
 	called := options(t)
-	f := serveFake(t, called, func(string, string) string { return `{}` })
-	f.normalize = func(call string) string { return strings.ReplaceAll(call, o.ControlReplicas[0].LogAddress, "LOG") }
+	fake := serveFake(t, called, func(string, string) string { return `{}` })
+	fake.normalize = func(call string) string { return strings.ReplaceAll(call, o.ControlReplicas[0].LogAddress, "LOG") }
 	for _, name := range []string{"n1", "n2"} {
 		other := called.ControlReplicas[0]
 		other.Name = name
@@ -273,12 +275,13 @@
 	}
 	replica, err := OpenReplica(o)
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return len(f.sorted()) > 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(fake.sorted()) > 0 }, 20*time.Second, time.Millisecond)
 	replica.Close()
-	recorded.Compare(t, "join.txt", []byte(strings.Join(f.sorted(), "\n")+"\n"))
+	recorded.Compare(t, "join.txt", []byte(strings.Join(fake.sorted(), "\n")+"\n"))
 }
 
-// The files that a replica leaves beside its log, and the handshake with which a connection of the log begins.
+// The identity file, the handshake of a log connection, and the durability mark after a failed sync have the formats
+// that other builds read.
 func TestRecordedFiles(t *testing.T) {
 	o := options(t)
 	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
--- a/internal/fleet/recorded_test.go
+++ b/internal/fleet/recorded_test.go
@@ -29,7 +29,8 @@
 	recordedIdentity = "n0.0123456789ab"
 )
 
-// mustRecord tells whether a recording that is missing is to be made. One that exists is never made again.
+// mustRecord reports whether a recording is to be made: it is missing and RECORD is 1. An existing recording is never
+// overwritten.
 func mustRecord(t *testing.T, name string) bool {
 	t.Helper()
 	_, err := os.Stat(filepath.Join(recordedDir, name))
@@ -47,7 +48,7 @@
 	require.NoError(t, os.WriteFile(path, content, 0o644))
 }
 
-// commandTexts are the commands of a fleet's life as a member or an operator sends them, one of each type at least.
+// commandTexts returns the JSON of commands as members and operators send them, at least one of each type.
 func commandTexts() []string {
 	texts := []string{}
 	add := func(format string, args ...any) { texts = append(texts, fmt.Sprintf(format, args...)) }
@@ -94,11 +95,11 @@
 	require.NoError(t, json.Unmarshal([]byte(text), &command), text)
 	written, err := json.Marshal(command)
 	require.NoError(t, err)
-	require.Equal(t, text, string(written), "a command is written as it was read")
+	require.Equal(t, text, string(written), "encoding a decoded command changes its text")
 	return command
 }
 
-// openReplica opens the replica of a directory.
+// openReplica opens a replica, and closes it at the end of the test.
 func openReplica(t *testing.T, o *Options) *ControlReplica {
 	t.Helper()
 	replica, err := OpenReplica(o)
@@ -107,7 +108,7 @@
 	return replica
 }
 
-// awaitLeader waits until the replica leads.
+// awaitLeader waits until the replica leads and has applied all committed entries.
 func awaitLeader(t *testing.T, replica *ControlReplica) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -116,7 +117,7 @@
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
-// newReplica opens a replica with the recorded identity and an empty log, and enters the commands.
+// newReplica opens a replica with the recorded identity and an empty log, and applies the commands of commandTexts.
 func newReplica(t *testing.T) (*Options, *ControlReplica) {
 	t.Helper()
 	o := options(t)
@@ -132,7 +133,7 @@
 	return o, replica
 }
 
-// logEntries reads the commands that a directory's log holds, one a line.
+// logEntries returns the commands in a directory's log, one per line.
 func logEntries(t *testing.T, dir string) string {
 	t.Helper()
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir, "log.db")})
@@ -155,7 +156,8 @@
 
 func withoutEntryTimes(text string) string { return entryTime.ReplaceAllString(text, `"at":0`) }
 
-// recordReplica makes the recorded directory: a log with entries of each command, and a snapshot of all but the last.
+// recordReplica writes the recorded directory: a log with the commands of commandTexts and one more, and a snapshot of
+// all but the last.
 func recordReplica(t *testing.T) {
 	t.Helper()
 	o, replica := newReplica(t)
@@ -204,8 +206,8 @@
 	return o
 }
 
-// The directory of a replica is opened: its identity, its log, the state that follows from snapshot and log, and what
-// the replica answers.
+// This build opens the recorded directory of a replica. The identity, the log entries, the state from snapshot and
+// log, and the replica's answers are as recorded.
 func TestRecordedReplicaIsRead(t *testing.T) {
 	o := recordedReplica(t)
 	entries := logEntries(t, o.LogDirectory)
@@ -224,7 +226,7 @@
 	checkAnswers(t, o)
 }
 
-// What a replica writes into its log and its snapshots is what was recorded, but for the times.
+// The log entries and the snapshot that this build writes are as recorded, except for the times.
 func TestRecordedReplicaIsWritten(t *testing.T) {
 	recordedReplica(t)
 	o, replica := newReplica(t)
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -17,19 +17,18 @@
 	"beechcart/decision/rollout"
 )
 
-// testTimeout is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is
-// done.
+// testTimeout is longer than any step takes on an overloaded machine. No assertion depends on a step being faster.
 const testTimeout = 60 * time.Second
 
-// memberPair are the options of two members, each with a transport and a loopback address of its own. The first is the
+// memberPair returns the options of two members, each with its own transport and loopback address. The first is the
 // control replica.
 func memberPair(t *testing.T) []*Options {
 	t.Helper()
 	network := ""
 	for i := 0; network == ""; i++ {
-		require.Less(t, i, 200, "no loopback addresses are free")
+		require.Less(t, i, 200, "found no free loopback network")
 		candidate := fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+i)%200, 20+i)
-		// Test fleets on this machine claim their network by listening there.
+		// Each test fleet on this machine reserves its loopback network by listening at this address.
 		if l, err := net.Listen("tcp", candidate+".254:7000"); err == nil {
 			t.Cleanup(func() { _ = l.Close() })
 			network = candidate
@@ -113,7 +112,7 @@
 		case packet := <-receiver.PacketCh():
 			return len(packet.Buf)
 		case <-time.After(testTimeout):
-			require.Fail(t, "nothing arrives")
+			require.Fail(t, "received no datagram before the timeout")
 			return 0
 		}
 	}
@@ -129,31 +128,31 @@
 
 	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
 	sendTo(700)
-	assert.Equal(t, want, pair[0].Transport.Gossip(), "what is cut is not sent")
+	assert.Equal(t, want, pair[0].Transport.Gossip(), "a blocked datagram is not counted as sent")
 	pair[0].Transport.Block(nil)
 	sendTo(7)
-	assert.Equal(t, 7, receive(), "the one before was lost")
+	assert.Equal(t, 7, receive(), "the blocked datagram must be lost, and the later one arrive")
 }
 
-// A cut holds for connections that are open, in the direction that is blocked only, and ends without loss.
+// Block applies to open connections, only in the blocked direction. After it ends, the connections carry data again.
 func TestBlockAppliesToOpenConnections(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
 	for _, direction := range []struct {
 		from, to net.Conn
-		cut      *Options
+		blocker  *Options
 		peer     *Options
 	}{{dialled, accepted, pair[0], pair[1]}, {accepted, dialled, pair[1], pair[0]}} {
 		writeText(t, direction.from, "before")
 		readText(t, direction.to, "before")
-		direction.cut.Transport.Block(HostSet{hostOf(direction.peer): true})
+		direction.blocker.Transport.Block(HostSet{hostOf(direction.peer): true})
 		require.NoError(t, direction.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
 		_, err := direction.from.Write([]byte("lost"))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		writeText(t, direction.to, "the other way")
 		readText(t, direction.from, "the other way")
 		require.NoError(t, direction.from.SetWriteDeadline(time.Time{}))
-		direction.cut.Transport.Block(nil)
+		direction.blocker.Transport.Block(nil)
 		writeText(t, direction.from, "after")
 		readText(t, direction.to, "after")
 	}
@@ -165,7 +164,7 @@
 		writeErr <- err
 	}()
 	dialled.Close()
-	assert.Error(t, <-writeErr, "closing ends a write that waits")
+	assert.Error(t, <-writeErr, "closing a connection ends a blocked write")
 }
 
 func TestBlockAppliesToNewConnections(t *testing.T) {
@@ -179,11 +178,11 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
-	assert.True(t, timeout.Timeout(), "as from a host that does not answer")
+	assert.True(t, timeout.Timeout(), "the error must be a timeout, as for a host that does not answer")
 	assert.Zero(t, pair[0].Transport.Calls().Connections)
 	pair[0].Transport.Block(nil)
 
-	// The other end's first segment arrives, and the answer to it is cut.
+	// The dialler's first segment arrives, and the accepting side's answer is blocked.
 	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
 	dialled, err := pair[0].dialTCP(l.Addr().String(), testTimeout, callTraffic)
 	require.NoError(t, err)
@@ -199,7 +198,7 @@
 	readText(t, accepted, "early")
 }
 
-// Both ends of a stream count the same payload.
+// Both ends of a stream count the same payload and headers.
 func TestStreamsAreCountedAtBothEnds(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
@@ -222,7 +221,7 @@
 	require.NoError(t, call(pair[1], pair[0].ControlReplicas[0].APIAddress, "/status", nil, nil))
 	assert.Equal(t, uint64(1), pair[1].Transport.Calls().Connections)
 	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeaderBytes }
-	require.Eventually(t, func() bool { // a write is counted after it, when its other end may have read already
+	require.Eventually(t, func() bool { // the peer may read a write before the writer has counted it
 		calls, served := pair[1].Transport.Calls(), pair[0].Transport.Served()
 		requests, responses := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
 		return requests > connectionBytes && responses > connectionBytes &&
@@ -243,15 +242,16 @@
 		return response.Body.Close()
 	}
 	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
-	require.Error(t, tryOnce(50*time.Millisecond), "the call is cut")
+	require.Error(t, tryOnce(50*time.Millisecond), "the request is blocked")
 	pair[1].Transport.Block(nil)
 	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
-	require.Error(t, tryOnce(50*time.Millisecond), "the answer is cut")
+	require.Error(t, tryOnce(50*time.Millisecond), "the answer is blocked")
 	pair[0].Transport.Block(nil)
 	assert.NoError(t, tryOnce(testTimeout))
 }
 
-// Members lose one another under a cut and hear of one another after it; what they send arrives.
+// Members that block each other stop seeing each other as alive, and see each other again afterwards. Apart from
+// datagrams in flight or dropped by a full buffer, the members receive the messages that they send.
 func TestMembersBlockedFromEachOther(t *testing.T) {
 	pair := memberPair(t)
 	var members []*Member
@@ -270,7 +270,7 @@
 		select {
 		case <-m.Registered():
 		case <-time.After(testTimeout):
-			require.Fail(t, "the log does not take the process")
+			require.Fail(t, "the log did not register the process before the timeout")
 		}
 	}
 	blockEachOther(pair[0], pair[1])
@@ -279,7 +279,7 @@
 		o.Transport.Block(nil)
 	}
 	require.Eventually(t, allSee(2), testTimeout, 10*time.Millisecond)
-	// What is under way, and what a full buffer has lost, is the difference.
+	// Datagrams in flight and datagrams dropped by a full buffer make up the difference.
 	require.Eventually(t, func() bool {
 		sent, received := uint64(0), uint64(0)
 		for _, o := range pair {
@@ -297,7 +297,7 @@
 	assert.NotSame(t, sharedClient, o.httpClient())
 }
 
-// idleFront is a front end without engines or requests.
+// idleFront is a front end without engines and requests.
 type idleFront struct{}
 
 func (idleFront) Exclude(EngineSet)                    {}
@@ -305,7 +305,7 @@
 func (idleFront) Engines() []rollout.Engine            { return nil }
 func (idleFront) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
 
-// A member that comes back as another process is heard of as that one, and a name without a number as none.
+// An update replaces a member's incarnation. Metadata that is not a number, or a leave event, removes the member.
 func TestAliveProcessesFollowEvents(t *testing.T) {
 	alive := &processEvents{incarnations: map[string]uint64{}}
 	node := func(meta string) *memberlist.Node { return &memberlist.Node{Name: "n0", Meta: []byte(meta)} }
