--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -172,7 +172,7 @@
 	require.NoError(t, err)
 	require.NoError(t, r.Init())
 	require.Eventually(t, r.isLeader, 10*time.Second, 10*time.Millisecond)
-	was := r.id
+	identity := r.id
 
 	require.NoError(t, os.WriteFile(o.DiskFaultFile, []byte("full"), 0o600))
 	_, err = r.Apply(rollout.Command{Tick: &struct{}{}})
@@ -199,7 +199,7 @@
 	r, err = OpenReplica(o)
 	require.NoError(t, err)
 	defer r.Close()
-	assert.Equal(t, was, r.id)
+	assert.Equal(t, identity, r.id)
 	require.Eventually(t, r.isLeader, 10*time.Second, 10*time.Millisecond)
 }
 
@@ -257,10 +257,10 @@
 	r, err := OpenReplica(o)
 	require.NoError(t, err)
 	defer r.Close()
-	wrong := *o
-	wrong.Key = otherKey
+	otherKeyOptions := *o
+	otherKeyOptions.Key = otherKey
 	var rejected *RejectedError
-	require.ErrorAs(t, call(&wrong, address, "/status", nil, nil), &rejected)
+	require.ErrorAs(t, call(&otherKeyOptions, address, "/status", nil, nil), &rejected)
 	var status Status
 	require.NoError(t, call(o, address, "/status", nil, &status))
 	assert.Equal(t, "n0", status.Replica)
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -30,7 +30,7 @@
 const (
 	firstRejoinInterval = 300 * time.Millisecond // of the attempts after the start
 	rejoinInterval      = time.Second
-	firstRejoins        = 10
+	firstRejoinCount    = 10
 )
 
 // gossip detects which members are alive.
@@ -140,7 +140,7 @@
 			}
 		}
 		interval := firstRejoinInterval
-		if i > firstRejoins {
+		if i > firstRejoinCount {
 			interval = rejoinInterval
 		}
 		select {
--- a/internal/fleet/log_store.go
+++ b/internal/fleet/log_store.go
@@ -137,17 +137,17 @@
 	return err
 }
 
-// durabilityMark is the name of a file in the log's directory. The file tells the next process that the durability of
-// the log is unknown.
-const durabilityMark = "doubtful"
+// durabilityMarkFile is the name of a file in the log's directory. The file tells the next process that the
+// durability of the log is unknown.
+const durabilityMarkFile = "doubtful"
 
 func hasDurabilityMark(directory string) bool {
-	_, err := os.Stat(filepath.Join(directory, durabilityMark))
+	_, err := os.Stat(filepath.Join(directory, durabilityMarkFile))
 	return err == nil
 }
 
 func writeDurabilityMark(directory string, failure error) error {
-	if err := os.WriteFile(filepath.Join(directory, durabilityMark), []byte(failure.Error()+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(directory, durabilityMarkFile), []byte(failure.Error()+"\n"), 0o600); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
--- a/internal/fleet/raft_stream.go
+++ b/internal/fleet/raft_stream.go
@@ -27,9 +27,9 @@
 
 const (
 	handshakeReply    = "+"
-	maxHandshakeBytes = 256 // bytes
+	maxHandshakeBytes = 256
 	acceptRetryPause  = 50 * time.Millisecond
-	handshakeTemplate = "%s %s\n" // identity, key
+	handshakeFormat   = "%s %s\n" // identity, key
 )
 
 // listenRaft listens at an address for connections that are meant for an identity. The caller must close the stream.
@@ -81,7 +81,7 @@
 	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
 	reader := bufio.NewReaderSize(io.LimitReader(c, maxHandshakeBytes), maxHandshakeBytes)
 	line, err := reader.ReadString('\n')
-	if err != nil || line != fmt.Sprintf(handshakeTemplate, s.identity, s.options.Key) {
+	if err != nil || line != fmt.Sprintf(handshakeFormat, s.identity, s.options.Key) {
 		return false
 	}
 	if _, err := c.Write([]byte(handshakeReply)); err != nil {
@@ -135,7 +135,7 @@
 	}
 	_ = c.SetDeadline(time.Now().Add(timeout))
 	var answer [len(handshakeReply)]byte
-	if _, err = fmt.Fprintf(c, handshakeTemplate, identity, s.options.Key); err == nil {
+	if _, err = fmt.Fprintf(c, handshakeFormat, identity, s.options.Key); err == nil {
 		_, err = io.ReadFull(c, answer[:])
 	}
 	if err != nil {
--- a/internal/fleet/recorded_calls_test.go
+++ b/internal/fleet/recorded_calls_test.go
@@ -39,8 +39,8 @@
 func recordCalls(t *testing.T, o *Options, calls []exchange) []exchange {
 	t.Helper()
 	replica := o.ControlReplicas[0]
-	masked := strings.NewReplacer(replica.APIAddress, "ASK", replica.LogAddress, "LOG", replica.GossipAddress, "GOSSIP")
-	logIndex := regexp.MustCompile(`"index":\d+`)
+	mask := strings.NewReplacer(replica.APIAddress, "ASK", replica.LogAddress, "LOG", replica.GossipAddress, "GOSSIP")
+	logIndexPattern := regexp.MustCompile(`"index":\d+`)
 	answered := []exchange{}
 	for _, e := range calls {
 		body := strings.NewReplacer("LOG", replica.LogAddress).Replace(e.Body)
@@ -55,7 +55,7 @@
 		answer, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
-		e.Status, e.Answer = response.StatusCode, logIndex.ReplaceAllString(masked.Replace(string(answer)), `"index":0`)
+		e.Status, e.Answer = response.StatusCode, logIndexPattern.ReplaceAllString(mask.Replace(string(answer)), `"index":0`)
 		answered = append(answered, e)
 	}
 	return answered
@@ -242,7 +242,7 @@
 		}
 		return `{"value":{}}`
 	})
-	member, err := Join(*o, idleFront{})
+	member, err := Join(*o, idleFrontEnd{})
 	require.NoError(t, err)
 	<-member.Registered()
 	member.SetPhase(rollout.Serving)
@@ -285,7 +285,7 @@
 func TestRecordedFiles(t *testing.T) {
 	o := options(t)
 	o.DiskFaultFile = filepath.Join(t.TempDir(), "fault")
-	member, err := Join(*o, idleFront{})
+	member, err := Join(*o, idleFrontEnd{})
 	require.NoError(t, err)
 	defer member.Close(0)
 	identity, err := os.ReadFile(filepath.Join(o.LogDirectory, "identity"))
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -211,8 +211,8 @@
 	return r.raft.AddVoter(raft.ServerID(request.ID), address, 0, commitTimeout).Error()
 }
 
-// errNotLeader is the answer to a call that needs the leader, when this replica does not lead. Another replica may
-// lead, or none. The text is part of the HTTP interface.
+// errNotLeader is the answer to a call that this replica can't execute, because it does not lead, has not committed
+// the command in time or is closing. Another replica may execute the call. Members of other builds receive the text.
 var errNotLeader = errors.New("fleet: no keeper leads")
 
 func (r *ControlReplica) isLeader() bool { return r.raft.State() == raft.Leader }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -28,9 +28,9 @@
 	connectionBytes     = 200    // to open and close a connection, half in each direction
 )
 
-// maxBlockedWrite is the longest time that a read, a write or a dial waits for a blocked host. It stands for the TCP
+// maxBlockedWait is the longest time that a read, a write or a dial waits for a blocked host. It stands for the TCP
 // user timeout.
-const maxBlockedWrite = 5 * time.Second
+const maxBlockedWait = 5 * time.Second
 
 // trafficKind is the purpose of a connection.
 type trafficKind int
@@ -40,7 +40,7 @@
 	callTraffic                      // HTTP calls that this member makes
 	servedTraffic                    // HTTP calls that this member serves, at a replica
 	logTraffic                       // the replicated log's connections, at a replica
-	trafficKinds
+	trafficKindCount
 )
 
 // HostSet is a set of hosts by IP address, without port.
@@ -51,7 +51,7 @@
 // member's own address, so that the other end can identify the member. It is safe for concurrent use.
 type Transport struct {
 	local     *net.TCPAddr
-	meters    [trafficKinds]meter
+	meters    [trafficKindCount]meter
 	blockList atomic.Pointer[blockList]
 	http      *http.Client
 }
@@ -76,7 +76,7 @@
 
 // Block stops all traffic from this member to these hosts, and unblocks the other hosts. Datagrams to blocked hosts
 // are dropped, and new connections to them don't open. Writes on open connections wait until the host is unblocked,
-// and fail after maxBlockedWrite.
+// and fail after maxBlockedWait.
 func (t *Transport) Block(hosts HostSet) {
 	previous := t.blockList.Swap(&blockList{hosts, make(chan struct{})})
 	close(previous.replaced)
@@ -127,7 +127,7 @@
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(maxBlockedWrite)
+		deadline = time.Now().Add(maxBlockedWait)
 	}
 	if err := t.awaitUnblocked(host, ctx.Done(), deadline); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
--- a/internal/fleet/transport_conn.go
+++ b/internal/fleet/transport_conn.go
@@ -88,12 +88,12 @@
 	return n, err
 }
 
-// waitDeadline returns the time until which a blocked read or write waits: the given deadline, or maxBlockedWrite from
+// waitDeadline returns the time until which a blocked read or write waits: the given deadline, or maxBlockedWait from
 // now if that is earlier or the deadline is zero.
 func (c *meteredConn) waitDeadline(deadline *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	latest := time.Now().Add(maxBlockedWrite)
+	latest := time.Now().Add(maxBlockedWait)
 	if deadline.IsZero() || deadline.After(latest) {
 		return latest
 	}
--- a/internal/fleet/transport_gossip.go
+++ b/internal/fleet/transport_gossip.go
@@ -68,8 +68,8 @@
 // StreamCh implements memberlist.Transport.
 func (t *gossipTransport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown implements memberlist.Transport. It stops the inner transport first: the inner listeners block until each
-// packet and connection that they have received is forwarded.
+// Shutdown implements memberlist.Transport. It stops the inner transport while the forwarding goroutines still run:
+// the inner listeners can stop only after each packet and connection that they have received is forwarded.
 func (t *gossipTransport) Shutdown() error {
 	err := t.NetTransport.Shutdown()
 	t.closeOnce.Do(func() { close(t.closed) })
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -50,20 +50,20 @@
 	return all
 }
 
-func hostOf(o *Options) string {
+func gossipHost(o *Options) string {
 	host, _, _ := net.SplitHostPort(o.GossipAddress)
 	return host
 }
 
-func blockEachOther(a, b *Options) {
-	a.Transport.Block(HostSet{hostOf(b): true})
-	b.Transport.Block(HostSet{hostOf(a): true})
+func blockBothWays(a, b *Options) {
+	a.Transport.Block(HostSet{gossipHost(b): true})
+	b.Transport.Block(HostSet{gossipHost(a): true})
 }
 
 // connect opens a connection from one member to another, and returns both ends.
 func connect(t *testing.T, from, to *Options) (dialled, accepted net.Conn) {
 	t.Helper()
-	l, err := to.listenTCP(hostOf(to)+":0", logTraffic)
+	l, err := to.listenTCP(gossipHost(to)+":0", logTraffic)
 	require.NoError(t, err)
 	defer l.Close()
 	dialled, err = from.dialTCP(l.Addr().String(), testTimeout, logTraffic)
@@ -89,10 +89,10 @@
 	require.NoError(t, err)
 }
 
-func gossipTransportOf(t *testing.T, o *Options) *gossipTransport {
+func openGossipTransport(t *testing.T, o *Options) *gossipTransport {
 	t.Helper()
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{hostOf(o)}, BindPort: 7004,
+		BindAddrs: []string{gossipHost(o)}, BindPort: 7004,
 	})
 	require.NoError(t, err)
 	transport := newGossipTransport(inner, o.Transport)
@@ -102,7 +102,7 @@
 
 func TestDatagramsAreCountedExactlyAndBlocked(t *testing.T) {
 	pair := memberPair(t)
-	sender, receiver := gossipTransportOf(t, pair[0]), gossipTransportOf(t, pair[1])
+	sender, receiver := openGossipTransport(t, pair[0]), openGossipTransport(t, pair[1])
 	sendTo := func(size int) {
 		_, err := sender.WriteTo(make([]byte, size), pair[1].GossipAddress)
 		require.NoError(t, err)
@@ -126,7 +126,7 @@
 	assert.Equal(t, want, pair[0].Transport.Gossip())
 	assert.Equal(t, Traffic{ReceivedBytes: uint64(bytes), ReceivedMessages: 14}, pair[1].Transport.Gossip())
 
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
 	sendTo(700)
 	assert.Equal(t, want, pair[0].Transport.Gossip(), "a blocked datagram is not counted as sent")
 	pair[0].Transport.Block(nil)
@@ -145,7 +145,7 @@
 	}{{dialled, accepted, pair[0], pair[1]}, {accepted, dialled, pair[1], pair[0]}} {
 		writeText(t, direction.from, "before")
 		readText(t, direction.to, "before")
-		direction.blocker.Transport.Block(HostSet{hostOf(direction.peer): true})
+		direction.blocker.Transport.Block(HostSet{gossipHost(direction.peer): true})
 		require.NoError(t, direction.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
 		_, err := direction.from.Write([]byte("lost"))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -157,7 +157,7 @@
 		readText(t, direction.to, "after")
 	}
 
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
 	writeErr := make(chan error, 1)
 	go func() {
 		_, err := dialled.Write([]byte("never"))
@@ -169,11 +169,11 @@
 
 func TestBlockAppliesToNewConnections(t *testing.T) {
 	pair := memberPair(t)
-	l, err := pair[1].listenTCP(hostOf(pair[1])+":0", callTraffic)
+	l, err := pair[1].listenTCP(gossipHost(pair[1])+":0", callTraffic)
 	require.NoError(t, err)
 	defer l.Close()
 
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
 	_, err = pair[0].dialTCP(l.Addr().String(), 30*time.Millisecond, callTraffic)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	var timeout net.Error
@@ -183,7 +183,7 @@
 	pair[0].Transport.Block(nil)
 
 	// The dialler's first segment arrives, and the accepting side's answer is blocked.
-	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
+	pair[1].Transport.Block(HostSet{gossipHost(pair[0]): true})
 	dialled, err := pair[0].dialTCP(l.Addr().String(), testTimeout, callTraffic)
 	require.NoError(t, err)
 	defer dialled.Close()
@@ -229,8 +229,8 @@
 			responses == payload(calls.ReceivedBytes, calls.ReceivedMessages)
 	}, testTimeout, time.Millisecond)
 
-	tryOnce := func(wait time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+	tryOnce := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		url := "http://" + pair[0].ControlReplicas[0].APIAddress + "/status"
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -241,10 +241,10 @@
 		}
 		return response.Body.Close()
 	}
-	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
+	pair[1].Transport.Block(HostSet{gossipHost(pair[0]): true})
 	require.Error(t, tryOnce(50*time.Millisecond), "the request is blocked")
 	pair[1].Transport.Block(nil)
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
 	require.Error(t, tryOnce(50*time.Millisecond), "the answer is blocked")
 	pair[0].Transport.Block(nil)
 	assert.NoError(t, tryOnce(testTimeout))
@@ -256,7 +256,7 @@
 	pair := memberPair(t)
 	var members []*Member
 	for _, o := range pair {
-		m, err := Join(*o, idleFront{})
+		m, err := Join(*o, idleFrontEnd{})
 		require.NoError(t, err)
 		defer m.Close(0)
 		members = append(members, m)
@@ -273,7 +273,7 @@
 			require.Fail(t, "the log did not register the process before the timeout")
 		}
 	}
-	blockEachOther(pair[0], pair[1])
+	blockBothWays(pair[0], pair[1])
 	require.Eventually(t, allSee(1), testTimeout, 10*time.Millisecond)
 	for _, o := range pair {
 		o.Transport.Block(nil)
@@ -297,13 +297,13 @@
 	assert.NotSame(t, sharedClient, o.httpClient())
 }
 
-// idleFront is a front end without engines and requests.
-type idleFront struct{}
+// idleFrontEnd is a front end without engines and requests.
+type idleFrontEnd struct{}
 
-func (idleFront) Exclude(EngineSet)                    {}
-func (idleFront) Drained(string) bool                  { return true }
-func (idleFront) Engines() []rollout.Engine            { return nil }
-func (idleFront) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
+func (idleFrontEnd) Exclude(EngineSet)                    {}
+func (idleFrontEnd) Drained(string) bool                  { return true }
+func (idleFrontEnd) Engines() []rollout.Engine            { return nil }
+func (idleFrontEnd) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
 
 // An update replaces a member's incarnation. Metadata that is not a number, or a leave event, removes the member.
 func TestAliveProcessesFollowEvents(t *testing.T) {
