--- a/internal/fleet/gossip_events.go
+++ b/internal/fleet/gossip_events.go
@@ -22,7 +22,7 @@
 	return maps.Clone(p.incarnations)
 }
 
-// NotifyJoin implements memberlist.EventDelegate. The library calls it with its own lock held.
+// NotifyJoin implements memberlist.EventDelegate. memberlist holds a lock of its own during the call.
 func (p *processEvents) NotifyJoin(node *memberlist.Node) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -45,7 +45,7 @@
 	TargetRevision string          `json:"wanted"`
 	Permit         *rollout.Permit `json:"permit,omitempty"`
 	Drains         []EngineDrain   `json:"drains,omitempty"`
-	Release        uint64          `json:"release,omitempty"` // 0: no release is active, or it is rolling back
+	Release        uint64          `json:"release,omitempty"` // number of the active release; 0: none, or rolling back
 	Target         string          `json:"target,omitempty"`  // revision of that release
 }
 
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -134,7 +134,7 @@
 	assert.Equal(t, 7, receive(), "the blocked datagram must be lost, and the later one arrive")
 }
 
-// Block applies to open connections, only in the blocked direction. After it ends, the connections carry data again.
+// Block applies to open connections, only in the blocked direction. After Block(nil) the connections carry data again.
 func TestBlockAppliesToOpenConnections(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
