--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -8,10 +8,10 @@
 	"beechcart/decision/rollout"
 )
 
-// runLeader sends the commands of the leader while this replica leads, until the replica closes.
+// runLeader applies the leader's periodic commands while this replica leads, until the replica closes.
 func (r *ControlReplica) runLeader(g *gossip, engines func() []rollout.Engine) {
 	defer r.done.Done()
-	notAlive := map[string]time.Time{}
+	notAliveSince := map[string]time.Time{}
 	caughtUp := false
 	for {
 		select {
@@ -21,16 +21,16 @@
 		}
 		if !r.isLeader() {
 			caughtUp = false
-			clear(notAlive)
+			clear(notAliveSince)
 			continue
 		}
-		if !caughtUp { // what was committed under earlier leaders must be applied here first
+		if !caughtUp { // entries committed under earlier leaders must be applied here first
 			if r.raft.Barrier(commitTimeout).Error() != nil {
 				continue
 			}
 			caughtUp = true
 		}
-		for _, command := range r.periodicCommands(g.aliveProcesses(), notAlive, engines()) {
+		for _, command := range r.periodicCommands(g.aliveProcesses(), notAliveSince, engines()) {
 			if _, err := r.Apply(command); err != nil {
 				break
 			}
@@ -38,15 +38,15 @@
 	}
 }
 
-// periodicCommands returns the commands that the leader sends by itself. notAlive holds since when members are not
-// alive; it is kept from call to call.
+// periodicCommands returns the commands that the leader applies without a request. notAliveSince holds the time since
+// which each member is not alive; the caller keeps the map between calls.
 func (r *ControlReplica) periodicCommands(
-	alive map[string]uint64, notAlive map[string]time.Time, engines []rollout.Engine,
+	alive map[string]uint64, notAliveSince map[string]time.Time, engines []rollout.Engine,
 ) (commands []rollout.Command) {
 	now := r.options.now()
 	windows := r.counts.completeWindows(windowNumber(now) - 2)
 	r.readState(func(m *rollout.StateMachine) {
-		commands = append(commands, suspicions(m, now, alive, notAlive)...)
+		commands = append(commands, suspicions(m, now, alive, notAliveSince)...)
 		commands = append(commands, engineChanges(m, engines)...)
 		commands = append(commands, loadAndHealth(m, windows)...)
 		if deadline, ok := m.NextDeadline(); ok && time.Duration(now.UnixNano()) >= deadline {
@@ -56,29 +56,29 @@
 	return commands
 }
 
-// suspicions returns a command for each member whose process has not been alive for suspicionTimeout.
+// suspicions returns a command for each member whose process has not been alive for at least suspicionTimeout.
 func suspicions(
-	m *rollout.StateMachine, now time.Time, alive map[string]uint64, notAlive map[string]time.Time,
+	m *rollout.StateMachine, now time.Time, alive map[string]uint64, notAliveSince map[string]time.Time,
 ) (commands []rollout.Command) {
 	for name, member := range m.Members {
 		if member.Suspected || member.Phase == rollout.Terminated || alive[name] == member.Incarnation {
-			delete(notAlive, name)
+			delete(notAliveSince, name)
 			continue
 		}
-		if notAlive[name].IsZero() {
-			notAlive[name] = now
+		if notAliveSince[name].IsZero() {
+			notAliveSince[name] = now
 		}
-		if now.Sub(notAlive[name]) >= suspicionTimeout {
+		if now.Sub(notAliveSince[name]) >= suspicionTimeout {
 			suspect := &rollout.Suspect{Name: name, Incarnation: member.Incarnation}
 			commands = append(commands, rollout.Command{Suspect: suspect})
-			delete(notAlive, name)
+			delete(notAliveSince, name)
 		}
 	}
 	return commands
 }
 
-// engineChanges returns a command for each engine that the leader's endpoint list describes in another way than the
-// state, or does not have. An empty list tells nothing.
+// engineChanges returns a command for each engine whose entry in the leader's endpoint list differs from the state,
+// and for each engine that the state has as listed and the list lacks. An empty list marks no engine as unlisted.
 func engineChanges(m *rollout.StateMachine, engines []rollout.Engine) (commands []rollout.Command) {
 	listed := map[string]bool{}
 	for _, engine := range engines {
@@ -99,18 +99,18 @@
 	return commands
 }
 
-// minLoadChange is the part of the load, one in so many, by which it must change to be worth a command.
-const minLoadChange = 10
+// loadChangeDivisor sets the threshold of a load command: the load must change by more than 1/loadChangeDivisor.
+const loadChangeDivisor = 10
 
-// loadAndHealth returns the commands that follow from complete windows of counts: the load where it has changed, and
-// the health of an active release.
+// loadAndHealth returns the commands for complete windows of counts: the load, if it has changed enough, and the
+// health of an active release.
 func loadAndHealth(m *rollout.StateMachine, windows []countWindow) (commands []rollout.Command) {
 	for _, window := range windows {
 		load := rollout.Load{Engines: m.Load.Engines}
 		for _, counts := range window.counts {
 			load.FrontEnds += counts.Load
 		}
-		change, threshold := load.FrontEnds-m.Load.FrontEnds, m.Load.FrontEnds/minLoadChange
+		change, threshold := load.FrontEnds-m.Load.FrontEnds, m.Load.FrontEnds/loadChangeDivisor
 		if change > threshold || -change > threshold {
 			commands = append(commands, rollout.Command{Load: &load})
 		}
@@ -121,7 +121,7 @@
 	return commands
 }
 
-// health sums a window's counts up by zone, for the revision of a release and for all others.
+// health sums a window's counts by zone, separately for the revision of a release and for all other revisions.
 func (w countWindow) health(release *rollout.Release) *rollout.Health {
 	health := &rollout.Health{Release: release.Number, Window: uint64(w.number)}
 	zones := map[string]*rollout.ZoneCounts{}
--- a/internal/fleet/member_loops.go
+++ b/internal/fleet/member_loops.go
@@ -9,11 +9,12 @@
 
 // Pauses of a member's goroutines.
 const (
-	retryInterval = 100 * time.Millisecond // after a call that no replica has carried out
-	viewInterval  = 50 * time.Millisecond  // before a view is looked at again that is not carried out yet
+	retryInterval = 100 * time.Millisecond // after a failed call
+	viewInterval  = 50 * time.Millisecond  // before the next watch, after a view that is stale or not yet carried out
 )
 
-// reportStatus sends the present status until a replica has taken it, and waits for the next. It ends with the member.
+// reportStatus sends the current status until a replica has acknowledged it, then waits for the next status. It runs
+// until the member stops.
 func (m *Member) reportStatus() {
 	defer m.done.Done()
 	var first sync.Once
@@ -29,7 +30,7 @@
 		}
 		result, err := m.client.Apply(rollout.Command{ReportStatus: &status})
 		if err != nil {
-			if !m.wait(retryInterval) {
+			if !m.sleep(retryInterval) {
 				return
 			}
 			continue
@@ -41,12 +42,12 @@
 		m.mu.Lock()
 		m.acknowledged = max(m.acknowledged, status.StatusSequence)
 		m.mu.Unlock()
-		notify(m.statusTaken)
+		notify(m.statusAcknowledged)
 		first.Do(func() { close(m.registered) })
 	}
 }
 
-// status returns the present status, and whether no replica has taken it yet.
+// status returns the current status, and whether no replica has acknowledged it yet.
 func (m *Member) status() (status rollout.ReportStatus, pending bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +66,8 @@
 	return set
 }
 
-// watchState watches what concerns this member, at one replica at a time, and carries it out. It ends with the member.
+// watchState watches this member's view at one replica at a time, and carries the view out. It runs until the member
+// stops.
 func (m *Member) watchState() {
 	defer m.done.Done()
 	replicas := m.options.ControlReplicas
@@ -93,7 +95,7 @@
 				version, pause = "", viewInterval
 			}
 		}
-		if pause > 0 && !m.wait(pause) {
+		if pause > 0 && !m.sleep(pause) {
 			return
 		}
 	}
@@ -107,7 +109,7 @@
 	return engines
 }
 
-// applyView carries out what the view asks for; true where it is to be applied again although it has not changed.
+// applyView carries a view out. It returns true if the view must be applied again even if it does not change.
 func (m *Member) applyView(view MemberView) (again bool) {
 	phase := m.refreshStatus(view)
 	if view.Incarnation > m.incarnation {
@@ -123,8 +125,8 @@
 	return again
 }
 
-// refreshStatus reports the status again where the view has an older one, or none, or suspects the process. That does
-// no harm where only the replica is behind. It returns the present phase.
+// refreshStatus reports the status again if the view lacks the process, has an older status or suspects the process.
+// If only the replica is behind, the repeated report is harmless. It returns the current phase.
 func (m *Member) refreshStatus(view MemberView) rollout.Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,7 +143,8 @@
 	return m.phase
 }
 
-// reportDrains reports the engines that have no query of this front end; true where it is to be called again.
+// reportDrains reports each drained engine that runs no query of this front end. It returns true if it must be called
+// again.
 func (m *Member) reportDrains(drains []EngineDrain) (again bool) {
 	for _, drain := range drains {
 		if drain.Acknowledged {
@@ -158,21 +161,21 @@
 	return again
 }
 
-// activatePermit asks, immediately before the shutdown, whether the permit still stands, and shuts down on it once;
-// true where it is to be called again.
+// activatePermit activates the permit in the log, immediately before the shutdown, and grants the shutdown to the
+// front end, once. It returns true if it must be called again.
 func (m *Member) activatePermit(permit *rollout.Permit) (again bool) {
-	if m.requestedPermits[permit.Number] || permit.Cancelled {
+	if m.grantedPermits[permit.Number] || permit.Cancelled {
 		return false
 	}
 	reference := &rollout.PermitReference{Name: m.options.Name, Incarnation: m.incarnation, Permit: permit.Number}
-	asked := time.Now()
+	requestedAt := time.Now()
 	result, err := m.client.Apply(rollout.Command{ActivatePermit: reference})
 	if err != nil {
 		return true
 	}
 	if result.Rejected != nil {
 		m.log.Info("shutdown not granted", "permit", permit.Number, "why", result.Rejected.Error())
-		if permit.ActivatedAt > 0 { // it was granted once, and the answer was lost: the process stays, and reports so
+		if permit.ActivatedAt > 0 { // the answer to an earlier activation was lost: keep serving and return the permit
 			_, err := m.client.Apply(rollout.Command{ReturnPermit: reference})
 			return err != nil
 		}
@@ -181,11 +184,12 @@
 	if !result.Shutdown {
 		return false
 	}
-	// After a long call, or a process that was stopped with the answer in hand, others may be unavailable by now.
-	if time.Since(asked) > activationTimeout {
+	// The answer is stale after a slow call, or if the process was paused after the answer: other members may be
+	// unavailable by now.
+	if time.Since(requestedAt) > activationTimeout {
 		return true
 	}
-	m.requestedPermits[permit.Number] = true
+	m.grantedPermits[permit.Number] = true
 	m.log.Info("shutdown granted",
 		"permit", permit.Number, "purpose", string(permit.Purpose), "revision", permit.Revision)
 	select {
@@ -195,18 +199,18 @@
 	return false
 }
 
-// minWindow is the shortest time that a window's load is divided by, in seconds.
-const minWindow = 0.1
+// minWindowSeconds is the smallest divisor in the computation of a window's load.
+const minWindowSeconds = 0.1
 
-// reportCounts sends the counts of each window to the leader while the process serves. A window that is lost is not
-// sent again. It ends with the member.
+// reportCounts sends the counts of each window to the leader while the process serves. It does not retry a failed
+// call, whose counts are lost. It runs until the member stops.
 func (m *Member) reportCounts() {
 	defer m.done.Done()
-	last, began := m.frontEnd.RequestCounts(), time.Now()
+	last, start := m.frontEnd.RequestCounts(), time.Now()
 	for {
 		now := m.options.now()
 		end := time.Unix(0, (windowNumber(now)+1)*int64(windowLength))
-		if !m.wait(end.Sub(now)) {
+		if !m.sleep(end.Sub(now)) {
 			return
 		}
 		counts := m.frontEnd.RequestCounts()
@@ -217,8 +221,8 @@
 				Rejected: counts.Rejected - last.Rejected, Slow: counts.Slow - last.Slow,
 			},
 		}
-		window.Load = float64(window.Counts.Requests) / max(time.Since(began).Seconds(), minWindow)
-		last, began = counts, time.Now()
+		window.Load = float64(window.Counts.Requests) / max(time.Since(start).Seconds(), minWindowSeconds)
+		last, start = counts, time.Now()
 		m.mu.Lock()
 		serving := m.phase == rollout.Serving
 		m.mu.Unlock()
--- a/internal/fleet/raft_stream.go
+++ b/internal/fleet/raft_stream.go
@@ -12,23 +12,24 @@
 	"github.com/hashicorp/raft"
 )
 
-// raftStream carries the calls of the raft library. Each connection begins with a line that names the identity that it
-// is meant for and the fleet's key, and with one byte in answer. One that is meant for another identity is closed.
+// raftStream carries the connections of the raft library. Each connection begins with a handshake: the dialling
+// replica sends a line with the identity that the connection is meant for and the fleet's key, and the accepting
+// replica replies with one byte. A connection that is meant for another identity, or has another key, is closed.
 type raftStream struct {
 	options  *Options
 	identity string
 	address  string
 	listener net.Listener
-	accepted chan net.Conn // after their handshake
+	accepted chan net.Conn // connections that have passed the handshake
 	closed   chan struct{}
 	once     sync.Once // closes closed
 }
 
 const (
-	handshakeAnswer   = "+"
-	maxHandshake      = 256 // bytes
+	handshakeReply    = "+"
+	maxHandshakeBytes = 256
 	acceptRetryPause  = 50 * time.Millisecond
-	handshakeTemplate = "%s %s\n" // identity and key
+	handshakeFormat   = "%s %s\n" // identity, key
 )
 
 // listenRaft listens at an address for connections that are meant for an identity. The caller must close the stream.
@@ -56,14 +57,14 @@
 		select {
 		case <-s.closed:
 			return
-		case <-time.After(acceptRetryPause): // the process may have no descriptor left
+		case <-time.After(acceptRetryPause): // the process may have run out of file descriptors
 		}
 	}
 }
 
-// handshake hands over a connection that is meant for this identity, and closes any other.
+// handshake passes a connection that is meant for this identity to Accept, and closes any other.
 func (s *raftStream) handshake(c net.Conn) {
-	if !s.isMeantForThis(c) {
+	if !s.acceptsHandshake(c) {
 		_ = c.Close()
 		return
 	}
@@ -74,16 +75,16 @@
 	}
 }
 
-// isMeantForThis reads the first line and answers it. The caller sends nothing more before the answer, so that the
-// reader holds no byte of what follows.
-func (s *raftStream) isMeantForThis(c net.Conn) bool {
+// acceptsHandshake reads the handshake line, and replies and returns true if the line names this identity and the
+// fleet's key. The dialling replica sends nothing more before the reply, so the reader buffers no byte after the line.
+func (s *raftStream) acceptsHandshake(c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(callTimeout))
-	reader := bufio.NewReaderSize(io.LimitReader(c, maxHandshake), maxHandshake)
+	reader := bufio.NewReaderSize(io.LimitReader(c, maxHandshakeBytes), maxHandshakeBytes)
 	line, err := reader.ReadString('\n')
-	if err != nil || line != fmt.Sprintf(handshakeTemplate, s.identity, s.options.Key) {
+	if err != nil || line != fmt.Sprintf(handshakeFormat, s.identity, s.options.Key) {
 		return false
 	}
-	if _, err := c.Write([]byte(handshakeAnswer)); err != nil {
+	if _, err := c.Write([]byte(handshakeReply)); err != nil {
 		return false
 	}
 	_ = c.SetReadDeadline(time.Time{})
@@ -106,15 +107,15 @@
 	return s.listener.Close()
 }
 
-// Addr implements net.Listener. It names the identity too, as the other replicas do.
+// Addr implements net.Listener. The address includes the identity, as in the log's configuration.
 func (s *raftStream) Addr() net.Addr { return identityAddr(serverAddress(s.identity, s.address)) }
 
-// serverAddress is where a replica's log is reached, with the identity that calls must be meant for.
+// serverAddress returns the address of a replica in the log's configuration: IDENTITY@HOST:PORT.
 func serverAddress(identity, hostPort string) raft.ServerAddress {
 	return raft.ServerAddress(identity + "@" + hostPort)
 }
 
-// identityAddr is a server address as a net.Addr.
+// identityAddr implements net.Addr for an address that serverAddress has returned.
 type identityAddr string
 
 // Network implements net.Addr.
@@ -122,24 +123,24 @@
 
 func (a identityAddr) String() string { return string(a) }
 
-// Dial implements raft.StreamLayer: it opens a connection to an identity at an address.
+// Dial implements raft.StreamLayer. It opens a connection to an address of the form IDENTITY@HOST:PORT.
 func (s *raftStream) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	identity, hostPort, ok := strings.Cut(string(to), "@")
 	if !ok {
-		return nil, fmt.Errorf("fleet: %q names no identity", to)
+		return nil, fmt.Errorf("fleet: log address: found %q, must be IDENTITY@HOST:PORT", to)
 	}
 	c, err := s.options.dialTCP(hostPort, timeout, logTraffic)
 	if err != nil {
 		return nil, err
 	}
 	_ = c.SetDeadline(time.Now().Add(timeout))
-	var answer [len(handshakeAnswer)]byte
-	if _, err = fmt.Fprintf(c, handshakeTemplate, identity, s.options.Key); err == nil {
+	var answer [len(handshakeReply)]byte
+	if _, err = fmt.Fprintf(c, handshakeFormat, identity, s.options.Key); err == nil {
 		_, err = io.ReadFull(c, answer[:])
 	}
 	if err != nil {
 		_ = c.Close()
-		return nil, fmt.Errorf("fleet: %s does not answer to %s: %w", hostPort, identity, err)
+		return nil, fmt.Errorf("fleet: %s did not accept the handshake for identity %s: %w", hostPort, identity, err)
 	}
 	_ = c.SetDeadline(time.Time{})
 	return c, nil
--- a/internal/fleet/transport_conn.go
+++ b/internal/fleet/transport_conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// meteredListener hands out connections that are counted and restricted by a transport.
+// meteredListener returns accepted connections whose traffic a transport counts and blocks.
 type meteredListener struct {
 	net.Listener
 	transport *Transport
@@ -23,48 +23,49 @@
 	return l.transport.accepted(c, l.kind), nil
 }
 
-// meteredConn is a connection whose traffic is counted, and that sends nothing while its other end is blocked.
+// meteredConn is a connection whose traffic a transport counts. It sends nothing while its peer is blocked.
 type meteredConn struct {
 	net.Conn
-	transport *Transport
-	meter     *meter
-	peer      string // host of the other end
-	unopened  atomic.Bool
-	closed    chan struct{}
-	closeOnce sync.Once
+	transport            *Transport
+	meter                *meter
+	peer                 string // host of the other end
+	acceptedWhileBlocked atomic.Bool
+	closed               chan struct{}
+	closeOnce            sync.Once
 
 	mu            sync.Mutex
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
 
-// wrap counts a connection that was opened.
+// wrap returns an open connection with its traffic counted, and counts the bytes of its opening and closing.
 func (t *Transport) wrap(c net.Conn, kind trafficKind) *meteredConn {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
 		host = c.RemoteAddr().String()
 	}
-	counted := &meteredConn{Conn: c, transport: t, meter: &t.meters[kind], peer: host, closed: make(chan struct{})}
-	counted.meter.sentBytes.Add(connectionBytes / 2)
-	counted.meter.receivedBytes.Add(connectionBytes / 2)
-	return counted
+	metered := &meteredConn{Conn: c, transport: t, meter: &t.meters[kind], peer: host, closed: make(chan struct{})}
+	metered.meter.sentBytes.Add(connectionBytes / 2)
+	metered.meter.receivedBytes.Add(connectionBytes / 2)
+	return metered
 }
 
-// accepted counts a connection that the other end has opened. On a real network it would not open while the other end
-// is blocked, which gets no answer to its first segment; so nothing is read from it before the cut ends.
+// accepted wraps a connection that the peer has dialled. On a real network, a connection from a blocked peer would not
+// open, since the answer to its first segment is lost. Therefore the connection's reads wait until the peer is
+// unblocked.
 func (t *Transport) accepted(c net.Conn, kind trafficKind) *meteredConn {
-	counted := t.wrap(c, kind)
-	counted.unopened.Store(t.Blocked(counted.peer))
-	return counted
+	metered := t.wrap(c, kind)
+	metered.acceptedWhileBlocked.Store(t.Blocked(metered.peer))
+	return metered
 }
 
 // Read implements net.Conn.
 func (c *meteredConn) Read(b []byte) (int, error) {
-	if c.unopened.Load() {
-		if err := c.transport.awaitClear(c.peer, c.closed, c.limit(&c.readDeadline)); err != nil {
+	if c.acceptedWhileBlocked.Load() {
+		if err := c.transport.awaitUnblocked(c.peer, c.closed, c.waitDeadline(&c.readDeadline)); err != nil {
 			return 0, err
 		}
-		c.unopened.Store(false)
+		c.acceptedWhileBlocked.Store(false)
 	}
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -76,7 +77,7 @@
 // Write implements net.Conn.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	if c.transport.Blocked(c.peer) {
-		if err := c.transport.awaitClear(c.peer, c.closed, c.limit(&c.writeDeadline)); err != nil {
+		if err := c.transport.awaitUnblocked(c.peer, c.closed, c.waitDeadline(&c.writeDeadline)); err != nil {
 			return 0, err
 		}
 	}
@@ -87,11 +88,12 @@
 	return n, err
 }
 
-// limit is until when a blocked read or write waits.
-func (c *meteredConn) limit(deadline *time.Time) time.Time {
+// waitDeadline returns the time until which a blocked read or write waits: the given deadline, or maxBlockedWait from
+// now if that is earlier or the deadline is zero.
+func (c *meteredConn) waitDeadline(deadline *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	latest := time.Now().Add(maxBlockedWrite)
+	latest := time.Now().Add(maxBlockedWait)
 	if deadline.IsZero() || deadline.After(latest) {
 		return latest
 	}
@@ -128,8 +130,8 @@
 	return c.Conn.Close()
 }
 
-// streamHeaders estimates the bytes of headers that a number of bytes of a stream travel under.
+// streamHeaders estimates the header bytes of the segments that carry this many bytes of a stream.
 func streamHeaders(bytes int) int {
-	segments := (bytes + segmentPayload - 1) / segmentPayload
-	return segments * segmentHeader
+	segments := (bytes + segmentPayloadBytes - 1) / segmentPayloadBytes
+	return segments * segmentHeaderBytes
 }
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -17,30 +17,30 @@
 	"beechcart/decision/rollout"
 )
 
-// longWait is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is done.
-const longWait = 60 * time.Second
+// testTimeout is longer than any step takes on an overloaded machine. No assertion depends on a step being faster.
+const testTimeout = 60 * time.Second
 
-// memberPair are the options of two members, each with a transport and a loopback address of its own. The first is the
+// memberPair returns the options of two members, each with its own transport and loopback address. The first is the
 // control replica.
 func memberPair(t *testing.T) []*Options {
 	t.Helper()
-	base := ""
-	for i := 0; base == ""; i++ {
-		require.Less(t, i, 200, "no loopback addresses are free")
+	network := ""
+	for i := 0; network == ""; i++ {
+		require.Less(t, i, 200, "found no free loopback network")
 		candidate := fmt.Sprintf("127.%d.%d", 20+(os.Getpid()+i)%200, 20+i)
-		// Test fleets on this machine claim their network by listening there.
+		// Each test fleet on this machine reserves its loopback network by listening at this address.
 		if l, err := net.Listen("tcp", candidate+".254:7000"); err == nil {
 			t.Cleanup(func() { _ = l.Close() })
-			base = candidate
+			network = candidate
 		}
 	}
 	first := options(t)
 	var all []*Options
 	for i := range 2 {
-		o, host := *first, fmt.Sprintf("%s.%d", base, i+1)
+		o, host := *first, fmt.Sprintf("%s.%d", network, i+1)
 		o.Name, o.GossipAddress, o.Transport = fmt.Sprint("n", i), host+":7004", NewTransport(host)
 		o.ControlReplicas = []ReplicaAddress{{
-			Name: "n0", LogAddress: base + ".1:7002", APIAddress: base + ".1:7003", GossipAddress: base + ".1:7004",
+			Name: "n0", LogAddress: network + ".1:7002", APIAddress: network + ".1:7003", GossipAddress: network + ".1:7004",
 		}}
 		if i > 0 {
 			o.LogDirectory = ""
@@ -50,23 +50,23 @@
 	return all
 }
 
-func hostOf(o *Options) string {
+func gossipHost(o *Options) string {
 	host, _, _ := net.SplitHostPort(o.GossipAddress)
 	return host
 }
 
-func blockEachOther(a, b *Options) {
-	a.Transport.Block(HostSet{hostOf(b): true})
-	b.Transport.Block(HostSet{hostOf(a): true})
+func blockBothWays(a, b *Options) {
+	a.Transport.Block(HostSet{gossipHost(b): true})
+	b.Transport.Block(HostSet{gossipHost(a): true})
 }
 
 // connect opens a connection from one member to another, and returns both ends.
 func connect(t *testing.T, from, to *Options) (dialled, accepted net.Conn) {
 	t.Helper()
-	l, err := to.listenTCP(hostOf(to)+":0", logTraffic)
+	l, err := to.listenTCP(gossipHost(to)+":0", logTraffic)
 	require.NoError(t, err)
 	defer l.Close()
-	dialled, err = from.dialTCP(l.Addr().String(), longWait, logTraffic)
+	dialled, err = from.dialTCP(l.Addr().String(), testTimeout, logTraffic)
 	require.NoError(t, err)
 	accepted, err = l.Accept()
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 func readText(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(longWait)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err := io.ReadFull(c, b)
 	require.NoError(t, err)
 	assert.Equal(t, want, string(b))
@@ -89,10 +89,10 @@
 	require.NoError(t, err)
 }
 
-func gossipTransportOf(t *testing.T, o *Options) *gossipTransport {
+func openGossipTransport(t *testing.T, o *Options) *gossipTransport {
 	t.Helper()
 	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{hostOf(o)}, BindPort: 7004,
+		BindAddrs: []string{gossipHost(o)}, BindPort: 7004,
 	})
 	require.NoError(t, err)
 	transport := newGossipTransport(inner, o.Transport)
@@ -100,9 +100,9 @@
 	return transport
 }
 
-func TestDatagramsAreCountedExactlyAndCut(t *testing.T) {
+func TestDatagramsAreCountedExactlyAndBlocked(t *testing.T) {
 	pair := memberPair(t)
-	sender, receiver := gossipTransportOf(t, pair[0]), gossipTransportOf(t, pair[1])
+	sender, receiver := openGossipTransport(t, pair[0]), openGossipTransport(t, pair[1])
 	sendTo := func(size int) {
 		_, err := sender.WriteTo(make([]byte, size), pair[1].GossipAddress)
 		require.NoError(t, err)
@@ -111,8 +111,8 @@
 		select {
 		case packet := <-receiver.PacketCh():
 			return len(packet.Buf)
-		case <-time.After(longWait):
-			require.Fail(t, "nothing arrives")
+		case <-time.After(testTimeout):
+			require.Fail(t, "received no datagram before the timeout")
 			return 0
 		}
 	}
@@ -126,65 +126,65 @@
 	assert.Equal(t, want, pair[0].Transport.Gossip())
 	assert.Equal(t, Traffic{ReceivedBytes: uint64(bytes), ReceivedMessages: 14}, pair[1].Transport.Gossip())
 
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
 	sendTo(700)
-	assert.Equal(t, want, pair[0].Transport.Gossip(), "what is cut is not sent")
+	assert.Equal(t, want, pair[0].Transport.Gossip(), "a blocked datagram is not counted as sent")
 	pair[0].Transport.Block(nil)
 	sendTo(7)
-	assert.Equal(t, 7, receive(), "the one before was lost")
+	assert.Equal(t, 7, receive(), "the blocked datagram must be lost, and the later one arrive")
 }
 
-// A cut holds for connections that are open, in the direction that is blocked only, and ends without loss.
-func TestACutHoldsForOpenConnections(t *testing.T) {
+// Block applies to open connections, only in the blocked direction. After Block(nil) the connections carry data again.
+func TestBlockAppliesToOpenConnections(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
-	for _, ends := range []struct {
+	for _, direction := range []struct {
 		from, to net.Conn
-		cut      *Options
+		blocker  *Options
 		peer     *Options
 	}{{dialled, accepted, pair[0], pair[1]}, {accepted, dialled, pair[1], pair[0]}} {
-		writeText(t, ends.from, "before")
-		readText(t, ends.to, "before")
-		ends.cut.Transport.Block(HostSet{hostOf(ends.peer): true})
-		require.NoError(t, ends.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
-		_, err := ends.from.Write([]byte("lost"))
+		writeText(t, direction.from, "before")
+		readText(t, direction.to, "before")
+		direction.blocker.Transport.Block(HostSet{gossipHost(direction.peer): true})
+		require.NoError(t, direction.from.SetWriteDeadline(time.Now().Add(30*time.Millisecond)))
+		_, err := direction.from.Write([]byte("lost"))
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-		writeText(t, ends.to, "the other way")
-		readText(t, ends.from, "the other way")
-		require.NoError(t, ends.from.SetWriteDeadline(time.Time{}))
-		ends.cut.Transport.Block(nil)
-		writeText(t, ends.from, "after")
-		readText(t, ends.to, "after")
+		writeText(t, direction.to, "the other way")
+		readText(t, direction.from, "the other way")
+		require.NoError(t, direction.from.SetWriteDeadline(time.Time{}))
+		direction.blocker.Transport.Block(nil)
+		writeText(t, direction.from, "after")
+		readText(t, direction.to, "after")
 	}
 
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
-	waiting := make(chan error, 1)
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
+	writeErr := make(chan error, 1)
 	go func() {
 		_, err := dialled.Write([]byte("never"))
-		waiting <- err
+		writeErr <- err
 	}()
 	dialled.Close()
-	assert.Error(t, <-waiting, "closing ends a write that waits")
+	assert.Error(t, <-writeErr, "closing a connection ends a blocked write")
 }
 
-func TestACutHoldsForNewConnections(t *testing.T) {
+func TestBlockAppliesToNewConnections(t *testing.T) {
 	pair := memberPair(t)
-	l, err := pair[1].listenTCP(hostOf(pair[1])+":0", callTraffic)
+	l, err := pair[1].listenTCP(gossipHost(pair[1])+":0", callTraffic)
 	require.NoError(t, err)
 	defer l.Close()
 
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
 	_, err = pair[0].dialTCP(l.Addr().String(), 30*time.Millisecond, callTraffic)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
-	assert.True(t, timeout.Timeout(), "as from a host that does not answer")
+	assert.True(t, timeout.Timeout(), "the error must be a timeout, as for a host that does not answer")
 	assert.Zero(t, pair[0].Transport.Calls().Connections)
 	pair[0].Transport.Block(nil)
 
-	// The other end's first segment arrives, and the answer to it is cut.
-	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
-	dialled, err := pair[0].dialTCP(l.Addr().String(), longWait, callTraffic)
+	// The dialler's first segment arrives, and the accepting side's answer is blocked.
+	pair[1].Transport.Block(HostSet{gossipHost(pair[0]): true})
+	dialled, err := pair[0].dialTCP(l.Addr().String(), testTimeout, callTraffic)
 	require.NoError(t, err)
 	defer dialled.Close()
 	accepted, err := l.Accept()
@@ -198,7 +198,7 @@
 	readText(t, accepted, "early")
 }
 
-// Both ends of a stream count the same payload.
+// Both ends of a stream count the same payload and headers.
 func TestStreamsAreCountedAtBothEnds(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
@@ -209,28 +209,28 @@
 	receiver := Traffic{SentBytes: 100, ReceivedBytes: 100 + 10 + 40, ReceivedMessages: 1}
 	assert.Equal(t, receiver, pair[1].Transport.Log())
 	assert.Equal(t, 0, streamHeaders(0))
-	assert.Equal(t, 40, streamHeaders(segmentPayload))
-	assert.Equal(t, 80, streamHeaders(segmentPayload+1))
+	assert.Equal(t, 40, streamHeaders(segmentPayloadBytes))
+	assert.Equal(t, 80, streamHeaders(segmentPayloadBytes+1))
 }
 
-func TestCallsAreCountedAndCut(t *testing.T) {
+func TestCallsAreCountedAndBlocked(t *testing.T) {
 	pair := memberPair(t)
 	replica, err := OpenReplica(pair[0])
 	require.NoError(t, err)
 	defer replica.Close()
 	require.NoError(t, call(pair[1], pair[0].ControlReplicas[0].APIAddress, "/status", nil, nil))
 	assert.Equal(t, uint64(1), pair[1].Transport.Calls().Connections)
-	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeader }
-	require.Eventually(t, func() bool { // a write is counted after it, when its other end may have read already
+	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeaderBytes }
+	require.Eventually(t, func() bool { // the peer may read a write before the writer has counted it
 		calls, served := pair[1].Transport.Calls(), pair[0].Transport.Served()
-		asked, answered := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
-		return asked > connectionBytes && answered > connectionBytes &&
-			asked == payload(served.ReceivedBytes, served.ReceivedMessages) &&
-			answered == payload(calls.ReceivedBytes, calls.ReceivedMessages)
-	}, longWait, time.Millisecond)
+		requests, responses := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
+		return requests > connectionBytes && responses > connectionBytes &&
+			requests == payload(served.ReceivedBytes, served.ReceivedMessages) &&
+			responses == payload(calls.ReceivedBytes, calls.ReceivedMessages)
+	}, testTimeout, time.Millisecond)
 
-	tryOnce := func(wait time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+	tryOnce := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		url := "http://" + pair[0].ControlReplicas[0].APIAddress + "/status"
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -241,44 +241,45 @@
 		}
 		return response.Body.Close()
 	}
-	pair[1].Transport.Block(HostSet{hostOf(pair[0]): true})
-	require.Error(t, tryOnce(50*time.Millisecond), "the call is cut")
+	pair[1].Transport.Block(HostSet{gossipHost(pair[0]): true})
+	require.Error(t, tryOnce(50*time.Millisecond), "the request is blocked")
 	pair[1].Transport.Block(nil)
-	pair[0].Transport.Block(HostSet{hostOf(pair[1]): true})
-	require.Error(t, tryOnce(50*time.Millisecond), "the answer is cut")
+	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
+	require.Error(t, tryOnce(50*time.Millisecond), "the answer is blocked")
 	pair[0].Transport.Block(nil)
-	assert.NoError(t, tryOnce(longWait))
+	assert.NoError(t, tryOnce(testTimeout))
 }
 
-// Members lose one another under a cut and hear of one another after it; what they send arrives.
-func TestMembersUnderACut(t *testing.T) {
+// Members that block each other stop seeing each other as alive, and see each other again afterwards. Apart from
+// datagrams in flight or dropped by a full buffer, the members receive the messages that they send.
+func TestMembersBlockedFromEachOther(t *testing.T) {
 	pair := memberPair(t)
 	var members []*Member
 	for _, o := range pair {
-		m, err := Join(*o, idleFront{})
+		m, err := Join(*o, idleFrontEnd{})
 		require.NoError(t, err)
 		defer m.Close(0)
 		members = append(members, m)
 	}
-	require.Eventually(t, func() bool { return NewClient(pair[1]).Init() == nil }, longWait, 20*time.Millisecond)
-	hear := func(n int) func() bool {
+	require.Eventually(t, func() bool { return NewClient(pair[1]).Init() == nil }, testTimeout, 20*time.Millisecond)
+	allSee := func(n int) func() bool {
 		return func() bool { return members[0].AliveMembers() == n && members[1].AliveMembers() == n }
 	}
-	require.Eventually(t, hear(2), longWait, 10*time.Millisecond)
+	require.Eventually(t, allSee(2), testTimeout, 10*time.Millisecond)
 	for _, m := range members {
 		select {
 		case <-m.Registered():
-		case <-time.After(longWait):
-			require.Fail(t, "the log does not take the process")
+		case <-time.After(testTimeout):
+			require.Fail(t, "the log did not register the process before the timeout")
 		}
 	}
-	blockEachOther(pair[0], pair[1])
-	require.Eventually(t, hear(1), longWait, 10*time.Millisecond)
+	blockBothWays(pair[0], pair[1])
+	require.Eventually(t, allSee(1), testTimeout, 10*time.Millisecond)
 	for _, o := range pair {
 		o.Transport.Block(nil)
 	}
-	require.Eventually(t, hear(2), longWait, 10*time.Millisecond)
-	// What is under way, and what a full buffer has lost, is the difference.
+	require.Eventually(t, allSee(2), testTimeout, 10*time.Millisecond)
+	// Datagrams in flight and datagrams dropped by a full buffer make up the difference.
 	require.Eventually(t, func() bool {
 		sent, received := uint64(0), uint64(0)
 		for _, o := range pair {
@@ -286,7 +287,7 @@
 			sent, received = sent+gossip.SentMessages, received+gossip.ReceivedMessages
 		}
 		return sent > 20 && max(sent, received)-min(sent, received) <= sent/10
-	}, longWait, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 }
 
 func TestMembersWithoutATransportShareTheClient(t *testing.T) {
@@ -296,15 +297,15 @@
 	assert.NotSame(t, sharedClient, o.httpClient())
 }
 
-// idleFront is a front end without engines or requests.
-type idleFront struct{}
+// idleFrontEnd is a front end without engines and requests.
+type idleFrontEnd struct{}
 
-func (idleFront) Exclude(EngineSet)                    {}
-func (idleFront) Drained(string) bool                  { return true }
-func (idleFront) Engines() []rollout.Engine            { return nil }
-func (idleFront) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
+func (idleFrontEnd) Exclude(EngineSet)                    {}
+func (idleFrontEnd) Drained(string) bool                  { return true }
+func (idleFrontEnd) Engines() []rollout.Engine            { return nil }
+func (idleFrontEnd) RequestCounts() rollout.RequestCounts { return rollout.RequestCounts{} }
 
-// A member that comes back as another process is heard of as that one, and a name without a number as none.
+// An update replaces a member's incarnation. Metadata that is not a number, or a leave event, removes the member.
 func TestAliveProcessesFollowEvents(t *testing.T) {
 	alive := &processEvents{incarnations: map[string]uint64{}}
 	node := func(meta string) *memberlist.Node { return &memberlist.Node{Name: "n0", Meta: []byte(meta)} }
