--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -152,7 +152,7 @@
 	}
 	queue := c.keyQueues[request.Key]
 	if queue != nil && status != Errored && request.classSettings.Ordered {
-		queue.coolingUntil = max(queue.coolingUntil, c.now+c.settings.KeyCooldown)
+		queue.cooldownUntil = max(queue.cooldownUntil, c.now+c.settings.KeyCooldown)
 	}
 }
 
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -44,8 +44,8 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	first, _ := playStorm(t, 3)
-	second, _ := playStorm(t, 3)
+	first, _ := playRandomRun(t, 3)
+	second, _ := playRandomRun(t, 3)
 	if !reflect.DeepEqual(first, second) {
 		t.Fatal("two runs with the same seed gave different actions")
 	}
@@ -53,7 +53,7 @@
 
 func TestRandomEventsKeepTheInvariants(t *testing.T) {
 	for seed := range uint64(12) {
-		if _, sent := playStorm(t, seed); sent < 200 {
+		if _, sent := playRandomRun(t, seed); sent < 200 {
 			t.Fatalf("seed %d: found %d sends, must be at least 200", seed, sent)
 		}
 	}
--- a/admission/harness_test.go
+++ b/admission/harness_test.go
@@ -55,13 +55,13 @@
 	return h
 }
 
-func (b *harness) step(events ...Event) []Action { return b.controller.Step(b.now, events) }
+func (h *harness) step(events ...Event) []Action { return h.controller.Step(h.now, events) }
 
 // advance moves the clock forward in steps of housekeepingInterval and returns the actions of all steps.
-func (b *harness) advance(d time.Duration) (all []Action) {
-	for end := b.now + d; b.now < end; {
-		b.now = min(b.now+housekeepingInterval, end)
-		all = append(all, b.step(Timer{Token: uint64(b.controller.housekeepingAt)})...)
+func (h *harness) advance(d time.Duration) (all []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(h.now+housekeepingInterval, end)
+		all = append(all, h.step(Timer{Token: uint64(h.controller.housekeepingAt)})...)
 	}
 	return all
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -40,8 +40,8 @@
 
 // keyQueue holds the unfinished requests of one key of an Ordered class, in order of arrival.
 type keyQueue struct {
-	requests     []*requestState
-	coolingUntil time.Duration // no request of the key is sent before
+	requests      []*requestState
+	cooldownUntil time.Duration // no request of the key is sent before
 }
 
 // admit sends the admissible requests by deficit round robin over the tenants, preferred requests first.
@@ -128,7 +128,7 @@
 func (c *Controller) inTurn(request *requestState) bool {
 	if request.ordered() {
 		queue := c.keyQueues[request.Key]
-		if queue == nil || queue.requests[0] != request || c.now < queue.coolingUntil {
+		if queue == nil || queue.requests[0] != request || c.now < queue.cooldownUntil {
 			return false
 		}
 	}
@@ -204,7 +204,7 @@
 // forgetIdleKeys deletes the queues of keys that hold no request and whose cooldown is over.
 func (c *Controller) forgetIdleKeys() {
 	for key, queue := range c.keyQueues { // the iteration order affects no action
-		if len(queue.requests) == 0 && c.now >= queue.coolingUntil {
+		if len(queue.requests) == 0 && c.now >= queue.cooldownUntil {
 			delete(c.keyQueues, key)
 		}
 	}
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -10,42 +10,42 @@
 func TestRequestsOfKeyRunInOrder(t *testing.T) {
 	s := baseSettings()
 	s.Classes[0].Ordered, s.Classes[0].LatencyObjective = true, 4*sec
-	b := startController(t, s, newEngines(4))
+	h := startController(t, s, newEngines(4))
 	keyed := func(id string) Request { r := newRequest(id, 0); r.Key = "k"; return r }
-	first := oneAction[Send](t, b.step(keyed("a"), keyed("b")))
+	first := oneAction[Send](t, h.step(keyed("a"), keyed("b")))
 	if first.ID != "a" {
 		t.Fatalf("first request sent is %s, want a", first.ID)
 	}
-	second := oneAction[Send](t, b.step(outcomeOf(first, 0, OK)))
+	second := oneAction[Send](t, h.step(outcomeOf(first, 0, OK)))
 	if second.ID != "b" {
 		t.Fatalf("second request sent is %s, want b", second.ID)
 	}
-	b.step(keyed("c"), ClientDisconnected{ID: "b"})
-	if actions := b.step(); len(actionsOf[Send](actions)) > 0 {
+	h.step(keyed("c"), ClientDisconnected{ID: "b"})
+	if actions := h.step(); len(actionsOf[Send](actions)) > 0 {
 		t.Fatal("request sent while an earlier attempt of its key had no outcome")
 	}
-	if actions := b.step(outcomeOf(second, 0, TimedOut)); len(actionsOf[Send](actions)) > 0 {
+	if actions := h.step(outcomeOf(second, 0, TimedOut)); len(actionsOf[Send](actions)) > 0 {
 		t.Fatal("request sent during the cooldown of its key")
 	}
-	if actions := b.advance(980 * ms); len(actionsOf[Send](actions)) > 0 {
+	if actions := h.advance(980 * ms); len(actionsOf[Send](actions)) > 0 {
 		t.Fatal("request sent during the cooldown of its key")
 	}
-	oneAction[Send](t, b.advance(60*ms))
+	oneAction[Send](t, h.advance(60*ms))
 }
 
 func TestRoundRobinFollowsWeights(t *testing.T) {
-	b := startController(t, baseSettings(), newEngines(2))
-	b.controller.tenants[0].weight = 2
-	inFlight := fillEngines(b)
+	h := startController(t, baseSettings(), newEngines(2))
+	h.controller.tenants[0].weight = 2
+	inFlight := fillEngines(h)
 	sent := [2]int{}
 	for n := 0; len(inFlight) > 0 && n < 36; n++ {
-		b.now += 10 * ms
+		h.now += 10 * ms
 		outcome := outcomeOf(inFlight[0], 0, OK)
 		outcome.Work, outcome.Latency = 100*ms, 100*ms
 		inFlight = inFlight[1:]
-		for _, send := range actionsOf[Send](b.step(outcome)) {
+		for _, send := range actionsOf[Send](h.step(outcome)) {
 			inFlight = append(inFlight, send)
-			sent[b.controller.requests[send.ID].Tenant]++
+			sent[h.controller.requests[send.ID].Tenant]++
 		}
 	}
 	if ratio := float64(sent[0]) / float64(sent[1]); ratio < 1.5 || ratio > 2.6 {
@@ -56,18 +56,18 @@
 // TestFloodDoesNotBlockOtherTenants: a request is sent soon although another tenant has filled the engines and the
 // queue.
 func TestFloodDoesNotBlockOtherTenants(t *testing.T) {
-	b := startController(t, baseSettings(), newEngines(2))
+	h := startController(t, baseSettings(), newEngines(2))
 	var inFlight []Send
 	for i := range 80 {
 		request := newRequest(fmt.Sprint("f", i), 1)
 		request.Timeout = 20 * sec
-		inFlight = append(inFlight, actionsOf[Send](b.step(request))...)
+		inFlight = append(inFlight, actionsOf[Send](h.step(request))...)
 	}
 	lone := newRequest("lone", 1)
 	lone.Tenant, lone.Timeout = 1, 20*sec
-	b.step(lone)
+	h.step(lone)
 	for n := range 12 {
-		for _, send := range actionsOf[Send](b.step(outcomeOf(inFlight[n], 0, OK))) {
+		for _, send := range actionsOf[Send](h.step(outcomeOf(inFlight[n], 0, OK))) {
 			if send.ID == "lone" {
 				return
 			}
@@ -78,17 +78,17 @@
 }
 
 func TestQueuedRequestsAreLimited(t *testing.T) {
-	b := startController(t, baseSettings(), newEngines(1))
+	h := startController(t, baseSettings(), newEngines(1))
 	rejected := 0
 	for i := range 2000 {
 		request := newRequest(fmt.Sprint("q", i), 1)
 		request.Timeout, request.Work = 20*sec, 2*sec
-		rejected += len(actionsOf[Reject](b.step(request)))
+		rejected += len(actionsOf[Reject](h.step(request)))
 	}
-	if b.controller.queuedRequests > max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)) ||
+	if h.controller.queuedRequests > max(minQueueLimit, int(h.controller.fleet.threadLimit*queuedPerThread)) ||
 		rejected == 0 {
-		t.Fatalf("%d requests queued, limit %d; %d rejected, want at least 1", b.controller.queuedRequests,
-			max(minQueueLimit, int(b.controller.fleet.threadLimit*queuedPerThread)), rejected)
+		t.Fatalf("%d requests queued, limit %d; %d rejected, want at least 1", h.controller.queuedRequests,
+			max(minQueueLimit, int(h.controller.fleet.threadLimit*queuedPerThread)), rejected)
 	}
 }
 
@@ -98,17 +98,17 @@
 func TestLateHeadOfKeyIsSentBeforeSuccessors(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered = true
-	b := startController(t, s, nil)
+	h := startController(t, s, nil)
 	keyed := func(id string) Request {
 		return Request{ID: id, Class: 1, Key: "k", Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
-	b.step(keyed("head"))
-	b.advance(3 * sec)
-	if head := b.controller.requests["head"]; head == nil || !head.pastObjective {
+	h.step(keyed("head"))
+	h.advance(3 * sec)
+	if head := h.controller.requests["head"]; head == nil || !head.pastObjective {
 		t.Fatal("precondition not met: the head of the key is not past its objective")
 	}
-	b.step(keyed("next"))
-	actions := b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(2)})
+	h.step(keyed("next"))
+	actions := h.step(EndpointsChanged{Kind: Complete, Engines: newEngines(2)})
 	if send := oneAction[Send](t, actions); send.ID != "head" {
 		t.Fatalf("sent %s, want head", send.ID)
 	}
@@ -119,20 +119,20 @@
 func TestWaitingKeysDoNotBlockOtherKeys(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered = true
-	b := startController(t, s, newEngines(4))
+	h := startController(t, s, newEngines(4))
 	keyed := func(id, key string) Request {
 		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
-	head := oneAction[Send](t, b.step(keyed("head", "k")))
+	head := oneAction[Send](t, h.step(keyed("head", "k")))
 	for i := range 2 * maxQueueLookahead {
-		b.step(keyed(fmt.Sprint("behind", i), "k"))
+		h.step(keyed(fmt.Sprint("behind", i), "k"))
 	}
-	oneAction[Send](t, b.step(keyed("other", "l")))
-	actions := b.step(Outcome{ID: "head", Engine: head.Engine, Status: TimedOut, Closed: true})
+	oneAction[Send](t, h.step(keyed("other", "l")))
+	actions := h.step(Outcome{ID: "head", Engine: head.Engine, Status: TimedOut, Closed: true})
 	if sends := len(actionsOf[Send](actions)); sends != 0 {
 		t.Fatal("request sent during the cooldown of its key")
 	}
-	oneAction[Send](t, b.step(keyed("third", "m")))
+	oneAction[Send](t, h.step(keyed("third", "m")))
 }
 
 // TestLateHeadOfKeyIsRejectedForSuccessor: a late head of a key is rejected if a request that is not late waits behind
@@ -141,20 +141,20 @@
 func TestLateHeadOfKeyIsRejectedForSuccessor(t *testing.T) {
 	s := baseSettings()
 	s.Classes[1].Ordered, s.Classes[1].LateWeight = true, 0.5
-	b := startController(t, s, nil)
+	h := startController(t, s, nil)
 	keyed := func(id, key string) Request {
 		return Request{ID: id, Class: 1, Key: key, Timeout: 20 * sec, TableGroup: -1, Work: 100 * ms}
 	}
-	b.step(keyed("head", "k"), keyed("alone", "l"))
-	b.advance(3 * sec)
-	if !b.controller.requests["alone"].pastObjective {
+	h.step(keyed("head", "k"), keyed("alone", "l"))
+	h.advance(3 * sec)
+	if !h.controller.requests["alone"].pastObjective {
 		t.Fatal("precondition not met: the request alone is not past its objective")
 	}
-	b.step(keyed("next", "k"))
-	if reject := oneAction[Reject](t, b.advance(2*housekeepingInterval)); reject.ID != "head" {
+	h.step(keyed("next", "k"))
+	if reject := oneAction[Reject](t, h.advance(2*housekeepingInterval)); reject.ID != "head" {
 		t.Fatalf("rejected %s, want head", reject.ID)
 	}
-	if sends := actionsOf[Send](b.step(EndpointsChanged{Kind: Complete, Engines: newEngines(4)})); len(sends) != 2 {
+	if sends := actionsOf[Send](h.step(EndpointsChanged{Kind: Complete, Engines: newEngines(4)})); len(sends) != 2 {
 		t.Fatalf("sent %v, want next and alone", sends)
 	}
 }
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -14,19 +14,19 @@
 	s.Replicas = 100
 	s.Tenants = []Tenant{{Quota: 1, RequestsPerSecond: 100}}
 	run := func(interval time.Duration) (overQuotaCount, arrivals int, c *Controller) {
-		b := startController(t, s, newEngines(40))
-		for ; b.now < 130*sec; b.now += interval {
-			id := fmt.Sprint(b.now)
-			actions := b.step(newRequest(id, 0))
-			if request := b.controller.requests[id]; b.now > 110*sec && request != nil && request.overQuota {
+		h := startController(t, s, newEngines(40))
+		for ; h.now < 130*sec; h.now += interval {
+			id := fmt.Sprint(h.now)
+			actions := h.step(newRequest(id, 0))
+			if request := h.controller.requests[id]; h.now > 110*sec && request != nil && request.overQuota {
 				overQuotaCount++
 			}
 			arrivals++
 			for _, send := range actionsOf[Send](actions) {
-				b.step(outcomeOf(send, 0, OK))
+				h.step(outcomeOf(send, 0, OK))
 			}
 		}
-		return overQuotaCount, arrivals, b.controller
+		return overQuotaCount, arrivals, h.controller
 	}
 	overQuotaCount, arrivals, busy := run(100 * ms)
 	if overQuotaCount*10 > arrivals {
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -31,7 +31,7 @@
 
 // mayRetry reports whether a request that has no attempt in flight may get another attempt.
 func (c *Controller) mayRetry(request *requestState) bool {
-	return !request.streaming && !c.aboutToEnd() && c.canMeetDeadline(request, 1) &&
+	return !request.streaming && !c.shutdownImminent() && c.canMeetDeadline(request, 1) &&
 		len(request.attempts) < c.settings.MaxAttempts && c.retryAllowed(request)
 }
 
--- a/admission/shutdown.go
+++ b/admission/shutdown.go
@@ -24,15 +24,15 @@
 	return deadline
 }
 
-// aboutToEnd reports whether the front end ends within shutdownMargin. From then on it sends no retries.
-func (c *Controller) aboutToEnd() bool {
+// shutdownImminent reports whether the front end ends within shutdownMargin. From then on it sends no retries.
+func (c *Controller) shutdownImminent() bool {
 	return c.shutdownAt > 0 && c.now >= c.shutdownAt-shutdownMargin
 }
 
 // cancelBeforeShutdown cancels the idempotent attempts in flight once the front end is about to end, so that their
 // requests are rejected and the clients can ask another front end.
 func (c *Controller) cancelBeforeShutdown() {
-	if !c.aboutToEnd() {
+	if !c.shutdownImminent() {
 		return
 	}
 	for _, request := range c.unanswered {
--- a/admission/slowplan_test.go
+++ b/admission/slowplan_test.go
@@ -13,26 +13,26 @@
 	if change != nil {
 		change(&s)
 	}
-	b := startController(t, s, newEngines(4))
-	return b, oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
+	h := startController(t, s, newEngines(4))
+	return h, oneAction[Send](t, h.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
 		MemoryMB: 64}))
 }
 
-func (b *harness) reportProgress(attempt int, send Send, done float64) []Action {
-	return b.step(Progress{ID: send.ID, Attempt: attempt, Engine: send.Engine, Kind: ProgressFraction, Value: done})
+func (h *harness) reportProgress(attempt int, send Send, done float64) []Action {
+	return h.step(Progress{ID: send.ID, Attempt: attempt, Engine: send.Engine, Kind: ProgressFraction, Value: done})
 }
 
 // TestSlowPlanIsMigrated: an attempt whose progress predicts many times the expected time is cancelled and retried.
 func TestSlowPlanIsMigrated(t *testing.T) {
-	b, send := sendHeavyRequest(t, nil)
-	b.advance(2 * sec)
-	oneAction[Cancel](t, b.reportProgress(0, send, 0.12))
-	if actions := b.reportProgress(0, send, 0.13); len(actionsOf[Cancel](actions)) != 0 {
+	h, send := sendHeavyRequest(t, nil)
+	h.advance(2 * sec)
+	oneAction[Cancel](t, h.reportProgress(0, send, 0.12))
+	if actions := h.reportProgress(0, send, 0.13); len(actionsOf[Cancel](actions)) != 0 {
 		t.Fatal("attempt cancelled twice")
 	}
-	retry := oneAction[Send](t, b.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
-	b.advance(2 * sec)
-	if actions := b.reportProgress(1, retry, 0.12); len(actionsOf[Cancel](actions)) != 0 {
+	retry := oneAction[Send](t, h.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
+	h.advance(2 * sec)
+	if actions := h.reportProgress(1, retry, 0.12); len(actionsOf[Cancel](actions)) != 0 {
 		t.Fatal("retry cancelled: two attempts that predict the same time show a costly request, not a slow plan")
 	}
 }
@@ -40,24 +40,24 @@
 // TestOtherPlansAreNotMigrated: an attempt with normal progress, one near its end and one that is slow because all
 // engines are slow keep running.
 func TestOtherPlansAreNotMigrated(t *testing.T) {
-	b, send := sendHeavyRequest(t, nil)
-	b.advance(2 * sec)
-	if actions := b.reportProgress(0, send, 0.6); len(actionsOf[Cancel](actions)) != 0 {
+	h, send := sendHeavyRequest(t, nil)
+	h.advance(2 * sec)
+	if actions := h.reportProgress(0, send, 0.6); len(actionsOf[Cancel](actions)) != 0 {
 		t.Fatal("attempt with normal progress cancelled")
 	}
-	b.advance(8 * sec)
-	if actions := b.reportProgress(0, send, 0.9); len(actionsOf[Cancel](actions)) != 0 {
+	h.advance(8 * sec)
+	if actions := h.reportProgress(0, send, 0.9); len(actionsOf[Cancel](actions)) != 0 {
 		t.Fatal("attempt cancelled although a retry would take longer than the rest of it")
 	}
-	b, send = sendHeavyRequest(t, nil)
-	for _, engine := range b.controller.engines {
+	h, send = sendHeavyRequest(t, nil)
+	for _, engine := range h.controller.engines {
 		engine.slowdown = 4
 	}
-	b.advance(2 * sec)
-	for _, engine := range b.controller.engines {
+	h.advance(2 * sec)
+	for _, engine := range h.controller.engines {
 		engine.slowdown = 4
 	}
-	if actions := b.reportProgress(0, send, 0.15); len(actionsOf[Cancel](actions)) != 0 {
+	if actions := h.reportProgress(0, send, 0.15); len(actionsOf[Cancel](actions)) != 0 {
 		t.Fatal("attempt cancelled although all engines are slow")
 	}
 }
@@ -71,10 +71,10 @@
 		"no cancellation": func(s *Settings) { s.CancellationAllowed = false },
 		"empty budget":    func(s *Settings) { s.RetryBudget = &RetryBudget{Window: 5 * sec} },
 	} {
-		b, send := sendHeavyRequest(t, change)
-		b.advance(2 * sec)
+		h, send := sendHeavyRequest(t, change)
+		h.advance(2 * sec)
 		// The progress predicts 13 s, which is within the timeout of 20 s.
-		if actions := b.reportProgress(0, send, 0.15); len(actionsOf[Cancel](actions)) != 0 {
+		if actions := h.reportProgress(0, send, 0.15); len(actionsOf[Cancel](actions)) != 0 {
 			t.Errorf("%s: attempt cancelled", name)
 		}
 	}
@@ -83,26 +83,26 @@
 // TestAttemptThatCannotEndInTimeIsCancelled: an attempt that cannot end before its client gives up is cancelled, and
 // its request is rejected at once if no retry is left.
 func TestAttemptThatCannotEndInTimeIsCancelled(t *testing.T) {
-	b, send := sendHeavyRequest(t, func(s *Settings) { s.MaxAttempts = 1 })
-	b.advance(2 * sec)
-	oneAction[Cancel](t, b.reportProgress(0, send, 0.05))
-	oneAction[Reject](t, b.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
+	h, send := sendHeavyRequest(t, func(s *Settings) { s.MaxAttempts = 1 })
+	h.advance(2 * sec)
+	oneAction[Cancel](t, h.reportProgress(0, send, 0.05))
+	oneAction[Reject](t, h.step(Outcome{ID: "a", Engine: send.Engine, Status: Cancelled}))
 }
 
 // TestSlowPlansDoNotRaiseEstimates: the work of attempts with a slow plan hardly raises the estimates of their class.
 func TestSlowPlansDoNotRaiseEstimates(t *testing.T) {
-	b, send := sendHeavyRequest(t, nil)
+	h, send := sendHeavyRequest(t, nil)
 	for i := range 40 {
 		work := 2 * sec
 		if i%10 == 9 {
 			work *= 20
 		}
-		b.step(Outcome{ID: "a", Engine: send.Engine, Status: OK, Closed: true, Latency: work / 2, Work: work})
-		b.now += sec
-		send = oneAction[Send](t, b.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
+		h.step(Outcome{ID: "a", Engine: send.Engine, Status: OK, Closed: true, Latency: work / 2, Work: work})
+		h.now += sec
+		send = oneAction[Send](t, h.step(Request{ID: "a", Class: 1, Timeout: 20 * sec, TableGroup: -1, Work: 2 * sec,
 			MemoryMB: 64}))
 	}
-	if factor := b.controller.estimates[1].workCorrection; factor > 1.6 {
+	if factor := h.controller.estimates[1].workCorrection; factor > 1.6 {
 		t.Fatalf("correction of work estimates is %.2f, want at most 1.6", factor)
 	}
 }
--- a/admission/storm_test.go
+++ b/admission/storm_test.go
@@ -35,8 +35,8 @@
 	sends    int
 }
 
-// playStorm makes a randomRun and returns its actions and the number of sends among them.
-func playStorm(t *testing.T, seed uint64) ([]Action, int) {
+// playRandomRun makes a randomRun and returns its actions and the number of sends among them.
+func playRandomRun(t *testing.T, seed uint64) ([]Action, int) {
 	t.Helper()
 	s := baseSettings()
 	s.Classes = append(s.Classes,
