--- a/admission/attempt.go
+++ b/admission/attempt.go
@@ -30,7 +30,7 @@
 	inFlight      bool
 	cancelled     bool
 	ofSmallClass  bool // the class was small when the attempt was sent
-	onCalmEngine  bool // the engine was calm when the attempt was sent; the latency counts towards that of calm engines
+	onCalmEngine  bool // the engine was calm when the attempt was sent; the class estimates for calm engines count it
 	countedAsLost bool // already counted in Controller.lostAnswerRate
 }
 
@@ -43,12 +43,12 @@
 
 func (r *attemptRef) attempt() *attemptState { return &r.request.attempts[r.index] }
 
-// send starts an attempt and emits its terms before it. The only timeout is the deadline of the request: a shorter one
-// would cut off costly requests.
+// send starts an attempt: it emits the [Terms] of the attempt, if they are not the defaults, and then the [Send]. The
+// only timeout is the deadline of the request: a shorter one would cut off costly requests.
 func (c *Controller) send(request *requestState, engine *engineState) {
 	c.dequeue(request)
 	attempt := c.newAttempt(request, engine)
-	attempt.memory = c.setTerms(request, &attempt)
+	attempt.memory = c.emitTerms(request, &attempt)
 	c.releaseReservedRetry(request)
 	if len(request.attempts) > 0 && c.settings.RetryBudget != nil {
 		c.retryBudget.retries = append(c.retryBudget.retries, c.now)
@@ -78,9 +78,9 @@
 	}
 }
 
-// setTerms emits the priority and the memory grant of an attempt, unless both are the defaults, and returns the memory
+// emitTerms emits the priority and the memory grant of an attempt, unless both are the defaults, and returns the memory
 // to reserve for the attempt, in MB.
-func (c *Controller) setTerms(request *requestState, attempt *attemptState) (memory float64) {
+func (c *Controller) emitTerms(request *requestState, attempt *attemptState) (memory float64) {
 	priority, grant := c.priorityOf(request), 0.0
 	memory = attempt.memory
 	if c.settings.GrantsSupported && memory > 0 {
@@ -96,9 +96,10 @@
 	return memory
 }
 
-// priorityOf returns the priority of a request. Requests that lock tables get high priority where a class waits for
-// locks, since a slow holder of a lock delays all requests that wait for the lock. Otherwise deferred requests get low
-// priority; of the others, those of a small class or of little work get high priority.
+// priorityOf returns the priority of a request. Requests that lock tables get high priority if any class waits for
+// locks, since a slow holder of a lock delays all requests that wait for the lock. Otherwise deferred requests, which
+// are over their tenant's quota or past their objective, get low priority; of the others, those of a small class or of
+// little work get high priority.
 func (c *Controller) priorityOf(request *requestState) int {
 	switch {
 	case !c.settings.PrioritiesSupported:
@@ -139,11 +140,12 @@
 	if event.Status != OK && !event.Status.NeverRan() {
 		c.recordMayHaveRun(request, attempt, event.Status)
 	}
-	c.proceed(request, event)
+	c.closeOrRetry(request, event)
 }
 
-// recordMayHaveRun records that an attempt may have run although no answer confirms the run. If the class is Ordered,
-// the key of the request cools down, lest the next request of the key overtake the attempt on another engine.
+// recordMayHaveRun records that an attempt that did not succeed may have run. If the class is Ordered and the engine
+// did not answer with an error, nothing of the request's key is sent for KeyCooldown, lest the next request of the key
+// overtake the attempt on another engine.
 func (c *Controller) recordMayHaveRun(request *requestState, attempt *attemptState, status Status) {
 	if !request.mayHaveRun {
 		request.mayHaveRun = true
@@ -156,9 +158,9 @@
 	}
 }
 
-// proceed closes, forgets or retries a request after the end of one of its attempts. A request that has another attempt
-// in flight waits for that attempt.
-func (c *Controller) proceed(request *requestState, event Outcome) {
+// closeOrRetry closes, forgets, retries, rejects or fails a request after the end of one of its attempts. A request
+// that has another attempt in flight waits for that attempt.
+func (c *Controller) closeOrRetry(request *requestState, event Outcome) {
 	switch {
 	case event.Closed || event.Status == OK:
 		c.closeRequest(request)
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -19,17 +19,19 @@
 	averageThreadsDecay = 3 * time.Second         // of the smoothed own threads at an engine
 )
 
-// Loads are threads in use divided by cores. An engine or the fleet is calm below calmLoad and under pressure above
-// pressureLoad. The average load of the fleet is capped at maxLoad.
+// A load is an engine's threads in use per core, or the estimate of them that reportedLoad returns. An engine or the
+// fleet is calm below calmLoad and under pressure above pressureLoad. The average load of the fleet is capped at
+// maxLoad.
 const (
 	calmLoad     = 0.6
 	pressureLoad = 0.85
 	maxLoad      = 2
 )
 
-// The thread factor of an engine is the number of threads per core that the engine is allowed. It grows by
-// threadFactorStep with an answer in time. A rejection or a slow answer multiplies it by threadFactorCut, slow answers
-// at most once per threadFactorCutInterval.
+// The thread factor of an engine is the number of threads per core that the engine is allowed. An answer raises the
+// thread factor by threadFactorStep while the engine's slowdown is at most targetSlowdown. A rejection, or an answer
+// while the slowdown is higher, multiplies the thread factor by threadFactorCut; such answers do so at most once per
+// threadFactorCutInterval.
 const (
 	initialThreadFactor     = 1.4
 	minThreadFactor         = 0.7
@@ -45,9 +47,10 @@
 // slowdownSmoothing is the weight of one answer in the smoothed slowdown of its engine.
 const slowdownSmoothing = 0.12
 
-// A front end's limits on threads and memory exceed its share of the fleet: by limitDeviations standard deviations of
-// its own threads while the fleet is not under pressure, and by pressureLimitFactor otherwise. The limits of small
-// classes are wider by smallClassLimitFactor, so that rare heavy requests do not starve them.
+// A front end's limits on threads and memory are larger than its share of the fleet. While the fleet is not under
+// pressure, the limits are the share plus limitDeviations standard deviations of the front end's own threads; otherwise
+// they are pressureLimitFactor times the share. The limits of small classes are smallClassLimitFactor times as large,
+// so that rare heavy requests do not starve small classes.
 const (
 	limitDeviations       = 2.0
 	pressureLimitFactor   = 1.2
@@ -67,12 +70,12 @@
 
 // The reportFreshness above which a load report is relied on.
 const (
-	freshForThreads = 0.5 // to apply a concurrency limit of less than one request
+	freshForThreads = 0.5 // to apply a concurrency limit of fewer threads than the request needs
 	freshForMemory  = 0.4 // to count the reported free memory
 )
 
-// ownLoadFactor times a front end's share of an engine is the weight, at most 1, of the front end's next attempt in the
-// engine's load.
+// ownLoadFactor times a front end's share of an engine, at most 1, is the fraction of the threads of a new attempt that
+// isBelowPressure adds to the engine's load.
 const ownLoadFactor = 3
 
 // randomDrawLifetime is how long fractionDraw returns the same number.
@@ -102,8 +105,9 @@
 	c.updateSubset()
 }
 
-// measureFleet counts the engines and averages their load. The initial sums give an average load of one half before
-// the first report.
+// measureFleet counts the engines, averages their load and updates the moving averages: the threads per attempt, the
+// own threads at each engine, and the slowdown of each engine, which decays towards that of all engines. The initial
+// sums give an average load of one half before the first report.
 func (c *Controller) measureFleet() fleetSummary {
 	c.slowdowns = c.slowdowns[:0]
 	fleet := fleetSummary{}
@@ -144,7 +148,8 @@
 }
 
 // addLimits adds up the limits on threads and memory over all engines. Attempts in flight on unavailable or ejected
-// engines raise the limits by what they reserve, so that they leave the capacity of the other engines free.
+// engines raise the limits by what they reserve, so that they leave the capacity of the other engines free. On an
+// engine below pressure, the thread limit of a tenant is at least this front end's threads plus the engine's cores.
 func (c *Controller) addLimits(fleet *fleetSummary) {
 	for _, engine := range c.engines {
 		limit := c.concurrencyLimit(engine)
@@ -171,9 +176,9 @@
 	slices.SortStableFunc(c.classOrder, func(a, b int) int { return cmp.Compare(weightPerWork(b), weightPerWork(a)) })
 }
 
-// withinLimits reports whether a request is within the limits of the front end and of its tenant, which do not depend
-// on the engine. Small classes count only against each other, as one heavy request may exceed the front end's share of
-// the fleet.
+// withinLimits reports whether a request is within the limits of the front end and of the request's tenant, which do
+// not depend on the engine. Of the front end's threads and the tenant's memory, only those held by small classes count
+// against a request of a small class, as one heavy request may exceed the front end's share of the fleet.
 func (c *Controller) withinLimits(request *requestState) bool {
 	fleet, tenant := &c.fleet, request.tenant
 	requestThreads := float64(request.classSettings.Threads)
@@ -196,9 +201,9 @@
 	return fleet.tenantMemoryLimit == 0 || memory == 0 || memory+c.expectedMemory(request) <= memoryLimit
 }
 
-// fractionDraw returns a random number in [0, 1) for limits that are a fraction of a request: such a limit admits one
-// request with a probability of that fraction. The number is kept for randomDrawLifetime, so that repeated checks do
-// not raise the probability.
+// fractionDraw returns a random number in [0, 1) for limits that cover only a fraction of the threads of one request:
+// such a limit admits the request with the probability of that fraction. The number is kept for randomDrawLifetime, so
+// that repeated checks do not raise the probability.
 func (c *Controller) fractionDraw() float64 {
 	if c.now >= c.randomDrawUntil {
 		c.randomDraw, c.randomDrawUntil = c.random.float64(), c.now+randomDrawLifetime
@@ -212,7 +217,7 @@
 }
 
 // hasThreads reports whether the request fits the concurrency limit of the engine. The limit applies only while the
-// engine is under pressure. A limit of less than one request applies only with a fresh load report.
+// engine is under pressure. A limit of fewer threads than the request needs applies only with a fresh load report.
 func (c *Controller) hasThreads(engine *engineState, request *requestState) bool {
 	threads := float64(request.classSettings.Threads)
 	limit := c.concurrencyLimit(engine)
@@ -243,8 +248,8 @@
 	return engine.threads == 0 || engine.memoryMB <= 0 || c.expectedMemory(request) <= free
 }
 
-// isBelowPressure reports whether an engine stays below pressure with the additional threads, which count by this front
-// end's share of the engine. A warming engine is under pressure at a lower load. A busy disk, queued requests and slow
+// isBelowPressure reports whether an engine stays below pressure with the additional threads, a fraction of which
+// counts (see ownLoadFactor). A warming engine is under pressure at a lower load. A busy disk, queued requests and slow
 // answers are pressure at any load.
 func (c *Controller) isBelowPressure(engine *engineState, threads, averageLoad float64) bool {
 	load := c.engineLoad(engine, averageLoad) + threads*math.Min(1, ownLoadFactor*c.engineShare)/engine.cores
@@ -252,8 +257,9 @@
 		engine.loadReport.Queued <= 0 && engine.slowdown < targetSlowdown
 }
 
-// concurrencyLimit returns the limit on this front end's threads at an engine: the cores times the thread factor, times
-// the warmth of the engine and this front end's share of the engine.
+// concurrencyLimit returns the limit on this front end's threads at an engine: the cores times the lesser of the
+// engine's thread factor and that of all engines, times the warmth of the engine and this front end's share of the
+// engine.
 func (c *Controller) concurrencyLimit(engine *engineState) float64 {
 	return engine.cores * math.Min(engine.threadFactor, c.allEngines.threadFactor) * c.warmth(engine) * c.engineShare
 }
@@ -266,9 +272,9 @@
 	return freshness*c.reportedLoad(engine) + (1-freshness)*averageLoad + unreported/engine.cores
 }
 
-// reportedLoad returns the load by the last report: the utilization, or the threads of the requests in flight relative
-// to the threads that the engine carries well, whichever is more. If the report has neither, this front end's threads
-// divided by its share of the engine replace the threads of the requests in flight.
+// reportedLoad returns the load by the last report: the utilization, or the threads of the requests in flight divided
+// by the cores and by the thread factor of all engines, whichever is more. If the report has neither, this front end's
+// threads divided by its share of the engine replace the threads of the requests in flight.
 func (c *Controller) reportedLoad(engine *engineState) float64 {
 	threads := engine.averageThreads / c.engineShare
 	if engine.loadReport.InFlight >= 0 {
@@ -313,7 +319,7 @@
 
 // adjustThreadFactor updates the smoothed slowdown of an engine with that of an answer, given as a logarithm. The
 // thread factor grows by a step while the slowdown is at most targetSlowdown, and is cut while the slowdown is higher,
-// whatever uses up the engine's capacity.
+// whether this front end's load or any other load slows the engine down.
 func (c *Controller) adjustThreadFactor(engine *engineState, logSlowdown float64) {
 	engine.slowdown *= math.Exp((logSlowdown - math.Log(engine.slowdown)) * slowdownSmoothing)
 	if engine.slowdown <= targetSlowdown {
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// fleetHarness runs many controllers on one clock against shared engines. An engine answers after the work of the
-// request. The harness shows effects of the sum over all front ends that a single front end cannot show.
+// fleetHarness runs many controllers on one clock against shared engines. Unless a test replaces respond, an engine
+// answers a request after its work divided by its threads. The harness shows effects of the sum over all front ends
+// that a single front end cannot show.
 type fleetHarness struct {
 	now         time.Duration
 	controllers []*Controller
@@ -80,7 +81,7 @@
 	}
 }
 
-// run plays for the duration with the given rate of requests a second over all front ends, spread evenly over them.
+// run simulates the duration with the given rate of requests a second over all front ends, spread evenly over them.
 // Every tenth request is of the second class.
 func (f *fleetHarness) run(duration time.Duration, rate int) {
 	gap := sec / time.Duration(rate)
@@ -141,7 +142,7 @@
 func TestErringEngineIsAvoidedByAll(t *testing.T) {
 	sends, nonIdempotent, senders := playErringEngine(t, 1)
 	if sends == 0 || sends > 12*senders || nonIdempotent > senders/2 {
-		t.Fatalf("%d sends to the erring engine in 10 s (1 to 12 per sender), %d non-idempotent (max 1 per 2), %d senders",
+		t.Fatalf("%d sends to erring engine in 10 s (1 to 12 per sender), %d non-idempotent (max 1/2 per sender), %d senders",
 			sends, nonIdempotent, senders)
 	}
 	// The count of non-idempotent sends varies between seeds. Over six more seeds it must be less than one per sender.
@@ -186,15 +187,15 @@
 		if warming[s.Engine] {
 			class := f.controllers[frontEnd].requests[s.ID].Class
 			sends[s.Engine] = append(sends[s.Engine], warmingSend{at, []float64{0.1, 3.5}[class]})
-			heavy += class
+			heavy += class // class 1 is the heavy class
 		}
 	}
 	f.work = []time.Duration{100 * ms, 3500 * ms}
 	began := f.now
 	f.run(8*sec, 900)
-	early := heavy
+	inFirst8s := heavy
 	f.run(4*sec, 900)
-	late, most := heavy-early, 0.0
+	inNext4s, fullest := heavy-inFirst8s, 0.0
 	for _, l := range sends {
 		for i := range l {
 			sum := 0.0
@@ -202,13 +203,13 @@
 				sum += l[k].work
 			}
 			age := l[i].at - 99*sec // the budget grows linearly with the age, as slowly as the settings allow
-			most = max(most, sum/(4*12*(0.3+0.7*min(1, age.Seconds()/14))))
+			fullest = max(fullest, sum/(4*12*(0.3+0.7*min(1, age.Seconds()/14))))
 		}
 	}
 	t.Logf("%d heavy requests to warming engines in 8 s from %v on, %d in the 4 s after, %.2f of a window's budget",
-		early, began, late, most)
-	if most > 1 || early < 18*8*3/4 || late < early*3/4 {
-		t.Fatalf("18 warming engines: %d heavy requests in 8 s (min 108), %d in 4 s (min 3/4 of it), %.2f of budget (max 1)",
-			early, late, most)
+		inFirst8s, began, inNext4s, fullest)
+	if fullest > 1 || inFirst8s < 18*8*3/4 || inNext4s < inFirst8s*3/4 {
+		t.Fatalf("18 engines: %d heavy requests in 8 s (min 108), then %d in 4 s (min 3/4 as many), %.2f of budget (max 1)",
+			inFirst8s, inNext4s, fullest)
 	}
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -28,7 +28,7 @@
 		t.Fatal("request sent during the cooldown of its key")
 	}
 	if actions := h.advance(980 * ms); len(actionsOf[Send](actions)) > 0 {
-		t.Fatal("request sent during the cooldown of its key")
+		t.Fatal("request sent within 980 ms of the start of its key's cooldown of 1 s")
 	}
 	oneAction[Send](t, h.advance(60*ms))
 }
@@ -148,7 +148,7 @@
 	h.step(keyed("head", "k"), keyed("alone", "l"))
 	h.advance(3 * sec)
 	if !h.controller.requests["alone"].pastObjective {
-		t.Fatal("precondition not met: the request alone is not past its objective")
+		t.Fatal("precondition not met: the request with ID alone is not past its objective")
 	}
 	h.step(keyed("next", "k"))
 	if reject := oneAction[Reject](t, h.advance(2*housekeepingInterval)); reject.ID != "head" {
--- a/admission/selection.go
+++ b/admission/selection.go
@@ -15,10 +15,11 @@
 	sharedHeadroomExponent = 2.0
 )
 
-// The exponents of an engine's relative speed and of its rate of answers without errors in its weight.
+// The weight of an engine contains its speed relative to the median, at most 1, to the power of relativeSpeedExponent,
+// and 1 less its error excess to the power of errorExponent.
 const (
-	slowdownExponent = 3
-	errorExponent    = 4
+	relativeSpeedExponent = 3
+	errorExponent         = 4
 )
 
 // The factors of an engine's weight if it is in the zone of the front end, and for each earlier attempt of the request
@@ -37,11 +38,12 @@
 	lockConflictBias = 0.02
 )
 
-// minEnginesToSplit is the number of candidates from which on requests that lock tables and requests that wait for
-// locks are kept on separate engines.
+// minEnginesToSplit is the minimum number of candidates for requests that lock tables and requests that wait for locks
+// to be kept on separate engines.
 const minEnginesToSplit = 4
 
-// errorDiscount times the error excess of an engine is the part of its capacity that the subset does not count.
+// errorDiscount times the error excess of an engine is the fraction of the engine's cores that does not count towards
+// the size of the subset.
 const errorDiscount = 3
 
 // candidateSet holds the engines that the current request may be sent to. Its buffers are reused for each request.
@@ -54,8 +56,8 @@
 
 // collectCandidates gathers the engines that a request may be sent to, beginning with the subset of this front end.
 // Engines that are draining, removed or outside the placement of the class are left out, and ejected ones unless they
-// may get recovery traffic. For the capacity that engines with many errors lack, engines further along the ring are
-// added.
+// may get recovery traffic. Engines with many errors count with fewer cores, so that engines further along the ring,
+// the order of Controller.engines, are added.
 func (c *Controller) collectCandidates(request *requestState) {
 	class, candidates := request.classSettings, &c.candidates
 	c.subsetFrom(c.subset.size, func(engine *engineState) (capacity float64, ok bool) {
@@ -111,7 +113,7 @@
 	headroom := math.Max(minHeadroom, loadCeiling-c.engineLoad(engine, c.fleet.averageLoad))
 	weight := engine.cores * c.warmth(engine) * math.Pow(headroom, exponent)
 	relativeSpeed := math.Min(1, c.fleet.medianSlowdown/engine.slowdown)
-	weight *= math.Pow(relativeSpeed, slowdownExponent) * c.tableGroupBias(engine, request)
+	weight *= math.Pow(relativeSpeed, relativeSpeedExponent) * c.tableGroupBias(engine, request)
 	weight *= math.Pow(1-engine.errorExcess(), errorExponent)
 	if c.settings.Zone >= 0 && engine.Zone == c.settings.Zone {
 		weight *= sameZoneBias
@@ -124,9 +126,9 @@
 	return weight
 }
 
-// permits reports whether the rules that bind a request to engines allow an engine: the window and scope of the
-// request's idempotency key, the rest of the engine for the class, and the budget of the engine's slow start. Placement
-// and draining are checked by collectCandidates.
+// permits reports whether an engine may get a request by the rules other than capacity: the window and scope of the
+// request's idempotency key, a rest of the engine for the class (see classRest), and the budget of the engine's slow
+// start. Placement and draining are checked by collectCandidates.
 func (c *Controller) permits(engine *engineState, request *requestState) bool {
 	withKey := request.classSettings.Idempotency == IdempotentWithKey
 	if withKey && request.mayHaveRun && !c.deduplicates(engine, request) {
@@ -136,8 +138,8 @@
 		c.slowStartAllows(engine, c.estimates[request.Class].work)
 }
 
-// deduplicates reports whether an engine would discard the request as a repeat if the attempt that may have run did
-// run.
+// deduplicates reports whether an engine would recognize and discard the request as a repeat, in case the attempt that
+// may have run did run.
 func (c *Controller) deduplicates(engine *engineState, request *requestState) bool {
 	if c.now >= request.mayHaveRunSince+request.classSettings.DeduplicationWindow {
 		return false
@@ -174,8 +176,8 @@
 // requests that wait for locks to the first half. With an odd number, the middle engine takes both, at a lower weight.
 func (c *Controller) tableRankBias(engine *engineState, request *requestState) float64 {
 	class, hashes := request.classSettings, c.candidates.groupHashes
-	rank, _ := slices.BinarySearch(hashes, rendezvousHash(request.TableGroup, engine.ID))
-	before := len(hashes) - 1 - rank // engines that rank before this one
+	index, _ := slices.BinarySearch(hashes, rendezvousHash(request.TableGroup, engine.ID))
+	before := len(hashes) - 1 - index // engines that rank before this one: those with a greater hash
 	if c.anyClassWaitsForLocks() && (class.LocksTables || class.WaitsForLocks) && len(hashes) >= minEnginesToSplit {
 		if 2*before == len(hashes)-1 {
 			return middleEngineBias
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -8,17 +8,18 @@
 	"beechcart/decision/slowstart"
 )
 
-// The fractions of a warming engine's budget: fineWorkFraction for the fine work of all front ends together, and
-// turnFraction for each of the two turns that a window can contain. A front end that is shutting down uses
-// shutdownFraction of its share, as its successor may already be running.
+// The fractions of a warming engine's budget: fineWorkFraction for the fine work (see workKind) of all front ends
+// together, and turnFraction for each of the two turns that a window can contain. A front end that is shutting down
+// uses shutdownFraction of its share, as its successor may already be running.
 const (
 	fineWorkFraction = 0.5
 	turnFraction     = 0.27
 	shutdownFraction = 0.5
 )
 
-// slotFraction is the length of a slot as a fraction of the overload window. Two slots less one turn are longer than
-// the window, so that no window contains parts of more than two turns.
+// slotFraction is the length of a slot as a fraction of the overload window. A turn is the first
+// 1/slowstart.TurnDivisor of a slot. Two slots less one turn are longer than the window, so that no window contains
+// parts of more than two turns.
 const slotFraction = 0.55
 
 // minFineRequests is the number of requests that a front end's share of the budget must cover for their work to count
@@ -29,7 +30,8 @@
 // no restart.
 const assumedWarmingLimit = 3 * time.Second
 
-// workKind decides when work may be sent to a warming engine.
+// workKind tells the work of requests that are small against this front end's share of a warming engine's budget (fine)
+// from that of larger requests (heavy). It decides when the work may be sent to the engine.
 type workKind int
 
 const (
@@ -88,11 +90,11 @@
 }
 
 // slowStartAllows reports whether the engine, if it is warming, may get a request of the given work. All front ends
-// together keep to the engine's budget in any window (invariant 8). Fine work is sent within this front end's share.
-// Heavy work is sent in turns, which follow from the engine list and the clock; if the clocks of front ends differ,
-// their turns may overlap. This front end sends nothing to a warming engine in its first window, since it doesn't know
-// what its previous process sent. It sends no heavy work while it is shutting down, since its successor may have the
-// same turns.
+// together keep to the engine's budget in any window (invariant 8 of this package). Fine work is sent within this front
+// end's share. Heavy work is sent in turns, which follow from the engine list and the clock; if the clocks of front
+// ends differ, their turns may overlap. A front end sends nothing to a warming engine while its quota of the engine is
+// 0, nor in the first window after the start of the front end, since the new process does not know what the previous
+// one sent. A front end that is shutting down sends no heavy work, since its successor may have the same turns.
 func (c *Controller) slowStartAllows(engine *engineState, work float64) bool {
 	window := c.settings.SlowStart.OverloadWindow
 	if c.warmth(engine) >= 1 || c.settings.SlowStart.OverloadMultiple <= 0 {
@@ -170,9 +172,9 @@
 	if c.warmth(engine) >= 1 {
 		return
 	}
-	outside := c.now - c.settings.SlowStart.OverloadWindow
+	windowStart := c.now - c.settings.SlowStart.OverloadWindow
 	engine.slowStartSends = slices.DeleteFunc(engine.slowStartSends, func(send slowStartSend) bool {
-		return send.sentAt <= outside
+		return send.sentAt <= windowStart
 	})
 	kind := c.warmingBudget(engine).kindOf(work)
 	engine.slowStartSends = append(engine.slowStartSends, slowStartSend{c.now, work, kind})
--- a/admission/slowstart_greedy_test.go
+++ b/admission/slowstart_greedy_test.go
@@ -15,7 +15,7 @@
 	classWork     []float64 // mean work by class, in seconds
 	heavyFraction float64   // fraction of requests of the second class
 	meanWork      float64   // mean work of a request, in seconds
-	list          []Engine
+	list          []Engine  // all engines, as discovery lists them
 	received      map[uint32][]observedSend
 	seed          uint64
 	rng           *rand.Rand
@@ -137,7 +137,8 @@
 	}
 }
 
-// send sends as many requests of the work as the budget allows, and records them as Controller.send does.
+// send sends as many requests of the work as the budget allows, and records them as Controller.send does. All count as
+// informed, so that fullestWindow checks every window.
 func (f *saturatedFleet) send(c *Controller, engine *engineState, work float64) {
 	for c.warmth(engine) < 1 && c.slowStartAllows(engine, work) {
 		c.recordSlowStartSend(engine, work)
@@ -187,12 +188,12 @@
 // empty.
 func TestSlowStartBudgetHoldsForGreedyFrontEnds(t *testing.T) {
 	for name, faults := range map[string]saturatedFaults{
-		"all at once":       {},
+		"all at once":       {}, // all engines start at the same time
 		"staggered":         {staggered: true},
 		"late lists":        {staggered: true, lateLists: true},
 		"restarts":          {restarts: true},
 		"overlapping":       {restarts: true, overlap: true},
-		"all anew":          {staggered: true, restartAll: true},
+		"all anew":          {staggered: true, restartAll: true}, // all front ends are replaced at once
 		"few heavy":         {fewHeavy: true},
 		"late, overlapping": {staggered: true, lateLists: true, restarts: true, overlap: true},
 	} {
