--- a/decision/diskrecovery/policy.go
+++ b/decision/diskrecovery/policy.go
@@ -22,7 +22,7 @@
 const (
 	None         Action = iota // the log is open
 	Wait                       // call Next again later
-	Reopen                     // open the log under its identity
+	Reopen                     // open the log under the replica's identity
 	Reinitialize               // set the log aside and start as a new replica, with an empty log
 )
 
@@ -45,7 +45,7 @@
 func Defaults() Settings {
 	return Settings{
 		MinBackoff:  time.Second,      // the duration of an election
-		MaxBackoff:  30 * time.Second, // each attempt makes the other replicas contact one that is behind
+		MaxBackoff:  30 * time.Second, // each attempt makes the other replicas contact this replica, which is behind
 		StableAfter: time.Minute,      // several times the duration of an attempt and an election
 	}
 }
@@ -80,7 +80,7 @@
 type Policy struct {
 	settings          Settings
 	failed            bool // the log is not open
-	durabilityUnknown bool // the log must not be opened under its identity
+	durabilityUnknown bool // the log must not be opened under the replica's identity
 	openSince         time.Duration
 	nextAttempt       time.Duration // earliest time of the next attempt
 	backoff           time.Duration // between the next failure and the attempt that follows it
@@ -122,15 +122,15 @@
 	p.backoff = min(2*p.backoff, p.settings.MaxBackoff)
 }
 
-// Reopened records that the log is open under its identity. For a log of unknown durability it changes nothing, since
-// such a log must not be reopened.
+// Reopened records that the log is open under the replica's identity. For a log of unknown durability Reopened changes
+// nothing, since such a log must not be reopened.
 func (p *Policy) Reopened(now time.Duration) {
 	if !p.durabilityUnknown {
 		p.failed, p.openSince = false, now
 	}
 }
 
-// Reinitialized records that an empty log is open under a new identity.
+// Reinitialized records that an empty log is open under a new replica identity.
 func (p *Policy) Reinitialized(now time.Duration) {
 	p.failed, p.durabilityUnknown, p.openSince = false, false, now
 }
--- a/decision/execution/proposer.go
+++ b/decision/execution/proposer.go
@@ -48,8 +48,8 @@
 	outcome  Outcome // that a majority has accepted
 }
 
-// NewProposer returns a proposer that prepares its register. round must be greater than any round that the process
-// has used for the id.
+// NewProposer returns a proposer in the state Preparing, for the register of the request's id. round must be greater
+// than any round that the process has used for the id.
 func NewProposer(settings Settings, request Request, round uint64, config Config) *Proposer {
 	return &Proposer{
 		settings:     settings,
@@ -83,7 +83,8 @@
 	return names
 }
 
-// replicaSets returns the replica sets, each of which must agree: one, or two while replicas move.
+// replicaSets returns the replica sets that must all agree: the set of the current members, and while replicas move,
+// that of the previous members as well.
 func (p *Proposer) replicaSets() [][]Member {
 	sets := [][]Member{ReplicaSet(p.request.ID, p.config.Members, p.settings.Replicas)}
 	if len(p.config.Previous) > 0 {
@@ -124,8 +125,8 @@
 func majority(n int) int { return n/2 + 1 }
 
 // Messages returns the current message, either a Prepare or an Accept, and the names of the members whose replicas have
-// not acknowledged the message. The message may be sent any number of times. Without a message, nil, nil, nil is
-// returned.
+// not acknowledged the message. The message may be sent any number of times. In the states Established and
+// Rejected there is no message, and Messages returns nil, nil, nil.
 func (p *Proposer) Messages() (prepare *Prepare, accept *Accept, to []string) {
 	switch p.state {
 	case Preparing:
@@ -167,12 +168,13 @@
 	}
 	p.acknowledged[from] = true
 	if p.state == Preparing {
-		p.adoptLater(reply)
+		p.adoptIfLater(reply)
 	}
 	switch {
 	case !p.hasQuorum():
 	case p.state == Preparing:
-		// A minority may have accepted the found outcome: a majority must accept it before the proposer acts on it.
+		// Possibly only a minority has accepted the found outcome: a majority must accept the outcome before the
+		// proposer acts on it.
 		p.propose(p.found, Recovering)
 	default:
 		p.state, p.outcome = Established, p.proposed
@@ -206,8 +208,9 @@
 	}
 }
 
-// adoptLater adopts the accepted outcome in a reply to Prepare if it is later than the one found so far (invariant 3).
-func (p *Proposer) adoptLater(reply Reply) {
+// adoptIfLater adopts the accepted outcome in a reply to Prepare if that outcome is later than the one found so far
+// (invariant 3).
+func (p *Proposer) adoptIfLater(reply Reply) {
 	order := p.foundBallot.Compare(reply.Accepted)
 	if order < 0 || (order == 0 && p.foundVersion < reply.AcceptedVersion) {
 		p.found, p.foundBallot, p.foundVersion = reply.Outcome, reply.Accepted, reply.AcceptedVersion
@@ -292,7 +295,7 @@
 	Completed       bool          // the engine has executed the attempt to the end, with Result
 	Result          []byte        // if Completed
 	UnknownToEngine bool          // the engine does not know the id
-	ProcessEndedFor time.Duration // since the provable end of the process that intended the attempt; 0: it may still run
+	ProcessEndedFor time.Duration // since the provable end of the intending process; 0: that process may still run
 	OwnAttempt      bool          // the attempt is this proposer's own, and provably was not sent or has ended
 }
 
--- a/decision/execution/replica.go
+++ b/decision/execution/replica.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Replica is one member's part of all registers: the acceptor of their ballots.
+// Replica holds one member's records of registers, and accepts or rejects ballots for those registers: the acceptor of
+// Paxos.
 type Replica struct {
 	settings     Settings
 	configNumber uint64
@@ -97,7 +98,7 @@
 		return reply
 	}
 	if record.Accepted == message.Ballot && record.Version >= message.Version {
-		reply.OK = true // the message is late or duplicated: the accepted version is as late or later
+		reply.OK = true // the message is late or duplicated: this version, or a later one, is already accepted
 		return reply
 	}
 	growth := len(message.Outcome.Result) - len(record.Outcome.Result)
@@ -113,8 +114,8 @@
 	return reply
 }
 
-// checkConfig returns the reason to reject a message under the configuration of that number, or "" if there is none. It
-// adopts the number if no reason is found and it is later than the known one.
+// checkConfig returns the reason to reject a message under the configuration of that number, or "" if there is none. If
+// there is none, checkConfig adopts a number that is higher than the known one.
 func (r *Replica) checkConfig(number uint64) RejectReason {
 	switch {
 	case number < r.configNumber:
@@ -126,7 +127,7 @@
 	return ""
 }
 
-// Expire drops the records whose retention is over and returns their number.
+// Expire drops the disposable records whose retention is over and returns the number of dropped records.
 func (r *Replica) Expire(now time.Duration) (dropped int) {
 	for id, record := range r.records {
 		if record.disposable() && now-record.WrittenAt > r.settings.Retention {
@@ -152,8 +153,9 @@
 	return records
 }
 
-// Merge adopts the record of another replica where that record has a later ballot, or a later version under the same
-// ballot. It never lowers the promised ballot of this replica.
+// Merge adopts a record of another replica if this replica has none for the id. Otherwise, Merge adopts the accepted
+// outcome if its accepted ballot is later, or its version is later under the same ballot, and keeps the higher of the
+// two promised ballots.
 func (r *Replica) Merge(other Record) {
 	own := r.records[other.ID]
 	if own == nil {
--- a/decision/execution/world_test.go
+++ b/decision/execution/world_test.go
@@ -42,7 +42,7 @@
 	replicas         map[string]*Replica
 	processes        []*process
 	attempts         map[sentAttempt]bool // in flight to the engine
-	runs             int                  // of the request at the engine
+	runs             int                  // number of times that the engine has run the request
 	latestConfig     uint64
 	answeredNeverRan bool   // whether any client was told that the request never ran
 	violation        string // a violated invariant; empty: none
@@ -60,7 +60,8 @@
 	membersBCD = []Member{{"b", "r2", 1}, {"c", "r3", 1}, {"d", "r1", 1}}
 )
 
-// configAt returns the configuration of a number from 1 to 3. Over the three the replica of a moves to d.
+// configAt returns the configuration of a number from 1 to 3. From configuration 1 to 3, member "d" replaces member "a"
+// as a replica.
 func configAt(number uint64) Config {
 	switch number {
 	case 1:
@@ -186,8 +187,8 @@
 	k.end()
 }
 
-// maxAttempts is greater than any attempt number of a process.
-const maxAttempts = 4
+// attemptNumberLimit is an exclusive upper bound of the attempt numbers of a process.
+const attemptNumberLimit = 4
 
 func (w *world) key() string {
 	k := make(stateKey, 0, 400)
@@ -198,7 +199,7 @@
 		k.process(p)
 	}
 	for i := range w.processes {
-		for number := range maxAttempts {
+		for number := range attemptNumberLimit {
 			k.bools(w.attempts[sentAttempt{i, number}])
 		}
 	}
@@ -303,7 +304,7 @@
 // engineSteps adds the arrivals of attempts at the engine, each at any time after it was sent.
 func (w *world) engineSteps(s *steps) {
 	for i := range w.processes {
-		for number := range maxAttempts {
+		for number := range attemptNumberLimit {
 			if attempt := (sentAttempt{i, number}); w.attempts[attempt] {
 				s.other = append(s.other, func(w *world) { w.run(attempt) })
 			}
@@ -351,7 +352,7 @@
 	}
 }
 
-// moveSteps adds the steps that move the replica of a to d.
+// moveSteps adds the steps by which member "d" replaces member "a" as a replica.
 func (w *world) moveSteps(s *steps) {
 	if w.moves > 0 && w.latestConfig == 1 {
 		s.other = append(s.other, func(w *world) { w.latestConfig = 2 })
@@ -383,7 +384,7 @@
 	return w.replicas[to].Accept(now, *accept)
 }
 
-// bootstrap merges the records of a, b and c into an empty replica.
+// bootstrap merges the records of the members "a", "b" and "c" into the named member's empty replica.
 func (w *world) bootstrap(name string) {
 	for _, other := range []string{"a", "b", "c"} {
 		if other == name {
--- a/decision/rollout/drain.go
+++ b/decision/rollout/drain.go
@@ -6,7 +6,7 @@
 )
 
 // applyDrain grants a permit to drain a front end or an engine, where the budget allows that. An engine's permit is
-// active at once, as the front ends carry out the drain.
+// active at once, because the front ends, not the engine, carry out the drain.
 func (m *StateMachine) applyDrain(subject Subject, requestedBy string) Result {
 	if permit := m.permitOf(subject); permit != nil {
 		if permit.holdsDrain() {
@@ -29,7 +29,7 @@
 	return Result{Permit: m.grantPermit(permit).Number}
 }
 
-// prepareEngineDrain completes a permit to drain an engine, or returns the reason why the permit can't be granted.
+// prepareEngineDrain fills in a permit to drain an engine, or returns the reason why the permit can't be granted.
 func (m *StateMachine) prepareEngineDrain(permit *Permit) *RejectedError {
 	engine := m.Engines[permit.Subject]
 	if engine == nil {
@@ -43,7 +43,7 @@
 	return rejected
 }
 
-// prepareMemberDrain completes a permit to drain a front end, or returns the reason why the permit can't be granted.
+// prepareMemberDrain fills in a permit to drain a front end, or returns the reason why the permit can't be granted.
 func (m *StateMachine) prepareMemberDrain(permit *Permit) *RejectedError {
 	member := m.Members[permit.Subject]
 	if member == nil {
@@ -73,8 +73,8 @@
 	return Result{Permit: permit.Number}
 }
 
-// applyEngine records the state of an engine in a front end's endpoint list. The state of an older process comes from
-// an outdated list, and is rejected.
+// applyEngine records an engine's state as a front end's endpoint list shows that state. The state of an older process
+// comes from an outdated list, and is rejected.
 func (m *StateMachine) applyEngine(engine Engine) Result {
 	if engine.Name == "" || !(engine.Cores >= 0) { // rejects NaN, too
 		return reject(InvalidArgument, "an engine needs a name, and cores of 0 or more")
@@ -110,8 +110,9 @@
 	return Result{Permit: permit.Number}
 }
 
-// drainedEngines returns the names of the engines that hold a permit, in the order of their permit numbers.
-func (m *StateMachine) drainedEngines() []string {
+// enginesWithPermit returns the names of the engines that hold a permit, whether or not their drain is complete, in the
+// order of their permit numbers.
+func (m *StateMachine) enginesWithPermit() []string {
 	var names []string
 	for _, number := range m.PermitNumbers() {
 		if permit := m.Permits[number]; permit.Engine {
@@ -140,13 +141,13 @@
 }
 
 // drainBlocker returns the reason why one front end keeps a drained engine from being stopped (invariant 6); empty
-// where it doesn't.
+// where the front end does not.
 func (m *StateMachine) drainBlocker(permit *Permit, member *Member) string {
-	if left := m.abandonedQueriesLeft(member.PreviousEndedAt); member.PreviousEndedAt > 0 && left > 0 {
+	if left := m.abandonedQueryTimeLeft(member.PreviousEndedAt); member.PreviousEndedAt > 0 && left > 0 {
 		return fmt.Sprintf("%s: queries of its last process may run for %v more", member.Name, left)
 	}
 	if member.Phase == Terminated {
-		if left := m.abandonedQueriesLeft(member.ChangedAt); left > 0 {
+		if left := m.abandonedQueryTimeLeft(member.ChangedAt); left > 0 {
 			return fmt.Sprintf("%s: its queries may run for %v more", member.Name, left)
 		}
 		return ""
@@ -160,7 +161,7 @@
 	return member.Name + ": has not said that nothing of its own is out there"
 }
 
-// abandonedQueriesLeft returns how long a front end's queries may still run on engines after its process ended.
-func (m *StateMachine) abandonedQueriesLeft(endedAt time.Duration) time.Duration {
+// abandonedQueryTimeLeft returns how long a front end's queries may still run on engines after its process ended.
+func (m *StateMachine) abandonedQueryTimeLeft(endedAt time.Duration) time.Duration {
 	return endedAt + m.Settings.AbandonedQueryTimeout - m.Now
 }
--- a/decision/rollout/machine.go
+++ b/decision/rollout/machine.go
@@ -78,7 +78,7 @@
 	m.advance()
 	if command.ReportStatus != nil {
 		result.Applied = m.Applied
-		result.Drained = m.drainedEngines()
+		result.Drained = m.enginesWithPermit()
 	}
 	if result.Release != 0 && m.Release != nil && m.Release.Number == result.Release {
 		result.State = m.Release.State
--- a/decision/rollout/mutation_test.go
+++ b/decision/rollout/mutation_test.go
@@ -17,8 +17,8 @@
 		},
 		{
 			Guard: "a drain waits for queries of a terminated process", File: "drain.go",
-			Old:  "left := m.abandonedQueriesLeft(member.ChangedAt); left > 0",
-			New:  "left := m.abandonedQueriesLeft(member.ChangedAt); false",
+			Old:  "left := m.abandonedQueryTimeLeft(member.ChangedAt); left > 0",
+			New:  "left := m.abandonedQueryTimeLeft(member.ChangedAt); false",
 			Test: "TestQueriesOfATerminatedProcessAreWaitedFor",
 		},
 	}
--- a/decision/rollout/oracle_test.go
+++ b/decision/rollout/oracle_test.go
@@ -12,8 +12,8 @@
 	permits                     map[uint64]Permit
 	available                   map[Subject]bool
 	reports                     map[string]lastReport
-	newRequests                 int64
-	firstResult                 *Result // of the command; nil if the command is no repeat
+	newRevisionRequests         int64
+	firstResult                 *Result // stored result of the command's id; nil if the command is not a repeat
 }
 
 // lastReport identifies a member's last report.
@@ -36,7 +36,7 @@
 	}
 	if release := f.machine.Release; release != nil {
 		before.release, before.window, before.releaseState = release.Number, release.Window, release.State
-		before.newRequests = release.New.Requests
+		before.newRevisionRequests = release.New.Requests
 	}
 	for _, earlier := range f.machine.Results {
 		if earlier.ID == command.ID && command.ID != "" {
@@ -82,8 +82,8 @@
 	}
 }
 
-// overBudget describes the budget that is exceeded, in all or in the zone of a permit's subject; empty for none. The
-// budget of another zone may be exceeded, by crashes.
+// overBudget describes the exceeded budget, either of all units or of the zone of a permit's subject; empty for none.
+// The budgets of other zones are not checked, because crashes may exceed them.
 func (f *randomFleet) overBudget(permit *Permit) string {
 	usage := usageCount{total: map[string]int{}, unavailable: map[string]int{}}
 	budget, zone := f.machine.Settings.FrontEnds, ""
@@ -133,7 +133,8 @@
 	return ""
 }
 
-// step applies a command and describes the first invariant that is violated; empty for none.
+// step applies a command and describes the first invariant that is violated, beginning with the invariant's number in
+// doc.go; empty for none.
 func (f *randomFleet) step(command Command) string {
 	f.now += time.Duration(f.rng.IntN(400)) * time.Millisecond
 	command.At = f.now
@@ -162,7 +163,7 @@
 	}
 	for number, permit := range f.machine.Permits {
 		if _, existed := before.permits[number]; !existed && permit.Release == 0 {
-			return "8: a repeat was executed again"
+			return "8: a repeated command granted a new permit"
 		}
 	}
 	return ""
@@ -206,10 +207,10 @@
 	if permit.Number <= before.lastPermit {
 		return fmt.Sprintf("2: permit %d was granted after %d", permit.Number, before.lastPermit)
 	}
-	if !before.available[permit.subject()] {
+	if !before.available[permit.subject()] { // the permit makes no further unit unavailable
 		return ""
 	}
-	f.steps["granted"]++
+	f.effectCounts["granted"]++
 	if over := f.overBudget(permit); over != "" {
 		return "1: granted, and " + over
 	}
@@ -221,7 +222,7 @@
 	if !existed || earlier.ActivatedAt > 0 || permit.ActivatedAt == 0 {
 		return ""
 	}
-	f.steps["activated"]++
+	f.effectCounts["activated"]++
 	member := f.machine.Members[permit.Subject]
 	if command.ActivatePermit == nil || command.ActivatePermit.Incarnation != member.Incarnation ||
 		permit.Incarnation != member.Incarnation {
@@ -243,22 +244,22 @@
 		return ""
 	}
 	if release.State == Halted || release.State == Halting {
-		return fmt.Sprintf("4: inactive permit %d is in force while the release is %s", permit.Number, release.State)
+		return fmt.Sprintf("4: inactive permit %d exists while the release is %s", permit.Number, release.State)
 	}
 	revision, previous := f.machine.Members[permit.Subject].Revision, release.PreviousRevision
 	if f.rollingBack() && (permit.Revision != previous || revision == previous) {
-		return fmt.Sprintf("9: permit %d restarts %s from %s on %s",
+		return fmt.Sprintf("9: permit %d restarts %s from revision %s to %s",
 			permit.Number, permit.Subject, revision, permit.Revision)
 	}
 	return ""
 }
 
-// checkDrained checks the drain of an engine that may be stopped since this step.
+// checkDrained checks the drain of an engine that may be stopped from this step on.
 func (f *randomFleet) checkDrained(before stateBefore, _ Command, permit *Permit) string {
 	if !permit.Engine || permit.DrainedAt == 0 || before.permits[permit.Number].DrainedAt > 0 {
 		return ""
 	}
-	f.steps["drained"]++
+	f.effectCounts["drained"]++
 	m := f.machine
 	for _, member := range m.Members {
 		ended := member.Phase == Terminated && m.Now-member.ChangedAt >= m.Settings.AbandonedQueryTimeout
@@ -273,22 +274,23 @@
 	return ""
 }
 
-// checkEnded checks that an active permit ends only by proof, an operator's command or its return.
+// checkEnded checks that an active permit ends only by a command that may end it.
 func (f *randomFleet) checkEnded(before stateBefore, command Command, _ Result) string {
 	for number, permit := range before.permits {
 		if f.machine.Permits[number] != nil || permit.ActivatedAt == 0 {
 			continue
 		}
-		if !f.isProof(command, permit) {
+		if !f.mayEndPermit(command, permit) {
 			return fmt.Sprintf("3: active permit %d of %s ended by %+v", number, permit.Subject, command)
 		}
-		f.steps["proved"]++
+		f.effectCounts["proved"]++
 	}
 	return ""
 }
 
-// isProof reports whether a command may end an active permit.
-func (f *randomFleet) isProof(command Command, permit Permit) bool {
+// mayEndPermit reports whether a command may end an active permit: an operator's undrain or removal, the return of the
+// permit, or a report that a newer process of the subject serves or is listed as ready (invariant 3).
+func (f *randomFleet) mayEndPermit(command Command, permit Permit) bool {
 	switch {
 	case command.RemoveMember != nil:
 		return *command.RemoveMember == permit.subject()
@@ -333,14 +335,14 @@
 		return ""
 	}
 	if release.Number != before.release {
-		f.steps["started"]++
+		f.effectCounts["started"]++
 		if before.releaseState != Done && before.release != 0 {
 			return fmt.Sprintf("7: release %d started while %d was %s", release.Number, before.release, before.releaseState)
 		}
 	} else if release.Window < before.window {
 		return "5: the number of the last health window decreased"
 	} else if command.Health != nil && command.Health.Window <= before.window &&
-		release.New.Requests != before.newRequests {
+		release.New.Requests != before.newRevisionRequests {
 		return "5: a window was counted twice"
 	}
 	if release.State == Halted && before.releaseState != Halted {
@@ -349,7 +351,7 @@
 		}
 	}
 	if release.State == Done && before.releaseState != Done && before.release == release.Number {
-		f.steps["done"]++
+		f.effectCounts["done"]++
 		for _, member := range f.machine.Members {
 			if f.memberAvailable(member.Name) && member.Revision != release.target() {
 				return "9: release done, and " + member.Name + " serves on " + member.Revision
@@ -360,8 +362,8 @@
 }
 
 // mayShutDown returns the name of a member that holds a permit of the release and can still shut down; empty for none.
-// The result is valid only at the moment when a halt is acknowledged: a process acts once on an activation, so that one
-// that reports Serving after its drain does not shut down again.
+// The result is valid only at the step that acknowledges a halt. Later, a process may report Serving after its drain;
+// such a process does not shut down again, because a process acts only once on an activation.
 func (f *randomFleet) mayShutDown(release *Release) string {
 	for _, permit := range f.machine.Permits {
 		if permit.Engine || permit.Release != release.Number {
--- a/decision/rollout/property_test.go
+++ b/decision/rollout/property_test.go
@@ -35,9 +35,9 @@
 	}
 	f := newRandomFleet(t, rand.New(rand.NewPCG(300, 1)), 300)
 	require.Empty(t, f.run(t, steps))
-	t.Log(steps, "steps:", f.steps)
+	t.Log(steps, "steps:", f.effectCounts)
 	for _, change := range []string{"granted", "activated", "proved", "started"} {
-		assert.Positive(t, f.steps[change], "no step %s anything: the test does not cover this change", change)
+		assert.Positive(t, f.effectCounts[change], "no step %s anything: the test does not cover this change", change)
 	}
 }
 
--- a/decision/rollout/random_fleet_test.go
+++ b/decision/rollout/random_fleet_test.go
@@ -20,7 +20,7 @@
 	incarnations map[string]uint64
 	sequences    map[string]uint64
 	commandIDs   int
-	steps        map[string]int // number of steps with an effect, by effect
+	effectCounts map[string]int // number of steps with an effect, by effect
 }
 
 var testZones = []string{"room-a", "room-b", "room-c"}
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	f := &randomFleet{
 		machine: machine, rng: rng, now: time.Hour, size: size,
-		incarnations: map[string]uint64{}, sequences: map[string]uint64{}, steps: map[string]int{},
+		incarnations: map[string]uint64{}, sequences: map[string]uint64{}, effectCounts: map[string]int{},
 	}
 	for i := range size {
 		f.step(f.report(f.member(i), 1, 1, Serving))
--- a/decision/rollout/wave.go
+++ b/decision/rollout/wave.go
@@ -27,14 +27,16 @@
 	m.advanceWave(release)
 }
 
-// acknowledgeHalt completes a halt once no member can still shut down for the release (invariant 4).
+// acknowledgeHalt changes the state from Halting to Halted once no member can still shut down for the release
+// (invariant 4).
 func (m *StateMachine) acknowledgeHalt(release *Release) {
 	if release.State == Halting && len(m.pendingShutdowns(release)) == 0 {
 		release.State = Halted
 	}
 }
 
-// waveRounding keeps a product of share and count from being rounded up where the exact product is a whole number.
+// waveRounding is subtracted before a product of share and count is rounded up, so that the floating-point error of a
+// product whose exact value is a whole number does not add a member to the wave.
 const waveRounding = 1e-9
 
 // waveEnd returns the number of members in the waves up to the present one. A rollback is one wave of all members.
@@ -68,8 +70,8 @@
 	return ""
 }
 
-// crashLoop returns the cause of a halt where a member of the new revision has crashed CrashLoop times within
-// CrashWindow since the release started; empty where none has.
+// crashLoop returns the cause of a halt where a member whose target revision is the new one has crashed CrashLoop times
+// within CrashWindow, counting only crashes since the release started; empty where no member has.
 func (m *StateMachine) crashLoop(release *Release) string {
 	for _, name := range m.memberNames() {
 		member := m.Members[name]
@@ -108,7 +110,8 @@
 }
 
 // unfinishedMembers returns the members that keep the waves up to the present one from being complete. A member that
-// was unavailable before its turn does not; a member whose target revision was set to that of the release must serve.
+// was unavailable before its turn does not keep a wave from being complete. A member without a permit, whose target
+// revision is that of the release, keeps the wave from being complete until the member serves.
 func (m *StateMachine) unfinishedMembers(release *Release) (names []string) {
 	for _, name := range release.Order[:release.waveEnd()] {
 		member := m.Members[name]
@@ -123,7 +126,8 @@
 	return names
 }
 
-// advanceWave ends a wave that is complete and has soaked. The last wave ends the release.
+// advanceWave ends a wave that is complete, has soaked and has had minWaveRequests requests on the new revision. The
+// end of the last wave ends the release. A rollback ends as soon as its wave is complete.
 func (m *StateMachine) advanceWave(release *Release) {
 	if len(m.unfinishedMembers(release)) > 0 {
 		release.SoakingSince = 0
