--- a/internal/fake/changelog/changelog.go
+++ b/internal/fake/changelog/changelog.go
@@ -1,4 +1,4 @@
-// Package changelog is a fake of the platform's change log, on a loopback address.
+// Package changelog serves a fake of the platform's change log over HTTP on a loopback address.
 package changelog
 
 import (
@@ -12,26 +12,26 @@
 	"beechcart/internal/fake/loopback"
 )
 
-// maxWait bounds how long a poll waits for an event.
+// maxWait is the longest time that a poll waits for an event.
 const maxWait = 5 * time.Second
 
-// Endpoint is one engine of an event.
+// Endpoint is one engine in an event.
 type Endpoint struct {
 	Name, Address, Zone, Type, Status string
-	SinceMS                           int64 // Unix time since when the engine runs
+	SinceMS                           int64 // start of the engine's process, Unix milliseconds
 }
 
-// Log is one change log. It is safe for concurrent use.
+// Log is a running change log server. It is safe for concurrent use.
 type Log struct {
 	Addr string
 
 	mu      sync.Mutex
-	events  []string      // as JSON
-	changed chan struct{} // closed and replaced at each event
+	events  []string      // JSON objects
+	changed chan struct{} // closed and replaced by each event
 	http    *http.Server
 }
 
-// Start serves an empty log at an address of 127.0.0.0/8.
+// Start serves an empty log at an address in 127.0.0.0/8.
 func Start(addr string) (*Log, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
@@ -42,13 +42,14 @@
 	return c, nil
 }
 
-// Close ends the log and every connection.
+// Close stops the server and closes every connection.
 func (c *Log) Close() { _ = c.http.Close() }
 
-// Publish adds an event. A complete list replaces all that was published before.
-func (c *Log) Publish(complete bool, list ...Endpoint) {
+// Publish appends an event. A complete event replaces all endpoints of earlier events; any other event updates the
+// endpoints that it names.
+func (c *Log) Publish(complete bool, endpoints ...Endpoint) {
 	var items []string
-	for _, e := range list {
+	for _, e := range endpoints {
 		items = append(items, fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":0,"status":%q,`+
 			`"weight":1,"since_ms":%d}`,
 			e.Name, e.Address, e.Zone, e.Type, e.Status, e.SinceMS))
@@ -61,7 +62,8 @@
 	c.changed = make(chan struct{})
 }
 
-// changes answers a poll with the events after a number, as soon as there is one or the poll's time is over.
+// changes answers a poll with the events after the sequence number since, as soon as one exists or the poll's timeout
+// expires.
 func (c *Log) changes(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	timeoutMS, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a fake of a query engine: the platform's HTTP protocol on a loopback address, with work that takes
-// time and no computing. It records every execution, so that a checker can tell what ran, where and when.
+// Package engine is a fake query engine. It serves the platform's HTTP protocol on a loopback address, and its queries
+// take time but no CPU. It records every execution, so that a checker can tell which query ran where and when.
 package engine
 
 import (
@@ -18,43 +18,43 @@
 	"beechcart/internal/fake/loopback"
 )
 
-// Times of the platform's protocol.
+// Timeouts of the platform's protocol.
 const (
-	pollTimeout    = 250 * time.Millisecond // how long a poll waits for the end of the query
-	abandonTimeout = 2 * time.Second        // a query that is not polled for so long is given up
-	retention      = 15 * time.Second       // how long an ended query can be polled
+	pollTimeout    = 250 * time.Millisecond // longest wait of a poll for the end of the query
+	abandonTimeout = 2 * time.Second        // a query that is not polled for this long is cancelled
+	retention      = 15 * time.Second       // how long an ended query stays available to polls
 )
 
-// maxStatement bounds the body of a query, in bytes.
+// maxStatement is the largest body of a query that is read, in bytes.
 const maxStatement = 1 << 20
 
-// Class is how the queries of a class run here.
+// Class describes how the queries of a class run on an engine.
 type Class struct {
-	Work    time.Duration // mean, on one core
+	Work    time.Duration // mean, on one core with one thread
 	Threads int
-	Pages   int // of the result, 0 is 1
-	Rows    int // of each page, 0 is 1
+	Pages   int // of the result; 0 means 1
+	Rows    int // of each page; 0 means 1
 }
 
 // Options configure an engine.
 type Options struct {
 	Name       string
 	Cores      int
-	MaxQueries int // at once
+	MaxQueries int // concurrent
 	Classes    map[string]Class
-	ErrorShare float64       // of queries that are answered with an error and not run
-	Latency    time.Duration // added to the work of each query
+	ErrorShare float64       // share of queries that are answered with an error and not run
+	Latency    time.Duration // added to the execution time of each query
 }
 
 // Execution is one query that was accepted.
 type Execution struct {
 	Engine, ID, Class string
-	ReceivedAt        time.Time // when the head of its POST had come
-	EndedAt           time.Time // zero: it runs still
-	Succeeded         bool      // as against given up or lost
+	ReceivedAt        time.Time // when the header of the POST had been read
+	EndedAt           time.Time // zero while the query runs
+	Succeeded         bool      // false if the query was cancelled, abandoned or lost
 }
 
-// Engine is one fake engine process. It is safe for concurrent use.
+// Engine is a running fake engine process. It is safe for concurrent use.
 type Engine struct {
 	Addr    string
 	options Options
@@ -63,7 +63,7 @@
 	queries map[string]*query
 	threads int
 	ended   []Execution
-	resumed chan struct{} // not nil while the engine is paused; closed as it resumes
+	resumed chan struct{} // nil unless the engine is paused; closed when it resumes
 
 	http *http.Server
 	ctx  context.Context
@@ -73,11 +73,11 @@
 type query struct {
 	Execution
 	body     []byte
-	ended    chan struct{} // closed at the end
+	ended    chan struct{} // closed when the query ends
 	polledAt time.Time
 }
 
-// Start runs an engine at an address of 127.0.0.0/8; port 0 takes any.
+// Start runs an engine at an address in 127.0.0.0/8; port 0 selects a free port.
 func Start(addr string, opt Options) (*Engine, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
@@ -97,7 +97,8 @@
 	return e, nil
 }
 
-// Kill ends the process: its connections are reset, what ran is lost, and new connections are refused.
+// Kill simulates the end of the process: connections are closed, running queries are lost, and new connections are
+// refused.
 func (e *Engine) Kill() {
 	e.stop()
 	_ = e.http.Close()
@@ -109,7 +110,7 @@
 	}
 }
 
-// Pause lets calls come in and no answer go out, until the returned function is called.
+// Pause makes the engine accept calls without answering them until resume is called.
 func (e *Engine) Pause() (resume func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,7 +127,7 @@
 	})
 }
 
-// Executions lists all queries that were accepted so far.
+// Executions returns all queries accepted so far.
 func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,18 +140,18 @@
 	return out
 }
 
-// pausable holds calls up while the engine is paused.
+// pausable wraps a handler so that calls wait while the engine is paused.
 func (e *Engine) pausable(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		halted := e.resumed
+		resumed := e.resumed
 		if id, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v2/q/"), "/"); e.queries[id] != nil {
-			e.queries[id].polledAt = time.Now() // a poll counts from its arrival, though it is answered later
+			e.queries[id].polledAt = time.Now() // a poll counts from its arrival, even if its answer is delayed
 		}
 		e.mu.Unlock()
-		if halted != nil {
+		if resumed != nil {
 			select {
-			case <-halted:
+			case <-resumed:
 			case <-e.ctx.Done():
 			}
 		}
@@ -158,7 +159,7 @@
 	})
 }
 
-// reportLoad answers a health check with a load report.
+// reportLoad handles a health check and answers with a load report.
 func (e *Engine) reportLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	util := min(1, float64(e.threads)/float64(e.options.Cores))
@@ -166,12 +167,12 @@
 	w.Header().Set("X-Gauges", fmt.Sprintf("util:%.2f", util))
 }
 
-// submit answers the POST of a query.
+// submit handles the POST of a query.
 func (e *Engine) submit(w http.ResponseWriter, r *http.Request) {
 	receivedAt := time.Now()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxStatement))
-	id, class := r.Header.Get("X-Txn"), r.Header.Get("X-Lane")
-	kind, known := e.options.Classes[class]
+	id, className := r.Header.Get("X-Txn"), r.Header.Get("X-Lane")
+	class, known := e.options.Classes[className]
 	limitMS, limitErr := strconv.Atoi(r.Header.Get("X-Limit-Ms"))
 	if err != nil || limitErr != nil || !known || id == "" || len(body) == 0 {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -186,7 +187,7 @@
 		return
 	}
 	e.mu.Lock()
-	if open := e.queries[id]; open != nil && open.EndedAt.IsZero() {
+	if existing := e.queries[id]; existing != nil && existing.EndedAt.IsZero() {
 		e.mu.Unlock()
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -196,42 +197,42 @@
 		writeNotExecuted(w, http.StatusServiceUnavailable)
 		return
 	}
-	q := e.execute(Execution{Engine: e.options.Name, ID: id, Class: class, ReceivedAt: receivedAt}, kind)
+	q := e.execute(Execution{Engine: e.options.Name, ID: id, Class: className, ReceivedAt: receivedAt}, class)
 	e.mu.Unlock()
 	e.awaitEnd(w, r, q)
 }
 
-// execute begins a query, which ends after its execution time. The caller must hold mu.
-func (e *Engine) execute(execution Execution, kind Class) *query {
+// execute starts a query, which ends after its execution time. The caller must hold mu.
+func (e *Engine) execute(execution Execution, class Class) *query {
 	q := &query{Execution: execution, ended: make(chan struct{}), polledAt: execution.ReceivedAt}
 	e.queries[q.ID] = q
-	e.threads += kind.Threads
-	time.AfterFunc(e.executionTime(q.ID, kind), func() {
+	e.threads += class.Threads
+	time.AfterFunc(e.executionTime(q.ID, class), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if q.EndedAt.IsZero() {
-			q.body = resultRows(q.ID, e.options.Name, kind)
+			q.body = resultRows(q.ID, e.options.Name, class)
 			e.finish(q, time.Now(), true)
 		}
 	})
 	return q
 }
 
-// draw returns a number from 0 to 1, not included, that hangs on a key only.
+// draw returns a number in [0, 1) that depends only on the key.
 func draw(key string) float64 {
 	const bits = 24
 	return float64(xxh3.HashString(key)>>(64-bits)) / (1 << bits)
 }
 
-// executionTime is how long a query runs: its work, which its id draws, over its threads, stretched where cores are
-// short. The caller must hold mu.
-func (e *Engine) executionTime(id string, kind Class) time.Duration {
-	spread := 0.25 + 1.5*draw(id) // mean 1
-	crowd := max(1, float64(e.threads)/float64(e.options.Cores))
-	return e.options.Latency + time.Duration(float64(kind.Work)*spread*crowd/float64(max(1, kind.Threads)))
+// executionTime returns how long a query runs: its work, which the id determines, divided by its threads, and extended
+// in proportion while the running queries have more threads than the engine has cores. The caller must hold mu.
+func (e *Engine) executionTime(id string, class Class) time.Duration {
+	variation := 0.25 + 1.5*draw(id) // mean 1
+	contention := max(1, float64(e.threads)/float64(e.options.Cores))
+	return e.options.Latency + time.Duration(float64(class.Work)*variation*contention/float64(max(1, class.Threads)))
 }
 
-// running counts the queries that run. The caller must hold mu.
+// running returns the number of running queries. The caller must hold mu.
 func (e *Engine) running() (n int) {
 	for _, q := range e.queries {
 		if q.EndedAt.IsZero() {
@@ -241,33 +242,33 @@
 	return n
 }
 
-// finish ends a query. The caller must hold mu.
-func (e *Engine) finish(q *query, at time.Time, good bool) {
+// finish records the end of a query; a query that has ended stays as it is. The caller must hold mu.
+func (e *Engine) finish(q *query, at time.Time, succeeded bool) {
 	if !q.EndedAt.IsZero() {
 		return
 	}
-	q.EndedAt, q.Succeeded = at, good
+	q.EndedAt, q.Succeeded = at, succeeded
 	e.threads -= e.options.Classes[q.Class].Threads
 	e.ended = append(e.ended, q.Execution)
 	close(q.ended)
 }
 
-// writeNotExecuted answers that a query was not executed, which proves that a retry is safe.
+// writeNotExecuted answers that a query was not executed, so that a retry is safe.
 func writeNotExecuted(w http.ResponseWriter, code int) {
 	w.Header().Set("X-Unrun", "1")
 	w.WriteHeader(code)
 }
 
-// resultRows is the rows of a query: its id, the engine that made them, and their number.
-func resultRows(id, engine string, kind Class) []byte {
+// resultRows returns the rows of a query. Each has the query's id, the engine's name and the row number.
+func resultRows(id, engine string, class Class) []byte {
 	var b bytes.Buffer
-	for i := range max(1, kind.Pages) * max(1, kind.Rows) {
+	for i := range max(1, class.Pages) * max(1, class.Rows) {
 		fmt.Fprintf(&b, "%s\t%s\t%d\n", id, engine, i)
 	}
 	return b.Bytes()
 }
 
-// awaitEnd answers with the end of a query, or after pollTimeout that it runs.
+// awaitEnd answers with the result of a query once the query ends, or after pollTimeout that the query still runs.
 func (e *Engine) awaitEnd(w http.ResponseWriter, r *http.Request, q *query) {
 	timer := time.NewTimer(pollTimeout)
 	defer timer.Stop()
@@ -284,20 +285,20 @@
 	e.writePage(w, q, 0)
 }
 
-// writePage answers with one page of the result of a query that has ended.
+// writePage answers with one page of the result of an ended query.
 func (e *Engine) writePage(w http.ResponseWriter, q *query, n int) {
 	e.mu.Lock()
-	good, body := q.Succeeded, q.body
+	succeeded, body := q.Succeeded, q.body
 	e.mu.Unlock()
-	kind := e.options.Classes[q.Class]
-	pages, rows := max(1, kind.Pages), max(1, kind.Rows)
-	if !good || n < 0 || n >= pages {
+	class := e.options.Classes[q.Class]
+	pages, rows := max(1, class.Pages), max(1, class.Rows)
+	if !succeeded || n < 0 || n >= pages {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	if n == 0 {
 		w.Header().Set("X-Batches", strconv.Itoa(pages))
-		w.Header().Set("X-Spent", strconv.FormatFloat(float64(kind.Work)/float64(time.Millisecond), 'f', 1, 64))
+		w.Header().Set("X-Spent", strconv.FormatFloat(float64(class.Work)/float64(time.Millisecond), 'f', 1, 64))
 		w.Header().Set("X-Wanted", "16")
 	} else {
 		w.Header().Set("X-Batch", strconv.Itoa(n))
@@ -306,14 +307,14 @@
 	_, _ = w.Write(bytes.Join(lines[n*rows:(n+1)*rows], nil))
 }
 
-// query returns the query of an id; nil where there is none.
+// query returns the query with an id, or nil.
 func (e *Engine) query(id string) *query {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.queries[id]
 }
 
-// poll answers the GET of a page; page 0 waits for the end of the query.
+// poll handles the GET of a page; page 0 waits for the end of the query.
 func (e *Engine) poll(w http.ResponseWriter, r *http.Request) {
 	q := e.query(r.PathValue("id"))
 	n, err := strconv.Atoi(r.PathValue("page"))
@@ -327,7 +328,7 @@
 	}
 }
 
-// cancel answers the DELETE of a query.
+// cancel handles the DELETE of a query.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	if q := e.query(r.PathValue("id")); q != nil {
 		e.mu.Lock()
@@ -337,8 +338,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// expireQueries gives up queries that are not polled, and forgets those that ended long ago, until the engine is
-// killed.
+// expireQueries ends queries that have not been polled for abandonTimeout, and deletes those that ended more than
+// retention ago. It returns when the engine is killed.
 func (e *Engine) expireQueries() {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
@@ -351,8 +352,8 @@
 			for id, q := range e.queries {
 				switch {
 				case q.EndedAt.IsZero() && now.Sub(q.polledAt) > abandonTimeout:
-					// The time that counts is the protocol's, not that of this look: on a busy machine a late look would make
-					// an attempt that was over appear to overlap the next.
+					// The end is at the protocol's timeout, not at the time of this check: on a busy machine a late check would
+					// make an abandoned attempt appear to overlap the next.
 					e.finish(q, q.polledAt.Add(abandonTimeout), false)
 				case !q.EndedAt.IsZero() && now.Sub(q.EndedAt) > retention:
 					delete(e.queries, id)
@@ -363,10 +364,10 @@
 	}
 }
 
-// Host is the host of an engine's address.
+// Host returns the host part of the engine's address.
 func (e *Engine) Host() string { return e.Addr[:strings.LastIndexByte(e.Addr, ':')] }
 
-// Port is the port of an engine's address.
+// Port returns the port of the engine's address.
 func (e *Engine) Port() int {
 	n, _ := strconv.Atoi(e.Addr[strings.LastIndexByte(e.Addr, ':')+1:])
 	return n
--- a/internal/fake/loopback/loopback.go
+++ b/internal/fake/loopback/loopback.go
@@ -9,7 +9,8 @@
 	"net/http"
 )
 
-// Listen opens a listener at an address of the loopback range; port 0 takes any. Any other address is an error.
+// Listen opens a listener at an address of the loopback range; port 0 selects a free port. Any address outside
+// the range is an error.
 func Listen(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -17,13 +18,13 @@
 	}
 	if !l.Addr().(*net.TCPAddr).IP.IsLoopback() {
 		l.Close()
-		return nil, fmt.Errorf("fake server: %s is not a loopback address", addr)
+		return nil, fmt.Errorf("fake server: address: found %s, must be in the loopback range", addr)
 	}
 	return l, nil
 }
 
-// Serve answers on a listener from a goroutine that ends with the server. Errors on connections are not logged: fake
-// servers break connections on purpose.
+// Serve serves HTTP on a listener in a goroutine that ends when the server is closed. Connection errors are not logged,
+// because fake servers break connections on purpose.
 func Serve(l net.Listener, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = s.Serve(l) }()
