--- a/internal/fake/consul/agent.go
+++ b/internal/fake/consul/agent.go
@@ -18,10 +18,10 @@
 	Checks            []agentCheck
 }
 
-// agentCheck defines a check; TTL is a duration as in "10s", or empty.
+// agentCheck defines a check. TTL is a duration such as "10s", or empty.
 type agentCheck struct{ CheckID, Name, TTL, Status string }
 
-// agentRegister answers PUT /v1/agent/service/register.
+// agentRegister handles PUT /v1/agent/service/register.
 func (s *Server) agentRegister(w http.ResponseWriter, r *http.Request) {
 	var body agentService
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -39,7 +39,7 @@
 	s.Register(node, body.service(), checks...)
 }
 
-// id returns the id of the service, which is its name if it has none of its own.
+// id returns the id of the service; a service without an id is identified by its name.
 func (a *agentService) id() string {
 	if a.ID == "" {
 		return a.Name
@@ -55,7 +55,7 @@
 	return v
 }
 
-// checks returns the checks of the service, with ids and states as Consul gives them by default.
+// checks returns the checks of the service, with Consul's defaults for missing ids and states.
 func (a *agentService) checks() (checks []Check, err error) {
 	definitions := a.Checks
 	if a.Check != nil {
@@ -82,7 +82,7 @@
 	return checks, nil
 }
 
-// maintenance answers PUT /v1/agent/maintenance and /v1/agent/service/maintenance/ID.
+// maintenance handles PUT /v1/agent/maintenance and /v1/agent/service/maintenance/ID.
 func (s *Server) maintenance(w http.ResponseWriter, r *http.Request, id string) {
 	enabled, err := strconv.ParseBool(r.URL.Query().Get("enable"))
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// updateCheck answers PUT /v1/agent/check/update/ID.
+// updateCheck handles PUT /v1/agent/check/update/ID.
 func (s *Server) updateCheck(w http.ResponseWriter, r *http.Request) {
 	var body struct{ Status, Output string }
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
--- a/internal/fake/consul/catalog.go
+++ b/internal/fake/consul/catalog.go
@@ -23,7 +23,7 @@
 	Weights              Weights
 }
 
-// catalogRegister answers PUT /v1/catalog/register.
+// catalogRegister handles PUT /v1/catalog/register.
 func (s *Server) catalogRegister(w http.ResponseWriter, r *http.Request) {
 	var body catalogEntry
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.Node == "" || body.Service == nil {
@@ -47,7 +47,7 @@
 	return v
 }
 
-// catalogDeregister answers PUT /v1/catalog/deregister.
+// catalogDeregister handles PUT /v1/catalog/deregister.
 func (s *Server) catalogDeregister(w http.ResponseWriter, r *http.Request) {
 	var body struct{ Node, ServiceID string }
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -58,7 +58,7 @@
 	fmt.Fprint(w, "true")
 }
 
-// catalog answers GET /v1/catalog/service/NAME, which knows no checks.
+// catalog handles GET /v1/catalog/service/NAME, whose rows have no checks.
 func (s *Server) catalog(w http.ResponseWriter, r *http.Request) {
 	type row struct {
 		ID, Node, Address, Datacenter          string
@@ -75,10 +75,13 @@
 		return
 	}
 	rows := []row{}
-	for _, in := range snap.list {
-		rows = append(rows, row{in.Node.ID, in.Node.Node, in.Node.Address, in.Node.Datacenter, in.Node.Meta, in.Service.ID,
-			in.Service.Service, in.Service.Address, in.Service.Port, in.Service.Tags, in.Service.Meta, in.Service.Weights,
-			in.Service.CreateIndex, in.Service.ModifyIndex})
+	for _, instance := range snap.list {
+		rows = append(rows, row{
+			instance.Node.ID, instance.Node.Node, instance.Node.Address, instance.Node.Datacenter, instance.Node.Meta,
+			instance.Service.ID, instance.Service.Service, instance.Service.Address, instance.Service.Port,
+			instance.Service.Tags, instance.Service.Meta, instance.Service.Weights,
+			instance.Service.CreateIndex, instance.Service.ModifyIndex,
+		})
 	}
 	s.writeList(w, snap.index, Faults{}, rows, nil)
 }
--- a/internal/fake/consul/consul.go
+++ b/internal/fake/consul/consul.go
@@ -1,7 +1,7 @@
-// Package consul is a fake of a Consul server, made from the published HTTP API
+// Package consul is a fake Consul server, written from the published HTTP API
 // (developer.hashicorp.com/consul/api-docs): agent registration, maintenance and TTL checks, catalogue and health reads
-// with blocking queries, ACL tokens, and faults that are set while it runs. It listens on loopback addresses only and
-// keeps everything in memory. Its own tests drive it with the published Go client.
+// with blocking queries, ACL tokens, and faults that can be set while the server runs. It listens on loopback addresses
+// only and keeps its state in memory. The tests of this package drive it with the official Go client.
 package consul
 
 import (
@@ -13,33 +13,33 @@
 	"beechcart/internal/fake/loopback"
 )
 
-// Faults are those of reads, while they are set.
+// Faults are the faults that the server injects into health reads. The zero value injects none.
 type Faults struct {
-	Delay         time.Duration // each answer comes so much later
-	Hang          bool          // no answer comes
-	Status        int           // such as 500 or 429, with no list
-	NoLeader      bool          // answers tell that no leader is known
-	LastContact   time.Duration // ... and that the leader was last heard of so long ago
-	Stale         bool          // reads answer from the state at which Stale was set
-	IndexRollback uint64        // indexes are so much lower
+	Delay         time.Duration // added to the time of each response
+	Hang          bool          // requests get no response
+	Status        int           // HTTP status such as 500 or 429, sent without a list; 0: none
+	NoLeader      bool          // responses report that no leader is known
+	LastContact   time.Duration // age of the last contact with the leader, as responses report it
+	Stale         bool          // reads return the state at the time when Stale was set
+	IndexRollback uint64        // subtracted from indexes
 	Empty         bool          // lists are empty
-	MaxInstances  int           // of a list; 0: all
-	Truncated     bool          // answers break off in the middle
-	Malformed     bool          // answers are no JSON
+	MaxInstances  int           // longest list; 0: no limit
+	Truncated     bool          // responses break off in the middle
+	Malformed     bool          // responses are not JSON
 }
 
-// Server is one fake server. Its methods are safe for concurrent use.
+// Server is a running fake server. Its methods are safe for concurrent use.
 type Server struct {
 	Addr string // host:port
 
 	mu           sync.Mutex
-	changed      chan struct{} // closed and replaced at each change of state or faults
+	changed      chan struct{} // closed and replaced by each change of state or faults
 	index        uint64
-	serviceIndex map[string]uint64 // the index of the last write of each service
+	serviceIndex map[string]uint64 // index of the last write of each service, by name
 	nodes        map[string]Node
 	services     map[string]map[string]Service // by node and id
 	checks       map[string]map[string]Check   // by node and check id
-	tokens       map[string]bool               // accepted; nil: none is needed
+	tokens       map[string]bool               // accepted tokens; nil: none is required
 	faults       Faults
 	stale        map[string]snapshot // by service, while Faults.Stale
 	onAnswer     func(service string, list []Instance)
@@ -55,13 +55,13 @@
 	list  []Instance
 }
 
-// firstIndex is that of an empty server. It leaves room for Faults.IndexRollback.
+// firstIndex is the index of an empty server. It leaves room for Faults.IndexRollback.
 const firstIndex = 10
 
-// AgentNode is the node that the agent's own calls speak of.
+// AgentNode is the name of the node that the agent API acts on.
 const AgentNode = "agent"
 
-// Start begins to serve on an address of 127.0.0.0/8; conf may be nil.
+// Start serves on an address in 127.0.0.0/8, over TLS unless conf is nil.
 func Start(addr string, conf *tls.Config) (*Server, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return s, nil
 }
 
-// Close ends the server and every connection. It may be called again.
+// Close stops the server and closes every connection. Further calls have no effect.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		close(s.stop)
@@ -94,7 +94,7 @@
 	})
 }
 
-// SetFaults replaces the faults in force. Calls that wait see them at once.
+// SetFaults replaces the faults in force. Blocked queries see the new faults at once.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 	s.faults = f
 	if f.Empty || f.MaxInstances > 0 || f.IndexRollback > 0 {
-		// Blocked queries return only once the index changes, so a faulty list has to look like a write.
+		// Blocked queries return only once the index changes, so a faulty list must come with a new index.
 		s.index++
 		for name := range s.serviceIndex {
 			s.serviceIndex[name] = s.index
@@ -115,7 +115,7 @@
 	s.notifyWaiters()
 }
 
-// SetTokens asks for one of these tokens from now on; nil asks for none.
+// SetTokens requires one of these tokens for all further requests; without arguments, none is required.
 func (s *Server) SetTokens(tokens ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,21 +128,22 @@
 	s.notifyWaiters()
 }
 
-// OnAnswer is called with each whole answer of health that has been written, before the next call is read.
+// OnAnswer sets the function that is called after each complete health response has been written, before the next
+// request on the same connection is read.
 func (s *Server) OnAnswer(f func(service string, list []Instance)) {
 	s.mu.Lock()
 	s.onAnswer = f
 	s.mu.Unlock()
 }
 
-// Reads tells how many reads of health have come.
+// Reads returns the number of health reads received.
 func (s *Server) Reads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-// notifyWaiters lets blocked queries look at the state again. The caller must hold mu.
+// notifyWaiters wakes blocked queries, which then check the state again. The caller must hold mu.
 func (s *Server) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/fake/consul/consul_test.go
+++ b/internal/fake/consul/consul_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The published client drives the fake, so that what the front end meets here is what it meets elsewhere.
+// client returns the official Consul client for a fake server. Driving the fake with this client checks that the front
+// end sees the same protocol from the fake as from a real Consul.
 func client(t *testing.T, s *Server, token string) *api.Client {
 	t.Helper()
 	c, err := api.NewClient(&api.Config{Address: s.Addr, Token: token})
@@ -26,7 +27,7 @@
 	return s
 }
 
-func TestServesThePublishedClient(t *testing.T) {
+func TestServesOfficialClient(t *testing.T) {
 	s := startServer(t)
 	c := client(t, s, "")
 	require.NoError(t, c.Agent().ServiceRegister(&api.AgentServiceRegistration{
@@ -44,14 +45,14 @@
 	assert.Equal(t, api.HealthCritical, list[0].Checks.AggregatedStatus())
 	require.NoError(t, c.Agent().UpdateTTL("service:e1", "well", api.HealthPassing))
 
-	// A blocking query wakes as the check expires, and not before.
+	// A blocking query returns when the check expires, and not before.
 	list, meta, err = c.Health().Service("engine", "blue", true, nil)
 	require.NoError(t, err)
 	require.Len(t, list, 1)
-	list, meta2, err := c.Health().Service("engine", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex,
+	list, metaAfter, err := c.Health().Service("engine", "", false, &api.QueryOptions{WaitIndex: meta.LastIndex,
 		WaitTime: 10 * time.Second})
 	require.NoError(t, err)
-	assert.Greater(t, meta2.LastIndex, meta.LastIndex)
+	assert.Greater(t, metaAfter.LastIndex, meta.LastIndex)
 	assert.Equal(t, api.HealthCritical, list[0].Checks.AggregatedStatus())
 
 	require.NoError(t, c.Agent().EnableServiceMaintenance("e1", "new disks"))
@@ -88,7 +89,7 @@
 	require.NoError(t, err)
 	require.Len(t, list, 1)
 	assert.Equal(t, "n2", list[0].Node.Node)
-	assert.Equal(t, api.HealthPassing, list[0].Checks.AggregatedStatus(), "no checks, none failing")
+	assert.Equal(t, api.HealthPassing, list[0].Checks.AggregatedStatus(), "an instance without checks is passing")
 }
 
 func TestTokens(t *testing.T) {
@@ -102,7 +103,7 @@
 	assert.NoError(t, err)
 }
 
-func TestFaultsShow(t *testing.T) {
+func TestFaultsAppearInReads(t *testing.T) {
 	s := startServer(t)
 	c := client(t, s, "")
 	for i := range 3 {
@@ -113,7 +114,7 @@
 		list, meta, err := c.Health().Service("engine", "", false, nil)
 		return len(list), meta, err
 	}
-	n, was, err := read(Faults{})
+	n, initial, err := read(Faults{})
 	require.NoError(t, err)
 	require.Equal(t, 3, n)
 	n, _, err = read(Faults{Empty: true})
@@ -124,7 +125,7 @@
 	assert.Equal(t, 2, n)
 	_, meta, err := read(Faults{IndexRollback: 5})
 	require.NoError(t, err)
-	assert.Less(t, meta.LastIndex, was.LastIndex)
+	assert.Less(t, meta.LastIndex, initial.LastIndex)
 	_, meta, err = read(Faults{NoLeader: true, LastContact: 3 * time.Second})
 	require.NoError(t, err)
 	assert.False(t, meta.KnownLeader)
--- a/internal/fake/consul/model.go
+++ b/internal/fake/consul/model.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Node is where services run.
+// Node is a machine that services run on.
 type Node struct {
 	ID, Node, Address, Datacenter string
 	Meta                          map[string]string
 }
 
-// Weights are a service's weights by the state of its checks.
+// Weights are the weights of a service by the state of its checks.
 type Weights struct{ Passing, Warning int }
 
-// Service is one instance.
+// Service is one registered instance of a service.
 type Service struct {
 	ID, Service string
 	Tags        []string
@@ -30,17 +30,17 @@
 	critical = "critical"
 )
 
-// Check is one health check.
+// Check is one health check of a service instance, or of a node if ServiceID is empty.
 type Check struct {
 	Node, CheckID, Name, Status, Output string
 	ServiceID, ServiceName              string
 	CreateIndex, ModifyIndex            uint64
 
-	ttl     time.Duration
+	ttl     time.Duration // 0: not a TTL check
 	expires time.Time
 }
 
-// Instance is one element of a health answer.
+// Instance is one element of a health response.
 type Instance struct {
 	Node    Node
 	Service Service
--- a/internal/fake/consul/reads.go
+++ b/internal/fake/consul/reads.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// The bounds of a blocking query's wait.
+// The default and the longest wait of a blocking query.
 const (
 	defaultWait = 5 * time.Minute
 	maxWait     = 10 * time.Minute
 )
 
-// health answers GET /v1/health/service/NAME, with the faults in force.
+// health handles GET /v1/health/service/NAME, with the faults in force.
 func (s *Server) health(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	s.mu.Lock()
@@ -53,7 +53,7 @@
 	})
 }
 
-// statusText is the body of an answer that has no list.
+// statusText returns the body of an error response.
 func statusText(status int) string {
 	if status == http.StatusTooManyRequests {
 		return "Your IP is issuing too many concurrent connections"
@@ -61,7 +61,7 @@
 	return "No cluster leader"
 }
 
-// filter returns the instances that a query asks for, by their checks and tags.
+// filter returns the instances that match the passing and tag parameters of a query.
 func filter(list []Instance, query url.Values) []Instance {
 	if query.Has("passing") {
 		list = slices.DeleteFunc(slices.Clone(list), func(in Instance) bool {
@@ -74,7 +74,8 @@
 	return list
 }
 
-// awaitChange waits as a blocking query does, and returns the state to answer with.
+// awaitChange waits as a blocking query does, and returns the state and the faults to answer with. It returns false if
+// the request or the server ended first.
 func (s *Server) awaitChange(r *http.Request, name string) (snapshot, Faults, bool) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
@@ -84,12 +85,12 @@
 	}
 	timer := time.NewTimer(wait + wait/32)
 	defer timer.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		s.mu.Lock()
 		f, changed := s.faults, s.changed
 		snap := snapshot{max(s.serviceIndex[name], 1), s.instances(name)}
-		if old, ok := s.stale[name]; ok && f.Stale {
-			snap = old
+		if stale, ok := s.stale[name]; ok && f.Stale {
+			snap = stale
 		}
 		if f.IndexRollback > 0 {
 			snap.index -= min(f.IndexRollback, snap.index-1)
@@ -99,14 +100,14 @@
 		if !allowed {
 			return snap, Faults{Status: http.StatusForbidden}, true
 		}
-		// An index that lies ahead of ours is one from before a reset: it blocks nothing.
-		if index == 0 || snap.index != index || over || f.Status > 0 || f.Hang {
+		// A client's index above the server's dates from before a reset, so the query does not block.
+		if index == 0 || snap.index != index || timedOut || f.Status > 0 || f.Hang {
 			return snap, f, true
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return snap, f, false
 		case <-s.stop:
@@ -115,7 +116,7 @@
 	}
 }
 
-// sleep waits; false when the request ended first.
+// sleep waits for d; it returns false if the request ended first.
 func sleep(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -125,7 +126,7 @@
 	}
 }
 
-// writeList sends a list, and calls done once all of it has gone out.
+// writeList writes v as JSON, and calls done, which may be nil, once the complete response has been written.
 func (s *Server) writeList(w http.ResponseWriter, index uint64, f Faults, v any, done func()) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -153,7 +154,7 @@
 	}
 }
 
-// checksInState answers GET /v1/health/state/STATE.
+// checksInState handles GET /v1/health/state/STATE.
 func (s *Server) checksInState(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	index := s.index
--- a/internal/fake/consul/registry.go
+++ b/internal/fake/consul/registry.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recordWrite counts a write of services, and returns its index. The caller must hold mu.
+// recordWrite raises the index for a write to services, and returns the new index. The caller must hold mu.
 func (s *Server) recordWrite(names ...string) uint64 {
 	s.index++
 	for _, n := range names {
@@ -25,7 +25,7 @@
 	return names
 }
 
-// putNode adds or replaces a node. The caller must hold mu, unless nobody else knows the server yet.
+// putNode adds or replaces a node. The caller must hold mu, unless the server is not shared yet.
 func (s *Server) putNode(n Node) {
 	s.nodes[n.Node] = n
 	if s.services[n.Node] == nil {
@@ -79,7 +79,7 @@
 	s.checks[node][c.CheckID] = c
 }
 
-// Deregister removes an instance and its checks; false when there is none.
+// Deregister removes an instance and its checks. It returns false if the instance is unknown.
 func (s *Server) Deregister(node, id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 	return true
 }
 
-// SetStatus sets the state of a check; false when there is none.
+// SetStatus sets the state of a check. It returns false if the check is unknown.
 func (s *Server) SetStatus(node, check, status, output string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 		c.expires = time.Now().Add(c.ttl)
 	}
 	if c.Status == status && c.Output == output {
-		s.checks[node][check] = c // an update without a change is no write
+		s.checks[node][check] = c // an update without a change does not count as a write
 		return true
 	}
 	c.Status, c.Output = status, output
@@ -113,13 +113,14 @@
 	return true
 }
 
-// Maintenance is the state of maintenance of an instance or a node.
+// Maintenance is the maintenance state of an instance or a node.
 type Maintenance struct {
 	Enabled bool
 	Reason  string
 }
 
-// SetMaintenance sets the maintenance of an instance, or of a node where id is empty; false when there is none.
+// SetMaintenance sets the maintenance state of an instance, or of a node if id is empty. It returns false if the
+// instance or node is unknown.
 func (s *Server) SetMaintenance(node, id string, m Maintenance) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +143,7 @@
 	return true
 }
 
-// maintenanceCheck returns the check that marks an instance, or with an empty id its node, as under maintenance.
+// maintenanceCheck returns the check that marks an instance, or its node if id is empty, as under maintenance.
 func maintenanceCheck(id, service, reason string) Check {
 	if id == "" {
 		return Check{CheckID: "_node_maintenance", Name: "Node Maintenance Mode", Status: critical, Output: reason}
@@ -151,7 +152,7 @@
 		Output: reason, ServiceID: id, ServiceName: service}
 }
 
-// expireChecks fails TTL checks that were not updated in time, until the server is closed.
+// expireChecks makes TTL checks critical that were not updated in time, until the server is closed.
 func (s *Server) expireChecks() {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -165,7 +166,7 @@
 	}
 }
 
-// failExpired fails the TTL checks that have expired by now.
+// failExpired makes the TTL checks critical that have expired at the time now.
 func (s *Server) failExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,11 +180,11 @@
 	}
 }
 
-// instances returns the instances of a service, by node and id. The caller must hold mu.
+// instances returns the instances of a service, sorted by node and id. The caller must hold mu.
 func (s *Server) instances(name string) []Instance {
 	list := []Instance{}
 	for _, node := range slices.Sorted(maps.Keys(s.services)) {
-		checks := map[string][]Check{} // by service id; "" are the node's own
+		checks := map[string][]Check{} // by service id; "" holds the checks of the node
 		for _, check := range slices.Sorted(maps.Keys(s.checks[node])) {
 			c := s.checks[node][check]
 			checks[c.ServiceID] = append(checks[c.ServiceID], c)
--- a/internal/fake/consul/routes.go
+++ b/internal/fake/consul/routes.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// routes returns the handler of the whole API.
+// routes returns the handler of all API paths.
 func (s *Server) routes() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/health/service/{name}", s.health)
@@ -45,7 +45,7 @@
 	})
 }
 
-// allowed tells whether a request has a valid token. The caller must hold mu.
+// allowed reports whether a request has a valid token or needs none. The caller must hold mu.
 func (s *Server) allowed(r *http.Request) bool {
 	token := r.Header.Get("X-Consul-Token")
 	if token == "" {
@@ -54,7 +54,7 @@
 	return s.tokens == nil || s.tokens[token]
 }
 
-// replyUnknown answers that there is no such service or check.
+// replyUnknown answers that the service or check is unknown.
 func replyUnknown(w http.ResponseWriter) {
 	http.Error(w, "Unknown service or check", http.StatusNotFound)
 }
