--- a/internal/fake/consul/reads.go
+++ b/internal/fake/consul/reads.go
@@ -89,8 +89,8 @@
 		s.mu.Lock()
 		f, changed := s.faults, s.changed
 		snap := snapshot{max(s.serviceIndex[name], 1), s.instances(name)}
-		if stale, ok := s.stale[name]; ok && f.Stale {
-			snap = stale
+		if frozen, ok := s.stale[name]; ok && f.Stale {
+			snap = frozen
 		}
 		if f.IndexRollback > 0 {
 			snap.index -= min(f.IndexRollback, snap.index-1)
