--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -144,14 +144,14 @@
 func (e *Engine) pausable(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		resume := e.resumed
+		unpaused := e.resumed
 		if id, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v2/q/"), "/"); e.queries[id] != nil {
 			e.queries[id].polledAt = time.Now() // a poll counts from its arrival, even if its answer is delayed
 		}
 		e.mu.Unlock()
-		if resume != nil {
+		if unpaused != nil {
 			select {
-			case <-resume:
+			case <-unpaused:
 			case <-e.ctx.Done():
 			}
 		}
--- a/internal/faulttest/cluster/cluster.go
+++ b/internal/faulttest/cluster/cluster.go
@@ -15,10 +15,10 @@
 	"beechcart/internal/fleet"
 )
 
-// maxMembers is how many loopback addresses one cluster may take of its net.
+// maxMembers is the largest number of members of one cluster. Each takes one address of the cluster's loopback net.
 const maxMembers = 200
 
-// The ports of a member, at its own loopback address.
+// The ports of a member, on its own loopback address.
 const (
 	clientPort = ":7001"
 	logPort    = ":7002"
@@ -29,36 +29,37 @@
 // FrontEnd is a running front end.
 type FrontEnd interface {
 	Pid() int
-	// Wait returns once it has ended, with its exit code. It is called once.
+	// Wait waits until the process ends and returns its exit code. It is called once.
 	Wait() int
-	// BrokenInvariant names an invariant that it counted as broken; empty for none.
+	// BrokenInvariant describes an invariant that the front end has counted as broken; empty if there is none.
 	BrokenInvariant() string
 }
 
 // Options describe a cluster.
 type Options struct {
 	Members         int
-	Zones           []string // members are spread over them in turn
-	ControlReplicas int      // the first members
-	Dir             string   // for files
+	Zones           []string // assigned to members in turn
+	ControlReplicas int      // number of control replicas, which are the first members
+	Dir             string   // for the cluster's files
 	Network         *Network
-	// Start starts a front end of a member with the fleet's part of its settings, and returns once it listens.
+	// Start starts a front end process of a member with the fleet part of its settings, and returns once the process
+	// listens.
 	Start func(m *Member, revision, fleetSettings string) (FrontEnd, error)
 	Logf  func(format string, a ...any)
 }
 
-// Cluster is front end processes, each with a supervisor that starts it again, as an installation's service manager
-// does.
+// Cluster is a set of front end processes, each with a supervisor that restarts it as the service manager of an
+// installation does.
 type Cluster struct {
 	Members []*Member
-	Client  *fleet.Client // for operators' commands; it goes over no relay
+	Client  *fleet.Client // for operator commands; its connections pass no relay
 
 	options         Options
 	stopSupervisors context.CancelFunc
 	supervisors     sync.WaitGroup
 }
 
-// New lays a cluster out and starts nothing.
+// New returns a cluster with addresses, relays and settings for its members. It starts no front end.
 func New(o Options) (*Cluster, error) {
 	c := &Cluster{options: o}
 	key := newKey()
@@ -113,7 +114,7 @@
 	return addresses
 }
 
-// Start starts all members on a revision and waits until they listen.
+// Start starts all members on a revision and waits until they listen. It returns the first error of a start.
 func (c *Cluster) Start(ctx context.Context, revision string) error {
 	ctx, c.stopSupervisors = context.WithCancel(ctx)
 	started := make(chan error, len(c.Members))
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// Stop ends all processes as the platform does, and returns once they have ended.
+// Stop sends SIGTERM to all processes, as the platform does, and returns once they have ended.
 func (c *Cluster) Stop() {
 	c.stopSupervisors()
 	for _, m := range c.Members {
@@ -144,21 +145,21 @@
 	c.supervisors.Wait()
 }
 
-// newKey returns a fleet key that keeps the clusters of this machine apart.
+// newKey returns a fleet key that no other cluster on this machine has.
 func newKey() string { return fmt.Sprintf("%032x", time.Now().UnixNano()) }
 
-// clusters counts the clusters of this process.
+// clusters is the number of loopback nets that this process has tried to reserve.
 var clusters atomic.Int32
 
-// reservedPorts are the ports that mark the loopback nets of this process.
+// reservedPorts holds the open listeners that mark the loopback nets of this process as in use.
 var (
 	reservedMu    sync.Mutex
 	reservedPorts []net.Listener
 )
 
-// ReserveLoopbackNet returns the first three numbers of 253 addresses (.1 to .253) that no other cluster on this
-// machine uses: two clusters at the same ones would take each other's ports. The net is free where a port of .254 is,
-// which this process holds until it ends.
+// ReserveLoopbackNet returns the first three numbers of 253 loopback addresses (.1 to .253) that no other cluster on
+// this machine uses, since two clusters on the same addresses would compete for ports. A net is in use while a process
+// listens on port 7000 of its address .254; this process listens there until it ends.
 func ReserveLoopbackNet() (string, error) {
 	const attempts, nets, first = 100, 200, 20
 	for range attempts {
@@ -171,5 +172,5 @@
 			return loopbackNet, nil
 		}
 	}
-	return "", errors.New("cluster: no loopback addresses are free")
+	return "", errors.New("cluster: all loopback nets that were tried are in use")
 }
--- a/internal/faulttest/cluster/doc.go
+++ b/internal/faulttest/cluster/doc.go
@@ -1,7 +1,8 @@
-// Package cluster runs many front end processes on one machine. Whatever goes between them passes relays that cut,
-// delay, drop, duplicate and reset. It sees processes and sockets only; everything is on loopback addresses.
+// Package cluster runs many front end processes on one machine, on loopback addresses. All traffic between the
+// processes passes relays that can cut, delay, drop, duplicate and reset it. The package observes processes and sockets
+// only.
 //
-// cluster.go lays a cluster out, settings.go has the settings of each process, member.go starts and stops processes
-// as a service manager does, observation.go tells what happened to them, link.go and relay.go carry what goes between
-// them.
+// cluster.go assigns addresses and roles to the members, settings.go has the settings of each process, member.go starts
+// and stops processes as a service manager does, observation.go records starts, ends and pauses of processes, and
+// link.go and relay.go carry the traffic between processes.
 package cluster
--- a/internal/faulttest/cluster/link.go
+++ b/internal/faulttest/cluster/link.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// LinkFault is what a link does to what goes over it. The zero value is a good link.
+// LinkFault describes how a link disturbs its traffic. The zero value is an undisturbed link.
 type LinkFault struct {
-	Cut       bool          // nothing goes this way; what was sent waits
-	Delay     time.Duration // added to each message
+	Cut       bool          // streams wait until the cut ends; datagrams are lost
+	Delay     time.Duration // added to each datagram and each piece of a stream
 	Drop      float64       // share of datagrams that are lost
 	Duplicate float64       // share of datagrams that are sent twice
 }
 
-// Link is one way from one process to another. Its methods are safe for concurrent use.
+// Link is one direction of the traffic between two processes. Its methods are safe for concurrent use.
 type Link struct {
 	From, To string
 
 	mu      sync.Mutex
 	fault   LinkFault
-	changed chan struct{} // closed and replaced at each change of the fault
+	changed chan struct{} // closed and replaced by each change of the fault
 	rng     *rand.Rand
-	conns   map[net.Conn]bool
+	conns   map[net.Conn]bool // accepted by relays
 }
 
-// linkStream is the stream of random numbers that links draw from, of their seed.
+// linkStream selects the stream of the pseudo-random generator that links use with their seed.
 const linkStream = 0x6c696e6b
 
 func newLink(from, to string, seed uint64) *Link {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Set replaces the link's fault; the zero value ends it.
+// Set replaces the fault of the link; the zero value ends the fault.
 func (l *Link) Set(f LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Reset resets all connections that go over the link.
+// Reset resets all connections that were dialled over the link.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// await waits until the link is not cut, and then its delay; false once closed is closed.
+// await waits while the link is cut, and then for the link's delay. It returns false if closed is closed during a cut.
 func (l *Link) await(closed <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
@@ -98,22 +98,22 @@
 	l.mu.Unlock()
 }
 
-// resetOnClose lets a connection end with a reset.
+// resetOnClose makes Close reset a TCP connection.
 func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// Network is all links between processes. Its methods but Traffic are for one goroutine.
+// Network is the set of links between processes. Its methods, except for Traffic, must be called from one goroutine.
 type Network struct {
-	links   map[[2]string]*Link // by the names of both ends
+	links   map[[2]string]*Link // by the names of the processes at the ends: from, to
 	relays  []*relay
 	seed    uint64
 	traffic traffic
 }
 
-// traffic is what has gone over all links.
+// traffic counts the bytes and messages that have passed all links.
 type traffic struct{ bytes, messages atomic.Int64 }
 
 func (t *traffic) add(n int) {
@@ -124,20 +124,20 @@
 // NewNetwork returns a network without links.
 func NewNetwork(seed uint64) *Network { return &Network{links: map[[2]string]*Link{}, seed: seed} }
 
-// Close ends all relays.
+// Close stops all relays.
 func (n *Network) Close() {
 	for _, r := range n.relays {
 		r.close()
 	}
 }
 
-// Traffic is how many bytes have gone over all links so far, and in how many datagrams and pieces of streams. It may be
-// called from any goroutine.
+// Traffic returns how many bytes have passed all links so far, and in how many messages: datagrams and pieces of
+// streams. It may be called from any goroutine.
 func (n *Network) Traffic() (bytes, messages int64) {
 	return n.traffic.bytes.Load(), n.traffic.messages.Load()
 }
 
-// Link is the way from one process to another.
+// Link returns the link from one process to another, and creates the link on first use.
 func (n *Network) Link(from, to string) *Link {
 	ends := [2]string{from, to}
 	if n.links[ends] == nil {
@@ -146,7 +146,8 @@
 	return n.links[ends]
 }
 
-// Route returns the address that a process dials for a target of another.
+// Route starts a relay from one process to an address of another, the target, and returns the address that the first
+// process dials instead of the target.
 func (n *Network) Route(from, to, target string, protocols Protocols) (string, error) {
 	r, err := newRelay(target, n.Link(from, to), n.Link(to, from), protocols, &n.traffic)
 	if err != nil {
@@ -156,10 +157,10 @@
 	return r.addr, nil
 }
 
-// Each calls f for the links that are chosen by the names of their ends.
-func (n *Network) Each(chosen func(from, to string) bool, f func(*Link)) {
+// Each calls f for the links that are selected by the names of the processes at their ends.
+func (n *Network) Each(selected func(from, to string) bool, f func(*Link)) {
 	for ends, l := range n.links {
-		if chosen(ends[0], ends[1]) {
+		if selected(ends[0], ends[1]) {
 			f(l)
 		}
 	}
--- a/internal/faulttest/cluster/member.go
+++ b/internal/faulttest/cluster/member.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// restartDelay is how long after its end a process is started again.
+	// restartDelay is the time from the end of a process to its restart.
 	restartDelay = 200 * time.Millisecond
-	// startRetryDelay is how long after a failed start.
+	// startRetryDelay is the time from a failed start to the next attempt.
 	startRetryDelay = 300 * time.Millisecond
-	// statusRetryDelay is how long after a failed request to the control replicas.
+	// statusRetryDelay is the time from a failed status request to the control replicas to the next attempt.
 	statusRetryDelay = 200 * time.Millisecond
 	statusAttempts   = 10
 )
 
-// exitDrained is the exit code of a front end that is not to be started before it is undrained.
+// exitDrained is the exit code of a drained front end, which must not be restarted before it is undrained.
 const exitDrained = 76
 
-// Member is one member of a cluster, through all its processes.
+// Member is one member of a cluster, which runs one process after another.
 type Member struct {
 	Name           string
 	Zone           string
-	Addr           string // where its clients connect
+	Addr           string // address for clients
 	ControlReplica bool
 	Number         int
 
 	cluster       *Cluster
-	host          string // its own loopback address
-	settings      string // with revisionPlaceholder
-	dir           string // of the control log
-	diskFaultFile string // names a fault of its disk
+	host          string // loopback address
+	settings      string // fleet settings as JSON, with revisionPlaceholder
+	dir           string // directory of the control log
+	diskFaultFile string // file that names the disk fault in force
 
 	mu           sync.Mutex
-	frontEnd     FrontEnd // nil: none runs
-	lastRevision string   // starts where no control replica answers
+	frontEnd     FrontEnd // nil while no process runs
+	lastRevision string   // used for a start if no control replica answers
 	processes    []Process
-	pauses       []period // of SIGSTOP; the last one's end is zero while it holds
-	held         bool     // nothing starts it
-	stopping     bool
+	pauses       []period // from SIGSTOP to SIGCONT; the end of the last is zero while the process is stopped
+	held         bool     // the supervisor must not start a process
+	stopping     bool     // the cluster is being stopped
 }
 
 type period struct{ from, to time.Time }
 
-// supervise starts the member again whenever it has ended, on the revision that the control log names, until ctx ends.
-// It sends the result of the first start.
+// supervise starts a process of the member, and another whenever a process has ended, until ctx ends. The control log
+// names the revision to start on. The result of the first start is sent to started.
 func (m *Member) supervise(ctx context.Context, started chan<- error) {
 	first := true
 	for ctx.Err() == nil {
@@ -60,19 +60,19 @@
 		if !ok {
 			continue
 		}
-		frontEnd, number, err := m.start(revision)
+		frontEnd, index, err := m.start(revision)
 		if first {
 			started <- err
 			first = false
 		}
 		if err != nil {
-			m.cluster.options.Logf("%s does not start on %s: %v", m.Name, revision, err)
-			m.ended(number, 1, "")
+			m.cluster.options.Logf("%s failed to start on revision %s: %v", m.Name, revision, err)
+			m.ended(index, 1, "")
 			sleep(ctx, startRetryDelay)
 			continue
 		}
 		code := frontEnd.Wait()
-		m.ended(number, code, frontEnd.BrokenInvariant())
+		m.ended(index, code, frontEnd.BrokenInvariant())
 		sleep(ctx, restartDelay)
 	}
 	if first {
@@ -80,8 +80,8 @@
 	}
 }
 
-// start starts a process, and returns it with its number among the member's processes.
-func (m *Member) start(revision string) (frontEnd FrontEnd, number int, err error) {
+// start starts a process, and returns the process and its index in processes.
+func (m *Member) start(revision string) (frontEnd FrontEnd, index int, err error) {
 	p := Process{Member: m.Name, Revision: revision, StartedAt: time.Now()}
 	frontEnd, err = m.cluster.options.Start(m, revision, strings.ReplaceAll(m.settings, revisionPlaceholder, revision))
 	if err == nil {
@@ -97,17 +97,18 @@
 	return frontEnd, len(m.processes) - 1, err
 }
 
-// ended records the end of a process.
-func (m *Member) ended(number, code int, brokenInvariant string) {
+// ended records the end of the process with an index.
+func (m *Member) ended(index, code int, brokenInvariant string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := &m.processes[number]
+	p := &m.processes[index]
 	m.frontEnd = nil
 	p.EndedAt, p.ExitCode, p.BrokenInvariant = time.Now(), code, brokenInvariant
 }
 
-// targetRevision asks the control replicas on which revision to start; false where nothing is to start for now. Where
-// none answers, the last revision holds: an installation without a quorum serves on.
+// targetRevision returns the revision to start on, from the control replicas. It returns false if no process may be
+// started for now. If no control replica answers, the last revision is used, because an installation without a quorum
+// continues to serve.
 func (m *Member) targetRevision(ctx context.Context) (string, bool) {
 	m.mu.Lock()
 	lastRevision, held, code, first := m.lastRevision, m.held, 0, len(m.processes) == 0
@@ -136,7 +137,7 @@
 	return lastRevision, ctx.Err() == nil
 }
 
-// drained tells whether a permit for a drain of the member holds.
+// drained reports whether the member has a permit for a drain that was not cancelled.
 func (m *Member) drained(state *rollout.State) bool {
 	for _, p := range state.Permits {
 		if p.Subject == m.Name && !p.Engine && p.Purpose == rollout.Drain && !p.Cancelled {
@@ -146,7 +147,7 @@
 	return false
 }
 
-// Pid is the id of its process; 0 where there is none.
+// Pid returns the id of the member's process, or 0 if none runs.
 func (m *Member) Pid() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,7 +157,7 @@
 	return m.frontEnd.Pid()
 }
 
-// Signal sends a signal to its process; false where there is none.
+// Signal sends a signal to the member's process, and reports whether the signal was sent.
 func (m *Member) Signal(signal syscall.Signal) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -172,12 +173,12 @@
 		if n := len(m.pauses); n > 0 && m.pauses[n-1].to.IsZero() {
 			m.pauses[n-1].to = time.Now()
 		}
-	default: // leaves no trace that tests ask for
+	default: // checks need no record of other signals
 	}
 	return syscall.Kill(m.frontEnd.Pid(), signal) == nil
 }
 
-// LoseDisk kills the process and removes its control log before anything starts it again.
+// LoseDisk kills the process and removes its control log before the supervisor restarts the member.
 func (m *Member) LoseDisk() error {
 	m.mu.Lock()
 	m.held = true
@@ -193,17 +194,18 @@
 	return err
 }
 
-// FailDisk lets the member's writes of the control log fail from now on: "full", "sync" or "slow"; "" ends that.
-func (m *Member) FailDisk(how string) error {
-	if how == "" {
+// FailDisk injects a fault into the member's writes to the control log: "full", "sync" or "slow". "" ends the fault.
+func (m *Member) FailDisk(kind string) error {
+	if kind == "" {
 		return os.Remove(m.diskFaultFile)
 	}
-	return os.WriteFile(m.diskFaultFile, []byte(how), 0o600)
+	return os.WriteFile(m.diskFaultFile, []byte(kind), 0o600)
 }
 
-// Disk is the directory of the member's control log.
+// Disk returns the directory of the member's control log.
 func (m *Member) Disk() string { return m.dir }
 
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -213,7 +215,7 @@
 	}
 }
 
-// ExitCode is that of a command that has ended with err; -1 where a signal ended it.
+// ExitCode returns the exit code of a command whose Wait returned err; -1 if a signal ended the command.
 func ExitCode(err error) int {
 	var exit *exec.ExitError
 	switch {
--- a/internal/faulttest/cluster/observation.go
+++ b/internal/faulttest/cluster/observation.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Process is one start of a front end, as the cluster has seen it. A time is zero where it has not come.
+// Process is one front end process, as the cluster has observed it. The time of an event that has not occurred is zero.
 type Process struct {
 	Member, Revision string
 	StartedAt        time.Time
 	ListeningAt      time.Time
-	DrainingAt       time.Time // it has logged that it accepts no more requests
-	ByGrant          bool      // ... as the fleet had granted
+	DrainingAt       time.Time // when the process logged that it accepts no more requests
+	ByGrant          bool      // the process stopped accepting requests under a grant of the fleet
 	EndedAt          time.Time
-	ExitCode         int    // -1: ended by a signal
-	Killed           bool   // by the cluster
-	BrokenInvariant  string // that it has counted; empty for none
+	ExitCode         int    // -1 if a signal ended the process
+	Killed           bool   // with SIGKILL, by the cluster
+	BrokenInvariant  string // counted by the process; empty if there is none
 }
 
-// drainNoticeDelay is after how long a load balancer knows that a front end accepts no more requests.
+// drainNoticeDelay is the time that a load balancer needs to notice that a front end accepts no more requests.
 const drainNoticeDelay = 250 * time.Millisecond
 
-// Processes lists the starts of the member so far.
+// Processes returns the member's processes so far, in the order of their starts.
 func (m *Member) Processes() []Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.processes)
 }
 
-// MarkDraining records that the process that runs accepts no more requests, and whether the fleet had granted that.
+// MarkDraining records that the running process accepts no more requests, and whether the fleet had granted its
+// shutdown.
 func (m *Member) MarkDraining(at time.Time, byGrant bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -37,8 +38,9 @@
 	}
 }
 
-// Unavailable tells whether the member was unavailable at a time, and since when: no process, one that did not listen
-// yet or accepted no more requests, or one that was stopped. byGrant tells that the fleet had granted it.
+// Unavailable reports whether the member was unavailable at a time, and since when. A member is unavailable if it has
+// no process, or if its process does not listen yet, accepts no more requests or is stopped by SIGSTOP. byGrant reports
+// whether the fleet had granted the shutdown.
 func (m *Member) Unavailable(at time.Time) (unavailable, byGrant bool, since time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,7 +52,7 @@
 	unavailable = true
 	for _, p := range m.processes {
 		if p.ListeningAt.IsZero() || p.ListeningAt.After(at) {
-			continue // the state before holds on
+			continue // not listening at that time: the process before decides
 		}
 		unavailable, byGrant = false, false
 		if !p.DrainingAt.IsZero() && !p.DrainingAt.After(at) {
@@ -62,15 +64,15 @@
 	return unavailable, byGrant, since
 }
 
-// Listening tells whether its process listens and is not stopped.
+// Listening reports whether the member's process listens and is not stopped by SIGSTOP.
 func (m *Member) Listening() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.frontEnd != nil && (len(m.pauses) == 0 || !m.pauses[len(m.pauses)-1].to.IsZero())
 }
 
-// AcceptsRequests tells whether a load balancer sends requests to the member: it listens, and has not been draining for
-// drainNoticeDelay.
+// AcceptsRequests reports whether a load balancer sends requests to the member: the member listens, and has not been
+// draining for drainNoticeDelay.
 func (m *Member) AcceptsRequests() bool {
 	m.mu.Lock()
 	drainingAt := time.Time{}
@@ -81,7 +83,8 @@
 	return m.Listening() && (drainingAt.IsZero() || time.Since(drainingAt) < drainNoticeDelay)
 }
 
-// Disturbed tells whether the member was killed, stopped or down at any time between.
+// Disturbed reports whether the member was stopped by SIGSTOP at any time between from and to, or one of its processes
+// was killed and either ended between them or has not ended yet.
 func (m *Member) Disturbed(from, to time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/faulttest/cluster/relay.go
+++ b/internal/faulttest/cluster/relay.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Protocols are those that a relay carries.
+// Protocols is a set of protocols that a relay carries.
 type Protocols int
 
 // The sets of protocols.
@@ -26,20 +26,20 @@
 	streamDirections = 2
 )
 
-// relay carries what is sent to an address of its own to another.
+// relay listens on an address of its own, and forwards connections and datagrams to a target address.
 type relay struct {
 	addr     string
 	target   string
-	forward  *Link // of what is sent to the target
-	backward *Link // of the answers on TCP
+	forward  *Link // carries datagrams and streams to the target
+	backward *Link // carries streams from the target
 	tcp      net.Listener
-	udp      net.PacketConn // nil: TCP only
+	udp      net.PacketConn // nil if the relay carries TCP only
 	closed   chan struct{}
 	traffic  *traffic
 }
 
-// newRelay starts a relay; close ends it.
-func newRelay(target string, forward, backward *Link, protocols Protocols, sum *traffic) (*relay, error) {
+// newRelay starts a relay, which counts its traffic in counters. The caller must close the relay.
+func newRelay(target string, forward, backward *Link, protocols Protocols, counters *traffic) (*relay, error) {
 	for range portAttempts {
 		l, err := net.Listen("tcp", anyLoopbackPort)
 		if err != nil {
@@ -52,7 +52,7 @@
 			backward: backward,
 			tcp:      l,
 			closed:   make(chan struct{}),
-			traffic:  sum,
+			traffic:  counters,
 		}
 		if protocols == TCPAndUDP {
 			if r.udp, err = net.ListenPacket("udp", r.addr); err != nil {
@@ -64,7 +64,7 @@
 		go r.serve()
 		return r, nil
 	}
-	return nil, errors.New("cluster: no port is free for TCP and UDP")
+	return nil, errors.New("cluster: all ports that were tried for TCP are in use for UDP")
 }
 
 func (r *relay) close() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// forwardConnection joins a connection to one of the target's. While the way there is cut it is open and silent, as a
-// connection into a cut is.
+// forwardConnection dials the target and copies data both ways until one side ends. While the forward link is cut, the
+// accepted connection stays open without data, like a connection across a network partition.
 func (r *relay) forwardConnection(c net.Conn) {
 	defer c.Close()
 	r.forward.add(c)
@@ -96,7 +96,7 @@
 	}
 	target, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
-		resetOnClose(c) // refused there, so reset here
+		resetOnClose(c) // the target can't be reached: reset the accepted connection
 		return
 	}
 	defer target.Close()
@@ -109,6 +109,7 @@
 	}
 }
 
+// copy copies one direction of a connection over a link.
 func (r *relay) copy(to, from net.Conn, l *Link) {
 	buffer := make([]byte, streamBuffer)
 	for {
@@ -128,8 +129,8 @@
 	}
 }
 
-// forwardDatagrams carries what comes one way: memberlist sends its answers to addresses that it knows, not to where a
-// datagram came from.
+// forwardDatagrams forwards datagrams to the target, and none back: memberlist sends answers to the known address of a
+// member, not to the source address of a datagram.
 func (r *relay) forwardDatagrams() {
 	target, err := net.Dial("udp", r.target)
 	if err != nil {
--- a/internal/faulttest/cluster/relay_test.go
+++ b/internal/faulttest/cluster/relay_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers all that it gets on TCP, and hands datagrams on.
-func echo(t *testing.T) (addr string, datagrams chan string) {
+// startEcho starts a server that echoes TCP streams and passes on the datagrams that it receives.
+func startEcho(t *testing.T) (addr string, datagrams chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -34,8 +34,8 @@
 	return l.Addr().String(), datagrams
 }
 
-// datagramCounter returns a function that sends datagrams over the link from a to b with a fault, and counts those that
-// arrive.
+// datagramCounter returns a function that sends datagrams to addr while the link from a to b has a fault, and returns
+// the number of datagrams that arrive.
 func datagramCounter(t *testing.T, n *Network, addr string, datagrams <-chan string) func(LinkFault, int) int {
 	t.Helper()
 	u, err := net.Dial("udp", addr)
@@ -47,20 +47,20 @@
 			_, _ = u.Write([]byte("d"))
 			time.Sleep(time.Millisecond)
 		}
-		got := 0
+		arrived := 0
 		for {
 			select {
 			case <-datagrams:
-				got++
+				arrived++
 			case <-time.After(100 * time.Millisecond):
-				return got
+				return arrived
 			}
 		}
 	}
 }
 
-func TestRelayDoesWhatItIsTold(t *testing.T) {
-	target, datagrams := echo(t)
+func TestRelayAppliesLinkFaults(t *testing.T) {
+	target, datagrams := startEcho(t)
 	n := NewNetwork(1)
 	defer n.Close()
 	addr, err := n.Route("a", "b", target, TCPAndUDP)
@@ -69,8 +69,8 @@
 	require.NoError(t, err)
 	defer c.Close()
 	b := make([]byte, 10)
-	says := func(within time.Duration) string {
-		_ = c.SetDeadline(time.Now().Add(within))
+	exchange := func(timeout time.Duration) string {
+		_ = c.SetDeadline(time.Now().Add(timeout))
 		if _, err := c.Write([]byte("x")); err != nil {
 			return err.Error()
 		}
@@ -80,18 +80,18 @@
 		}
 		return string(b[:k])
 	}
-	assert.Equal(t, "x", says(time.Second))
+	assert.Equal(t, "x", exchange(time.Second))
 
-	n.Link("b", "a").Set(LinkFault{Cut: true}) // one way: it arrives, and the answer does not
-	assert.Equal(t, "nothing", says(100*time.Millisecond))
+	n.Link("b", "a").Set(LinkFault{Cut: true}) // the target receives the byte, and its answer waits
+	assert.Equal(t, "nothing", exchange(100*time.Millisecond))
 	n.Link("b", "a").Set(LinkFault{})
 	_ = c.SetDeadline(time.Now().Add(time.Second))
 	_, err = c.Read(b)
-	require.NoError(t, err, "what waited comes once the link is well")
+	require.NoError(t, err, "the answer arrives once the cut has ended")
 
 	began := time.Now()
 	n.Link("a", "b").Set(LinkFault{Delay: 80 * time.Millisecond})
-	assert.Equal(t, "x", says(time.Second))
+	assert.Equal(t, "x", exchange(time.Second))
 	assert.GreaterOrEqual(t, time.Since(began), 80*time.Millisecond)
 	n.Link("a", "b").Set(LinkFault{})
 
--- a/internal/faulttest/cluster/settings.go
+++ b/internal/faulttest/cluster/settings.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// clockSkewSteps and clockSkewStepMillis set the clocks of members apart, in turn.
+	// The clock of a member is ahead by clockSkewStepMillis times its number modulo clockSkewSteps.
 	clockSkewSteps      = 3
 	clockSkewStepMillis = 100
 
-	// memberWeight is what each member is said to carry, in requests a second.
+	// memberWeight is the weight in the settings of each member, in requests a second.
 	memberWeight = 100
 
-	// revisionPlaceholder stands for the revision of a process in a member's settings.
+	// revisionPlaceholder is replaced with the revision of a process in the settings of its member.
 	revisionPlaceholder = "%REVISION%"
 )
 
-// fleetSettings is the fleet's part of a front end's settings, in the keys of the operators' file.
+// fleetSettings is the fleet part of a front end's settings, with the keys of the operators' settings file.
 type fleetSettings struct {
 	Gossip     string           `json:"gossip"`
 	Zone       string           `json:"room"`
@@ -40,7 +40,8 @@
 	Gossip string `json:"gossip"`
 }
 
-// settingsOf returns the settings of a member as JSON. All that it dials goes over relays of its own.
+// settingsOf returns the fleet settings of a member as JSON. The member dials all other members through relays of its
+// own.
 func (c *Cluster) settingsOf(m *Member, replicas []fleet.ReplicaAddress, keyFile string) (string, error) {
 	routes, err := c.routesOf(m, replicas)
 	if err != nil {
@@ -66,14 +67,14 @@
 	return string(text), err
 }
 
-// routesOf makes the relays of a member, and returns where it dials each address.
+// routesOf starts the relays of a member, and returns its routes in the form address=relay address.
 func (c *Cluster) routesOf(m *Member, replicas []fleet.ReplicaAddress) (routes []string, err error) {
 	add := func(to, address string, protocols Protocols) error {
 		if to == m.Name {
 			return nil
 		}
-		at, err := c.options.Network.Route(m.Name, to, address, protocols)
-		routes = append(routes, address+"="+at)
+		relayAddress, err := c.options.Network.Route(m.Name, to, address, protocols)
+		routes = append(routes, address+"="+relayAddress)
 		return err
 	}
 	for _, other := range c.Members {
