--- a/internal/faulttest/catalogue.go
+++ b/internal/faulttest/catalogue.go
@@ -16,10 +16,10 @@
 	"beechcart/internal/fake/engine"
 )
 
-// Catalogue injects faults into a Consul that one front end takes its engines from.
+// Catalogue injects faults into the Consul catalogue that one front end reads its engines from, and into the engines.
 var Catalogue = Scenario{
 	Name:     catalogueName,
-	Short:    "A Consul catalogue that is slow, wrong, flapping or gone, with engines that drain, die and move",
+	Short:    "One front end on a Consul catalogue that is slow, wrong or down, with engines that drain, fail and move",
 	Faults:   catalogueFaultNames(),
 	Policies: []string{policyNaive},
 	Run:      runCatalogue,
@@ -27,26 +27,26 @@
 
 const catalogueName = "catalogue"
 
-// policyNaive obeys every answer of the catalogue.
+// policyNaive is the policy of naiveSource: every response of the catalogue is obeyed unchanged.
 const policyNaive = "naive"
 
-// Streams of the pseudo-random generator of a seed.
+// Streams of the pseudo-random generator, for a seed.
 const (
 	streamCatalogueLoad   = 2
-	streamCatalogueFaults = 10 // and those that follow, one for each injector
+	streamCatalogueFaults = 10 // the first of one stream for each injector
 )
 
 const (
-	// sameListGap is how far apart the log lines of one list are at most. They come one by one: no engine between two of
-	// them is no instant without engines.
+	// sameListGap is the longest time between the log lines of one list. A front end logs the engines of a list one after
+	// the other, so a list without a ready engine counts only if it lasts longer.
 	sameListGap = 3 * time.Millisecond
-	// lowService is the share of the service below which a second is logged.
+	// lowService is the service share below which a second of the run is logged.
 	lowService = 0.9
-	// maxPropagation is the longest time that the histogram of changes holds.
+	// maxPropagation is the upper limit of the histogram of propagation times.
 	maxPropagation = time.Minute
 )
 
-// catalogueRun is one run of the scenario: the catalogue, its engines, and what was observed.
+// catalogueRun is one run of the scenario, with the catalogue, its engines and the observations of the run.
 type catalogueRun struct {
 	options Options
 	consul  *consul.Server
@@ -55,11 +55,11 @@
 	mu          sync.Mutex
 	engines     []*testEngine
 	killed      []*engine.Engine
-	writtenAt   map[string]time.Time    // of changes that the front end has not logged yet, by engine
-	propagation *hdrhistogram.Histogram // from a change in the catalogue to the front end's log, in microseconds
-	ready       map[string]bool         // by engine, as the front end has logged
-	outages     []Violation             // instants without an engine that is ready
-	changes     int                     // that the front end has logged
+	writtenAt   map[string]time.Time    // time of the last change that the front end has not logged yet, by engine
+	propagation *hdrhistogram.Histogram // time from a change in the catalogue to the front end's log, in microseconds
+	ready       map[string]bool         // by engine, according to the front end's log
+	outages     []Violation             // times without an engine that is ready
+	changes     int                     // number of list changes that the front end has logged
 }
 
 // startCatalogue starts a catalogue with engines. The caller must close the run, also after an error.
@@ -86,7 +86,7 @@
 	return r, nil
 }
 
-// close ends the engines and the catalogue.
+// close stops the engines and the catalogue.
 func (r *catalogueRun) close() {
 	for _, e := range r.engines {
 		e.fake.Kill()
@@ -96,8 +96,8 @@
 	}
 }
 
-// recordDrains records which drains an answer of the catalogue commands. A stale answer may name a drain that was
-// cancelled, which is no command.
+// recordDrains records the drains that a response of the catalogue commands. A drain in a stale response that has been
+// cancelled is not a command.
 func (r *catalogueRun) recordDrains(_ string, list []consul.Instance) {
 	now := time.Now()
 	r.mu.Lock()
@@ -115,7 +115,8 @@
 
 func isMaintenance(c consul.Check) bool { return strings.HasPrefix(c.CheckID, "_service_maintenance:") }
 
-// followLog reads what the front end logs of its list: instants without engines, and how soon changes arrive.
+// followLog reads one line of the front end's log. From the states of the listed engines it records the times without a
+// ready engine and the propagation times of changes.
 func (r *catalogueRun) followLog(line string) {
 	listed, ok := ParseEngineListed(line)
 	if !ok {
@@ -136,11 +137,11 @@
 		}
 	}
 	if readyBefore > 0 && r.readyCount() == 0 {
-		r.outages = append(r.outages, Violation{NoEngine, listed.At, "", "the front end has no engine left"})
+		r.outages = append(r.outages, Violation{NoEngine, listed.At, "", "the front end lists no engine as ready"})
 	}
 }
 
-// readyCount counts the engines that are ready. The caller must hold mu.
+// readyCount returns the number of ready engines. The caller must hold mu.
 func (r *catalogueRun) readyCount() (n int) {
 	for _, ready := range r.ready {
 		if ready {
@@ -150,7 +151,8 @@
 	return n
 }
 
-// waitListed waits until the front end has listed so many engines as ready; false where it does not.
+// waitListed waits until the front end lists n engines as ready. It returns false if that takes longer than 5 s or ctx
+// ends.
 func (r *catalogueRun) waitListed(ctx context.Context, n int) bool {
 	const attempts, interval = 1000, 5 * time.Millisecond
 	for range attempts {
@@ -197,7 +199,8 @@
 		return nil, err
 	}
 	if !r.waitListed(ctx, o.Engines) {
-		return nil, fmt.Errorf("faulttest: the front end has not taken the list: %w\n%s", f.Stop(), f.Log())
+		return nil, fmt.Errorf("faulttest: the front end did not list all engines as ready in time: %w\n%s",
+			f.Stop(), f.Log())
 	}
 	return r.play(ctx, f)
 }
@@ -228,49 +231,49 @@
 	return r.report(catalogueObservations{requests, load.unexpected, began, cpuSeconds, stopErr}), nil
 }
 
-// catalogueObservations are what a run has seen from its end.
+// catalogueObservations are the observations that are complete at the end of a run.
 type catalogueObservations struct {
 	requests   []Request
-	unexpected []string // answers that nobody asked for
+	unexpected []string // descriptions of answers without a request
 	began      time.Time
 	cpuSeconds float64 // of the front end
-	stopErr    error   // how the front end ended
+	stopErr    error   // result of the stop of the front end
 }
 
 // report checks the rules and returns the result.
-func (r *catalogueRun) report(seen catalogueObservations) *Report {
+func (r *catalogueRun) report(observed catalogueObservations) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	executions := r.executions()
 	drains := func(string) *Drains { return &r.drains }
-	violations := append(Check(Classes, seen.requests, executions, drains, seen.unexpected), r.outages...)
-	if seen.stopErr != nil {
-		violations = append(violations, Violation{Crashes, time.Now(), "", seen.stopErr.Error()})
+	violations := append(Check(Classes, observed.requests, executions, drains, observed.unexpected), r.outages...)
+	if observed.stopErr != nil {
+		violations = append(violations, Violation{Crashes, time.Now(), "", observed.stopErr.Error()})
 	}
 	sortByTime(violations)
-	ended := seen.began.Add(time.Duration(r.options.Seconds) * time.Second)
-	for at := seen.began; at.Before(ended); at = at.Add(time.Second) {
-		if share := ServiceShare(Classes, seen.requests, at, at.Add(time.Second)); share < lowService {
-			r.options.logf("service %.2f in the second from %s", share, at.Format("15:04:05.000"))
+	ended := observed.began.Add(time.Duration(r.options.Seconds) * time.Second)
+	for at := observed.began; at.Before(ended); at = at.Add(time.Second) {
+		if share := ServiceShare(Classes, observed.requests, at, at.Add(time.Second)); share < lowService {
+			r.options.logf("service share %.2f in the second from %s", share, at.Format("15:04:05.000"))
 		}
 	}
-	latencies := Latencies(seen.requests, 0)
+	latencies := Latencies(observed.requests, 0)
 	measurements := map[string]float64{
-		"requests":        float64(len(seen.requests)),
+		"requests":        float64(len(observed.requests)),
 		"executions":      float64(len(executions)),
-		"service":         ServiceShare(Classes, seen.requests, seen.began, ended),
+		"service":         ServiceShare(Classes, observed.requests, observed.began, ended),
 		"lookup_p50_ms":   quantileMillis(latencies, 50),
 		"lookup_p99_ms":   quantileMillis(latencies, 99),
 		"list_changes":    float64(r.changes),
 		"catalogue_reads": float64(r.consul.Reads()),
-		"cpu_s":           seen.cpuSeconds,
+		"cpu_s":           observed.cpuSeconds,
 	}
 	if r.propagation.TotalCount() > 0 {
 		measurements["told_p50_ms"] = quantileMillis(r.propagation, 50)
 		measurements["told_p99_ms"] = quantileMillis(r.propagation, 99)
 		measurements["told_count"] = float64(r.propagation.TotalCount())
 	}
-	countOutcomes(measurements, seen.requests)
+	countOutcomes(measurements, observed.requests)
 	return newReport(catalogueName, r.options.Seed, violations, measurements)
 }
 
--- a/internal/faulttest/catalogue_engines.go
+++ b/internal/faulttest/catalogue_engines.go
@@ -12,7 +12,7 @@
 // serviceName is the name that the engines are registered under.
 const serviceName = "engine"
 
-// The limits of each fake engine.
+// The capacity of each fake engine.
 const (
 	engineCores      = 4
 	engineMaxQueries = 64
@@ -24,21 +24,22 @@
 	"load":   {Work: 300 * time.Millisecond, Threads: 2},
 }
 
-// testEngine is one engine in the catalogue, through all its processes. The catalogueRun's mu guards what follows fake.
+// testEngine is one engine in the catalogue, which runs one process after another. The mutex of catalogueRun guards the
+// fields after fake.
 type testEngine struct {
 	name    string
-	process int // number of the process
+	process int // number of the current process, from 1
 	fake    *engine.Engine
 
-	claimed  bool // by a fault
-	failing  bool // its check in the catalogue
-	draining bool
+	claimed  bool // by a fault injector
+	failing  bool // its check in the catalogue is critical
+	draining bool // under maintenance in the catalogue
 }
 
-// node is the catalogue's node of the engine.
+// node returns the name of the engine's node in the catalogue.
 func (e *testEngine) node() string { return "n-" + e.name }
 
-// check is the id of the engine's check in the catalogue.
+// check returns the id of the engine's check in the catalogue.
 func (e *testEngine) check() string { return "service:" + e.name }
 
 func (r *catalogueRun) startProcess(e *testEngine) error {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// register writes an engine as it is into the catalogue.
+// register writes the current state of an engine to the catalogue.
 func (r *catalogueRun) register(e *testEngine) {
 	status := checkPassing
 	if e.failing {
@@ -75,7 +76,7 @@
 	checkCritical = "critical"
 )
 
-// setCheck records the state of an engine's check and writes it into the catalogue.
+// setCheck records the state of an engine's check and writes it to the catalogue.
 func (r *catalogueRun) setCheck(e *testEngine, status string) {
 	r.mu.Lock()
 	e.failing = status != checkPassing
@@ -84,12 +85,12 @@
 	r.writeCheck(e, status)
 }
 
-// writeCheck writes the state of an engine's check into the catalogue.
+// writeCheck writes the state of an engine's check to the catalogue.
 func (r *catalogueRun) writeCheck(e *testEngine, status string) {
 	r.consul.SetStatus(e.node(), e.check(), status, "")
 }
 
-// markWritten records that a change of an engine is written to the catalogue now.
+// markWritten records the current time as the time of a change of an engine in the catalogue.
 func (r *catalogueRun) markWritten(e *testEngine) {
 	r.mu.Lock()
 	r.writtenAt[e.name] = time.Now()
@@ -133,7 +134,7 @@
 	r.register(e)
 }
 
-// executions returns what all engine processes have run. The caller must hold mu.
+// executions returns the executions of all engine processes, with those that were killed. The caller must hold mu.
 func (r *catalogueRun) executions() (executions []engine.Execution) {
 	for _, e := range r.engines {
 		executions = append(executions, e.fake.Executions()...)
--- a/internal/faulttest/catalogue_faults.go
+++ b/internal/faulttest/catalogue_faults.go
@@ -9,22 +9,22 @@
 	"beechcart/internal/fake/consul"
 )
 
-// catalogueFault is one kind of fault of the catalogue scenario. Its injection returns once the fault has been undone.
+// catalogueFault is one kind of fault of the catalogue scenario. inject returns once the fault has ended.
 type catalogueFault struct {
 	name   string
 	target faultTarget
 	inject func(ctx context.Context, i *catalogueInjector, e *testEngine) // e is nil for a fault of the catalogue
 }
 
-// faultTarget is what a fault needs to itself.
+// faultTarget is the part of the scenario that only one fault may use at a time.
 type faultTarget int
 
 const (
 	oneEngine      faultTarget = iota
-	wholeCatalogue             // one such fault at a time
+	wholeCatalogue             // one fault of this target at a time
 )
 
-// catalogueFaults lists the faults. What a seed draws depends on their order.
+// catalogueFaults lists the faults. The faults that a seed draws depend on the order of this list.
 var catalogueFaults = []catalogueFault{
 	{"flap", oneEngine, flapCheck},
 	{"drain", oneEngine, drainForAWhile},
@@ -72,8 +72,8 @@
 	return names
 }
 
-// catalogueInjector injects faults one after the other, drawn from a stream of random numbers of its own: the script of
-// a seed does not depend on the scheduling of the injectors.
+// catalogueInjector injects faults one after the other. Each injector has its own stream of random numbers, so that the
+// faults of a seed do not depend on the scheduling of the injectors.
 type catalogueInjector struct {
 	*catalogueRun
 	rng *rand.Rand
@@ -81,14 +81,14 @@
 
 // run draws faults of a target and injects one after the other until ctx ends.
 func (i *catalogueInjector) run(ctx context.Context, target faultTarget) {
-	var chosen []catalogueFault
+	var candidates []catalogueFault
 	for _, f := range catalogueFaults {
 		if f.target == target && i.options.injects(f.name) {
-			chosen = append(chosen, f)
+			candidates = append(candidates, f)
 		}
 	}
-	for len(chosen) > 0 && sleep(ctx, i.drawDuration(200*time.Millisecond, 1500*time.Millisecond)) {
-		f := chosen[i.drawDuration(0, time.Duration(len(chosen)-1))]
+	for len(candidates) > 0 && sleep(ctx, i.drawDuration(200*time.Millisecond, 1500*time.Millisecond)) {
+		f := candidates[i.drawDuration(0, time.Duration(len(candidates)-1))]
 		if target == wholeCatalogue {
 			i.options.logf("%s", f.name)
 			f.inject(ctx, i, nil)
@@ -98,13 +98,13 @@
 		if e == nil {
 			continue
 		}
-		i.options.logf("%s of %s", f.name, e.name)
+		i.options.logf("%s, engine %s", f.name, e.name)
 		f.inject(ctx, i, e)
 		i.unclaim(e)
 	}
 }
 
-// claim picks an engine that no other fault has claimed; nil where too few would be left.
+// claim draws an engine that no other fault has claimed. It returns nil if half of the engines or more are claimed.
 func (i *catalogueInjector) claim() *testEngine {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -122,19 +122,19 @@
 	return e
 }
 
-// unclaim lets other faults claim an engine.
+// unclaim makes an engine available to other faults.
 func (i *catalogueInjector) unclaim(e *testEngine) {
 	i.mu.Lock()
 	e.claimed = false
 	i.mu.Unlock()
 }
 
-// drawDuration draws a time from low to high.
+// drawDuration draws a duration from low to high, both inclusive.
 func (i *catalogueInjector) drawDuration(low, high time.Duration) time.Duration {
 	return drawDuration(i.rng, low, high)
 }
 
-// readFault sets a fault of the catalogue's reads for a time from low to high.
+// readFault returns an injection that sets a fault of the catalogue's reads for a duration from low to high.
 func readFault(draw func(*catalogueInjector) consul.Faults, low, high time.Duration,
 ) func(context.Context, *catalogueInjector, *testEngine) {
 	return func(ctx context.Context, i *catalogueInjector, _ *testEngine) {
@@ -144,6 +144,7 @@
 	}
 }
 
+// flapCheck switches an engine's check between critical and passing.
 func flapCheck(ctx context.Context, i *catalogueInjector, e *testEngine) {
 	interval := i.drawDuration(100*time.Millisecond, 2500*time.Millisecond)
 	for end := time.Now().Add(i.drawDuration(2*time.Second, 8*time.Second)); time.Now().Before(end); {
@@ -170,7 +171,8 @@
 	i.restart(e)
 }
 
-// moveAddress deregisters an engine and registers it at another address, at times within one read of the catalogue.
+// moveAddress deregisters an engine and registers it at another address. In about half of the cases both happen without
+// a pause, so that the front end may see them in one read of the catalogue.
 func moveAddress(ctx context.Context, i *catalogueInjector, e *testEngine) {
 	i.drain(e)
 	sleep(ctx, i.drawDuration(600*time.Millisecond, 2*time.Second))
@@ -183,6 +185,7 @@
 	i.restart(e)
 }
 
+// stall pauses an engine process three times.
 func stall(ctx context.Context, i *catalogueInjector, e *testEngine) {
 	for range 3 {
 		resume := e.fake.Pause()
@@ -194,7 +197,8 @@
 	}
 }
 
-// flapAllChecks leaves all checks as they were, also where ctx ends before.
+// flapAllChecks sets all checks to critical and back, except for those that another fault has set to critical. It
+// restores the checks even if ctx ends early.
 func flapAllChecks(ctx context.Context, i *catalogueInjector, _ *testEngine) {
 	interval := i.drawDuration(200*time.Millisecond, time.Second)
 	for range 4 {
--- a/internal/faulttest/checker.go
+++ b/internal/faulttest/checker.go
@@ -10,19 +10,19 @@
 	"beechcart/internal/fake/engine"
 )
 
-// DrainGrace is how long after the command to drain an engine a send to it may still come.
+// DrainGrace is the time after the command to drain an engine in which requests may still be sent to that engine.
 const DrainGrace = 500 * time.Millisecond
 
-// Drains records when a front end was commanded to drain engines, and when that was cancelled. It is safe for
+// Drains records when a front end was commanded to drain engines, and when these drains were cancelled. It is safe for
 // concurrent use.
 type Drains struct {
 	mu      sync.Mutex
 	periods map[string][]drainPeriod // by engine
 }
 
-type drainPeriod struct{ commandedAt, cancelledAt time.Time } // cancelledAt is zero while the drain holds
+type drainPeriod struct{ commandedAt, cancelledAt time.Time } // cancelledAt is zero while the drain is in force
 
-// Commanded records a command to drain an engine. While a drain holds, another command changes nothing.
+// Commanded records a command to drain an engine. A further command during a drain has no effect.
 func (d *Drains) Commanded(engine string, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// Cancelled records that a drain was cancelled, whoever has heard of it.
+// Cancelled records that the drain of an engine was cancelled, whether or not the front end knows.
 func (d *Drains) Cancelled(engine string, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,8 +43,8 @@
 	}
 }
 
-// overdue tells whether a send to an engine came after the grace of its drain, and by how much. None does for a front
-// end that was commanded nothing.
+// overdue reports whether a request was sent to an engine after the drain grace, and by how much. A nil d has no
+// drains.
 func (d *Drains) overdue(engine string, sentAt time.Time) (time.Duration, bool) {
 	if d == nil {
 		return 0, false
@@ -52,15 +52,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.periods[engine] {
-		by := sentAt.Sub(p.commandedAt.Add(DrainGrace))
-		if by > 0 && (p.cancelledAt.IsZero() || sentAt.Before(p.cancelledAt)) {
-			return by, true
+		delay := sentAt.Sub(p.commandedAt.Add(DrainGrace))
+		if delay > 0 && (p.cancelledAt.IsZero() || sentAt.Before(p.cancelledAt)) {
+			return delay, true
 		}
 	}
 	return 0, false
 }
 
-// Violation is one violation of a rule.
+// Violation is one violation of a rule. ID is the request's, or empty.
 type Violation struct {
 	Rule string    `json:"rule"`
 	At   time.Time `json:"at"`
@@ -68,58 +68,59 @@
 	Text string    `json:"text"`
 }
 
-// sortByTime sorts violations by their time, and leaves those of one time in their order.
+// sortByTime sorts violations by time, and keeps the order of those with the same time.
 func sortByTime(violations []Violation) {
 	slices.SortStableFunc(violations, func(a, b Violation) int {
 		return cmp.Compare(a.At.UnixNano(), b.At.UnixNano())
 	})
 }
 
-// The rules, by the names that reports use.
+// The rules, by their names in reports. The value of a rule is the number of its violations.
 const (
-	LateSends          = "late_sends"     // sends to an engine later than DrainGrace after the command to drain it
+	LateSends          = "late_sends"     // requests sent to an engine more than DrainGrace after the command to drain it
 	DoubleRuns         = "double_runs"    // non-idempotent requests that were executed more than once
-	OverlappingRuns    = "two_out"        // requests with two executions at a time
-	UnansweredRequests = "unanswered"     // requests without an answer in their time
-	DoubleAnswers      = "double_answers" // answers that nobody asked for
-	WrongAnswers       = "wrong_answers"  // answers that no engine made for the request
-	FalsePromises      = "false_promises" // non-idempotent requests rejected as safe to retry that were executed
-	NoEngine           = "no_engine"      // instants with no engine ready while one was alive
-	Crashes            = "crashes"        // front ends that ended by themselves, or counted a broken invariant
-	// front ends that shut down by grant while as many as the budget were unavailable
+	OverlappingRuns    = "two_out"        // requests with two executions at the same time
+	UnansweredRequests = "unanswered"     // requests without an answer before the client's timeout
+	DoubleAnswers      = "double_answers" // answers without a request
+	WrongAnswers       = "wrong_answers"  // answers that no engine produced for the request
+	FalsePromises      = "false_promises" // non-idempotent requests that were executed and rejected as safe to retry
+	NoEngine           = "no_engine"      // times at which a front end listed no engine as ready, but one was running
+	Crashes            = "crashes"        // front ends that ended without a signal, or counted a broken invariant
+	// granted shutdowns of front ends that began while as many others as the budget allows were unavailable
 	OverBudget    = "over_budget"
-	AfterHalt     = "after_halt"     // front ends that shut down by grant after a halt was acknowledged
+	AfterHalt     = "after_halt"     // granted shutdowns that began after a halt was acknowledged
 	NotEmpty      = "not_empty"      // queries on an engine that was reported as drained
-	WrongRevision = "wrong_revision" // front ends that serve on another revision than agreed at the end
+	WrongRevision = "wrong_revision" // front ends that did not serve on the agreed revision at the end
 )
 
-// Rules lists them all.
+// Rules lists all rules, in the order of reports.
 var Rules = []string{
 	LateSends, DoubleRuns, OverlappingRuns, UnansweredRequests, DoubleAnswers, WrongAnswers, FalsePromises, NoEngine,
 	Crashes, OverBudget, AfterHalt, NotEmpty, WrongRevision,
 }
 
-// answerSlack is how late an answer may be on a busy machine and still count as given in time.
+// answerSlack is the tolerated delay of an answer beyond the client's timeout, since a busy machine delays clients too.
 const answerSlack = 250 * time.Millisecond
 
-// checker collects the violations of the rules on requests.
+// checker collects violations of the rules for requests.
 type checker struct{ violations []Violation }
 
 func (c *checker) violate(rule string, at time.Time, id, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, at, id, fmt.Sprintf(format, args...)})
 }
 
-// Check holds what clients got against what engines ran. It looks at sockets only: a request is what a client sent, an
-// execution what an engine accepted. drains returns what the front end of a request was commanded, by the request's id.
-// unexpected are answers that nobody asked for.
+// Check compares the requests that clients sent with the executions that engines accepted, and returns the violations
+// of the rules for requests. drains returns the drains that were commanded to the front end of the request with an id.
+// unexpected describes answers that clients received without a request.
 func Check(classes []Class, requests []Request, executions []engine.Execution, drains func(id string) *Drains,
 	unexpected []string) []Violation {
 	c := &checker{}
 	byID := map[string][]engine.Execution{}
 	for _, x := range executions {
 		byID[x.ID] = append(byID[x.ID], x)
-		if by, late := drains(x.ID).overdue(x.Engine, x.ReceivedAt); late {
-			c.violate(LateSends, x.ReceivedAt, x.ID, "%s got it %v after the grace", x.Engine, by.Round(time.Millisecond))
+		if delay, late := drains(x.ID).overdue(x.Engine, x.ReceivedAt); late {
+			c.violate(LateSends, x.ReceivedAt, x.ID, "%s received the request %v after the drain grace", x.Engine,
+				delay.Round(time.Millisecond))
 		}
 	}
 	for _, r := range requests {
@@ -133,8 +134,8 @@
 	return c.violations
 }
 
-// checkExecutions finds executions of one request that overlap, and a non-idempotent one that ran twice. It sorts the
-// executions by time.
+// checkExecutions finds overlapping executions of one request, and a non-idempotent request that was executed more than
+// once. It sorts the executions by time.
 func (c *checker) checkExecutions(class Class, r Request, executions []engine.Execution) {
 	slices.SortFunc(executions, func(a, b engine.Execution) int {
 		return cmp.Compare(a.ReceivedAt.UnixNano(), b.ReceivedAt.UnixNano())
@@ -142,7 +143,7 @@
 	for i := 1; i < len(executions); i++ {
 		previous, x := executions[i-1], executions[i]
 		if previous.EndedAt.IsZero() || previous.EndedAt.After(x.ReceivedAt) {
-			c.violate(OverlappingRuns, x.ReceivedAt, r.ID, "on %s while it ran on %s", x.Engine, previous.Engine)
+			c.violate(OverlappingRuns, x.ReceivedAt, r.ID, "started on %s while it still ran on %s", x.Engine, previous.Engine)
 		}
 	}
 	if class.NonIdempotent && len(executions) > 1 {
@@ -150,20 +151,22 @@
 	}
 }
 
-// checkAnswer holds the one answer of a request against its time and its executions.
+// checkAnswer checks the answer of a request against the client's timeout and the request's executions.
 func (c *checker) checkAnswer(class Class, r Request, executions []engine.Execution) {
 	succeeded := func(x engine.Execution) bool { return x.Succeeded }
 	switch {
 	case r.Outcome == Unanswered:
-		c.violate(UnansweredRequests, r.Due, r.ID, "%s after %v: %s", class.Name, r.Latency.Round(time.Millisecond), r.Detail)
+		c.violate(UnansweredRequests, r.Due, r.ID, "%s has no answer after %v: %s", class.Name,
+			r.Latency.Round(time.Millisecond), r.Detail)
 	case r.Latency > class.Timeout+answerSlack && r.Sent.Sub(r.Due) < answerSlack:
-		c.violate(UnansweredRequests, r.Due, r.ID, "%s %s after %v of %v", class.Name, r.Outcome,
+		c.violate(UnansweredRequests, r.Due, r.ID, "%s was %s after %v, later than the timeout of %v", class.Name, r.Outcome,
 			r.Latency.Round(time.Millisecond), class.Timeout)
 	case r.Outcome == Wrong:
 		c.violate(WrongAnswers, r.Due, r.ID, "%s", r.Detail)
 	case r.Outcome == Served && !slices.ContainsFunc(executions, succeeded):
-		c.violate(WrongAnswers, r.Due, r.ID, "served, and no engine has ended it well")
+		c.violate(WrongAnswers, r.Due, r.ID, "served, but no engine completed the query")
 	case r.Outcome == Rejected && class.NonIdempotent && len(executions) > 0:
-		c.violate(FalsePromises, r.Due, r.ID, "%s was rejected and had been executed on %s", class.Name, executions[0].Engine)
+		c.violate(FalsePromises, r.Due, r.ID, "%s was rejected as safe to retry, but had been executed on %s", class.Name,
+			executions[0].Engine)
 	}
 }
--- a/internal/faulttest/cpu.go
+++ b/internal/faulttest/cpu.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ticksPerSecond is the unit of CPU times in /proc (USER_HZ), which Linux fixes for programs.
+// ticksPerSecond is the unit of CPU times in /proc (USER_HZ), a constant of Linux's interface to programs.
 const ticksPerSecond = 100
 
 // Fields of /proc/PID/stat after the program's name, see proc_pid_stat(5).
@@ -16,7 +16,8 @@
 	statSystemTicks = 12
 )
 
-// CPUSeconds returns the user and system time that a process has used, in seconds; 0 if there is none.
+// CPUSeconds returns the user and system time that a process has used, in seconds; 0 if the process does not
+// exist.
 func CPUSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/faulttest/demo.go
+++ b/internal/faulttest/demo.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// DemoOptions are what a demonstration takes.
+// DemoOptions are the options of Demo.
 type DemoOptions struct {
-	Program string // the front end to start
-	Once    bool   // end after the queries
+	Program string // path of the front end to start
+	Once    bool   // return after the queries instead of waiting for ctx
 	Out     io.Writer
 }
 
 const demoEngines = 4
 
-// demo is a demonstration that is under way. Its first error in printing ends all further printing.
+// demo is a running demonstration. After the first error of a write, nothing more is printed.
 type demo struct {
 	out       io.Writer
 	err       error
@@ -29,7 +29,8 @@
 	session   *Session
 }
 
-// Demo starts a front end, fake engines and a fake Consul, runs a few queries, and goes on until ctx ends.
+// Demo starts a front end, fake engines and a fake Consul, runs a few queries, and keeps the processes running until
+// ctx ends.
 func Demo(ctx context.Context, o DemoOptions) error {
 	dir, err := os.MkdirTemp("", "demo")
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 	defer func() { _ = frontEnd.Stop() }()
 	if !catalogue.waitListed(ctx, demoEngines) {
-		return fmt.Errorf("the front end has not taken the list\n%s", frontEnd.Log())
+		return fmt.Errorf("the front end did not list all engines as ready in time; its log:\n%s", frontEnd.Log())
 	}
 	d := &demo{out: o.Out, catalogue: catalogue, frontEnd: frontEnd}
 	d.printAddresses(adminSocket)
@@ -83,7 +84,7 @@
 	}
 }
 
-// play runs a query of each class, drains an engine, runs a few more, and brings the engine back.
+// play runs a query of each class, drains an engine, runs a few more queries, and cancels the drain.
 func (d *demo) play(ctx context.Context) error {
 	for _, class := range Classes {
 		if err := d.query(class); err != nil {
@@ -91,10 +92,10 @@
 		}
 	}
 	drained := d.catalogue.engines[0]
-	d.printf("\n%s goes into maintenance; the next lookups go elsewhere.\n", drained.name)
+	d.printf("\n%s is under maintenance now; the next lookups run on other engines.\n", drained.name)
 	d.catalogue.drain(drained)
 	if !d.catalogue.waitListed(ctx, demoEngines-1) {
-		return fmt.Errorf("the front end has not taken the drain\n%s", d.frontEnd.Log())
+		return fmt.Errorf("the front end did not list the engine as draining in time; its log:\n%s", d.frontEnd.Log())
 	}
 	for range 3 {
 		if err := d.query(Classes[0]); err != nil {
@@ -122,10 +123,11 @@
 	return d.err
 }
 
+// printInvitation prints a command for queries by hand.
 func (d *demo) printInvitation() {
 	_, port, _ := net.SplitHostPort(d.frontEnd.Addr)
-	d.printf("\nIt is back. Try a MySQL client, for example:\n"+
+	d.printf("\nThe engine is back in service. Try a MySQL client, for example:\n"+
 		"  mysql --protocol=tcp -h 127.0.0.1 -P %s -u app --comments bi "+
 		"-e \"/* c=lookup,i=$(openssl rand -hex 8),d=2500 */ SELECT * FROM sales_17.orders\"\n"+
-		"Ctrl-C ends it.\n", port)
+		"Press Ctrl-C to end the demonstration.\n", port)
 }
--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -1,10 +1,11 @@
-// Package faulttest injects faults into the real front end and checks the rules: front end processes, fake engines
-// and catalogues on loopback addresses, faults drawn from a seed, open arrivals, and one checker that sees sockets
-// only. It imports nothing of the front end's inside: what it checks is the program that is delivered.
+// Package faulttest injects faults into the real front end under load and checks that the front end keeps its rules. It
+// runs front end processes, fake engines and fake catalogues on loopback addresses, draws faults from a seed, and sends
+// requests by open arrivals. The checker observes sockets only. The package imports no internals of the front end, so
+// that the program under test is the delivered one.
 //
-// A [Scenario] is one fault test: catalogue.go has one front end on a faulty catalogue, rollout.go a cluster of front
-// ends through releases. load.go and session.go are the clients, checker.go has the rules, frontend.go starts a front
-// end.
+// A [Scenario] is one fault test: catalogue.go runs one front end on a faulty catalogue, rollout.go a cluster of front
+// ends through releases. load.go and session.go contain the clients, checker.go the rules, and frontend.go starts front
+// end processes.
 package faulttest
 
 import (
@@ -21,46 +22,46 @@
 	"time"
 )
 
-// Options are what every scenario takes.
+// Options are the options of a run of any scenario.
 type Options struct {
-	Program   string // the front end to start
+	Program   string // path of the front end to start
 	Seed      uint64
 	Seconds   int
 	Rate      float64 // requests a second
 	Engines   int
-	FrontEnds int    // in scenarios of several; 0: the scenario's own number
-	Faults    string // "all", "none" or one of the scenario's
-	Policy    string // one of the scenario's; empty: the program as it is
-	// what is wrong with the release that must be halted; empty: the first of the scenario's
+	FrontEnds int    // in scenarios with several; 0: the scenario's default
+	Faults    string // "all", "none" or one of Scenario.Faults
+	Policy    string // one of Scenario.Policies; empty: the program's own decisions
+	// defect of the release that must be halted, one of Scenario.BadReleases; empty: the first of them
 	BadRelease string
-	Progress   func(done, all int)           // seconds; may be nil
-	Logf       func(format string, a ...any) // tells what happens, as it happens; may be nil
+	Progress   func(done, all int)           // called with seconds of the run; may be nil
+	Logf       func(format string, a ...any) // logs events of the run as they occur; may be nil
 }
 
-// Report is how a scenario ended.
+// Report is the result of a run.
 type Report struct {
 	Scenario     string             `json:"drill"`
 	Seed         uint64             `json:"seed"`
 	Passed       bool               `json:"kept"`
 	Rules        map[string]int     `json:"rules"`   // violations by rule
-	Measurements map[string]float64 `json:"figures"` // by name, with the unit at its end
+	Measurements map[string]float64 `json:"figures"` // by name, which ends in the unit
 	Violations   []Violation        `json:"-"`
 }
 
 // Scenario is one fault test.
 type Scenario struct {
 	Name, Short string
-	Faults      []string // names of its faults
+	Faults      []string // names of the faults that the scenario injects
 	Policies    []string // baselines in place of the program's own decisions
-	BadReleases []string // what may be wrong with a release
-	FrontEnds   int      // where none are asked for; 0: the scenario has one
+	BadReleases []string // possible defects of the bad release
+	FrontEnds   int      // default number; 0: the scenario has exactly one
 	Run         func(ctx context.Context, o Options) (*Report, error)
 }
 
-// Scenarios lists them all.
+// Scenarios lists all scenarios.
 var Scenarios = []Scenario{Catalogue, Rollout}
 
-// The ranges of options.
+// The allowed ranges of options.
 const (
 	minSeconds, maxSeconds     = 2, 3600
 	minRate, maxRate           = 1, 5000
@@ -68,10 +69,10 @@
 	minFrontEnds, maxFrontEnds = 6, 96
 )
 
-// maxShownViolations bounds what WriteViolations prints.
+// maxShownViolations is the largest number of violations that WriteViolations prints.
 const maxShownViolations = 10
 
-// Check names the first option that can't be used in a scenario.
+// Check returns an error for the first option that is out of range or unknown to a scenario.
 func (o *Options) Check(s Scenario) error {
 	switch {
 	case o.Seconds < minSeconds || o.Seconds > maxSeconds:
@@ -81,8 +82,8 @@
 	case o.Engines < minEngines || o.Engines > maxEngines:
 		return fmt.Errorf("engines: found %d, allowed is %d to %d", o.Engines, minEngines, maxEngines)
 	case o.FrontEnds != 0 && (s.FrontEnds == 0 || o.FrontEnds < minFrontEnds || o.FrontEnds > maxFrontEnds):
-		return fmt.Errorf("fronts: found %d, allowed is %d to %d, in tests of several", o.FrontEnds, minFrontEnds,
-			maxFrontEnds)
+		return fmt.Errorf("fronts: found %d, allowed is %d to %d, in scenarios with several front ends", o.FrontEnds,
+			minFrontEnds, maxFrontEnds)
 	case o.Policy != "" && !slices.Contains(s.Policies, o.Policy):
 		return fmt.Errorf("policy: found %q, allowed is %s", o.Policy, strings.Join(s.Policies, ", "))
 	case o.BadRelease != "" && !slices.Contains(s.BadReleases, o.BadRelease):
@@ -99,7 +100,7 @@
 	}
 }
 
-// newReport counts violations by rule.
+// newReport returns the report of a run, with its violations counted by rule.
 func newReport(scenario string, seed uint64, violations []Violation, measurements map[string]float64) *Report {
 	r := &Report{
 		Scenario:     scenario,
@@ -118,10 +119,10 @@
 	return r
 }
 
-// WriteJSON prints the report as one object.
+// WriteJSON writes the report as one JSON object.
 func (r *Report) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(r) }
 
-// WriteTable prints the report for people.
+// WriteTable writes the report as a table.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	verdict := "every rule kept"
@@ -138,7 +139,7 @@
 	return t.Flush()
 }
 
-// WriteViolations prints the first violations.
+// WriteViolations writes the first maxShownViolations violations, and the number of the others.
 func (r *Report) WriteViolations(w io.Writer) {
 	for i, v := range r.Violations {
 		if i == maxShownViolations {
@@ -149,10 +150,10 @@
 	}
 }
 
-// injects tells whether a fault is asked for.
+// injects reports whether the options select a fault.
 func (o *Options) injects(fault string) bool { return o.Faults == "all" || o.Faults == fault }
 
-// showProgress reports each second of a run that began then, until ctx ends.
+// showProgress calls Progress after each second of a run that started at began, until ctx ends.
 func showProgress(ctx context.Context, began time.Time, o Options) {
 	for second := 1; second <= o.Seconds; second++ {
 		if !sleep(ctx, time.Until(began.Add(time.Duration(second)*time.Second))) {
@@ -164,12 +165,12 @@
 	}
 }
 
-// drawDuration draws a duration from low to high, both included.
+// drawDuration draws a duration from low to high, both inclusive.
 func drawDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rng.Int64N(int64(high-low)+1))
 }
 
-// sleep waits; false when ctx ended first.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/faulttest/frontend.go
+++ b/internal/faulttest/frontend.go
@@ -23,12 +23,12 @@
 	stopTimeout   = 10 * time.Second
 )
 
-// FrontEnd is one real front end process.
+// FrontEnd is a running front end process.
 type FrontEnd struct {
-	Addr string // where clients connect
+	Addr string // address for clients
 
 	cmd       *exec.Cmd
-	exit      chan error  // receives how the process has ended, once its log is read
+	exit      chan error  // receives the result of the process, once its log is read
 	listening chan string // receives the address
 	onLogLine func(string)
 
@@ -36,8 +36,8 @@
 	log bytes.Buffer
 }
 
-// Settings is the platform's settings object of the fault tests: its classes at their real deadlines, engines of four
-// cores.
+// Settings is the platform's settings object in fault tests: the platform's classes with their real deadlines, and
+// engines of four cores.
 const Settings = `{"discovery":"push","family_info":{"holds_tables":[false,false,true],"kind_memory_mb":[24576],
 "lanes_count":true,
 "overbooked":"overcommit","says_cost":true,"size_cores":[4],"tells_every":1000000000,"threads_by_class":[1,2,2],
@@ -50,7 +50,7 @@
 {"deadline":8000000000,"late_worth":0.6,"name":"load","on_time":3000000000,"points":12,"semantics":"non_idempotent"}],
 "skus":["std-4"],"tenants":[{"allowance_per_s":100000,"fraction":1,"name":"south-grain"}],"zones":["room-a"]}`
 
-// Classes are the classes of PlatformSettings, as clients see them.
+// Classes are the classes of Settings, as clients see them.
 var Classes = []Class{
 	{
 		Name: "lookup", Share: 0.79, Timeout: 2500 * time.Millisecond, LatencyObjective: 500 * time.Millisecond,
@@ -63,7 +63,7 @@
 	},
 }
 
-// Program finds the front end to start: the one named, or the one beside this program.
+// Program returns the path of the front end to start: the named one, or if empty the one in this program's directory.
 func Program(named string) (string, error) {
 	if named == "" {
 		self, err := os.Executable()
@@ -79,26 +79,26 @@
 	return named, nil
 }
 
-// FrontEndOptions are what a front end is started with.
+// FrontEndOptions are the options for the start of a front end.
 type FrontEndOptions struct {
 	Program          string
-	Dir              string // for its files
+	Dir              string // for the front end's files
 	Name             string
-	Listen           string       // address; empty: any port
-	ChangeLog        string       // address; may be empty where OperatorSettings name Consul
+	Listen           string       // address; empty: a free loopback port
+	ChangeLog        string       // address; may be empty if OperatorSettings name Consul
 	PlatformSettings string       // the settings object; empty: Settings
-	OperatorSettings string       // built JSON; empty: none
-	OnLogLine        func(string) // gets each line of its log; may be nil
+	OperatorSettings string       // as JSON; empty: none
+	OnLogLine        func(string) // called with each line of the log; may be nil
 	MemoryMB         int
 	Descriptors      int
-	Env              []string   // further environment
-	Files            []*os.File // handed down as descriptors from 3
+	Env              []string   // additional environment variables
+	Files            []*os.File // inherited as descriptors from 3
 }
 
-// EngineListed is a log line in which a front end tells of one engine of its list.
+// EngineListed is a log line that reports the state of one engine in a front end's endpoint list.
 type EngineListed struct {
-	At          time.Time // of the line
-	Name, State string    // the name without its node
+	At          time.Time // time of the line
+	Name, State string    // Name is without its node prefix
 }
 
 var (
@@ -106,7 +106,7 @@
 	listeningLine    = regexp.MustCompile(`msg=listening .*address=(\S+)`)
 )
 
-// ParseEngineListed reads such a line; false for any other.
+// ParseEngineListed parses an EngineListed line, and returns false for any other line.
 func ParseEngineListed(line string) (l EngineListed, ok bool) {
 	match := engineListedLine.FindStringSubmatch(line)
 	if match == nil {
@@ -130,10 +130,10 @@
 	case f.Addr = <-f.listening:
 		return f, nil
 	case err := <-f.exit:
-		return nil, fmt.Errorf("faulttest: the front end ended: %w\n%s", err, f.Log())
+		return nil, fmt.Errorf("faulttest: the front end ended before it listened: %w\n%s", err, f.Log())
 	case <-time.After(listenTimeout):
 		_ = f.cmd.Process.Kill()
-		return nil, fmt.Errorf("faulttest: the front end does not listen\n%s", f.Log())
+		return nil, fmt.Errorf("faulttest: the front end did not listen in time; its log:\n%s", f.Log())
 	}
 }
 
@@ -168,7 +168,8 @@
 	return cmd, nil
 }
 
-// start starts the process, with goroutines that read its log and wait for its end; both end with it.
+// start starts the process, and goroutines that read its log and wait for its end. Both goroutines end with the
+// process.
 func (f *FrontEnd) start() error {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -178,7 +179,7 @@
 	if err := f.cmd.Start(); err != nil {
 		return errors.Join(err, reader.Close(), writer.Close())
 	}
-	_ = writer.Close() // the process has its own
+	_ = writer.Close() // the process has its own descriptor
 	logRead := make(chan struct{})
 	go func() {
 		defer close(logRead)
@@ -212,20 +213,20 @@
 	}
 }
 
-// Log is all that the front end has logged.
+// Log returns the log of the front end so far.
 func (f *FrontEnd) Log() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.log.String()
 }
 
-// Pid is the process's id.
+// Pid returns the process id.
 func (f *FrontEnd) Pid() int { return f.cmd.Process.Pid }
 
-// Wait returns once the front end has ended, with its exit code; once, and not beside Stop.
+// Wait waits until the front end ends and returns its exit code. It may be called once, and not together with Stop.
 func (f *FrontEnd) Wait() int { return cluster.ExitCode(<-f.exit) }
 
-// BrokenInvariant returns the log line that tells of a broken invariant of the front end; empty for none.
+// BrokenInvariant returns the first log line that reports a broken invariant or a panic; empty if there is none.
 func (f *FrontEnd) BrokenInvariant() string {
 	for _, line := range strings.Split(f.Log(), "\n") {
 		if strings.Contains(line, "broken_") || strings.Contains(line, "controller panic") ||
@@ -236,25 +237,26 @@
 	return ""
 }
 
-// errBrokenInvariant tells that an invariant of the front end was broken.
-var errBrokenInvariant = errors.New("a broken invariant was counted")
+// errBrokenInvariant is returned for a front end whose log reports a broken invariant or a panic.
+var errBrokenInvariant = errors.New("the front end's log reports a broken invariant or a panic")
 
-// Stop ends the front end as the platform does, and returns an error if it did not end well.
+// Stop ends the front end with SIGTERM, as the platform does. It returns an error if the front end had ended before,
+// did not end in time, failed, or broke an invariant.
 func (f *FrontEnd) Stop() error {
 	select {
 	case err := <-f.exit:
-		return fmt.Errorf("the front end ended by itself: %w", err)
+		return fmt.Errorf("the front end ended before SIGTERM: %w", err)
 	default:
 	}
 	_ = f.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-f.exit:
 		if err != nil {
-			return fmt.Errorf("the front end: %w", err)
+			return fmt.Errorf("the front end failed after SIGTERM: %w", err)
 		}
 	case <-time.After(stopTimeout):
 		_ = f.cmd.Process.Kill()
-		return fmt.Errorf("the front end did not end after SIGTERM: %w", <-f.exit)
+		return fmt.Errorf("the front end did not end in time after SIGTERM and was killed: %w", <-f.exit)
 	}
 	if f.BrokenInvariant() != "" {
 		return errBrokenInvariant
--- a/internal/faulttest/naive.go
+++ b/internal/faulttest/naive.go
@@ -14,22 +14,23 @@
 
 const (
 	naiveRetryDelay = 100 * time.Millisecond
-	naiveTimeout    = 8 * time.Second // of one read, which waits for 5 s at the catalogue
+	naiveTimeout    = 8 * time.Second // of one read, which blocks for up to 5 s
 )
 
-// naiveSource is the baseline: it obeys every answer of the catalogue as it is, by way of a change log. A failing
-// check, a short list or an empty one takes engines out at once, and an older answer puts them back.
+// naiveSource is the baseline policy: it publishes every response of the catalogue unchanged in a change log for the
+// front end. A failing check, a partial list or an empty list removes engines at once, and a stale response adds them
+// again.
 type naiveSource struct {
 	catalogue string // host:port
 	log       *changelog.Log
 	stop      context.CancelFunc
 
-	// What the goroutine of run knows of each engine, by name.
-	starts  map[string]string // mark of its process
-	sinceMS map[string]int64  // when its process was seen first; 0: it was there from the start
+	// State of each engine by name, used by the goroutine of run only.
+	starts  map[string]string // start mark of the engine's process
+	sinceMS map[string]int64  // when the process was first read, Unix milliseconds; 0: the first process
 }
 
-// newNaiveSource starts a source. close ends it.
+// newNaiveSource starts a source. The caller must close it.
 func newNaiveSource(catalogue string) (*naiveSource, error) {
 	log, err := changelog.Start("127.0.0.1:0")
 	if err != nil {
@@ -48,6 +49,7 @@
 	n.log.Close()
 }
 
+// run reads the catalogue and publishes each list until ctx ends.
 func (n *naiveSource) run(ctx context.Context) {
 	index := "0"
 	for ctx.Err() == nil {
@@ -61,16 +63,17 @@
 	}
 }
 
-// changes translates a list of the catalogue. Engines that it does not name are gone.
+// changes translates a list of the catalogue into endpoints for the change log. Known engines that are missing from the
+// list are published as gone.
 func (n *naiveSource) changes(list []consul.Instance) (changes []changelog.Endpoint) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, instance := range list {
 		e := n.endpoint(instance)
-		named[e.Name] = true
+		listed[e.Name] = true
 		changes = append(changes, e)
 	}
 	for name := range n.starts {
-		if !named[name] {
+		if !listed[name] {
 			changes = append(changes, changelog.Endpoint{Name: name, Status: "gone"})
 			delete(n.starts, name)
 		}
@@ -78,6 +81,7 @@
 	return changes
 }
 
+// endpoint translates one instance. An engine under maintenance or with a critical check is draining.
 func (n *naiveSource) endpoint(instance consul.Instance) changelog.Endpoint {
 	e := changelog.Endpoint{
 		Name:    instance.Service.ID,
@@ -100,7 +104,7 @@
 	return e
 }
 
-// read asks the catalogue for the list after an index, and returns it with its own.
+// read makes a blocking query for the list after an index, and returns the list with its own index.
 func (n *naiveSource) read(ctx context.Context, index string) ([]consul.Instance, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, naiveTimeout)
 	defer cancel()
--- a/internal/faulttest/session.go
+++ b/internal/faulttest/session.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// Session is one connection of a client: the MySQL text protocol, as far as the platform uses it, read strictly. It is
-// not safe for concurrent use.
+// Session is one client connection. It implements the part of the MySQL text protocol that the platform uses, and
+// reads strictly. It is not safe for concurrent use.
 type Session struct {
 	conn     net.Conn
 	reader   *bufio.Reader
 	lastUsed time.Time
 }
 
-// errUnexpected tells that a front end sent more than one answer.
-var errUnexpected = errors.New("bytes that belong to no answer")
+// errUnexpected is returned if a front end sent bytes without a request, such as a second answer.
+var errUnexpected = errors.New("front end sent bytes without a request")
 
-// ServerError is an error packet.
+// ServerError is the content of an error packet.
 type ServerError struct {
 	Code int
 	Text string
 }
 
-// The codes that promise that a retry is safe.
+// The error codes that promise that a retry is safe.
 const (
 	tooManyConnections  = 1040
 	tooManyUserSessions = 1203
 	resourceLimit       = 1226
 )
 
-// Commands and marks of packets.
+// Commands, and the first bytes of response packets.
 const (
 	commandQuit  = 1
 	commandQuery = 3
@@ -47,23 +47,23 @@
 
 func (e *ServerError) Error() string { return fmt.Sprintf("error %d: %s", e.Code, e.Text) }
 
-// RetrySafe tells whether the error promises that a retry is safe.
+// RetrySafe reports whether the error promises that a retry is safe.
 func (e *ServerError) RetrySafe() bool {
 	return e.Code == tooManyConnections || e.Code == tooManyUserSessions || e.Code == resourceLimit
 }
 
-// login is the client's answer to the greeting: protocol 4.1, user app, database bi, no password.
+// login is the client's response to the greeting: protocol 4.1, user app, database bi, no password.
 var login = []byte("\x08\x82\x08\x00" + "\x00\x00\x00\x01" + "\x2d" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
 	"\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" + "app\x00" + "\x00" + "bi\x00" + "mysql_native_password\x00")
 
-// Dial connects and logs in.
-func Dial(addr string, wait time.Duration) (*Session, error) {
-	c, err := net.DialTimeout("tcp", addr, wait)
+// Dial connects and logs in. The timeout applies to each of the two.
+func Dial(addr string, timeout time.Duration) (*Session, error) {
+	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
 	s := &Session{conn: c, reader: bufio.NewReader(c)}
-	if err := s.logIn(time.Now().Add(wait)); err != nil {
+	if err := s.logIn(time.Now().Add(timeout)); err != nil {
 		c.Close()
 		return nil, err
 	}
@@ -85,14 +85,14 @@
 	return err
 }
 
-// Close ends the session; a nil one too.
+// Close closes the connection. Close of a nil session has no effect.
 func (s *Session) Close() {
 	if s != nil {
 		s.conn.Close()
 	}
 }
 
-// OneQuery connects, writes login and query in one, reads the answer and quits.
+// OneQuery connects, sends login and query in one write, reads the answer and quits.
 func OneQuery(addr, statement string, deadline time.Time) ([][]string, error) {
 	c, err := net.DialTimeout("tcp", addr, time.Until(deadline))
 	if err != nil {
@@ -119,7 +119,7 @@
 	return rows, err
 }
 
-// packet makes a packet of a payload.
+// packet returns a packet with a payload.
 func packet(seq byte, payload []byte) []byte {
 	n := len(payload)
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), seq}, payload...)
@@ -140,24 +140,24 @@
 	return p, err
 }
 
-// checkIdle returns an error where the session has ended, or has sent what nobody asked for.
+// checkIdle returns an error if the connection has ended, and errUnexpected if the front end has sent bytes.
 func (s *Session) checkIdle() error {
 	if s.reader.Buffered() > 0 {
 		return errUnexpected
 	}
 	_ = s.conn.SetReadDeadline(time.Now().Add(time.Microsecond))
 	_, err := s.reader.Peek(1)
-	var t net.Error
+	var netErr net.Error
 	switch {
 	case err == nil:
 		return errUnexpected
-	case errors.As(err, &t) && t.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return nil
 	}
 	return err
 }
 
-// Query sends one statement and reads its whole answer before the deadline.
+// Query sends one statement and reads the complete answer before the deadline.
 func (s *Session) Query(statement string, deadline time.Time) ([][]string, error) {
 	if err := s.conn.SetDeadline(deadline); err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 	return s.readAnswer()
 }
 
-// readAnswer reads OK, an error, or a result set of text rows up to its last EOF.
+// readAnswer reads an OK packet, an error packet, or a result set of text rows up to its last EOF packet.
 func (s *Session) readAnswer() ([][]string, error) {
 	var rows [][]string
 	for eofs := 0; ; {
@@ -178,7 +178,7 @@
 		}
 		switch {
 		case len(p) == 0:
-			return nil, errors.New("an empty packet")
+			return nil, errors.New("empty packet in an answer")
 		case p[0] == markError && len(p) >= minError:
 			return rows, &ServerError{int(binary.LittleEndian.Uint16(p[1:])), string(p[minError:])}
 		case p[0] == markOK && eofs == 0:
@@ -197,7 +197,8 @@
 	}
 }
 
-// textRow reads the length-coded texts of a row. Those of the platform are short.
+// textRow decodes the length-encoded texts of a row. It supports the one-byte and the 0xfc length prefix only, since
+// the platform's texts are short.
 func textRow(p []byte) (row []string, err error) {
 	for len(p) > 0 {
 		n, from := int(p[0]), 1
@@ -205,10 +206,10 @@
 		case n == 0xfc && len(p) >= 3:
 			n, from = int(binary.LittleEndian.Uint16(p[1:])), 3
 		case n > 0xfa:
-			return nil, errors.New("a text of no known length")
+			return nil, errors.New("row text: found a truncated or unsupported length prefix, allowed are 1 byte and 0xfc")
 		}
 		if len(p) < from+n {
-			return nil, errors.New("a row that ends early")
+			return nil, errors.New("row text is truncated: the packet ends before the length of the text")
 		}
 		row = append(row, string(bytes.Clone(p[from:from+n])))
 		p = p[from+n:]
