--- a/internal/faulttest/rollout.go
+++ b/internal/faulttest/rollout.go
@@ -11,14 +11,13 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// Rollout injects faults into a test cluster of front ends through two releases, one of them bad, and drains of
-// engines.
+// Rollout injects faults into a test cluster of front ends during two releases, one of them bad, and drains of engines.
 var Rollout = Scenario{
 	Name:      "rollout",
-	Short:     "Front ends in three zones that are killed, stopped, cut off and lose disks through releases and drains",
+	Short:     "Front ends in three zones that are killed, stopped, cut off or lose disks during releases and drains",
 	Faults:    memberFaultKinds(),
 	FrontEnds: rolloutFronts,
-	// Without judgement a bad release continues until the operator of this test halts it.
+	// Under policyUnjudged the analysis halts no release, so that a bad one continues until the test's operator halts it.
 	Policies:    []string{policyUnjudged},
 	BadReleases: []string{badErrors, badSlow},
 	Run:         runRollout,
@@ -26,20 +25,20 @@
 
 const policyUnjudged = "unjudged"
 
-// What is wrong with the bad revision: its engines fail three queries in five, or take 0.7 s longer for each.
+// The defects of the bad revision: its engines fail three queries in five, or take 0.7 s longer for each query.
 const (
 	badErrors = "errors"
 	badSlow   = "slow"
 )
 
-// The revisions that the test runs: the first, a good successor, and one that must be halted.
+// The revisions of the test: the first, a good successor, and a bad one whose release must be halted.
 const (
 	firstRevision = "r1"
 	goodRevision  = "r2"
 	badRevision   = "bad"
 )
 
-// The cluster, and the budgets that are configured in it and checked.
+// The size of the cluster, and the budgets that the cluster is configured with and the checker applies.
 const (
 	rolloutFronts         = 12
 	controlReplicas       = 3
@@ -48,22 +47,22 @@
 	maxUnavailableEngines = 1
 )
 
-// failureDetection is the time by which every member must know that a front end is unavailable that has not reported
+// failureDetection is the time in which all members must detect a front end that became unavailable without reporting
 // so.
 const failureDetection = 4 * time.Second
 
 var rolloutZones = []string{"room-a", "room-b", "room-c"}
 
-// Streams of the pseudo-random generator of a seed. Each goroutine that draws has its own, so that its sequence does
-// not depend on the scheduling of the others.
+// Streams of the pseudo-random generator, for a seed. Each goroutine that draws has a stream of its own, so that its
+// sequence does not depend on the scheduling of the others.
 const (
 	streamLoad   = 2
 	streamPick   = 3
-	streamFaults = 10 // and those that follow, one for each fault injector
+	streamFaults = 10 // the first of one stream for each fault injector
 	streamDrains = 30
 )
 
-// Time limits of a run beyond the seconds asked for.
+// Time limits of a run, in addition to Options.Seconds.
 const (
 	operatorTimeout = 90 * time.Second // for the releases and drains to complete
 	loadTimeout     = 5 * time.Minute  // for everything up to the end of the load
@@ -71,13 +70,14 @@
 
 const drainsPerRun = 3
 
-// rolloutRun is one run of the rollout fault test: the test cluster, its fake servers, and what was observed.
+// rolloutRun is one run of the rollout scenario, with the test cluster, its fake servers and the observations of the
+// run.
 type rolloutRun struct {
 	options Options
 	cluster *cluster.Cluster
 	network *cluster.Network
-	goodLog *changelog.Log // endpoints for the good revisions
-	badLog  *changelog.Log // endpoints for the bad revision
+	goodLog *changelog.Log // endpoint list for front ends of the good revisions
+	badLog  *changelog.Log // endpoint list for front ends of the bad revision
 	engines []*managedEngine
 	closers []func() // in the order in which the resources were acquired
 
@@ -85,16 +85,17 @@
 	retired      []*engine.Engine // engine processes that were stopped after a drain
 	emptyPeriods []emptyPeriod
 	haltPeriods  []period
-	faulted      memberSet          // members that a fault has claimed
-	drains       map[string]*Drains // drains that each front end has learnt of, by its address
-	figures      map[string]float64
-	commands     int // operator commands so far, for their ids
+	faulted      memberSet          // members claimed by a fault injector
+	drains       map[string]*Drains // drains in each front end's log, by the front end's address
+	measurements map[string]float64
+	commands     int // number of operator commands so far, for their ids
 }
 
-// period is a span of time.
+// period is the time between two instants.
 type period struct{ from, to time.Time }
 
-// emptyPeriod is the time between the permission to stop a drained engine and its stop. No query may run in it.
+// emptyPeriod is the time from the permission to stop a drained engine to its stop, in which no query may run on the
+// engine.
 type emptyPeriod struct {
 	engine string
 	period
@@ -105,23 +106,23 @@
 
 func newRolloutRun(o Options) *rolloutRun {
 	return &rolloutRun{
-		options: o,
-		network: cluster.NewNetwork(o.Seed),
-		faulted: memberSet{},
-		drains:  map[string]*Drains{},
-		figures: map[string]float64{},
+		options:      o,
+		network:      cluster.NewNetwork(o.Seed),
+		faulted:      memberSet{},
+		drains:       map[string]*Drains{},
+		measurements: map[string]float64{},
 	}
 }
 
-// random returns the generator of a stream of the run's seed.
+// random returns the pseudo-random generator of a stream for the run's seed.
 func (r *rolloutRun) random(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(r.options.Seed, stream))
 }
 
-// count adds to a figure of the report.
+// count adds n to a measurement of the report.
 func (r *rolloutRun) count(name string, n float64) {
 	r.mu.Lock()
-	r.figures[name] += n
+	r.measurements[name] += n
 	r.mu.Unlock()
 }
 
@@ -137,7 +138,7 @@
 	return run.play(ctx)
 }
 
-// play injects faults under load for the time asked for, waits until the cluster has recovered, and checks the rules.
+// play injects faults under load for Options.Seconds, waits until the cluster has recovered, and checks the rules.
 func (r *rolloutRun) play(ctx context.Context) (*Report, error) {
 	duration := time.Duration(r.options.Seconds) * time.Second
 	faultCtx, stopFaults := context.WithCancel(ctx)
@@ -158,7 +159,7 @@
 
 	sleep(ctx, duration)
 	stopFaults()
-	injectors.Wait() // each fault is undone when it ends
+	injectors.Wait() // each injection undoes its fault
 	r.network.Each(allLinks, restoreLink)
 	operators.Wait()
 	unsettled := r.waitSettled(ctx)
@@ -173,7 +174,7 @@
 	return r.report(observations{requests, load.unexpected, unsettled, period{began, ended}}), nil
 }
 
-// startOperators starts those who release revisions and drain engines.
+// startOperators starts the operators: one releases revisions, the other drains engines.
 func (r *rolloutRun) startOperators(ctx context.Context) *sync.WaitGroup {
 	var operators sync.WaitGroup
 	operators.Go(func() {
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -12,18 +12,17 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// The exit codes with which a front end ends as the fleet has granted: to be started again, or once it is undrained.
+// The exit codes of a granted shutdown: the front end is to be restarted at once, or when its drain is cancelled.
 const (
 	exitRestart = 75
 	exitDrained = 76
 )
 
-// emptyGrace is by how much an execution may end after its engine was declared empty: its end is noted after its
-// answer.
+// emptyGrace is the tolerated time from the report that an engine is empty to the end of an execution, since the end is
+// recorded after the answer.
 const emptyGrace = 50 * time.Millisecond
 
-// waitSettled waits until all members serve on the revision that is agreed, and returns what is missing if they never
-// do.
+// waitSettled waits until all members serve on the agreed revision. If they do not within 40 s, it returns the reasons.
 func (r *rolloutRun) waitSettled(ctx context.Context) (missing []string) {
 	for range 400 {
 		missing = r.unsettled()
@@ -34,11 +33,11 @@
 	return missing
 }
 
-// unsettled lists what keeps the cluster from being settled.
+// unsettled returns the reasons why the cluster is not settled; none if it is.
 func (r *rolloutRun) unsettled() (reasons []string) {
 	status := r.leaderStatus()
 	if status == nil {
-		return []string{"nobody leads"}
+		return []string{"no control replica is the leader"}
 	}
 	for _, m := range r.cluster.Members {
 		if reason := unsettledMember(m, &status.State); reason != "" {
@@ -48,7 +47,7 @@
 	return reasons
 }
 
-// unsettledMember tells what keeps one member from being settled; empty for nothing.
+// unsettledMember returns the reason why a member is not settled; empty if it is.
 func unsettledMember(m *cluster.Member, state *rollout.State) string {
 	agreed := state.Members[m.Name]
 	processes := m.Processes()
@@ -57,16 +56,16 @@
 	case agreed == nil || agreed.Phase != rollout.Serving || agreed.Suspected || !m.Listening():
 		return m.Name + " does not serve"
 	case agreed.Revision != agreed.TargetRevision || current.Revision != agreed.TargetRevision:
-		return fmt.Sprintf("%s runs %s, and %s is agreed", m.Name, current.Revision, agreed.TargetRevision)
+		return fmt.Sprintf("%s runs revision %s, agreed is %s", m.Name, current.Revision, agreed.TargetRevision)
 	case state.Release == nil || state.Release.State != rollout.Done:
 		return "a release is under way"
 	}
 	return ""
 }
 
-// judgedRequests returns the requests that the rules hold for. Those that were lost with their front end are left
-// out. The time limit is waived for those that a front end answered late because it was stopped; a request without
-// any answer stays a violation.
+// judgedRequests returns the requests that the rules apply to. It leaves out requests that were lost with their front
+// end, and waives the time limit of requests whose front end was stopped and answered late. A request without any
+// answer stays a violation.
 func judgedRequests(requests []Request, disturbed func(address string, from, to time.Time) bool) (judged []Request) {
 	for _, request := range requests {
 		if request.Outcome == LostWithFrontEnd {
@@ -80,7 +79,7 @@
 	return judged
 }
 
-// rolloutChecker collects the violations of the rules of the rollout fault test.
+// rolloutChecker collects violations of the rules of the rollout scenario.
 type rolloutChecker struct {
 	members      []*cluster.Member
 	emptyPeriods []emptyPeriod
@@ -92,19 +91,20 @@
 	c.violations = append(c.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkEmptiness finds executions on engines that were declared empty.
+// checkEmptiness finds executions on engines that were reported as empty.
 func (c *rolloutChecker) checkEmptiness(executions []engine.Execution) {
 	for _, x := range executions {
 		for _, empty := range c.emptyPeriods {
 			if empty.engine == x.Engine && empty.overlaps(x) {
-				c.violate(NotEmpty, x.ReceivedAt, "%s ran %s until %v, and was said to be empty at %s",
+				c.violate(NotEmpty, x.ReceivedAt, "%s ran %s until %v after it was reported as empty at %s",
 					empty.engine, x.ID, x.EndedAt.Sub(empty.from), empty.from.Format("15:04:05.000"))
 			}
 		}
 	}
 }
 
-// overlaps tells whether an execution began in the period, or before it and went on into it.
+// overlaps reports whether an execution began in the period, or began before and ended more than emptyGrace after the
+// start of the period.
 func (p period) overlaps(x engine.Execution) bool {
 	switch {
 	case !x.ReceivedAt.Before(p.to):
@@ -115,7 +115,7 @@
 	return x.ReceivedAt.Before(p.from) && (x.EndedAt.IsZero() || x.EndedAt.After(p.from.Add(emptyGrace)))
 }
 
-// checkProcesses checks the exit of each process, and each shutdown that the fleet has granted.
+// checkProcesses checks the exit of each process, and each granted shutdown.
 func (c *rolloutChecker) checkProcesses() {
 	for _, m := range c.members {
 		for _, p := range m.Processes() {
@@ -128,17 +128,17 @@
 	}
 }
 
-// granted tells whether a process stopped accepting requests under a shutdown grant.
+// granted reports whether a process stopped accepting requests under a grant of the fleet.
 func granted(p cluster.Process) bool { return p.ByGrant && !p.DrainingAt.IsZero() }
 
-// checkExit finds processes that crashed or broke an invariant.
+// checkExit finds a process that crashed or broke an invariant.
 func (c *rolloutChecker) checkExit(p cluster.Process) {
 	if p.BrokenInvariant != "" {
 		c.violate(Crashes, p.EndedAt, "%s: %s", p.Member, p.BrokenInvariant)
 	}
 	ended := !p.EndedAt.IsZero() && !p.Killed
 	if ended && !slices.Contains([]int{0, exitRestart, exitDrained}, p.ExitCode) {
-		c.violate(Crashes, p.EndedAt, "%s ended by itself with code %d", p.Member, p.ExitCode)
+		c.violate(Crashes, p.EndedAt, "%s ended with exit code %d without being killed", p.Member, p.ExitCode)
 	}
 }
 
@@ -146,13 +146,13 @@
 func (c *rolloutChecker) checkHalts(p cluster.Process) {
 	for _, halt := range c.haltPeriods {
 		if p.DrainingAt.After(halt.from) && p.DrainingAt.Before(halt.to) {
-			c.violate(AfterHalt, p.DrainingAt, "%s shut down %v after a halt was acknowledged", p.Member,
+			c.violate(AfterHalt, p.DrainingAt, "%s began a granted shutdown %v after a halt was acknowledged", p.Member,
 				p.DrainingAt.Sub(halt.from))
 		}
 	}
 }
 
-// checkBudget finds a granted shutdown that began while as many others as the budget allows were unavailable.
+// checkBudget finds a granted shutdown that began while as many other members as the budget allows were unavailable.
 func (c *rolloutChecker) checkBudget(m *cluster.Member, p cluster.Process) {
 	var unavailable, inZone []string
 	for _, other := range c.members {
@@ -165,12 +165,13 @@
 		}
 	}
 	if len(unavailable) >= maxUnavailable || len(inZone) >= maxUnavailableInZone {
-		c.violate(OverBudget, p.DrainingAt, "%s shut down while %s were unavailable, %s of its zone",
+		c.violate(OverBudget, p.DrainingAt, "%s began a granted shutdown while others were unavailable: %s; of its zone: %s",
 			p.Member, strings.Join(unavailable, " "), strings.Join(inZone, " "))
 	}
 }
 
-// knownUnavailable tells whether a member was unavailable at a time, and the fleet had to know it.
+// knownUnavailable reports whether a member was unavailable at a time, and the fleet must have known: it had granted
+// the shutdown, or had failureDetection to detect the failure.
 func knownUnavailable(m *cluster.Member, at time.Time) bool {
 	unavailable, byGrant, since := m.Unavailable(at)
 	return unavailable && (byGrant || at.Sub(since) > failureDetection)
--- a/internal/faulttest/rollout_disk_faults.go
+++ b/internal/faulttest/rollout_disk_faults.go
@@ -9,17 +9,18 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// caughtUpWithin is how many log entries a control replica may lack and count as caught up.
-const caughtUpWithin = 5
+// maxCatchUpLag is the number of log entries by which a control replica may lag behind the leader and still count as
+// caught up.
+const maxCatchUpLag = 5
 
-// loseDisk kills a control replica and removes its replica store.
+// loseDisk kills a control replica and removes its control log.
 func (r *rolloutRun) loseDisk(ctx context.Context, rng *rand.Rand) {
 	m := r.claim(rng, true)
 	if m == nil {
 		return
 	}
 	defer r.unclaim(m)
-	r.options.logf("%s loses its disk", m.Name)
+	r.options.logf("%s: process killed and disk lost", m.Name)
 	if err := m.LoseDisk(); err != nil {
 		r.options.logf("%v", err)
 	}
@@ -27,17 +28,17 @@
 	r.waitRejoined(ctx, m)
 }
 
-// diskFault lets the writes of a control replica fail for a while, as cluster.Member.FailDisk names it. Its process
-// continues.
-func diskFault(failure string) func(*rolloutRun, context.Context, *rand.Rand) {
+// diskFault returns an injection that makes the writes of a control replica fail for a while, with a kind of
+// cluster.Member.FailDisk. The replica's process continues to run.
+func diskFault(kind string) func(*rolloutRun, context.Context, *rand.Rand) {
 	return func(r *rolloutRun, ctx context.Context, rng *rand.Rand) {
 		m := r.claim(rng, true)
 		if m == nil {
 			return
 		}
 		defer r.unclaim(m)
-		r.options.logf("the disk of %s fails: %s", m.Name, failure)
-		if err := m.FailDisk(failure); err != nil {
+		r.options.logf("%s: disk fault %s", m.Name, kind)
+		if err := m.FailDisk(kind); err != nil {
 			r.options.logf("%v", err)
 		}
 		sleep(ctx, drawDuration(rng, time.Second, 5*time.Second))
@@ -48,8 +49,8 @@
 	}
 }
 
-// waitRejoined waits until a control replica with a new disk is a caught-up voter again. A second disk lost before
-// that is more than three replicas tolerate.
+// waitRejoined waits until a control replica has caught up and is a voter again, for 30 s at most. Three replicas do
+// not tolerate the loss of a second disk before that.
 func (r *rolloutRun) waitRejoined(ctx context.Context, m *cluster.Member) {
 	for range 300 {
 		if r.hasRejoined(m) {
@@ -59,14 +60,15 @@
 			return
 		}
 	}
-	r.options.logf("%s is not back among the control replicas", m.Name)
+	r.options.logf("%s did not rejoin the control replicas in time", m.Name)
 }
 
+// hasRejoined reports whether all control replicas are voters and a member has caught up with the leader.
 func (r *rolloutRun) hasRejoined(m *cluster.Member) bool {
 	leader := r.leaderStatus()
 	if leader == nil || len(leader.Servers) != controlReplicas || slices.Contains(leader.Servers, "") {
 		return false
 	}
 	replica, err := r.cluster.Client.StatusOf(m.Name)
-	return err == nil && replica.AppliedIndex+caughtUpWithin >= leader.AppliedIndex
+	return err == nil && replica.AppliedIndex+maxCatchUpLag >= leader.AppliedIndex
 }
--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -11,18 +11,18 @@
 	"beechcart/internal/fake/engine"
 )
 
-// Faults of the engine that the bad revision connects to.
+// The defects of the engines that front ends of the bad revision connect to.
 const (
 	badErrorShare = 0.6
 	badDelay      = 700 * time.Millisecond
 )
 
-// managedEngine is one engine, through all its processes. It has two at a time: the one of the good revisions, and
-// the one that stands for it under the bad revision.
+// managedEngine is one engine, which runs two processes at a time: front ends of the good revisions connect to one, and
+// front ends of the bad revision to the other, which is defective.
 type managedEngine struct {
 	name      string
 	good, bad *engine.Engine
-	since     int64 // start of the processes, Unix milliseconds; 0: long ago
+	since     int64 // start of the processes, Unix milliseconds; 0: long before the run
 }
 
 func (e *managedEngine) kill() {
@@ -30,7 +30,7 @@
 	e.bad.Kill()
 }
 
-// zone returns the zone of the engine. Engines alternate between the zones by the first digit of their number.
+// zone returns the zone of the engine, which depends on the first digit of the engine's number.
 func (e *managedEngine) zone() string {
 	return rolloutZones[int(e.name[1])%len(rolloutZones)]
 }
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// startEngine starts new processes of an engine.
+// startEngine starts the two processes of an engine.
 func (r *rolloutRun) startEngine(e *managedEngine) error {
 	options := engine.Options{Name: e.name, Cores: 4, MaxQueries: 64, Classes: engineClasses}
 	good, err := engine.Start("127.0.0.1:0", options)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// publish writes engines to both change logs; complete tells front ends that there are no others.
+// publish writes engines to both change logs. If complete is set, the engines replace all earlier ones.
 func (r *rolloutRun) publish(complete bool, engines ...*managedEngine) {
 	var good, bad []changelog.Endpoint
 	for _, e := range engines {
@@ -90,7 +90,7 @@
 	r.badLog.Publish(complete, bad...)
 }
 
-// drainEngine drains an engine, stops it once the fleet permits that, and starts it again as a new process.
+// drainEngine drains an engine, stops its processes once the fleet permits that, and starts new ones.
 func (r *rolloutRun) drainEngine(ctx context.Context, rng *rand.Rand) {
 	e := r.engines[rng.IntN(len(r.engines))]
 	permit, granted := r.grantDrain(ctx, e.name)
@@ -98,19 +98,20 @@
 		return
 	}
 	r.count("drains", 1)
-	r.options.logf("drain %s, permit %d", e.name, permit)
+	r.options.logf("%s is being drained under permit %d", e.name, permit)
 	began := time.Now()
 	if !r.waitMayStop(ctx, permit) {
 		return
 	}
 	permitted := time.Now()
 	r.count("drain_s", permitted.Sub(began).Seconds())
-	r.options.logf("%s may be stopped, after %v", e.name, permitted.Sub(began).Round(time.Millisecond))
+	r.options.logf("%s may be stopped after a drain of %v", e.name, permitted.Sub(began).Round(time.Millisecond))
 	sleep(ctx, drawDuration(rng, 200*time.Millisecond, time.Second))
 	r.replaceProcesses(e, permitted)
 }
 
-// grantDrain asks for the drain of an engine until it is granted, and returns its permit; false if ctx ended before.
+// grantDrain requests the drain of an engine until the drain is granted, and returns the permit. It returns false if
+// ctx ended first.
 func (r *rolloutRun) grantDrain(ctx context.Context, name string) (permit uint64, granted bool) {
 	for {
 		result, err := r.apply(ctx, rollout.Command{Drain: &rollout.Subject{Name: name, Engine: true}})
@@ -127,7 +128,7 @@
 	}
 }
 
-// waitMayStop waits until the holder of a permit may be stopped; false if ctx ended before.
+// waitMayStop waits until the engine with a drain permit may be stopped. It returns false if ctx ended first.
 func (r *rolloutRun) waitMayStop(ctx context.Context, number uint64) bool {
 	for {
 		if status := r.leaderStatus(); status != nil {
@@ -141,7 +142,8 @@
 	}
 }
 
-// replaceProcesses stops the processes of an engine that may be stopped since then, and starts new ones.
+// replaceProcesses stops the processes of a drained engine, which may be stopped from the time permitted on, and starts
+// new ones.
 func (r *rolloutRun) replaceProcesses(e *managedEngine, permitted time.Time) {
 	r.mu.Lock()
 	r.emptyPeriods = append(r.emptyPeriods, emptyPeriod{e.name, period{permitted, time.Now()}})
--- a/internal/faulttest/rollout_faults.go
+++ b/internal/faulttest/rollout_faults.go
@@ -11,18 +11,19 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// At most maxFaulted members are in the hands of faults at a time, and at most one of them is a control replica: two
-// faulted replicas of three would leave the cluster without a quorum.
+// maxFaulted is the largest number of members claimed by faults at a time. At most one of them is a control replica,
+// since two faulted replicas of three would leave the cluster without a quorum; only killAllReplicas is exempt from
+// this limit.
 const maxFaulted = 2
 
-// memberFault is one kind of fault of front ends. Its injection returns once the fault has been undone.
+// memberFault is one kind of fault of front ends. inject returns once the fault has ended.
 type memberFault struct {
 	kind   string
 	layer  faultLayer
 	inject func(r *rolloutRun, ctx context.Context, rng *rand.Rand)
 }
 
-// faultLayer is where a fault happens. Each has injectors of its own.
+// faultLayer is the part of the cluster that a fault affects. Each layer has its own injectors.
 type faultLayer int
 
 const (
@@ -30,7 +31,7 @@
 	networkLayer                   // links between members
 )
 
-// memberFaults lists the kinds. What a seed draws depends on their order.
+// memberFaults lists the kinds of faults. The faults that a seed draws depend on the order of this list.
 var memberFaults = []memberFault{
 	{kind: "kill", inject: signalFault("kill", syscall.SIGKILL)},
 	{kind: "stop", inject: (*rolloutRun).stopMember},
@@ -54,7 +55,7 @@
 	return kinds
 }
 
-// startFaultInjectors starts two injectors of faults of members and one of faults of links; they end with ctx.
+// startFaultInjectors starts two injectors of member faults and one of link faults, which end when ctx ends.
 func (r *rolloutRun) startFaultInjectors(ctx context.Context) *sync.WaitGroup {
 	var injectors sync.WaitGroup
 	for i, layer := range []faultLayer{memberLayer, memberLayer, networkLayer} {
@@ -64,21 +65,21 @@
 	return &injectors
 }
 
-// injectFaults draws faults of a layer, and injects one after the other until ctx ends.
+// injectFaults draws faults of a layer and injects one after the other, until ctx ends.
 func (r *rolloutRun) injectFaults(ctx context.Context, rng *rand.Rand, layer faultLayer) {
-	var chosen []memberFault
+	var candidates []memberFault
 	for _, f := range memberFaults {
 		if f.layer == layer && r.options.injects(f.kind) {
-			chosen = append(chosen, f)
+			candidates = append(candidates, f)
 		}
 	}
-	for len(chosen) > 0 && sleep(ctx, drawDuration(rng, 500*time.Millisecond, 3*time.Second)) {
-		chosen[rng.IntN(len(chosen))].inject(r, ctx, rng)
+	for len(candidates) > 0 && sleep(ctx, drawDuration(rng, 500*time.Millisecond, 3*time.Second)) {
+		candidates[rng.IntN(len(candidates))].inject(r, ctx, rng)
 	}
 }
 
-// claim picks a member that no other fault has claimed; nil if there is none. onlyReplicas picks among control
-// replicas.
+// claim draws a member that no other fault has claimed, only among control replicas if onlyReplicas is set. It returns
+// nil if no such member may get a fault now.
 func (r *rolloutRun) claim(rng *rand.Rand, onlyReplicas bool) *cluster.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +100,7 @@
 	return m
 }
 
-// claimAllReplicas claims the control replicas; false, and none claimed, if another fault has one of them.
+// claimAllReplicas claims all control replicas. It claims none and returns false if another fault has claimed one.
 func (r *rolloutRun) claimAllReplicas() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,12 +113,12 @@
 	return true
 }
 
-// isFaultedReplica tells whether a member is a control replica that a fault has claimed. The caller must hold mu.
+// isFaultedReplica reports whether a member is a control replica that a fault has claimed. The caller must hold mu.
 func (r *rolloutRun) isFaultedReplica(m *cluster.Member) bool {
 	return m.ControlReplica && r.faulted[m.Name]
 }
 
-// unclaim lets other faults claim a member.
+// unclaim makes a member available to other faults.
 func (r *rolloutRun) unclaim(m *cluster.Member) {
 	r.mu.Lock()
 	delete(r.faulted, m.Name)
@@ -134,7 +135,7 @@
 	return replicas
 }
 
-// signalFault sends a signal that ends a member, which its service manager starts again.
+// signalFault returns an injection that ends a member's process with a signal. The supervisor restarts the process.
 func signalFault(kind string, signal syscall.Signal) func(*rolloutRun, context.Context, *rand.Rand) {
 	return func(r *rolloutRun, ctx context.Context, rng *rand.Rand) {
 		m := r.claim(rng, false)
@@ -142,27 +143,28 @@
 			return
 		}
 		defer r.unclaim(m)
-		r.options.logf("%s %s", kind, m.Name)
+		r.options.logf("signal %s to %s", kind, m.Name)
 		m.Signal(signal)
 		r.waitListening(ctx, m)
 	}
 }
 
-// stopMember stops a member with SIGSTOP for a while.
+// stopMember stops a member's process with SIGSTOP for a while.
 func (r *rolloutRun) stopMember(ctx context.Context, rng *rand.Rand) {
 	m := r.claim(rng, false)
 	if m == nil {
 		return
 	}
 	defer r.unclaim(m)
-	r.options.logf("stop %s", m.Name)
+	r.options.logf("SIGSTOP to %s", m.Name)
 	m.Signal(syscall.SIGSTOP)
 	sleep(ctx, drawDuration(rng, time.Second, 10*time.Second))
 	m.Signal(syscall.SIGCONT)
 	r.waitListening(ctx, m)
 }
 
-// killAllReplicas kills all control replicas at once: no command is agreed for a while, and none that was may be lost.
+// killAllReplicas kills all control replicas at once. No command can be agreed on until they have restarted, and no
+// agreed command may be lost.
 func (r *rolloutRun) killAllReplicas(ctx context.Context, _ *rand.Rand) {
 	if !r.claimAllReplicas() {
 		return
@@ -177,7 +179,7 @@
 	}
 }
 
-// waitListening waits until a member's process listens again, or ctx ends.
+// waitListening waits until a member's process listens again, or until ctx ends.
 func (r *rolloutRun) waitListening(ctx context.Context, m *cluster.Member) {
 	sleep(ctx, 100*time.Millisecond)
 	for !m.Listening() && sleep(ctx, 50*time.Millisecond) {
--- a/internal/faulttest/rollout_load.go
+++ b/internal/faulttest/rollout_load.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// newPicker returns a load balancer in front of the front ends. It knows, with a little delay, which of them accept
-// requests, and spreads evenly over those.
+// newPicker returns the Load.Pick function of the run: a load balancer that spreads requests evenly over the front ends
+// that accept requests, as it knows with a short delay.
 func (r *rolloutRun) newPicker() func() string {
 	const tries = 50
 	var mu sync.Mutex
@@ -39,7 +39,7 @@
 	}
 }
 
-// disturbed tells whether the front end at an address was killed or stopped at any time between.
+// disturbed reports whether the front end at an address was killed or stopped at any time between from and to.
 func (r *rolloutRun) disturbed(address string, from, to time.Time) bool {
 	for _, m := range r.cluster.Members {
 		if m.Addr == address {
@@ -49,13 +49,13 @@
 	return false
 }
 
-// traffic sums what members have sent to each other over some time.
+// traffic is the sum of the traffic between members over a time.
 type traffic struct {
 	bytes, messages float64
 	seconds         float64
 }
 
-// measureTraffic measures, until ctx ends, the traffic between members at rest and while a release is active.
+// measureTraffic measures the traffic between members until ctx ends, without a release and during one.
 func (r *rolloutRun) measureTraffic(ctx context.Context) {
 	const rest, release, unknown = "rest", "release", ""
 	sums := map[string]*traffic{rest: {}, release: {}, unknown: {}}
@@ -81,14 +81,14 @@
 	for _, phase := range []string{rest, release} {
 		if sum := sums[phase]; sum.seconds > 0 {
 			memberSeconds := sum.seconds * float64(r.options.FrontEnds)
-			r.figures["bytes_member_s_"+phase] = sum.bytes / memberSeconds
-			r.figures["messages_member_s_"+phase] = sum.messages / memberSeconds
+			r.measurements["bytes_member_s_"+phase] = sum.bytes / memberSeconds
+			r.measurements["messages_member_s_"+phase] = sum.messages / memberSeconds
 		}
 	}
 }
 
-// measureCPU records the share of a core that the leader's process takes, and the median of the members that are no
-// control replicas.
+// measureCPU records the share of a core that the leader's process uses, and the median share of the members that are
+// not control replicas.
 func (r *rolloutRun) measureCPU() {
 	status := r.leaderStatus()
 	if status == nil {
--- a/internal/faulttest/rollout_logs.go
+++ b/internal/faulttest/rollout_logs.go
@@ -7,28 +7,29 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// Lines of a front end's log that the test reads.
+// Log lines of a front end that the test reads.
 var (
-	stopping = regexp.MustCompile(`time=(\S+) .*msg=stopping .*?(exit=\d+)?$`)
-	listing  = regexp.MustCompile(`time=(\S+) .*msg="engine listed" .*engine=(\S+) .*state=(\S+)`)
+	stoppingLine    = regexp.MustCompile(`time=(\S+) .*msg=stopping .*?(exit=\d+)?$`)
+	engineStateLine = regexp.MustCompile(`time=(\S+) .*msg="engine listed" .*engine=(\S+) .*state=(\S+)`)
 )
 
-// followLog reads one line of a member's log: when it stops accepting requests, and when it learns of a drain.
+// followLog reads one line of a member's log, and records when the member stops accepting requests and when it learns
+// that an engine drains or is ready.
 func (r *rolloutRun) followLog(m *cluster.Member, line string) {
-	if match := listing.FindStringSubmatch(line); match != nil {
+	if match := engineStateLine.FindStringSubmatch(line); match != nil {
 		if at, err := time.Parse(time.RFC3339Nano, match[1]); err == nil {
 			r.recordState(m.Addr, match[2], match[3], at)
 		}
 	}
-	if match := stopping.FindStringSubmatch(line); match != nil {
+	if match := stoppingLine.FindStringSubmatch(line); match != nil {
 		if at, err := time.Parse(time.RFC3339Nano, match[1]); err == nil {
 			m.MarkDraining(at, match[2] != "")
 		}
 	}
 }
 
-// recordState records that the front end at an address has learnt of an engine's state, which drains unless it is
-// ready.
+// recordState records the time at which the front end at an address learnt of an engine's state. Any state other than
+// ready counts as draining.
 func (r *rolloutRun) recordState(address, engine, state string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,9 +45,9 @@
 	}
 }
 
-// drainsByRequest returns, by a request's id, the drains that the front end of that request has learnt of. Front ends
-// learn of a drain at different times, and each is checked against its own. The caller must hold mu, or be the only
-// user.
+// drainsByRequest returns a function that returns the drains known to the front end of the request with an id. Front
+// ends learn of a drain at different times, and each is checked against the time at which it learnt of the drain. The
+// caller must hold mu, or be the only user.
 func (r *rolloutRun) drainsByRequest(requests []Request) func(id string) *Drains {
 	byID := make(map[string]*Drains, len(requests))
 	for _, request := range requests {
--- a/internal/faulttest/rollout_release.go
+++ b/internal/faulttest/rollout_release.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// shortRunSeconds is below how many seconds a run has fewer and shorter waves.
+	// shortRunSeconds is the length below which a run has fewer waves and shorter soaks.
 	shortRunSeconds = 20
-	// haltObservation is how long a halted release is left alone, so that a shutdown after the halt is seen.
+	// haltObservation is the time that a halted release stays halted, in which a shutdown would violate AfterHalt.
 	haltObservation = 2 * time.Second
-	// releasePatience is after how long a bad release is halted by hand that was not halted by judgement.
-	releasePatience = 30 * time.Second
+	// analysisTimeout is the time after which the operator halts a bad release that the analysis has not halted.
+	analysisTimeout = 30 * time.Second
 )
 
-// apply enters an operator's command, and repeats it under the same id until it is answered or ctx ends.
+// apply sends an operator's command, and repeats the command under the same id until it is answered or ctx ends.
 func (r *rolloutRun) apply(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	r.mu.Lock()
 	r.commands++
@@ -35,7 +35,7 @@
 	}
 }
 
-// leaderStatus returns the status of the leader; nil if there is none.
+// leaderStatus returns the status of the leader, or nil if there is no leader.
 func (r *rolloutRun) leaderStatus() *fleet.Status {
 	if status, err := r.cluster.Client.Status(); err == nil && status.IsLeader {
 		return &status
@@ -43,8 +43,7 @@
 	return nil
 }
 
-// release brings the fleet to a revision. A release that is halted is resumed if resume is set, and rolled back
-// otherwise.
+// release releases a revision to the fleet. A halted release is resumed if resume is set, and rolled back otherwise.
 func (r *rolloutRun) release(ctx context.Context, revision string, resume bool) {
 	number, started := r.startRelease(ctx, revision)
 	if !started {
@@ -59,7 +58,8 @@
 	}
 }
 
-// startRelease asks for a release until it is granted, and returns its number; false if ctx ended before.
+// startRelease requests a release until the release is granted, and returns its number. It returns false if ctx ended
+// first.
 func (r *rolloutRun) startRelease(ctx context.Context, revision string) (number uint64, started bool) {
 	start := rollout.StartRelease{Revision: revision, Waves: []float64{0.05, 0.5, 1}, Soak: 5 * time.Second}
 	if r.options.Seconds < shortRunSeconds {
@@ -89,7 +89,7 @@
 	rolledBack bool
 }
 
-// check looks at the release once, and acts on a halt; true once the release is done.
+// check reads the state of the release once and reacts to a halt. It returns true once the release is done.
 func (o *releaseOperator) check(ctx context.Context) (done bool) {
 	status := o.run.leaderStatus()
 	if status == nil || status.State.Release == nil || status.State.Release.Number != o.number {
@@ -99,19 +99,20 @@
 	case release.State == rollout.Done:
 		took := time.Since(o.began)
 		o.run.count("release_s_"+o.revision, took.Seconds())
-		o.run.options.logf("release %d ended, back %v, after %v", o.number, release.RollingBack, took.Round(time.Millisecond))
+		o.run.options.logf("release %d is done, rolled back: %v, after %v", o.number, release.RollingBack,
+			took.Round(time.Millisecond))
 		return true
 	case release.State == rollout.Halted && !o.rolledBack:
 		o.handleHalt(ctx, release.HaltCause)
-	case release.State == rollout.Running && !o.resume && !o.rolledBack && time.Since(o.began) > releasePatience:
-		o.run.options.logf("the bad release was not halted by itself")
+	case release.State == rollout.Running && !o.resume && !o.rolledBack && time.Since(o.began) > analysisTimeout:
+		o.run.options.logf("the analysis has not halted the bad release in time; halting by command")
 		o.run.count("halted_by_hand", 1)
 		_, _ = o.run.apply(ctx, rollout.Command{Halt: &rollout.Halt{Cause: "not halted by analysis in time"}})
 	}
 	return false
 }
 
-// handleHalt records for how long the release stays halted, and then resumes it or rolls it back.
+// handleHalt records the period in which the release stays halted, and then resumes the release or rolls it back.
 func (o *releaseOperator) handleHalt(ctx context.Context, cause string) {
 	acknowledged := time.Now()
 	o.run.count("halts_"+o.revision, 1)
--- a/internal/faulttest/rollout_start.go
+++ b/internal/faulttest/rollout_start.go
@@ -23,8 +23,8 @@
 	frontSockets  = 1024
 )
 
-// startRollout starts fake servers and the test cluster. It returns once the cluster serves under the budgets of the
-// test. The caller must close the run.
+// startRollout starts the fake servers and the test cluster, and returns once the cluster serves with the test's
+// budgets. The caller must close the run.
 func startRollout(ctx context.Context, o Options) (_ *rolloutRun, err error) {
 	dir, err := os.MkdirTemp("", "faulttest")
 	if err != nil {
@@ -53,10 +53,10 @@
 	return run, run.waitAssembled(ctx)
 }
 
-// onClose registers what releases a resource.
+// onClose registers a function that releases a resource when the run is closed.
 func (r *rolloutRun) onClose(release func()) { r.closers = append(r.closers, release) }
 
-// close stops all processes and releases all resources, the last acquired first.
+// close stops all processes and releases all resources, in the reverse order of their acquisition.
 func (r *rolloutRun) close() {
 	for _, release := range slices.Backward(r.closers) {
 		release()
@@ -99,7 +99,7 @@
 	dir string
 
 	mu     sync.Mutex
-	starts map[string]int // so far, by member
+	starts map[string]int // number of starts so far, by member
 }
 
 func (s *frontStarter) start(m *cluster.Member, revision, fleetSettings string) (cluster.FrontEnd, error) {
@@ -115,17 +115,17 @@
 		ChangeLog:        s.run.changeLogOf(revision).Addr,
 		MemoryMB:         frontMemoryMB,
 		Descriptors:      frontSockets,
-		PlatformSettings: rolloutFacts(m, s.run.options.FrontEnds),
+		PlatformSettings: memberPlatformSettings(m, s.run.options.FrontEnds),
 		OperatorSettings: `{"schema":1,"fleet":` + fleetSettings + `}`,
 		OnLogLine:        func(line string) { s.run.followLog(m, line) },
 	})
 	if err != nil {
-		return nil, err // without it, a nil *FrontEnd would be a rig.FrontEnd that is not nil
+		return nil, err // a nil *FrontEnd in the interface cluster.FrontEnd would not be nil
 	}
 	return front, nil
 }
 
-// newDir makes the directory of one process of a member.
+// newDir creates the directory for the next process of a member.
 func (s *frontStarter) newDir(member string) (string, error) {
 	s.mu.Lock()
 	s.starts[member]++
@@ -134,8 +134,8 @@
 	return dir, os.Mkdir(dir, 0o700)
 }
 
-// changeLogOf returns the log that front ends of a revision read. That of the bad revision lists the same engines at
-// the addresses of processes that fail or are slow.
+// changeLogOf returns the change log that front ends of a revision read. The log of the bad revision lists the same
+// engines at the addresses of their defective processes.
 func (r *rolloutRun) changeLogOf(revision string) *changelog.Log {
 	if revision == badRevision {
 		return r.badLog
@@ -143,12 +143,12 @@
 	return r.goodLog
 }
 
-// rolloutFacts returns PlatformSettings for one front end of several, in the zones of the test.
-func rolloutFacts(m *cluster.Member, members int) string {
+// memberPlatformSettings returns the platform's settings of one member of the cluster, in the zones of the test.
+func memberPlatformSettings(m *cluster.Member, members int) string {
 	const one, oneZone = `"locality":"room-a","me":0,"replicas_of_me":1`, `"zones":["room-a"]`
 	own := fmt.Sprintf(`"locality":%q,"me":%d,"replicas_of_me":%d`, m.Zone, m.Number, members)
-	facts := strings.Replace(Settings, one, own, 1)
-	return strings.Replace(facts, oneZone, `"zones":["room-a","room-b","room-c"]`, 1)
+	text := strings.Replace(Settings, one, own, 1)
+	return strings.Replace(text, oneZone, `"zones":["room-a","room-b","room-c"]`, 1)
 }
 
 // configure initializes the replicated log and sets the budgets of the test.
@@ -159,12 +159,14 @@
 	}
 	settings := r.settings()
 	if _, err := r.apply(ctx, rollout.Command{Configure: &settings}); err != nil {
-		return fmt.Errorf("faulttest: no control replica leads: %w (%w)", err, initErr)
+		return fmt.Errorf("faulttest: no control replica accepts the settings: %w (initialization of the log: %w)", err,
+			initErr)
 	}
 	return nil
 }
 
-// initLog asks the control replicas to initialize the log until they have, or had before, and returns the last error.
+// initLog requests the initialization of the log until a control replica has initialized the log or rejects the request
+// because the log exists. It returns the last error.
 func (r *rolloutRun) initLog(ctx context.Context) (last error) {
 	for range 200 {
 		last = r.cluster.Client.Init()
@@ -187,14 +189,14 @@
 	settings.ReturnTimeout = 25 * time.Second
 	settings.CrashLoop = 4
 	settings.Analyzer.MinRequests = 200
-	settings.Analyzer.Dispersion = 1 // failures here are independent
+	settings.Analyzer.Dispersion = 1 // the failures in this test are independent
 	if r.options.Policy == policyUnjudged {
 		settings.Analyzer.Alpha = 1e-300
 	}
 	return settings
 }
 
-// waitAssembled waits until all members serve and all engines are known.
+// waitAssembled waits until the leader reports all members as serving and knows all engines.
 func (r *rolloutRun) waitAssembled(ctx context.Context) error {
 	for range 400 {
 		if r.assembled() {
@@ -204,9 +206,10 @@
 			return ctx.Err()
 		}
 	}
-	return errors.New("faulttest: the fleet does not come together")
+	return errors.New("faulttest: the leader did not report all members as serving and all engines within 20 s")
 }
 
+// assembled reports whether the leader knows all control replicas, all engines, and all members as serving.
 func (r *rolloutRun) assembled() bool {
 	status := r.leaderStatus()
 	if status == nil || len(status.Servers) != controlReplicas {
