--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -66,7 +66,7 @@
 	resumed chan struct{} // nil unless the engine is paused; closed when it resumes
 
 	http *http.Server
-	ctx  context.Context
+	ctx  context.Context // ends when the engine is killed
 	stop context.CancelFunc
 }
 
--- a/internal/faulttest/checker.go
+++ b/internal/faulttest/checker.go
@@ -85,7 +85,7 @@
 	WrongAnswers       = "wrong_answers"  // answers that no engine produced for the request
 	FalsePromises      = "false_promises" // non-idempotent requests that were executed and rejected as safe to retry
 	NoEngine           = "no_engine"      // times at which a front end listed no engine as ready, but one was running
-	Crashes            = "crashes"        // front ends that ended without a signal, or counted a broken invariant
+	Crashes            = "crashes"        // front ends that failed, ended unrequested, or counted a broken invariant
 	// granted shutdowns of front ends that began while as many others as the budget allows were unavailable
 	OverBudget    = "over_budget"
 	AfterHalt     = "after_halt"     // granted shutdowns that began after a halt was acknowledged
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -58,7 +58,7 @@
 	case agreed.Revision != agreed.TargetRevision || current.Revision != agreed.TargetRevision:
 		return fmt.Sprintf("%s runs revision %s, agreed is %s", m.Name, current.Revision, agreed.TargetRevision)
 	case state.Release == nil || state.Release.State != rollout.Done:
-		return "a release is under way"
+		return "the release is not done"
 	}
 	return ""
 }
--- a/internal/faulttest/rollout_engines.go
+++ b/internal/faulttest/rollout_engines.go
@@ -30,7 +30,7 @@
 	e.bad.Kill()
 }
 
-// zone returns the zone of the engine, which depends on the first digit of the engine's number.
+// zone returns the zone of the engine. Engines alternate between the zones by the first digit of their number.
 func (e *managedEngine) zone() string {
 	return rolloutZones[int(e.name[1])%len(rolloutZones)]
 }
--- a/internal/faulttest/rollout_load.go
+++ b/internal/faulttest/rollout_load.go
@@ -21,7 +21,7 @@
 }
 
 // newPicker returns the Load.Pick function of the run: a load balancer that spreads requests evenly over the front ends
-// that accept requests, as it knows with a short delay.
+// that accept requests. It notices with a short delay that a front end has stopped accepting them.
 func (r *rolloutRun) newPicker() func() string {
 	const tries = 50
 	var mu sync.Mutex
