--- a/internal/bench/systrace/names_amd64.go
+++ b/internal/bench/systrace/names_amd64.go
@@ -2,5 +2,5 @@
 
 import "golang.org/x/sys/unix"
 
-// more are calls that only this architecture has.
-var more = map[uint64]string{unix.SYS_EPOLL_WAIT: "epoll_wait", unix.SYS_GETTID: "gettid"}
+// archNames are the names of system calls that other architectures don't have.
+var archNames = map[uint64]string{unix.SYS_EPOLL_WAIT: "epoll_wait", unix.SYS_GETTID: "gettid"}
--- a/internal/bench/systrace/names_other.go
+++ b/internal/bench/systrace/names_other.go
@@ -2,5 +2,5 @@
 
 package systrace
 
-// more are calls that only this architecture has.
-var more = map[uint64]string{}
+// archNames are the names of system calls that other architectures don't have.
+var archNames = map[uint64]string{}
--- a/internal/bench/systrace/systrace.go
+++ b/internal/bench/systrace/systrace.go
@@ -1,7 +1,7 @@
 //go:build linux
 
-// Package systrace counts the system calls of a running process, each one and by name, with ptrace(2): nothing is
-// sampled. The process runs slower while it is traced, so counts may be trusted and times may not.
+// Package systrace counts the system calls of a running process by name, with ptrace(2). Every call is counted; nothing
+// is sampled. The traced process runs slower, so counts are valid and times are not.
 package systrace
 
 import (
@@ -18,15 +18,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Counter counts for one process. Its methods are safe for concurrent use.
+// Counter counts the system calls of one process. Its methods are safe for concurrent use.
 type Counter struct {
 	pid     int
 	stop    atomic.Bool
-	stopped chan struct{}
+	stopped chan struct{} // closed once the tracer has ended
 
 	mu     sync.Mutex
-	counts map[uint64]int64
-	err    error
+	counts map[uint64]int64 // by number of the system call
+	err    error            // of the tracer; valid once stopped is closed
 }
 
 const getSyscallInfo = 0x420e // PTRACE_GET_SYSCALL_INFO, Linux 5.3
@@ -44,7 +44,7 @@
 
 const opEntry = 1 // PTRACE_SYSCALL_INFO_ENTRY
 
-// Attach begins to count the calls of a process and all its threads, those to come included.
+// Attach starts to count the system calls of all current and future threads of a process. The caller must call Detach.
 func Attach(pid int) (*Counter, error) {
 	c := &Counter{pid: pid, stopped: make(chan struct{}), counts: map[uint64]int64{}}
 	ready := make(chan error, 1)
@@ -55,7 +55,7 @@
 	return c, nil
 }
 
-// Counts returns the calls so far, by name.
+// Counts returns the number of system calls so far, by name.
 func (c *Counter) Counts() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,10 +66,10 @@
 	return out
 }
 
-// Detach lets the process go on untraced.
+// Detach ends the tracing and lets the process continue. It returns the error that ended the tracer early, if any.
 func (c *Counter) Detach() error {
 	c.stop.Store(true)
-	// Wakes the tracer: Go programs take SIGURG for their own preemption at any time.
+	// Wakes the tracer. SIGURG is harmless to a Go program, whose runtime uses that signal for preemption.
 	_ = unix.Kill(c.pid, unix.SIGURG)
 	<-c.stopped
 	return c.err
@@ -89,36 +89,37 @@
 	return out, nil
 }
 
-// seize attaches to all threads that there are, again until no new one has come meanwhile.
+// seize attaches to all threads of the process. It lists the threads again until a list contains no new one.
 func (c *Counter) seize() (map[int]bool, error) {
 	const options = unix.PTRACE_O_TRACESYSGOOD | unix.PTRACE_O_TRACECLONE
-	held := map[int]bool{}
+	attached := map[int]bool{}
 	for {
 		list, err := threads(c.pid)
 		if err != nil {
 			return nil, err
 		}
-		fresh := false
+		found := false
 		for _, tid := range list {
-			if held[tid] {
+			if attached[tid] {
 				continue
 			}
-			fresh = true
-			held[tid] = true
-			// EPERM tells a thread that a traced one has started: it is attached already.
+			found = true
+			attached[tid] = true
+			// EPERM means that a traced thread has started this one, which is therefore attached already. ESRCH means that
+			// the thread has ended.
 			if err := ptrace(unix.PTRACE_SEIZE, tid, options); err != nil && !errors.Is(err, unix.EPERM) && !errors.Is(err,
 				unix.ESRCH) {
 				return nil, fmt.Errorf("seize thread %d: %w", tid, err)
 			}
 			_ = ptrace(unix.PTRACE_INTERRUPT, tid, 0)
 		}
-		if !fresh {
-			return held, nil
+		if !found {
+			return attached, nil
 		}
 	}
 }
 
-// ptrace makes a request that takes no address.
+// ptrace makes a ptrace request that takes no address argument.
 func ptrace(request, tid int, data uintptr) error {
 	if _, _, errno := unix.Syscall6(unix.SYS_PTRACE, uintptr(request), uintptr(tid), 0, data, 0, 0); errno != 0 {
 		return errno
@@ -126,22 +127,22 @@
 	return nil
 }
 
-// run is the tracer: all calls of ptrace must come from its one thread, which ends with it.
+// run is the tracer. All ptrace requests must come from one thread, so run locks its thread, which ends with run.
 func (c *Counter) run(ready chan<- error) {
 	runtime.LockOSThread()
 	if unix.Gettid() == unix.Getpid() {
-		// The main thread does not end with its goroutine, and would go on as the tracer: another one is taken.
+		// The main thread does not end with its goroutine, and would remain the tracer: another thread is used.
 		go c.run(ready)
 		<-c.stopped
 		runtime.UnlockOSThread()
 		return
 	}
 	defer close(c.stopped)
-	held, err := c.seize()
+	attached, err := c.seize()
 	if ready <- err; err != nil {
 		return
 	}
-	for len(held) > 0 {
+	for len(attached) > 0 {
 		var ws unix.WaitStatus
 		tid, err := unix.Wait4(-1, &ws, unix.WALL|unix.WNOTHREAD, nil)
 		switch {
@@ -156,25 +157,25 @@
 			if !ws.Exited() && !ws.Signaled() {
 				c.detach(tid, ws)
 			}
-			delete(held, tid)
-			c.release(held)
+			delete(attached, tid)
+			c.detachAll(attached)
 			return
 		case ws.Exited() || ws.Signaled():
-			delete(held, tid)
+			delete(attached, tid)
 			continue
 		}
-		held[tid] = true
-		c.step(tid, ws)
+		attached[tid] = true
+		c.handleStop(tid, ws)
 	}
 }
 
-// release lets all threads go. It is bounded in time: a thread that is ending may tell nothing more, and is let go by
-// the end of this one.
-func (c *Counter) release(held map[int]bool) {
-	for tid := range held {
+// detachAll detaches all threads. Its time is bounded, since a thread that is ending may not stop any more; the kernel
+// detaches such a thread when the tracer's thread ends.
+func (c *Counter) detachAll(attached map[int]bool) {
+	for tid := range attached {
 		_ = ptrace(unix.PTRACE_INTERRUPT, tid, 0)
 	}
-	for end := time.Now().Add(time.Second); len(held) > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(time.Second); len(attached) > 0 && time.Now().Before(end); {
 		var ws unix.WaitStatus
 		tid, err := unix.Wait4(-1, &ws, unix.WALL|unix.WNOTHREAD|unix.WNOHANG, nil)
 		switch {
@@ -186,11 +187,11 @@
 		case !ws.Exited() && !ws.Signaled():
 			c.detach(tid, ws)
 		}
-		delete(held, tid)
+		delete(attached, tid)
 	}
 }
 
-// detach detaches a thread that has stopped; a signal that it was about to get still reaches it.
+// detach detaches a stopped thread. If the thread has stopped for a signal, the signal is delivered.
 func (c *Counter) detach(tid int, ws unix.WaitStatus) {
 	signal := uintptr(0)
 	if sig := ws.StopSignal(); sig != unix.SIGTRAP|0x80 && uint32(ws)>>16 == 0 {
@@ -199,13 +200,13 @@
 	_ = ptrace(unix.PTRACE_DETACH, tid, signal)
 }
 
-// step takes one stop of a thread, and lets it go on.
-func (c *Counter) step(tid int, ws unix.WaitStatus) {
+// handleStop handles one stop of a thread and resumes the thread.
+func (c *Counter) handleStop(tid int, ws unix.WaitStatus) {
 	signal := uintptr(0)
 	switch sig := ws.StopSignal(); {
 	case sig == unix.SIGTRAP|0x80:
 		c.count(tid)
-	case uint32(ws)>>16 != 0: // a ptrace event: a thread was started, or ours has been interrupted
+	case uint32(ws)>>16 != 0: // a ptrace event: a thread was started, or PTRACE_INTERRUPT stopped this one
 	default:
 		signal = uintptr(sig)
 	}
@@ -224,7 +225,7 @@
 	c.mu.Unlock()
 }
 
-// names are the calls that a Go network program makes.
+// names are the names of the system calls that a Go network program makes.
 var names = map[uint64]string{
 	unix.SYS_READ: "read", unix.SYS_WRITE: "write", unix.SYS_READV: "readv", unix.SYS_WRITEV: "writev",
 	unix.SYS_CLOSE:  "close",
@@ -242,11 +243,12 @@
 	unix.SYS_SIGALTSTACK: "sigaltstack", unix.SYS_EVENTFD2: "eventfd2", unix.SYS_RESTART_SYSCALL: "restart_syscall",
 }
 
+// name returns the name of a system call, or "call_" and its number if the name is not known.
 func name(nr uint64) string {
 	if n, ok := names[nr]; ok {
 		return n
 	}
-	if n, ok := more[nr]; ok {
+	if n, ok := archNames[nr]; ok {
 		return n
 	}
 	return "call_" + strconv.FormatUint(nr, 10)
--- a/internal/bench/systrace/systrace_test.go
+++ b/internal/bench/systrace/systrace_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The test binary itself is the traced program: with this in its environment it echoes lines, one write each.
+// echoEnv in the environment makes the test binary the traced program, which echoes lines with one write each.
 const echoEnv = "SYSTRACE_ECHO"
 
 func TestMain(m *testing.M) {
@@ -36,12 +36,12 @@
 	out, err := cmd.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
-	read := bufio.NewReader(out)
+	replies := bufio.NewReader(out)
 	echo := func(n int) {
 		for range n {
 			_, err := io.WriteString(in, "hello\n")
 			require.NoError(t, err)
-			_, err = read.ReadString('\n')
+			_, err = replies.ReadString('\n')
 			require.NoError(t, err)
 		}
 	}
@@ -56,10 +56,10 @@
 	assert.InDelta(t, 200, after["read"]-before["read"], 1)
 	require.NoError(t, c.Detach())
 	echo(50)
-	assert.Equal(t, after["write"], c.Counts()["write"], "what is let go is counted no more")
+	assert.Equal(t, after["write"], c.Counts()["write"], "calls after Detach are not counted")
 	require.NoError(t, in.Close())
 	require.NoError(t, cmd.Wait())
 
 	_, err = Attach(cmd.Process.Pid)
-	assert.Error(t, err, "a process that has ended")
+	assert.Error(t, err, "attach to a process that has ended")
 }
