--- a/cmd/gatewayctl/bench.go
+++ b/cmd/gatewayctl/bench.go
@@ -141,7 +141,7 @@
 		if err != nil {
 			return counts, err
 		}
-		bench.KeepLeast(counts, again)
+		bench.KeepMinimum(counts, again)
 	}
 	return counts, nil
 }
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -13,33 +13,34 @@
 // BaselineSchema is the version of a baseline file.
 const BaselineSchema = 1
 
-// MaxRise is by how much a count may rise over its baseline. Of what is counted one by one, MaxRiseOfOne is the most:
-// a tenth of twenty allocations would let one more through.
+// MaxRelativeRise is the largest allowed rise of a count, as a share of its baseline. MaxAbsoluteRise is the largest
+// allowed rise in units of the count; it applies to counts of single events, where the relative limit alone would let
+// one allocation more pass at a baseline of 20.
 const (
-	MaxRise      = 0.10
-	MaxRiseOfOne = 0.5
+	MaxRelativeRise = 0.10
+	MaxAbsoluteRise = 0.5
 )
 
-// allowed is the most that a count may be. The allocations of a large result go with the reads that bring it, which
-// the machine cuts as it likes: there the tenth holds alone.
-func allowed(scenario, name string, was float64) float64 {
+// allowed returns the largest allowed value of a count. The number of reads that deliver a large result, and with it
+// the number of allocations, varies between runs, so only the relative limit applies to the large scenario.
+func allowed(scenario, name string, baseline float64) float64 {
 	if name == "alloc_bytes" || (scenario == "large" && name == "allocs") {
-		return was * (1 + MaxRise)
+		return baseline * (1 + MaxRelativeRise)
 	}
-	return was + min(was*MaxRise, MaxRiseOfOne)
+	return baseline + min(baseline*MaxRelativeRise, MaxAbsoluteRise)
 }
 
-// heldCounts are the counts that a baseline holds. Times are not among them.
-var heldCounts = []string{"allocs", "alloc_bytes", "copied"}
+// gatedCounts are the names of the counts that a baseline contains. Times are left out.
+var gatedCounts = []string{"allocs", "alloc_bytes", "copied"}
 
-// Baseline is the record of what requests cost.
+// Baseline is a recording of the cost of one request, by scenario.
 type Baseline struct {
 	Schema  int               `json:"schema"`
-	Lookups int               `json:"lookups"` // in each count
+	Lookups int               `json:"lookups"` // number of lookups in each count
 	Counts  map[string]Counts `json:"counts"`  // by scenario
 }
 
-// ReadBaseline reads a record; one that is missing, or of another schema, is an error and no pass.
+// ReadBaseline reads a baseline file. A file that is missing, empty or of another schema is an error.
 func ReadBaseline(path string) (*Baseline, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -53,17 +54,17 @@
 		return nil, fmt.Errorf("baseline %s: schema: found %d, allowed is %d", path, b.Schema, BaselineSchema)
 	}
 	if len(b.Counts) == 0 {
-		return nil, fmt.Errorf("baseline %s: it holds no counts", path)
+		return nil, fmt.Errorf("baseline %s: counts: found none, at least one is required", path)
 	}
 	return &b, nil
 }
 
-// WriteBaseline records the counts that are held.
+// WriteBaseline writes a baseline file with the counts in gatedCounts, rounded to two decimals.
 func WriteBaseline(path string, counts map[string]Counts, o PathOptions) error {
 	b := Baseline{Schema: BaselineSchema, Lookups: o.Lookups, Counts: map[string]Counts{}}
 	for scenario, c := range counts {
 		b.Counts[scenario] = Counts{}
-		for _, name := range heldCounts {
+		for _, name := range gatedCounts {
 			if v, ok := c[name]; ok {
 				b.Counts[scenario][name] = float64(int(v*100+0.5)) / 100
 			}
@@ -76,32 +77,34 @@
 	return renameio.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Compare tells each count that has risen by more than MaxRise, or that could not be held.
+// Compare returns a line for each count that has risen by more than is allowed, and for each count of the baseline that
+// was not counted.
 func (b *Baseline) Compare(counts map[string]Counts) (risen []string) {
 	for _, scenario := range slices.Sorted(maps.Keys(b.Counts)) {
 		for _, name := range slices.Sorted(maps.Keys(b.Counts[scenario])) {
-			was := b.Counts[scenario][name]
-			now, ok := counts[scenario][name]
+			baseline := b.Counts[scenario][name]
+			count, ok := counts[scenario][name]
 			switch {
 			case !ok:
-				risen = append(risen, fmt.Sprintf("%s %s: not counted; the baseline is %.2f", scenario, name, was))
-			case now > allowed(scenario, name, was):
-				risen = append(risen, fmt.Sprintf("%s %s: %.2f, the baseline is %.2f, allowed is %.2f; 'make cheap' counts it "+
-					"again",
-					scenario, name, now, was, allowed(scenario, name, was)))
+				risen = append(risen, fmt.Sprintf("%s %s: not counted; the baseline is %.2f", scenario, name, baseline))
+			case count > allowed(scenario, name, baseline):
+				risen = append(risen, fmt.Sprintf(
+					"%s %s: found %.2f, the baseline is %.2f, allowed is at most %.2f; 'make cheap' counts it "+
+						"again",
+					scenario, name, count, baseline, allowed(scenario, name, baseline)))
 			}
 		}
 	}
 	return risen
 }
 
-// KeepLeast lowers each count to that of another measurement of the same program where that is less. A count that
-// only one of them has stays as it is in counts.
-func KeepLeast(counts, again map[string]Counts) {
+// KeepMinimum lowers each count to the value of a second measurement of the same program, if that value is smaller.
+// Counts that only one of the two measurements contains stay as they are.
+func KeepMinimum(counts, second map[string]Counts) {
 	for scenario, c := range counts {
-		for name, was := range c {
-			if now, ok := again[scenario][name]; ok {
-				c[name] = min(was, now)
+		for name, value := range c {
+			if other, ok := second[scenario][name]; ok {
+				c[name] = min(value, other)
 			}
 		}
 	}
--- a/internal/bench/gate_test.go
+++ b/internal/bench/gate_test.go
@@ -14,8 +14,9 @@
 	"beechcart/internal/testbinary"
 )
 
-// built builds the front end, with replacements in one file.
-func built(t *testing.T, dir, name, file string, replace []string, tags ...string) string {
+// buildFrontEnd builds the front end and returns the path of the program. replace holds pairs of old and new text to
+// replace in the file before the build.
+func buildFrontEnd(t *testing.T, dir, name, file string, replace []string, tags ...string) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
@@ -40,25 +41,27 @@
 	return program
 }
 
-// Guards against a gate that holds nothing: one allocation or one copy more must fail it.
+// Guards against a gate that passes every build: one additional allocation or one additional copy of the result for
+// each request must be reported.
 func TestGateFindsOneOfEach(t *testing.T) {
 	const file = "internal/mysql/answer.go"
 	const answered = "	case exchange.Served:\n"
 	const answerFunc = "func (s *session) answer("
 	dir := t.TempDir()
-	base := PathOptions{Program: built(t, dir, "base", "", nil), Counting: built(t, dir, "counting", "", nil, "count"),
-		Lookups: 200, Engines: 1, Only: "lookup"}
-	quiet := func(string) {}
-	counts, err := Path(context.Background(), base, quiet)
+	base := PathOptions{Program: buildFrontEnd(t, dir, "base", "", nil),
+		Counting: buildFrontEnd(t, dir, "counting", "", nil, "count"),
+		Lookups:  200, Engines: 1, Only: "lookup"}
+	noProgress := func(string) {}
+	counts, err := Path(context.Background(), base, noProgress)
 	require.NoError(t, err)
 	path := filepath.Join(dir, "baseline.json")
 	require.NoError(t, WriteBaseline(path, counts, base))
 	b, err := ReadBaseline(path)
 	require.NoError(t, err)
-	again, err := Path(context.Background(), base, quiet)
+	again, err := Path(context.Background(), base, noProgress)
 	require.NoError(t, err)
-	assert.Empty(t, b.Compare(again), "the same build passes")
-	for name, k := range map[string]struct {
+	assert.Empty(t, b.Compare(again), "a second count of the same build")
+	for name, c := range map[string]struct {
 		replace []string
 		want    string
 		tags    []string
@@ -71,14 +74,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := base
-			if program := built(t, dir, name, file, k.replace, k.tags...); len(k.tags) > 0 {
+			if program := buildFrontEnd(t, dir, name, file, c.replace, c.tags...); len(c.tags) > 0 {
 				o.Counting = program
 			} else {
 				o.Program = program
 			}
-			counts, err := Path(context.Background(), o, quiet)
+			counts, err := Path(context.Background(), o, noProgress)
 			require.NoError(t, err)
-			assert.Contains(t, strings.Join(b.Compare(counts), "\n"), k.want)
+			assert.Contains(t, strings.Join(b.Compare(counts), "\n"), c.want)
 		})
 	}
 }
@@ -86,7 +89,7 @@
 func TestBaselineFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "b.json")
 	_, err := ReadBaseline(path)
-	require.ErrorIs(t, err, os.ErrNotExist, "a missing baseline is no pass")
+	require.ErrorIs(t, err, os.ErrNotExist, "a missing file must not pass")
 	for _, text := range []string{`{"schema":2,"counts":{"a":{"allocs":1}}}`, `{"schema":1}`, `{`, ``} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := ReadBaseline(path)
@@ -96,9 +99,9 @@
 		PathOptions{Lookups: 9}))
 	b, err := ReadBaseline(path)
 	require.NoError(t, err)
-	assert.Equal(t, Counts{"allocs": 20, "copied": 2}, b.Counts["lookup"], "what is told for information is not held")
+	assert.Equal(t, Counts{"allocs": 20, "copied": 2}, b.Counts["lookup"], "peak_mb is not a gated count")
 	assert.Empty(t, b.Compare(map[string]Counts{"lookup": {"allocs": 20.4, "copied": 2.05}}))
-	assert.Len(t, b.Compare(map[string]Counts{"lookup": {"allocs": 21, "copied": 3}}), 2, "one more of each")
+	assert.Len(t, b.Compare(map[string]Counts{"lookup": {"allocs": 21, "copied": 3}}), 2, "both counts rose by one")
 	assert.Contains(t, b.Compare(map[string]Counts{"lookup": {"allocs": 20}})[0], "not counted")
 	for field, o := range map[string]PathOptions{"lookups": {Lookups: 1, Engines: 1}, "engines": {Lookups: 100},
 		"only": {Lookups: 100, Engines: 1, Only: "x"}} {
@@ -106,11 +109,11 @@
 	}
 }
 
-func TestTheLeastOfSeveralCountsHolds(t *testing.T) {
+func TestKeepMinimum(t *testing.T) {
 	counts := map[string]Counts{"lookup": {"allocs": 75, "copied": 2}, "report": {"allocs": 78}}
-	KeepLeast(counts, map[string]Counts{"lookup": {"allocs": 74, "copied": 3}, "load": {"allocs": 1}})
+	KeepMinimum(counts, map[string]Counts{"lookup": {"allocs": 74, "copied": 3}, "load": {"allocs": 1}})
 	assert.Equal(t, map[string]Counts{"lookup": {"allocs": 74, "copied": 2}, "report": {"allocs": 78}}, counts)
 	b := &Baseline{Counts: map[string]Counts{"report": {"allocs": 77}}}
-	KeepLeast(counts, map[string]Counts{"report": {"allocs": 77.8}})
-	assert.Len(t, b.Compare(counts), 1, "what has risen in each count is told")
+	KeepMinimum(counts, map[string]Counts{"report": {"allocs": 77.8}})
+	assert.Len(t, b.Compare(counts), 1, "the minimum still exceeds the baseline")
 }
