--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// answerSlack is how long after the time limit of a request its answer is still waited for.
+	// answerSlack is how long a client waits for an answer after the request's deadline.
 	answerSlack = 5 * time.Second
-	// dialTimeout is the time limit of a connect with its login.
+	// dialTimeout is the timeout of a connect including the login.
 	dialTimeout = 3 * time.Second
 )
 
 // firstID is the id of the first request that a client repeats.
 const firstID uint64 = 1<<40 + 1
 
-// client makes requests of one scenario, one at a time, on one session or on a fresh one each.
+// client makes requests of one scenario, one at a time: all on one session, or each on a new session if the scenario
+// requires that.
 type client struct {
 	scenario Scenario
 	address  string
 	session  *faulttest.Session // nil until the first request
-	repeated uint64             // requests that repeat has made
+	repeated uint64             // requests made by repeat
 }
 
-// close closes the client's session, if there is one.
+// close closes the client's session, if one is open.
 func (c *client) close() { c.session.Close() }
 
-// request makes one request under an id, and checks its answer.
+// request makes one request under an id and checks the answer.
 func (c *client) request(id uint64) error {
 	deadline := time.Now().Add(c.scenario.deadline + answerSlack)
 	if err := c.connect(); err != nil {
@@ -44,12 +45,12 @@
 		return fmt.Errorf("bench: %s: %w", c.scenario.Name, err)
 	}
 	if want := c.scenario.rows(); len(rows) != want {
-		return fmt.Errorf("bench: %s: %d rows in place of %d", c.scenario.Name, len(rows), want)
+		return fmt.Errorf("bench: %s: found %d rows, expected %d", c.scenario.Name, len(rows), want)
 	}
 	return nil
 }
 
-// connect opens the session, where the scenario has one that lasts.
+// connect opens the session if none is open yet, unless each request of the scenario has its own.
 func (c *client) connect() (err error) {
 	if c.session == nil && !c.scenario.sessionEach {
 		c.session, err = faulttest.Dial(c.address, dialTimeout)
@@ -64,11 +65,11 @@
 	return c.session.Query(statement, deadline)
 }
 
-// checkRejected returns an error unless a request was rejected as safe to retry.
+// checkRejected returns an error unless err is a rejection that is marked as safe to retry.
 func (c *client) checkRejected(err error) error {
 	var rejected *faulttest.ServerError
 	if !errors.As(err, &rejected) || !rejected.RetrySafe() {
-		return fmt.Errorf("bench: %s: not rejected: %w", c.scenario.Name, err)
+		return fmt.Errorf("bench: %s: request was not rejected as safe to retry: %w", c.scenario.Name, err)
 	}
 	return nil
 }
--- a/internal/bench/idle.go
+++ b/internal/bench/idle.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// busySessions is how many sessions are allowed beside the idle ones.
+	// busySessions is the number of sessions allowed in addition to the idle ones.
 	busySessions = 1000
-	// idleDialTimeout is the time limit of a connect among many.
+	// idleDialTimeout is the timeout of the connect and login of one idle session.
 	idleDialTimeout = 5 * time.Second
-	// idleCPUTime is how long the CPU time of idle sessions is measured.
+	// idleCPUTime is the duration for which the CPU time of idle sessions is measured.
 	idleCPUTime = 2 * time.Second
-	// maxFilesAtRest is more files than a front end without sessions has open.
+	// maxFilesAtRest is an upper bound of the number of files that a front end without sessions has open.
 	maxFilesAtRest = 100
-	// closeTimeout is how long a front end may take to close all sessions that its clients have closed.
+	// closeTimeout is the timeout for a front end to close all sessions that its clients have closed.
 	closeTimeout = 30 * time.Second
 )
 
-// idleSettings returns operators' settings that let n sessions stay idle beside others that are not.
+// idleSettings returns operators' settings that permit n idle sessions in addition to busySessions others.
 func idleSettings(n int) string {
 	return fmt.Sprintf(`{"schema":1,"clients":{"idle_ms":600000,"max_sessions":%d}}`, n+busySessions)
 }
 
-// idleDescriptors returns the limit of descriptors for a front end with n idle sessions.
+// idleDescriptors returns the file descriptor limit for a front end with n idle sessions.
 func idleDescriptors(n int) int { return 4 * (n + busySessions) }
 
-// openIdle opens n sessions that make no request. Those that were opened are returned with an error too.
+// openIdle opens n sessions that make no request. If one fails, it returns the sessions opened so far with the error.
 func (t *testbed) openIdle(n int) (sessions []*faulttest.Session, err error) {
 	for range n {
 		session, err := faulttest.Dial(t.frontEnd.Addr, idleDialTimeout)
@@ -47,15 +47,15 @@
 	}
 }
 
-// Idle is what sessions that do nothing cost.
+// Idle is the measured cost of idle sessions.
 type Idle struct {
 	Sessions           int
-	BytesEach          float64 // resident, above that of none
-	CPUMillisPerSecond float64 // milliseconds of CPU a second while nothing is asked
-	CloseAllSeconds    float64 // seconds until all that were closed at once are forgotten
+	BytesEach          float64 // resident memory, above that of a front end without sessions
+	CPUMillisPerSecond float64 // milliseconds of CPU time per second, without requests
+	CloseAllSeconds    float64 // seconds until the front end has closed all sessions that the clients closed at once
 }
 
-// MeasureIdle opens n idle sessions on a front end and measures what they cost.
+// MeasureIdle opens n idle sessions on a front end and measures their cost.
 func MeasureIdle(ctx context.Context, program string, n int) (Idle, error) {
 	measured := Idle{Sessions: n}
 	t, err := newTestbed(testbedOptions{program: program, engines: 2, descriptors: idleDescriptors(n),
@@ -84,7 +84,7 @@
 	return measured, err
 }
 
-// warmUp makes lookups, so that what the first ones allocate is not taken for a cost of idle sessions.
+// warmUp makes lookups, so that the allocations of the first lookups are not counted as a cost of idle sessions.
 func (t *testbed) warmUp(ctx context.Context) error {
 	const lookups = 500
 	c := &client{scenario: lookupScenario, address: t.frontEnd.Addr}
@@ -92,7 +92,7 @@
 	return c.repeat(ctx, lookups)
 }
 
-// timeCloseAll closes sessions all at once, and returns after how many seconds the front end has closed them too.
+// timeCloseAll closes all sessions at once and returns the seconds until the front end has closed them too.
 func (t *testbed) timeCloseAll(sessions []*faulttest.Session) (seconds float64, err error) {
 	began := time.Now()
 	closeAll(sessions)
@@ -102,7 +102,7 @@
 			return time.Since(began).Seconds(), nil
 		}
 		if time.Since(began) > closeTimeout {
-			return 0, fmt.Errorf("bench: %d descriptors are still open", open)
+			return 0, fmt.Errorf("bench: found %d open descriptors after all sessions were closed", open)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/bench/list.go
+++ b/internal/bench/list.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// listLineTimeout is how long the front end may take to log one engine of its list.
+	// listLineTimeout is the timeout of the wait for the next log line about an engine.
 	listLineTimeout = 30 * time.Second
 
 	instancesPerNode = 10
@@ -23,16 +23,16 @@
 	firstEnginePort  = 1000
 )
 
-// ListOptions are what the measurement of a list takes.
+// ListOptions are the options of List.
 type ListOptions struct {
-	Program  string // the front end
+	Program  string // path of the front end
 	Entries  int    // instances in the catalogue
-	Metadata int    // bytes of metadata of each
-	Seconds  int    // for which the list does not change
-	Changes  int    // drains after it, one at a time
+	Metadata int    // bytes of metadata of each instance
+	Seconds  int    // duration of the measurement with an unchanged list
+	Changes  int    // subsequent changes of one engine, which is drained and undrained in turn
 }
 
-// Check names the first option that can't be used.
+// Check returns an error that names the first option that is out of range.
 func (o *ListOptions) Check() error {
 	switch {
 	case o.Entries < 1 || o.Entries > 50_000:
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// listRun is one measurement: a catalogue, a front end that follows it, and what the front end logs.
+// listRun is one measurement: a catalogue, a front end that watches it, and the log lines of the front end.
 type listRun struct {
 	options   ListOptions
 	catalogue *consul.Server
@@ -62,7 +62,8 @@
 	readAt time.Time
 }
 
-// List measures what a list costs a front end that has no other work: to read, to hold and to follow.
+// List measures the cost of an engine list on a front end without other work: of reading the list, of holding it
+// unchanged, and of following its changes. The results are by name.
 func List(ctx context.Context, o ListOptions) (map[string]float64, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -93,7 +94,7 @@
 
 func engineID(i int) string { return "e" + strconv.Itoa(i) }
 
-// register fills the catalogue.
+// register adds all engines to the catalogue.
 func (r *listRun) register() {
 	metadata := strings.Repeat("x", r.options.Metadata)
 	for i := range r.options.Entries {
@@ -114,8 +115,8 @@
 	}
 }
 
-// measureRead starts the front end, and measures the time until it has listed all engines. The caller must stop the
-// front end unless there is an error.
+// measureRead starts the front end and measures the time until the front end has logged all engines. The caller must
+// stop the front end unless an error is returned.
 func (r *listRun) measureRead(ctx context.Context, dir string) (err error) {
 	began := time.Now()
 	r.frontEnd, err = faulttest.StartFrontEnd(faulttest.FrontEndOptions{
@@ -136,7 +137,7 @@
 	}
 	for range r.options.Entries {
 		if _, err := r.nextLine(ctx); err != nil {
-			err = fmt.Errorf("bench: the list was not taken: %w\n%s", err, r.frontEnd.Log())
+			err = fmt.Errorf("bench: front end did not log all engines of the list: %w\n%s", err, r.frontEnd.Log())
 			_ = r.frontEnd.Stop()
 			return err
 		}
@@ -154,11 +155,11 @@
 	case <-ctx.Done():
 		return listedLine{}, ctx.Err()
 	case <-time.After(listLineTimeout):
-		return listedLine{}, fmt.Errorf("no line about an engine for %v", listLineTimeout)
+		return listedLine{}, fmt.Errorf("found no log line about an engine within %v", listLineTimeout)
 	}
 }
 
-// measureUnchanged measures what a list costs that does not change.
+// measureUnchanged measures the CPU time, catalogue reads and memory for a list that does not change.
 func (r *listRun) measureUnchanged(ctx context.Context) error {
 	pid := r.frontEnd.Pid()
 	reads, cpu := r.catalogue.Reads(), faulttest.CPUSeconds(pid)
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// measureChanges drains an engine and brings it back in turn, and measures the time until the front end has logged each
+// measureChanges drains and undrains one engine in turn, and measures the time until the front end has logged each
 // change.
 func (r *listRun) measureChanges(ctx context.Context) error {
 	if r.options.Changes == 0 {
@@ -189,7 +190,7 @@
 			line, err = r.nextLine(ctx)
 		}
 		if err != nil {
-			return fmt.Errorf("bench: change %d did not arrive: %w", i, err)
+			return fmt.Errorf("bench: front end did not log change %d: %w", i, err)
 		}
 		_ = propagation.RecordValue(line.readAt.Sub(writtenAt).Microseconds())
 	}
--- a/internal/bench/path.go
+++ b/internal/bench/path.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// pathDescriptors is the limit of descriptors of a front end whose requests are counted.
+	// pathDescriptors is the file descriptor limit of a front end under measurement.
 	pathDescriptors = 1024
-	// warmUpRequests is the least number of requests before a count: pools are full then, and engines are trusted.
+	// warmUpRequests is the minimum number of requests before a count. After them pools are filled, and connections to
+	// the engines are proved safe to reuse (package reuse).
 	warmUpRequests = 50
-	// idleTime is how long the costs that come by time are measured.
+	// idleTime is the duration for which the allocations of timers and polls are measured without requests.
 	idleTime = 1500 * time.Millisecond
 )
 
-// PathOptions are what the measurement of the ordinary path takes.
+// PathOptions are the options of Path.
 type PathOptions struct {
-	Program  string // a release build of the front end
-	Counting string // one with the tag count; empty: copies are not counted
-	Lookups  int    // in each count
-	Engines  int
-	Only     string // one scenario; empty: all
+	Program  string // path of a release build of the front end
+	Counting string // path of a build with the tag count; empty: copies are not counted
+	Lookups  int    // number of lookups in each count
+	Engines  int    // number of fake engines
+	Only     string // name of the only scenario to count; empty: all
 }
 
-// Check names the first option that can't be used.
+// Check returns an error that names the first option that is out of range.
 func (o *PathOptions) Check() error {
 	switch {
 	case o.Lookups < 50 || o.Lookups > 1_000_000:
@@ -43,8 +44,9 @@
 // Counts are the costs of one request of a scenario, by name.
 type Counts map[string]float64
 
-// Path counts what one request of each scenario costs: allocations and bytes allocated, and bytes copied for each byte
-// of the result. Costs that come by time are measured while no request is made, and subtracted.
+// Path counts the cost of one request of each scenario: allocations, bytes allocated, and bytes copied for each byte of
+// the result. The allocations of timers and polls are measured without requests and subtracted. Path calls step with
+// the name of each scenario before counting it.
 func Path(ctx context.Context, o PathOptions, step func(string)) (map[string]Counts, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -64,7 +66,7 @@
 	return counts, nil
 }
 
-// count counts all costs of a scenario.
+// count counts the allocations of a scenario and, if a counting build is given, its copies.
 func (o *PathOptions) count(ctx context.Context, s Scenario) (Counts, error) {
 	counts := Counts{}
 	if err := o.countAllocations(ctx, s, counts); err != nil {
@@ -79,7 +81,7 @@
 	return counts, nil
 }
 
-// countAllocations adds the allocations of a scenario on the release build to counts.
+// countAllocations counts the allocations of a scenario on the release build, and adds them to counts.
 func (o *PathOptions) countAllocations(ctx context.Context, s Scenario, counts Counts) error {
 	t, err := newTestbed(testbedOptions{program: o.Program, engines: o.Engines, descriptors: pathDescriptors,
 		withStats: true})
@@ -104,8 +106,8 @@
 	return nil
 }
 
-// countCopies adds the bytes copied for each byte of the result to counts, in all and by call site, on the build that
-// counts them. Copies of the statement are left out, since they do not grow with the result.
+// countCopies counts the bytes copied for each byte of the result on the counting build, and adds them to counts, in
+// total and by call site. Copies of the statement are left out, since they do not grow with the result.
 func (o *PathOptions) countCopies(ctx context.Context, s Scenario, counts Counts) error {
 	t, err := newTestbed(testbedOptions{program: o.Counting, engines: o.Engines, descriptors: pathDescriptors,
 		withStats: true})
@@ -128,10 +130,10 @@
 		return err
 	}
 	if after.Copies == nil {
-		return fmt.Errorf("bench: %s does not count copies: build it with -tags count", o.Counting)
+		return fmt.Errorf("bench: %s does not count copies: the counting program must be built with -tags count", o.Counting)
 	}
 	if s.Name == rejectionScenario {
-		return nil // it has no result
+		return nil // a rejection has no result
 	}
 	total := 0.0
 	for site, bytes := range after.Copies {
@@ -146,10 +148,10 @@
 	return nil
 }
 
-// heapCost is a number of heap allocations and their bytes.
+// heapCost is a number of heap allocations and the bytes that they allocate.
 type heapCost struct{ allocations, bytes float64 }
 
-// allocated returns what was allocated between two statistics.
+// allocated returns the allocations between two readings of the statistics.
 func allocated(from, to processstats.Stats) heapCost {
 	return heapCost{float64(to.Mallocs - from.Mallocs), float64(to.Bytes - from.Bytes)}
 }
@@ -162,12 +164,13 @@
 	return heapCost{c.allocations * factor, c.bytes * factor}
 }
 
-// heapCosts are what a run has allocated, without the costs that come by time, and those.
+// heapCosts are the allocations of a run without those of timers and polls, and those of timers and polls per second.
 type heapCosts struct{ run, idlePerSecond heapCost }
 
-// measureHeap measures what the front end allocates during run.
+// measureHeap measures the allocations of the front end during run. The allocations made by answering the statistics
+// requests themselves are subtracted.
 func (t *testbed) measureHeap(ctx context.Context, run func() error) (costs heapCosts, err error) {
-	if _, err := t.stats.Stats(); err != nil { // the first answer costs more than the others
+	if _, err := t.stats.Stats(); err != nil { // the first answer allocates more than later ones
 		return costs, err
 	}
 	first, err := t.stats.Stats()
@@ -178,7 +181,7 @@
 	if err != nil {
 		return costs, err
 	}
-	answer := allocated(first, second) // the cost of an answer itself
+	statsCost := allocated(first, second) // the cost of one answer with statistics
 	if err := wait(ctx, idleTime); err != nil {
 		return costs, err
 	}
@@ -186,7 +189,7 @@
 	if err != nil {
 		return costs, err
 	}
-	costs.idlePerSecond = allocated(second, idle).minus(answer).times(1 / idleTime.Seconds())
+	costs.idlePerSecond = allocated(second, idle).minus(statsCost).times(1 / idleTime.Seconds())
 	began := time.Now()
 	if err := run(); err != nil {
 		return costs, err
@@ -196,6 +199,6 @@
 	if err != nil {
 		return costs, err
 	}
-	costs.run = allocated(idle, end).minus(answer).minus(costs.idlePerSecond.times(took))
+	costs.run = allocated(idle, end).minus(statsCost).minus(costs.idlePerSecond.times(took))
 	return costs, nil
 }
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -14,7 +14,7 @@
 	Name        string
 	class       string
 	deadline    time.Duration // the client's time limit
-	sessionEach bool          // each on a session of its own: connect, login and query in one, quit
+	sessionEach bool          // each request on its own session: connect, login with query, quit
 }
 
 const rejectionScenario = "refusal"
@@ -37,18 +37,18 @@
 	"load":   {Threads: 1, Rows: 200, Pages: 140},
 }
 
-// statement returns a query of the scenario under an id.
+// statement returns the query of a request with an id.
 func (s Scenario) statement(id uint64) string {
 	return faulttest.Statement(s.class, fmt.Sprintf("%016x", id), s.deadline, int(id%faulttest.Schemas))
 }
 
-// rows is the number of rows of one result.
+// rows returns the number of rows of one result.
 func (s Scenario) rows() int {
 	class := engineClasses[s.class]
 	return max(1, class.Pages) * max(1, class.Rows)
 }
 
-// resultBytes is the size of one result as the engine sends it.
+// resultBytes returns the size of one result as sent by the engine.
 func (s Scenario) resultBytes() float64 {
 	const idBytes, lengthBytes = 16, 1 // each of the three cells begins with its length
 	n := 0
@@ -60,7 +60,7 @@
 	return float64(n)
 }
 
-// repeats is how many requests of the scenario make one count: large ones are fewer.
+// repeats returns the number of requests in one count. Scenarios with larger results make fewer requests.
 func (s Scenario) repeats(lookups int) int {
 	switch s.Name {
 	case "report":
--- a/internal/bench/speed.go
+++ b/internal/bench/speed.go
@@ -9,25 +9,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Speed is what a front end does at full load and at a steady rate.
+// Speed is the CPU time and throughput of a front end at full load, and its latencies at a fixed rate.
 type Speed struct {
 	CPUPerLookup     float64 // microseconds of user and system time, closed loop
 	LookupsPerSecond float64 // lookups a second, closed loop
-	P50, P99         float64 // milliseconds, open arrivals at the rate asked for, from the time each was due
+	P50, P99         float64 // milliseconds, open loop at SpeedOptions.Rate, each from the time the lookup was due
 	P999             float64
 }
 
-// SpeedOptions are what Measure takes.
+// SpeedOptions are the options of Measure.
 type SpeedOptions struct {
 	Program  string
 	Engines  int
-	Sessions int           // in the closed loop
-	Duration time.Duration // each part
-	Rate     float64       // open arrivals a second; 0: that part is left out
-	Idle     int           // further sessions that do nothing
+	Sessions int           // sessions of the closed loop
+	Duration time.Duration // duration of the closed loop, and of the open loop
+	Rate     float64       // arrivals per second of the open loop; 0: no open loop
+	Idle     int           // additional idle sessions
 }
 
-// Measure runs lookups through a front end on one core.
+// Measure measures lookups through a front end on one core: first in a closed loop, then, if Rate is set, in an open
+// loop.
 func Measure(ctx context.Context, o SpeedOptions) (Speed, error) {
 	var speed Speed
 	settings := ""
@@ -71,12 +72,12 @@
 	return float64(h.ValueAtQuantile(percentile)) / 1e6
 }
 
-// closedLoop makes lookups for that long on several sessions, each as soon as the one before is answered, and returns
-// how many were made.
+// closedLoop makes lookups on several sessions for a duration, each as soon as the previous one on the session is
+// answered. It returns the number of lookups made.
 func (t *testbed) closedLoop(ctx context.Context, sessions int, d time.Duration) (int, error) {
 	var workers sync.WaitGroup
 	var mu sync.Mutex
-	var first error
+	var firstErr error
 	total, end := 0, time.Now().Add(d)
 	for worker := range sessions {
 		workers.Go(func() {
@@ -84,22 +85,24 @@
 			mu.Lock()
 			defer mu.Unlock()
 			total += n
-			if first == nil {
-				first = err
+			if firstErr == nil {
+				firstErr = err
 			}
 		})
 	}
 	workers.Wait()
-	return total, errors.Join(first, ctx.Err())
+	return total, errors.Join(firstErr, ctx.Err())
 }
 
-// workerIDs returns an id after which those of a worker follow, apart from those of other workers and of earlier loops.
+// workerIDs returns the id after which the request ids of a worker start. The ids of different workers and of earlier
+// loops don't overlap.
 func workerIDs(worker int) uint64 {
 	const workerShift = 48
 	return uint64(worker+1)<<workerShift + uint64(time.Now().UnixNano())&(1<<(workerShift-1)-1)
 }
 
-// lookupUntil makes lookups on one session until a time, ctx ends or one fails, and returns how many were made.
+// lookupUntil makes lookups on one session until the time end, until ctx ends, or until a lookup fails. It returns the
+// number of lookups made.
 func (t *testbed) lookupUntil(ctx context.Context, end time.Time, id uint64) (n int, err error) {
 	c := &client{scenario: lookupScenario, address: t.frontEnd.Addr}
 	defer c.close()
@@ -111,39 +114,39 @@
 	return n, err
 }
 
-// openLoop makes lookups at a fixed rate for that long, whether or not earlier ones are answered. It returns their
+// openLoop makes lookups at a fixed rate for a duration, whether or not earlier lookups are answered. It returns their
 // latencies in nanoseconds, each from the time at which the lookup was due.
 func (t *testbed) openLoop(ctx context.Context, rate float64, d time.Duration) (*hdrhistogram.Histogram, error) {
 	latencies := hdrhistogram.New(1000, int64(time.Minute), 3)
 	var mu sync.Mutex
-	var first error
+	var firstErr error
 	var requests sync.WaitGroup
 	pool := newClientPool(t.frontEnd.Addr)
 	began, interval := time.Now(), time.Duration(float64(time.Second)/rate)
 	for i := 0; time.Duration(i)*interval < d && ctx.Err() == nil; i++ {
 		due := began.Add(time.Duration(i) * interval)
-		if ahead := time.Until(due); ahead > 0 {
-			time.Sleep(ahead)
+		if delay := time.Until(due); delay > 0 {
+			time.Sleep(delay)
 		}
 		requests.Go(func() {
 			c := pool.take()
 			err := c.request(uint64(1)<<62 + uint64(due.UnixNano()))
-			took := time.Since(due)
-			pool.give(c)
+			latency := time.Since(due)
+			pool.put(c)
 			mu.Lock()
 			defer mu.Unlock()
-			if first == nil {
-				first = err
+			if firstErr == nil {
+				firstErr = err
 			}
-			_ = latencies.RecordValue(int64(took))
+			_ = latencies.RecordValue(int64(latency))
 		})
 	}
 	requests.Wait()
 	pool.close()
-	return latencies, errors.Join(first, ctx.Err())
+	return latencies, errors.Join(firstErr, ctx.Err())
 }
 
-// clientPool keeps clients for lookups that have nothing to do. It is safe for concurrent use.
+// clientPool holds idle clients for lookups. take and put are safe for concurrent use.
 type clientPool struct {
 	address string
 	free    chan *client
@@ -163,7 +166,7 @@
 	}
 }
 
-func (p *clientPool) give(c *client) {
+func (p *clientPool) put(c *client) {
 	select {
 	case p.free <- c:
 	default:
@@ -171,7 +174,7 @@
 	}
 }
 
-// close closes all clients of the pool, once all were given back.
+// close closes all clients of the pool. All clients must have been put back.
 func (p *clientPool) close() {
 	close(p.free)
 	for c := range p.free {
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -16,29 +16,29 @@
 	"beechcart/internal/processstats"
 )
 
-// listTimeout is how long a front end may take to read its list of engines.
+// listTimeout is the timeout for the front end to log the next engine of its list.
 const listTimeout = 10 * time.Second
 
-// testbedOptions are what a testbed is started with.
+// testbedOptions are the options of newTestbed.
 type testbedOptions struct {
-	program     string // the front end
-	engines     int
-	descriptors int    // limit of the front end
+	program     string // path of the front end
+	engines     int    // number of fake engines
+	descriptors int    // file descriptor limit of the front end
 	settings    string // operators' settings as built JSON; empty: none
-	withStats   bool   // read the front end's statistics
+	withStats   bool   // connect to the front end's process statistics
 }
 
-// testbed is a front end with the fake servers that it needs.
+// testbed is a front end with fake engines and a fake change log.
 type testbed struct {
 	dir      string
 	log      *changelog.Log
 	engines  []*engine.Engine
 	frontEnd *faulttest.FrontEnd
-	stats    *processstats.Client // nil without one
+	stats    *processstats.Client // nil unless withStats is set
 }
 
-// newTestbed starts a front end on fake engines that answer at once. Health checks are off: the controller sends them
-// by time, and they would be counted as a request's cost.
+// newTestbed starts a front end on fake engines that answer without delay. Health checks are off: they are sent on a
+// timer, and would be counted as a cost of requests.
 func newTestbed(o testbedOptions) (_ *testbed, err error) {
 	t := &testbed{}
 	defer func() {
@@ -78,8 +78,8 @@
 	_ = os.RemoveAll(t.dir)
 }
 
-// engineName is the name under which an engine answers. All have the same length, so that all results have the same
-// size.
+// engineName returns the name that an engine puts into its results. All names have the same length, so that all results
+// have the same size.
 func engineName(i int) string { return "s-0000000" + strconv.Itoa(i%10) }
 
 // startEngines starts fake engines and lists them in the change log.
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// startFrontEnd starts the front end, and returns once it has listed all engines.
+// startFrontEnd starts the front end and returns once the front end has logged all engines.
 func (t *testbed) startFrontEnd(o testbedOptions) error {
 	listed := make(chan struct{}, 4096)
 	options := faulttest.FrontEndOptions{
@@ -118,12 +118,12 @@
 		},
 	}
 	if o.withStats {
-		theirs, err := t.openStats()
+		remote, err := t.openStats()
 		if err != nil {
 			return err
 		}
-		defer func() { _ = theirs.Close() }()
-		options.Files, options.Env = []*os.File{theirs}, []string{processstats.DescriptorEnv + "=3"}
+		defer func() { _ = remote.Close() }()
+		options.Files, options.Env = []*os.File{remote}, []string{processstats.DescriptorEnv + "=3"}
 	}
 	var err error
 	if t.frontEnd, err = faulttest.StartFrontEnd(options); err != nil {
@@ -132,8 +132,8 @@
 	return awaitListed(listed, o.engines)
 }
 
-// openStats makes the pair of sockets for the front end's statistics, and returns the one for the front end.
-func (t *testbed) openStats() (theirs *os.File, err error) {
+// openStats opens a socket pair for the front end's process statistics, and returns the front end's socket.
+func (t *testbed) openStats() (remote *os.File, err error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
@@ -142,13 +142,13 @@
 	return os.NewFile(uintptr(pair[1]), "process statistics"), nil
 }
 
-// awaitListed returns once n engines were listed.
+// awaitListed returns once n engines are listed, or an error when listTimeout passes without a further engine.
 func awaitListed(listed <-chan struct{}, n int) error {
 	for range n {
 		select {
 		case <-listed:
 		case <-time.After(listTimeout):
-			return errors.New("bench: the front end has not taken its list")
+			return errors.New("bench: front end did not log all engines of its list in time")
 		}
 	}
 	return nil
