--- a/cmd/gatewayctl/fleet.go
+++ b/cmd/gatewayctl/fleet.go
@@ -16,34 +16,34 @@
 	"beechcart/internal/operatorconfig"
 )
 
-// statusInterval is how often a command that waits asks for the fleet's status.
+// statusInterval is the time between polls of the fleet's status by a command with --wait.
 const statusInterval = 200 * time.Millisecond
 
-// fleetCommands are the commands of the fleet, with the flags that they share.
+// fleetCommands holds the flags that the commands of the fleet share.
 type fleetCommands struct {
 	settingsPath string // path of the operators' settings
-	commandID    string // of the command; empty: drawn
-	requestedBy  string // who enters the command, for the audit
+	commandID    string // id of the command; empty: a random one
+	requestedBy  string // the operator who enters the command, for the audit log
 	json         bool
 	wait         bool
-	timeout      time.Duration // of wait
+	timeout      time.Duration // of the wait
 }
 
 func fleetCommand() *cobra.Command {
 	var f fleetCommands
 	root := &cobra.Command{
-		Use: "fleet", Short: "Who of the fleet is unavailable, drains, and releases",
+		Use: "fleet", Short: "Show the fleet, drain front ends and engines, and run releases",
 		Long: "The commands call the control replicas that the settings name (fleet.keepers).\n" +
-			"Exit codes: 0 done, 1 rejected (the reason names the budget and who uses it), 2 no control replica could be\n" +
-			"called: it is unknown whether the command was executed; repeat it with the same --id, and it is executed once.",
+			"Exit codes: 0 done; 1 rejected (the reason names the exhausted budget and its users); 2 no control replica\n" +
+			"answered, so it is unknown whether the command was executed: a repeat with the same --id executes it only once.",
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&f.settingsPath, "settings", os.Getenv("BEECHCART_SETTINGS"),
 		"operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS)")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 	flags.StringVar(&f.commandID, "id", "",
-		"id of the command, so that a repeat is executed once; none: drawn, and printed if the answer is lost")
-	flags.StringVar(&f.requestedBy, "by", os.Getenv("USER"), "who requests it, for the audit")
+		"id of the command, so that a repeat is not executed again; default: random, and printed if no answer arrives")
+	flags.StringVar(&f.requestedBy, "by", os.Getenv("USER"), "operator who requests the command, for the audit log")
 	root.AddCommand(f.statusCommand(), f.auditCommand(), f.initCommand(), f.drainCommand(), f.undrainCommand(),
 		f.removeCommand(), f.targetRevisionCommand(), f.releaseCommand())
 	return root
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if len(settings.Fleet.ControlReplicas) == 0 {
-		return nil, errors.New("settings: fleet.keepers: none is named")
+		return nil, errors.New("settings: fleet.keepers: found none, at least one is required")
 	}
 	options := &fleet.Options{Key: settings.Fleet.Key, DialOverrides: settings.Fleet.DialOverrides}
 	for _, replica := range settings.Fleet.ControlReplicas {
@@ -73,7 +73,7 @@
 	return fleet.NewClient(options), nil
 }
 
-// status asks for the fleet's status.
+// status returns the fleet's status.
 func (f *fleetCommands) status() (fleet.Status, error) {
 	client, err := f.client()
 	if err != nil {
@@ -82,7 +82,7 @@
 	return client.Status()
 }
 
-// apply sends a command. A rejection is an answer of no.
+// apply sends a command and returns its result. A rejection is returned as a negative answer.
 func (f *fleetCommands) apply(c *cobra.Command, command rollout.Command) (rollout.Result, error) {
 	client, err := f.client()
 	if err != nil {
@@ -94,7 +94,7 @@
 	case isRejected(err):
 		return result, negativeAnswerError{err}
 	case err != nil:
-		return result, fmt.Errorf("%w\nit is not known whether it was taken; repeat with --id %s", err, command.ID)
+		return result, fmt.Errorf("%w\nit is unknown whether the command was executed; repeat with --id %s", err, command.ID)
 	case result.Rejected != nil:
 		if f.json {
 			_ = printJSON(c.OutOrStdout(), result)
@@ -106,7 +106,7 @@
 	return result, nil
 }
 
-// addIdentity sets the id of a command and who enters it.
+// addIdentity sets the id of a command and the operator who requests it.
 func (f *fleetCommands) addIdentity(command *rollout.Command) {
 	if command.ID = f.commandID; command.ID == "" {
 		id := make([]byte, 8)
@@ -118,28 +118,28 @@
 	}
 }
 
-// isRejected tells whether a control replica was called and has rejected the call.
+// isRejected reports whether a control replica has answered and rejected the call.
 func isRejected(err error) bool {
 	var rejected *fleet.RejectedError
 	return errors.As(err, &rejected)
 }
 
-// rejectionAsNo makes a rejection an answer of no.
-func rejectionAsNo(err error) error {
+// rejectionAsNegative turns a rejection into a negative answer, and returns other errors as they are.
+func rejectionAsNegative(err error) error {
 	if isRejected(err) {
 		return negativeAnswerError{err}
 	}
 	return err
 }
 
-// progress is how far a command has come by a status.
+// progress is the progress of a command according to a status of the fleet.
 type progress struct {
 	done    bool
-	waitFor []string // what is waited for until then
+	pending []string // the conditions that the command still waits for
 }
 
-// waitUntil asks for the fleet's status until check tells that the command is done, or will never be, by an error. It
-// prints what is waited for as that changes.
+// waitUntil polls the fleet's status until check reports that the command is done, or returns an error because the
+// command can't complete. waitUntil prints the pending conditions whenever they change.
 func (f *fleetCommands) waitUntil(c *cobra.Command, check func(fleet.Status) (progress, error)) error {
 	client, err := f.client()
 	if err != nil {
@@ -148,12 +148,12 @@
 	printed := ""
 	for deadline := time.Now().Add(f.timeout); ; {
 		if status, err := client.Status(); err == nil {
-			now, err := check(status)
-			if text := strings.Join(now.waitFor, "\n  "); text != printed && text != "" {
+			current, err := check(status)
+			if text := strings.Join(current.pending, "\n  "); text != printed && text != "" {
 				printed = text
 				c.PrintErrf("%s waits for:\n  %s\n", time.Now().Format(time.TimeOnly), text)
 			}
-			if now.done || err != nil {
+			if current.done || err != nil {
 				return err
 			}
 		}
@@ -168,21 +168,21 @@
 	}
 }
 
-// addWaitFlags lets a command wait until it is done.
+// addWaitFlags adds the flags --wait and --within to a command.
 func (f *fleetCommands) addWaitFlags(c *cobra.Command) {
-	c.Flags().BoolVar(&f.wait, "wait", false, "wait until it is done, and tell what is waited for")
-	c.Flags().DurationVar(&f.timeout, "within", 10*time.Minute, "how long to wait")
+	c.Flags().BoolVar(&f.wait, "wait", false, "wait until the command is done, and print the pending conditions")
+	c.Flags().DurationVar(&f.timeout, "within", 10*time.Minute, "timeout of --wait")
 }
 
 func (f *fleetCommands) initCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "init", Short: "Begin a fleet, once: all control replicas are up, and none has a log yet", Args: cobra.NoArgs,
+		Use: "init", Short: "Initialize a fleet, once: all control replicas run, and none has a log yet", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			client, err := f.client()
 			if err != nil {
 				return err
 			}
-			return rejectionAsNo(client.Init())
+			return rejectionAsNegative(client.Init())
 		},
 	}
 }
--- a/cmd/gatewayctl/fleet_drain.go
+++ b/cmd/gatewayctl/fleet_drain.go
@@ -11,23 +11,24 @@
 )
 
 func (f *fleetCommands) drainCommand() *cobra.Command {
-	c := f.subjectCommand("drain", "Drain a front end or an engine, where the budget allows it",
-		func(h *rollout.Subject) rollout.Command { return rollout.Command{Drain: h} })
+	c := f.subjectCommand("drain", "Drain a front end or an engine if the budget allows it",
+		func(s *rollout.Subject) rollout.Command { return rollout.Command{Drain: s} })
 	f.addWaitFlags(c)
 	return c
 }
 
 func (f *fleetCommands) undrainCommand() *cobra.Command {
-	return f.subjectCommand("undrain", "End the drain",
-		func(h *rollout.Subject) rollout.Command { return rollout.Command{Undrain: h} })
+	return f.subjectCommand("undrain", "End the drain of a front end or an engine",
+		func(s *rollout.Subject) rollout.Command { return rollout.Command{Undrain: s} })
 }
 
 func (f *fleetCommands) removeCommand() *cobra.Command {
-	return f.subjectCommand("forget", "Remove it, as it will never come back, with what it holds",
-		func(h *rollout.Subject) rollout.Command { return rollout.Command{RemoveMember: h} })
+	return f.subjectCommand("forget", "Remove a front end or an engine that will not come back, with its permit",
+		func(s *rollout.Subject) rollout.Command { return rollout.Command{RemoveMember: s} })
 }
 
-// subjectCommand is a command on one front end or engine. With --wait it returns once that may be stopped.
+// subjectCommand returns a command on one front end or engine. With --wait the command returns once the front end or
+// engine may be stopped.
 func (f *fleetCommands) subjectCommand(
 	use, short string, command func(*rollout.Subject) rollout.Command,
 ) *cobra.Command {
@@ -58,16 +59,17 @@
 	}
 }
 
-// drainProgress tells whether a front end or an engine that is drained under a permit may be stopped.
+// drainProgress returns the progress of a drain under a permit. The drain is done once the front end or engine may be
+// stopped.
 func drainProgress(status fleet.Status, subject rollout.Subject, number uint64) (progress, error) {
 	permit := status.State.Permits[number]
 	if permit == nil {
-		return progress{}, negativeAnswerError{fmt.Errorf("permit %d does not stand any more: %s is not drained", number,
+		return progress{}, negativeAnswerError{fmt.Errorf("permit %d has ended: %s is not drained", number,
 			subject.Name)}
 	}
 	if subject.Engine {
 		return progress{permit.DrainedAt > 0, status.DrainBlockers[subject.Name]}, nil
 	}
 	member := status.State.Members[subject.Name]
-	return progress{member != nil && member.Phase == rollout.Terminated, []string{subject.Name + " to end"}}, nil
+	return progress{member != nil && member.Phase == rollout.Terminated, []string{subject.Name + " to terminate"}}, nil
 }
--- a/cmd/gatewayctl/fleet_release.go
+++ b/cmd/gatewayctl/fleet_release.go
@@ -14,30 +14,30 @@
 )
 
 func (f *fleetCommands) releaseCommand() *cobra.Command {
-	root := &cobra.Command{Use: "release", Short: "Bring the fleet to a revision, in waves, with halt and rollback"}
+	root := &cobra.Command{Use: "release", Short: "Release a revision to the fleet in waves, with halt and rollback"}
 	root.AddCommand(f.releasePlanCommand(), f.releaseStartCommand(), f.releaseStatusCommand(),
-		f.releaseActionCommand("halt", "Let no more members shut down; with --wait until all that were told to have reported",
+		f.releaseActionCommand("halt", "Stop further shutdowns; with --wait until members told to shut down have reported",
 			rollout.Command{Halt: &rollout.Halt{Cause: "by an operator"}}, rollout.Halted),
-		f.releaseActionCommand("resume", "Go on with a release that was halted",
+		f.releaseActionCommand("resume", "Resume a halted release",
 			rollout.Command{Resume: &struct{}{}}, rollout.Done),
 		f.releaseActionCommand("back", "Roll all members back to the previous revision",
 			rollout.Command{Rollback: &struct{}{}}, rollout.Done))
 	return root
 }
 
-// releaseFlags are the flags of the commands that describe a release.
+// releaseFlags holds the flags that describe a release.
 type releaseFlags struct {
 	waves, previousRevision string
 	soak                    time.Duration
 }
 
 func (r *releaseFlags) add(c *cobra.Command) {
-	c.Flags().StringVar(&r.waves, "waves", "0.02,0.25,1", "shares of the fleet, rising to 1; the first is the canary")
-	c.Flags().DurationVar(&r.soak, "soak", 5*time.Minute, "how long each wave serves before the next")
-	c.Flags().StringVar(&r.previousRevision, "from", "", "the revision of a rollback; none: what most members serve on")
+	c.Flags().StringVar(&r.waves, "waves", "0.02,0.25,1", "shares of the fleet, rising to 1; the first wave is the canary")
+	c.Flags().DurationVar(&r.soak, "soak", 5*time.Minute, "time that each wave serves before the next one starts")
+	c.Flags().StringVar(&r.previousRevision, "from", "", "revision of a rollback; default: that of most members")
 }
 
-// start returns the release of a revision that the flags describe.
+// start returns the command that starts the release of a revision with the flags' parameters.
 func (r *releaseFlags) start(revision string) (rollout.StartRelease, error) {
 	start := rollout.StartRelease{Revision: revision, PreviousRevision: r.previousRevision, Soak: r.soak}
 	for _, text := range strings.Split(r.waves, ",") {
@@ -53,7 +53,7 @@
 func (f *fleetCommands) releasePlanCommand() *cobra.Command {
 	var flags releaseFlags
 	c := &cobra.Command{
-		Use: "plan REVISION", Short: "Show waves and the longest time, and change nothing", Args: cobra.ExactArgs(1),
+		Use: "plan REVISION", Short: "Show waves and maximum duration, and change nothing", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			start, err := flags.start(args[0])
 			if err != nil {
@@ -65,7 +65,7 @@
 			}
 			waves, err := client.Plan(start)
 			if err != nil {
-				return rejectionAsNo(err)
+				return rejectionAsNegative(err)
 			}
 			if f.json {
 				return printJSON(c.OutOrStdout(), waves)
@@ -79,18 +79,18 @@
 
 func writePlan(w io.Writer, waves []rollout.Wave) error {
 	t := newTable(w)
-	fmt.Fprintln(t, "WAVE\tFRONT ENDS\tAT ONCE\tLONGEST\tWHO")
-	longest := time.Duration(0)
+	fmt.Fprintln(t, "WAVE\tFRONT ENDS\tMAX UNAVAILABLE\tMAX DURATION\tMEMBERS")
+	total := time.Duration(0)
 	for i, wave := range waves {
-		longest += wave.MaxDuration
+		total += wave.MaxDuration
 		fmt.Fprintf(t, "%d\t%d\t%d\t%v\t%s\n", i+1, len(wave.Members), wave.MaxUnavailable, wave.MaxDuration,
 			clip(strings.Join(wave.Members, " ")))
 	}
-	fmt.Fprintf(t, "in all\t\t\t%v\n", longest)
+	fmt.Fprintf(t, "total\t\t\t%v\n", total)
 	return t.Flush()
 }
 
-// clip shortens a list of names for a table.
+// clip truncates a list of names to the width of a table column.
 func clip(names string) string {
 	const width, ellipsis = 60, "..."
 	if len(names) > width {
@@ -120,22 +120,22 @@
 	return c
 }
 
-// releaseProgress tells whether a release is done. One that a later one has replaced is done too; one that was halted
-// is an answer of no.
+// releaseProgress returns the progress of a release. A release that a later one has replaced counts as done. A halted
+// release gives a negative answer.
 func releaseProgress(status fleet.Status, number uint64) (progress, error) {
 	release := status.State.Release
 	switch {
 	case release == nil || release.Number != number:
 		return progress{done: true}, nil
 	case release.State == rollout.Halted || release.State == rollout.Halting:
-		return progress{waitFor: status.ReleaseBlockers}, negativeAnswerError{fmt.Errorf("halted: %s", release.HaltCause)}
+		return progress{pending: status.ReleaseBlockers}, negativeAnswerError{fmt.Errorf("halted: %s", release.HaltCause)}
 	}
 	return progress{release.State == rollout.Done, status.ReleaseBlockers}, nil
 }
 
 func (f *fleetCommands) releaseStatusCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show the release and what it waits for", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the release and its pending conditions", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := f.status()
 			if err != nil {
@@ -153,8 +153,8 @@
 	}
 }
 
-// releaseActionCommand is a command on the release that is active. With --wait it returns once the release is in that
-// state.
+// releaseActionCommand returns a command on the active release. With --wait the command returns once the release is in
+// the state done.
 func (f *fleetCommands) releaseActionCommand(
 	use, short string, command rollout.Command, done rollout.ReleaseState,
 ) *cobra.Command {
--- a/cmd/gatewayctl/fleet_status.go
+++ b/cmd/gatewayctl/fleet_status.go
@@ -16,7 +16,7 @@
 
 func (f *fleetCommands) statusCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Members, engines, permits, budgets and the release", Args: cobra.NoArgs,
+		Use: "status", Short: "Show members, engines, permits, budgets and the release", Args: cobra.NoArgs,
 		Example: "  gatewayctl fleet status --settings beechcart.json\n  gatewayctl fleet status --json",
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := f.status()
@@ -33,7 +33,7 @@
 
 func (f *fleetCommands) auditCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "audit", Short: "Who changed what, when", Args: cobra.NoArgs,
+		Use: "audit", Short: "Show the audit log of the fleet's changes", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := f.status()
 			if err != nil {
@@ -54,10 +54,10 @@
 func (f *fleetCommands) targetRevisionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "wanted NAME",
-		Short: "Print the revision that a front end is to be started on; exit code 1 while it is drained",
+		Short: "Print the revision to start a front end on; exit code 1 while the front end is drained",
 		Args:  cobra.ExactArgs(1),
-		Long: "What starts programs at an installation asks this before it starts a front end that has ended with code\n" +
-			"75 or 76, and switches the link to the revision's folder. Exit code 1: it is drained; ask again.",
+		Long: "A process supervisor runs this command before it restarts a front end that has ended with exit code\n" +
+			"75 or 76, and switches the link to the revision's directory. Exit code 1: the front end is drained; try again.",
 		RunE: func(c *cobra.Command, args []string) error {
 			status, err := f.status()
 			if err != nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// targetRevision returns the revision that a front end is to be started on. It is an answer of no while it is drained.
+// targetRevision returns the revision to start a front end on. A front end that is unknown or drained gives a negative
+// answer.
 func targetRevision(state *rollout.State, name string) (string, error) {
 	member := state.Members[name]
 	if member == nil {
@@ -87,14 +88,14 @@
 	return member.TargetRevision, nil
 }
 
-// writeStatus prints a status for people. Errors of the table's writes are those of its Flush.
+// writeStatus prints a status as text. An error of any write to the table is returned by its Flush.
 func writeStatus(w io.Writer, status fleet.Status) error {
 	t := newTable(w)
 	quorum := "agreed"
 	if status.LeaderAddress == "" {
-		quorum = "NO AGREEMENT: nobody goes out, and all serve on"
+		quorum = "NO LEADER: no permits are granted, and all members continue to serve"
 	}
-	_, _ = fmt.Fprintf(t, "log of %s: entry %d, %d keepers, %s\n\n",
+	_, _ = fmt.Fprintf(t, "log of %s: entry %d, %d control replicas, %s\n\n",
 		status.Replica, status.AppliedIndex, len(status.Servers), quorum)
 	permits := permitsBySubject(&status.State)
 	writeMembers(t, status, permits)
@@ -104,7 +105,7 @@
 	return t.Flush()
 }
 
-// permitsBySubject returns the permits by who holds them.
+// permitsBySubject returns the permits by the front end or engine that holds them.
 func permitsBySubject(state *rollout.State) map[rollout.Subject]*rollout.Permit {
 	permits := map[rollout.Subject]*rollout.Permit{}
 	for _, permit := range state.Permits {
@@ -114,12 +115,12 @@
 }
 
 func writeMembers(w io.Writer, status fleet.Status, permits map[rollout.Subject]*rollout.Permit) {
-	_, _ = fmt.Fprintln(w, "FRONT END\tROOM\tREVISION\tSTATE\tPERMIT\tSINCE")
+	_, _ = fmt.Fprintln(w, "FRONT END\tZONE\tREVISION\tSTATE\tPERMIT\tSINCE")
 	for _, name := range slices.Sorted(maps.Keys(status.State.Members)) {
 		member := status.State.Members[name]
 		phase, held := string(member.Phase), ""
 		if member.Suspected {
-			phase += ", not heard of"
+			phase += ", suspected"
 		}
 		if permit := permits[rollout.Subject{Name: name}]; permit != nil {
 			held = fmt.Sprintf("%d %s %s", permit.Number, permit.Purpose, permit.Revision)
@@ -130,7 +131,7 @@
 }
 
 func writeEngines(w io.Writer, status fleet.Status, permits map[rollout.Subject]*rollout.Permit) {
-	_, _ = fmt.Fprintln(w, "\nENGINE\tROOM\tCORES\tSTATE\tPERMIT\tWAITS FOR")
+	_, _ = fmt.Fprintln(w, "\nENGINE\tZONE\tCORES\tSTATE\tPERMIT\tWAITS FOR")
 	for _, name := range slices.Sorted(maps.Keys(status.State.Engines)) {
 		engine := status.State.Engines[name]
 		held, waits := "", ""
@@ -155,7 +156,7 @@
 }
 
 func writeBudgets(w io.Writer, status fleet.Status) {
-	_, _ = fmt.Fprintln(w, "\nBUDGET\tOF\tMAY BE OUT\tARE OUT")
+	_, _ = fmt.Fprintln(w, "\nBUDGET\tSCOPE, TOTAL\tLIMIT\tUNAVAILABLE")
 	for _, budget := range status.Budgets {
 		_, _ = fmt.Fprintf(w, "%s\t%s, %d\t%d\t%s\n",
 			budget.Subjects, budget.Scope, budget.Total, budget.Limit, strings.Join(budget.Unavailable, " "))
@@ -171,16 +172,16 @@
 	return t.Flush()
 }
 
-// writeRelease prints the last release, if there was one.
+// writeRelease prints the latest release and its pending conditions.
 func writeRelease(w io.Writer, status fleet.Status) {
 	release := status.State.Release
 	if release == nil {
 		_, _ = fmt.Fprintln(w, "\nno release yet")
 		return
 	}
-	way, target := "to "+release.Revision+" from "+release.PreviousRevision, release.Revision
+	direction, target := "to "+release.Revision+" from "+release.PreviousRevision, release.Revision
 	if release.RollingBack {
-		way, target = "back to "+release.PreviousRevision+" from "+release.Revision, release.PreviousRevision
+		direction, target = "back to "+release.PreviousRevision+" from "+release.Revision, release.PreviousRevision
 	}
 	onTarget := 0
 	for _, member := range status.State.Members {
@@ -188,8 +189,8 @@
 			onTarget++
 		}
 	}
-	_, _ = fmt.Fprintf(w, "\nrelease %d %s: %s, wave %d of %d, %d of %d on it, by %s\n",
-		release.Number, way, release.State, release.Wave+1, len(release.Waves),
+	_, _ = fmt.Fprintf(w, "\nrelease %d %s: %s, wave %d of %d, %d of %d members on the target, by %s\n",
+		release.Number, direction, release.State, release.Wave+1, len(release.Waves),
 		onTarget, len(status.State.Members), release.StartedBy)
 	if release.HaltCause != "" {
 		_, _ = fmt.Fprintf(w, "  halted: %s\n", release.HaltCause)
--- a/cmd/gatewayctl/fleet_test.go
+++ b/cmd/gatewayctl/fleet_test.go
@@ -16,7 +16,7 @@
 		Members: map[string]*rollout.Member{"n0": {TargetRevision: "r2"}, "n1": {TargetRevision: "r2"}},
 		Permits: map[uint64]*rollout.Permit{
 			1: {Subject: "n1", Purpose: rollout.Drain, RequestedBy: "ops"},
-			2: {Subject: "n0", Purpose: rollout.Drain, Engine: true}, // of an engine with the name of a front end
+			2: {Subject: "n0", Purpose: rollout.Drain, Engine: true}, // of an engine that has the name of a front end
 			3: {Subject: "n0", Purpose: rollout.Drain, Cancelled: true},
 		},
 	}
@@ -39,44 +39,44 @@
 		4: {Subject: "n1"},
 	}
 	status.State.Members = map[string]*rollout.Member{"n0": {Phase: rollout.Serving}, "n1": {Phase: rollout.Terminated}}
-	for _, k := range []struct {
+	for _, c := range []struct {
 		subject rollout.Subject
 		permit  uint64
 		want    progress
 	}{
 		{rollout.Subject{Name: "e0", Engine: true}, 1, progress{false, []string{"n0 has a query on it"}}},
 		{rollout.Subject{Name: "e1", Engine: true}, 2, progress{done: true}},
-		{rollout.Subject{Name: "n0"}, 3, progress{false, []string{"n0 to end"}}},
-		{rollout.Subject{Name: "n1"}, 4, progress{true, []string{"n1 to end"}}},
+		{rollout.Subject{Name: "n0"}, 3, progress{false, []string{"n0 to terminate"}}},
+		{rollout.Subject{Name: "n1"}, 4, progress{true, []string{"n1 to terminate"}}},
 	} {
-		got, err := drainProgress(status, k.subject, k.permit)
+		got, err := drainProgress(status, c.subject, c.permit)
 		require.NoError(t, err)
-		assert.Equal(t, k.want, got, k.subject.Name)
+		assert.Equal(t, c.want, got, c.subject.Name)
 	}
 	_, err := drainProgress(status, rollout.Subject{Name: "e0", Engine: true}, 9)
-	require.ErrorAs(t, err, new(negativeAnswerError), "a permit that has ended is an answer of no")
+	require.ErrorAs(t, err, new(negativeAnswerError), "a permit that has ended gives a negative answer")
 }
 
 func TestReleaseProgress(t *testing.T) {
 	status := fleet.Status{ReleaseBlockers: []string{"n2 to serve"}}
-	at := func(state rollout.ReleaseState) (progress, error) {
+	progressIn := func(state rollout.ReleaseState) (progress, error) {
 		status.State.Release = &rollout.Release{Number: 3, State: state, HaltCause: "errors"}
 		return releaseProgress(status, 3)
 	}
-	got, err := at(rollout.Running)
+	got, err := progressIn(rollout.Running)
 	require.NoError(t, err)
 	assert.Equal(t, progress{false, status.ReleaseBlockers}, got)
-	got, err = at(rollout.Done)
+	got, err = progressIn(rollout.Done)
 	require.NoError(t, err)
 	assert.True(t, got.done)
 	for _, state := range []rollout.ReleaseState{rollout.Halting, rollout.Halted} {
-		_, err = at(state)
+		_, err = progressIn(state)
 		require.ErrorAs(t, err, new(negativeAnswerError))
 		require.EqualError(t, err, "halted: errors")
 	}
 	got, err = releaseProgress(status, 2)
 	require.NoError(t, err)
-	assert.True(t, got.done, "a later release has replaced it")
+	assert.True(t, got.done, "release 2, which release 3 has replaced")
 }
 
 func TestReleaseFlags(t *testing.T) {
