--- a/cmd/gatewayctl/scale.go
+++ b/cmd/gatewayctl/scale.go
@@ -6,10 +6,10 @@
 	"beechcart/internal/scale"
 )
 
-// scaleHostCommand is what the runner starts, many times over; it is of no use by hand.
+// scaleHostCommand returns the hidden command of a host process, which scale.Run starts once for each host.
 func scaleHostCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "host", Short: "Run hollow front ends as standard input tells, and report on standard output",
+		Use: "host", Short: "Run the simulated front ends that standard input describes, and report on standard output",
 		Args: cobra.NoArgs, Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return scale.RunHost(c.Context(), c.InOrStdin(), c.OutOrStdout())
--- a/cmd/gatewayctl/scale_parts.go
+++ b/cmd/gatewayctl/scale_parts.go
@@ -19,7 +19,7 @@
 	"beechcart/internal/scale/record"
 )
 
-// scalePartsFlags are what the command line of scale parts sets.
+// scalePartsFlags holds the flags of the command scale parts.
 type scalePartsFlags struct {
 	options parts.Options
 	members []int
@@ -27,7 +27,7 @@
 	notes   []string
 }
 
-// scalePartsCommand measures single parts of the program as the fleet grows.
+// scalePartsCommand returns the command that measures parts of the program at several fleet sizes.
 func scalePartsCommand() *cobra.Command {
 	f := scalePartsFlags{options: parts.Defaults()}
 	var names []string
@@ -35,29 +35,31 @@
 		names = append(names, p.Name)
 	}
 	c := &cobra.Command{
-		Use: "parts [flags] NAME...", Short: "Measure what single parts cost as the fleet grows",
+		Use: "parts [flags] NAME...", Short: "Measure the costs of single parts as the fleet grows",
 		Args: cobra.MinimumNArgs(1), ValidArgs: names,
-		Long: "parts measures, at each size and several times, what can be seen in one process, at one control " +
-			"replica or at one front end:\n" + partList(),
+		Long: "parts measures, at each size and several times, the costs of one process, of one control " +
+			"replica or of one front end:\n" + partList(),
 		Example: "  gatewayctl scale parts state --record bench/scale\n  gatewayctl scale parts lists --members 50,100 " +
 			"--repeats 1",
 		RunE: func(c *cobra.Command, args []string) error { return f.run(c, args) },
 	}
 	flags := c.Flags()
 	flags.IntSliceVar(&f.members, "members", parts.DefaultMembers,
-		"front ends of each size; databases come in the planned proportion, 810 to 710")
-	flags.IntVar(&f.options.Repeats, "repeats", f.options.Repeats, "how often each size is measured")
-	flags.IntSliceVar(&f.options.Sessions, "sessions", f.options.Sessions, "client connections of one front end, rising")
-	flags.IntSliceVar(&f.options.Rates, "rates", f.options.Rates, "statements a second to one front end")
+		"front ends at each size; databases are scaled from 810 to 710 front ends")
+	flags.IntVar(&f.options.Repeats, "repeats", f.options.Repeats, "number of measurements at each size")
+	flags.IntSliceVar(&f.options.Sessions, "sessions", f.options.Sessions,
+		"client connections of one front end, ascending")
+	flags.IntSliceVar(&f.options.Rates, "rates", f.options.Rates, "statements per second to one front end")
 	flags.DurationVar(&f.options.Window, "window", f.options.Window,
-		"how long each measurement goes on that goes on for a time")
+		"duration of each timed measurement")
 	flags.IntVar(&f.options.Starts, "starts", f.options.Starts, "starts of a front end at each size and repeat")
 	flags.IntVar(&f.options.TrafficFronts, "traffic-fronts", f.options.TrafficFronts,
-		"most front ends that are simulated at each size")
-	flags.DurationVar(&f.options.TrafficTime, "traffic-time", f.options.TrafficTime, "simulated time of those")
+		"maximum number of front ends that are simulated at each size")
+	flags.DurationVar(&f.options.TrafficTime, "traffic-time", f.options.TrafficTime,
+		"simulated time of the front ends of --traffic-fronts")
 	flags.DurationVar(&f.options.FleetTime, "fleet-time", f.options.FleetTime, "simulated time of whole fleets")
-	flags.StringVar(&f.record, "record", "", "directory to write parts-NAME.json to; none: only print")
-	flags.StringSliceVar(&f.notes, "note", nil, "what a reader of the recording has to know of this run")
+	flags.StringVar(&f.record, "record", "", "directory to write parts-NAME.json to; without it, results are only printed")
+	flags.StringSliceVar(&f.notes, "note", nil, "note on this run to store in the recording")
 	programFlag(c, &f.options.Program)
 	c.AddCommand(scalePartsReplicaCommand())
 	return c
@@ -73,7 +75,7 @@
 	return b.String()
 }
 
-// scalePartsReplicaCommand is the process that the part replica measures.
+// scalePartsReplicaCommand returns the hidden command that runs the process measured by the part replica.
 func scalePartsReplicaCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "serve-replica", Short: "Run the control replica that the part replica measures", Args: cobra.NoArgs,
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// measure measures one part, prints it and keeps it where a directory is named. What was measured before a failure is
-// printed, and not kept.
+// measure measures one part, prints the samples, and records them if --record is set. After a failure the samples
+// measured so far are printed but not recorded.
 func (f *scalePartsFlags) measure(c *cobra.Command, part parts.Part) error {
 	if part.StartsFrontEnd {
 		var err error
@@ -132,7 +134,7 @@
 	return err
 }
 
-// commandLine is the command that measures the part again, with the flags that were set.
+// commandLine returns the command that repeats the measurement of a part, with the flags that were set.
 func (f *scalePartsFlags) commandLine(c *cobra.Command, name string) string {
 	words := []string{"gatewayctl", "scale", "parts", name}
 	for _, flag := range []string{"members", "repeats", "sessions", "rates", "window", "starts", "traffic-fronts",
@@ -144,8 +146,8 @@
 	return strings.Join(append(words, "--record", f.record), " ")
 }
 
-// commitOfTree is the commit of the tree that the command runs in, with "+" where files differ from it; empty where
-// that is not known.
+// commitOfTree returns the commit of the working tree that the command runs in, with "+" if Go files differ from it. It
+// returns the empty string if the commit is unknown.
 func commitOfTree(ctx context.Context) string {
 	head, err := exec.CommandContext(ctx, "git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
@@ -158,7 +160,7 @@
 	return commit
 }
 
-// printSamples prints one line for each sample, in their order.
+// printSamples prints one line for each sample, in the given order.
 func printSamples(w io.Writer, samples []record.Sample) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ROLE\tQUANTITY\tFRONT ENDS\tDATABASES\tSESSIONS\tRATE\tREPEAT\tVALUE")
--- a/cmd/gatewayctl/scale_record.go
+++ b/cmd/gatewayctl/scale_record.go
@@ -13,10 +13,11 @@
 	"beechcart/internal/scale/record"
 )
 
-// recordDir is where recordings of scale runs are kept.
+// recordDir is the directory of the recordings of scale runs, relative to the root of the repository.
 const recordDir = "bench/scale"
 
-// save writes a recording where one was asked for, and returns all samples that it holds then.
+// save writes a recording if --record is set, and returns the samples of the recording: with --append, those saved
+// before included. Without --record it returns samples.
 func (s *scaleRun) save(samples []record.Sample, began time.Time) ([]record.Sample, error) {
 	if s.record == "" {
 		return samples, nil
@@ -36,7 +37,7 @@
 	return r.Samples, r.Save(recordDir)
 }
 
-// headCommit names the commit of the working directory; empty where there is none.
+// headCommit returns the commit of the working directory, or the empty string if the commit is unknown.
 func headCommit() string {
 	text, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
@@ -45,7 +46,8 @@
 	return strings.TrimSpace(string(text))
 }
 
-// addSaved puts the samples of the recording that is saved under the same name, if one is, before its own.
+// addSaved adds the samples, commands and notes of the saved recording of the same name, if there is one, to r. The
+// saved samples come first.
 func addSaved(r *record.Recording) error {
 	saved, err := record.Load(recordDir)
 	if err != nil {
