--- a/cmd/gatewayctl/bench.go
+++ b/cmd/gatewayctl/bench.go
@@ -16,7 +16,7 @@
 )
 
 func benchCommand() *cobra.Command {
-	root := &cobra.Command{Use: "bench", Short: "Measure what the front end costs"}
+	root := &cobra.Command{Use: "bench", Short: "Measure the costs of the front end"}
 	root.AddCommand(benchListCommand(), (&benchPath{}).command(), speedCommand(), idleCommand())
 	return root
 }
@@ -25,10 +25,10 @@
 	var o bench.ListOptions
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "list", Short: "A list of engines: to read, to hold, to follow", Args: cobra.NoArgs,
-		Long: "list starts a front end on a fake Consul with many engines. It measures the CPU and the memory of a list " +
+		Use: "list", Short: "Measure the cost of reading, holding and following an engine list", Args: cobra.NoArgs,
+		Long: "list starts a front end on a fake Consul with many engines. It measures the CPU and the memory for a list " +
 			"that\n" +
-			"does not change, and the time from a change in the catalogue to the log line that tells of it.",
+			"does not change, and the time from a change in the catalogue to the log line that reports the change.",
 		Example: "  gatewayctl bench list --entries 5000 --metadata 2000 --seconds 60\n" +
 			"  gatewayctl bench list --entries 8 --changes 1000",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -47,20 +47,20 @@
 		},
 	}
 	flags := c.Flags()
-	flags.IntVar(&o.Entries, "entries", 5000, "engines in the catalogue")
-	flags.IntVar(&o.Metadata, "metadata", 2000, "bytes of metadata of each")
-	flags.IntVar(&o.Seconds, "seconds", 60, "how long the list does not change")
-	flags.IntVar(&o.Changes, "changes", 50, "changes after it, one at a time")
+	flags.IntVar(&o.Entries, "entries", 5000, "number of engines in the catalogue")
+	flags.IntVar(&o.Metadata, "metadata", 2000, "bytes of metadata of each engine")
+	flags.IntVar(&o.Seconds, "seconds", 60, "duration in seconds of the measurement with an unchanged list")
+	flags.IntVar(&o.Changes, "changes", 50, "number of subsequent changes, made one at a time")
 	programFlag(c, &o.Program)
 	flags.BoolVar(&asJSON, "json", false, "print one JSON object")
 	return c
 }
 
-// benchPath is one command line that counts what requests cost.
+// benchPath holds the flags of the command bench path.
 type benchPath struct {
 	options bench.PathOptions
 	json    bool
-	gate    string // path of a baseline; empty: none
+	gate    string // path of a baseline to compare with; empty: none
 	record  string // path of a baseline to write; empty: none
 }
 
@@ -69,22 +69,22 @@
 		Use: "path", Short: "Count allocations and copies of each kind of request", Args: cobra.NoArgs,
 		Long: "path runs a release build of the front end against fake engines, with one client that sends one request " +
 			"after\n" +
-			"the other, and counts what one request costs. Costs that come by time (polls, timers) are measured while there " +
+			"the other, and counts the cost of one request. The costs of polls and timers are measured while there " +
 			"are\n" +
-			"no requests, and taken off.",
+			"no requests, and subtracted.",
 		Example: "  gatewayctl bench path\n  gatewayctl bench path --gate bench/baseline.json\n" +
 			"  gatewayctl bench path --record bench/baseline.json",
 		RunE: func(c *cobra.Command, _ []string) error { return b.run(c) },
 	}
 	o, flags := &b.options, c.Flags()
-	flags.IntVar(&o.Lookups, "lookups", 1000, "lookups in each count; larger requests are fewer")
-	flags.IntVar(&o.Engines, "engines", 1, "fake engines")
+	flags.IntVar(&o.Lookups, "lookups", 1000, "number of lookups in each count; requests with larger results are fewer")
+	flags.IntVar(&o.Engines, "engines", 1, "number of fake engines")
 	programFlag(c, &o.Program)
-	flags.StringVar(&o.Counting, "counting", "", "build with the tag count, for the copies; none: they are not counted")
-	flags.StringVar(&o.Only, "only", "", "one scenario; none: all")
-	flags.StringVar(&b.gate, "gate", "", "baseline to hold the counts to: exit code 1 where one has risen by more than a "+
-		"tenth, or by more than half of one, in each of three counts")
-	flags.StringVar(&b.record, "record", "", "baseline to write")
+	flags.StringVar(&o.Counting, "counting", "", "path of a build with the tag count; without it, copies are not counted")
+	flags.StringVar(&o.Only, "only", "", "only scenario to count; default: all")
+	flags.StringVar(&b.gate, "gate", "", "baseline to compare with: exit code 1 if a count has risen by more than a "+
+		"tenth, or by more than 0.5, in each of three measurements")
+	flags.StringVar(&b.record, "record", "", "path of a baseline to write")
 	flags.BoolVar(&b.json, "json", false, "print one JSON object")
 	return c
 }
@@ -122,22 +122,22 @@
 	return err
 }
 
-// maxGateCounts is how often requests are counted before a rise over the baseline is believed. A machine that is
-// short of time delivers an answer in more reads, each with allocations of its own, so one count may be above what
-// the program costs and is never below: the least of several is as strict, and does not hang on the machine.
+// maxGateCounts is the number of measurements after which a rise over the baseline is reported. On a busy machine an
+// answer arrives in more reads, each with its own allocations, so one measurement may exceed the true cost but is never
+// below it. The minimum of several measurements is therefore as strict, and does not depend on the load of the machine.
 const maxGateCounts = 3
 
-// countPath counts what requests cost; with a baseline, again where a count has risen, and the least of each count
-// holds.
+// countPath counts the cost of requests. With a baseline, countPath repeats the measurement while a count has risen, up
+// to maxGateCounts times, and returns the minimum of each count.
 func countPath(c *cobra.Command, o bench.PathOptions, baseline *bench.Baseline) (map[string]bench.Counts, error) {
-	note := func(name string) { printProgress(c, "counting %s", name) }
-	counts, err := bench.Path(c.Context(), o, note)
+	reportStep := func(name string) { printProgress(c, "counting %s", name) }
+	counts, err := bench.Path(c.Context(), o, reportStep)
 	if err != nil || baseline == nil {
 		return counts, err
 	}
 	for count := 1; count < maxGateCounts && len(baseline.Compare(counts)) > 0; count++ {
 		printProgress(c, "%s", strings.Join(baseline.Compare(counts), "\n"))
-		again, err := bench.Path(c.Context(), o, note)
+		again, err := bench.Path(c.Context(), o, reportStep)
 		if err != nil {
 			return counts, err
 		}
@@ -157,29 +157,29 @@
 	return t.Flush()
 }
 
-// benchSpeed is one command line that measures builds in turn.
+// benchSpeed holds the flags of the command bench speed.
 type benchSpeed struct {
 	options bench.SpeedOptions
-	against string // another build; empty: none
-	rounds  int
+	against string // path of another build to compare with; empty: none
+	rounds  int    // number of measurements of each build
 }
 
 func speedCommand() *cobra.Command {
 	b := &benchSpeed{}
 	c := &cobra.Command{
-		Use: "speed", Short: "CPU for each lookup and throughput of one core, two builds alternating", Args: cobra.NoArgs,
+		Use: "speed", Short: "Measure CPU per lookup and throughput on one core, of two builds in turn", Args: cobra.NoArgs,
 		Example: "  gatewayctl bench speed --against old/gateway --rounds 5",
 		RunE:    func(c *cobra.Command, _ []string) error { return b.run(c) },
 	}
 	o, flags := &b.options, c.Flags()
 	programFlag(c, &o.Program)
-	flags.StringVar(&b.against, "against", "", "another build, measured in turn with it")
-	flags.IntVar(&b.rounds, "rounds", 1, "how often")
-	flags.IntVar(&o.Engines, "engines", 4, "fake engines")
-	flags.IntVar(&o.Sessions, "sessions", 16, "sessions of the closed loop")
-	flags.DurationVar(&o.Duration, "for", 2*time.Second, "how long each part goes on")
-	flags.Float64Var(&o.Rate, "rate", 2000, "open arrivals a second; 0 leaves them out")
-	flags.IntVar(&o.Idle, "idle", 0, "further sessions that do nothing")
+	flags.StringVar(&b.against, "against", "", "path of another build, measured in turn with the first")
+	flags.IntVar(&b.rounds, "rounds", 1, "number of measurements of each build")
+	flags.IntVar(&o.Engines, "engines", 4, "number of fake engines")
+	flags.IntVar(&o.Sessions, "sessions", 16, "number of sessions of the closed loop")
+	flags.DurationVar(&o.Duration, "for", 2*time.Second, "duration of the closed loop and of the open loop")
+	flags.Float64Var(&o.Rate, "rate", 2000, "arrivals per second of the open loop; 0: no open loop")
+	flags.IntVar(&o.Idle, "idle", 0, "number of additional idle sessions")
 	return c
 }
 
@@ -212,7 +212,7 @@
 	var program string
 	var n int
 	c := &cobra.Command{
-		Use: "idle", Short: "What sessions that do nothing cost", Args: cobra.NoArgs,
+		Use: "idle", Short: "Measure the cost of idle sessions", Args: cobra.NoArgs,
 		Example: "  gatewayctl bench idle --sessions 10000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
@@ -226,13 +226,13 @@
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "sessions %d\nbytes each %.0f\nCPU ms a second %.2f\nclosed all at once, "+
-				"forgotten after %.2f s\n",
+			_, err = fmt.Fprintf(c.OutOrStdout(), "sessions %d\nbytes each %.0f\nCPU ms per second %.2f\nseconds to close "+
+				"all at once %.2f\n",
 				i.Sessions, i.BytesEach, i.CPUMillisPerSecond, i.CloseAllSeconds)
 			return err
 		},
 	}
 	programFlag(c, &program)
-	c.Flags().IntVar(&n, "sessions", 10000, "idle sessions")
+	c.Flags().IntVar(&n, "sessions", 10000, "number of idle sessions")
 	return c
 }
--- a/cmd/gatewayctl/config.go
+++ b/cmd/gatewayctl/config.go
@@ -12,10 +12,10 @@
 	"beechcart/internal/operatorconfig/cuefile"
 )
 
-// defaultSettingsFile is the settings file of the repository.
+// defaultSettingsFile is the settings file in the repository, relative to its root.
 const defaultSettingsFile = "deploy/beechcart.cue"
 
-// settingsFile is the file of a command line, or the default.
+// settingsFile returns the file that a command line names, or defaultSettingsFile.
 func settingsFile(args []string) string {
 	if len(args) > 0 {
 		return args[0]
@@ -32,10 +32,10 @@
 func configCheckCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "check [FILE]", Short: "Tell all that is wrong with a settings file", Args: cobra.MaximumNArgs(1),
-		Long: "check reads a CUE file (" + defaultSettingsFile + " without FILE) and tells each error with file, line, " +
+		Use: "check [FILE]", Short: "Report all errors in a settings file", Args: cobra.MaximumNArgs(1),
+		Long: "check reads a CUE file (" + defaultSettingsFile + " without FILE) and reports each error with file, line, " +
 			"field,\n" +
-			"what was found and what is allowed. Exit code 1 where there is any.",
+			"the value found and the values allowed. Exit code 1 if there are errors.",
 		Example: "  gatewayctl config check\n  gatewayctl config check --json mine.cue",
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := cuefile.Build(settingsFile(args))
@@ -53,8 +53,8 @@
 	return c
 }
 
-// printValidation prints what a check has found as a JSON list. An error that is not about the file's contents is
-// returned.
+// printValidation prints the validation errors in err as a JSON list, and returns a negative answer if there are any.
+// Any other err is returned.
 func printValidation(c *cobra.Command, err error) error {
 	list := cuefile.ValidationErrors{}
 	if err != nil && !errors.As(err, &list) {
@@ -106,7 +106,7 @@
 		},
 	}
 	c.Flags().StringVarP(&output, "output", "o", "",
-		"file to write, whole or not at all; none or -: standard output")
+		"file to write atomically; without it or with -: standard output")
 	return c
 }
 
@@ -120,7 +120,8 @@
 	}
 }
 
-// asNegativeAnswer turns errors in a settings file into a negative answer.
+// asNegativeAnswer turns validation errors of a settings file into a negative answer, and returns other errors as they
+// are.
 func asNegativeAnswer(err error) error {
 	var list cuefile.ValidationErrors
 	if errors.As(err, &list) {
--- a/cmd/gatewayctl/demo.go
+++ b/cmd/gatewayctl/demo.go
@@ -13,9 +13,9 @@
 	c := &cobra.Command{
 		Use: "demo", Short: "Start a front end with fake engines and a fake Consul, and run a few queries",
 		Args: cobra.NoArgs,
-		Long: "demo starts all on loopback addresses, runs queries of each class, drains an engine and brings it back, " +
+		Long: "demo starts all processes on loopback addresses, runs queries of each class, drains and undrains an engine, " +
 			"prints the\n" +
-			"address for any MySQL client, and goes on until Ctrl-C.",
+			"address for MySQL clients, and runs until Ctrl-C.",
 		Example: "  gatewayctl demo\n  gatewayctl demo --once",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
@@ -30,6 +30,6 @@
 		},
 	}
 	programFlag(c, &o.Program)
-	c.Flags().BoolVar(&o.Once, "once", false, "end after the queries")
+	c.Flags().BoolVar(&o.Once, "once", false, "exit after the queries")
 	return c
 }
--- a/cmd/gatewayctl/faulttest.go
+++ b/cmd/gatewayctl/faulttest.go
@@ -16,10 +16,10 @@
 func faulttestCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "faulttest", Aliases: []string{"drill"},
-		Short: "Inject faults into the real front end and check the rules",
-		Long: "A fault test starts the real front end and fake servers on loopback addresses, injects faults that the " +
+		Short: "Inject faults into a real front end and check the rules",
+		Long: "A fault test starts a real front end and fake servers on loopback addresses, injects faults drawn from the " +
 			"seed\n" +
-			"draws, under load, and checks the rules. Exit code 0: every rule kept; 1: a rule violated; 2: could not run.",
+			"under load, and checks the rules. Exit code 0: no violation; 1: a rule is violated; 2: could not run.",
 	}
 	for _, test := range faulttest.Scenarios {
 		root.AddCommand((&faulttestRun{test: test}).command())
@@ -27,7 +27,7 @@
 	return root
 }
 
-// faulttestRun is one command line that runs a fault test.
+// faulttestRun holds the flags of the command of one fault test.
 type faulttestRun struct {
 	test    faulttest.Scenario
 	options faulttest.Options
@@ -44,24 +44,24 @@
 		RunE: func(c *cobra.Command, _ []string) error { return r.run(c) },
 	}
 	flags := c.Flags()
-	flags.Uint64Var(&o.Seed, "seed", 0, "seed of the faults and the load; none: drawn now")
-	flags.IntVar(&o.Seconds, "seconds", 30, "how long the load goes on")
-	flags.Float64Var(&o.Rate, "rate", 300, "requests a second")
-	flags.IntVar(&o.Engines, "engines", 8, "fake engines")
+	flags.Uint64Var(&o.Seed, "seed", 0, "seed of the faults and the load; default: a new one for each run")
+	flags.IntVar(&o.Seconds, "seconds", 30, "duration of the load in seconds")
+	flags.Float64Var(&o.Rate, "rate", 300, "requests per second")
+	flags.IntVar(&o.Engines, "engines", 8, "number of fake engines")
 	flags.StringVar(&o.Faults, "faults", "all", "all, none, or one of "+strings.Join(test.Faults, ", "))
 	if test.FrontEnds > 0 {
-		flags.IntVar(&o.FrontEnds, "fronts", test.FrontEnds, "front ends, in three zones")
+		flags.IntVar(&o.FrontEnds, "fronts", test.FrontEnds, "number of front ends, in three zones")
 	}
 	programFlag(c, &o.Program)
 	flags.BoolVar(&r.json, "json", false, "print one JSON object")
-	flags.BoolVarP(&r.verbose, "verbose", "v", false, "tell each fault as it is injected")
+	flags.BoolVarP(&r.verbose, "verbose", "v", false, "print each fault when it is injected")
 	if len(test.Policies) > 0 {
 		flags.StringVar(&o.Policy, "policy", "",
-			"a baseline in place of the program's own: "+strings.Join(test.Policies, ", "))
+			"baseline policy to use in place of the program's own: "+strings.Join(test.Policies, ", "))
 	}
 	if len(test.BadReleases) > 0 {
 		flags.StringVar(&o.BadRelease, "bad", test.BadReleases[0],
-			"what is wrong with the bad release: "+strings.Join(test.BadReleases, ", "))
+			"defect of the bad release: "+strings.Join(test.BadReleases, ", "))
 	}
 	return c
 }
@@ -94,7 +94,8 @@
 	return err
 }
 
-// showProgress lets the run tell its faults, or move a bar where a person looks on.
+// showProgress prints each fault if --verbose is set. Otherwise it shows a progress bar if standard error is a terminal
+// and the output is not JSON.
 func (r *faulttestRun) showProgress(c *cobra.Command) {
 	if r.verbose {
 		r.options.Logf = func(format string, a ...any) {
--- a/cmd/gatewayctl/list.go
+++ b/cmd/gatewayctl/list.go
@@ -16,22 +16,22 @@
 )
 
 func listCommand() *cobra.Command {
-	root := &cobra.Command{Use: "list", Short: "What a front end knows of each engine"}
+	root := &cobra.Command{Use: "list", Short: "Show the engine list of a front end"}
 	root.AddCommand((&listShow{}).command())
 	return root
 }
 
-// listShow is one command line that shows an engine list.
+// listShow holds the flags of the command list show.
 type listShow struct {
-	socket string // of a running front end
-	file   string // cached list, where no socket is named
+	socket string // admin socket of a running front end; empty: use file
+	file   string // file of a cached list; empty: use socket
 	json   bool
 }
 
 func (l *listShow) command() *cobra.Command {
 	c := &cobra.Command{
 		Use: "show", Short: "Show each engine with its state and the reason", Args: cobra.NoArgs,
-		Long: "show asks a running front end by its admin socket (setting admin_socket), or reads a cached list.",
+		Long: "show reads the list from a running front end's admin socket (setting admin_socket), or from a cached list.",
 		Example: "  gatewayctl list show --socket /run/beechcart/admin.sock\n" +
 			"  gatewayctl list show --file /var/lib/beechcart/engines.list --json",
 		RunE: func(c *cobra.Command, _ []string) error { return l.run(c.OutOrStdout()) },
@@ -45,7 +45,7 @@
 
 func (l *listShow) run(out io.Writer) error {
 	if (l.socket == "") == (l.file == "") {
-		return errors.New("one of --socket and --file is needed")
+		return errors.New("found both or neither of --socket and --file, exactly one is required")
 	}
 	list, err := l.read(out)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return writeList(out, list)
 }
 
-// read returns the list of the front end or of the file. For people, it tells first how old a file is.
+// read returns the list of the front end or of the file. Unless the output is JSON, it first prints the age of a file.
 func (l *listShow) read(out io.Writer) ([]source.EngineStatus, error) {
 	if l.socket != "" {
 		var list []source.EngineStatus
@@ -73,12 +73,12 @@
 	}
 	if !l.json {
 		age := time.Since(writtenAt).Round(time.Second)
-		_, err = fmt.Fprintf(out, "kept %s, %s ago\n", writtenAt.Format(time.RFC3339), age)
+		_, err = fmt.Fprintf(out, "written %s, %s ago\n", writtenAt.Format(time.RFC3339), age)
 	}
 	return cachedStatuses(endpoints), err
 }
 
-// callJSON asks a running front end and decodes its answer.
+// callJSON calls a command of a running front end over its admin socket, and decodes the JSON answer.
 func callJSON(socket, command string, answer any) error {
 	text, err := admin.Call(socket, command)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// cachedStatuses shows the endpoints of a cached list as a front end would that starts with them.
+// cachedStatuses returns the statuses that a front end would report after a start from a cached list.
 func cachedStatuses(endpoints []discovery.Endpoint) (list []source.EngineStatus) {
 	for _, e := range endpoints {
 		status := source.EngineStatus{
--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -22,12 +22,12 @@
 
 // The exit codes.
 const (
-	exitNegativeAnswer = 1 // the answer is no: a rule is violated, a file is not good
-	exitFailed         = 2 // it could not run: a wrong command line, nothing to read
+	exitNegativeAnswer = 1 // negative answer: a rule is violated, a file is invalid, or a command is rejected
+	exitFailed         = 2 // the command could not run: an invalid command line or unreadable input
 )
 
-// negativeAnswerError is an answer of no, as against a command that could not run. Its text, if any, is printed as it
-// is.
+// negativeAnswerError is the negative answer of a command that ran, in contrast to a command that could not run. The
+// text of the wrapped error, if any, is printed without a prefix.
 type negativeAnswerError struct{ error }
 
 func main() {
@@ -41,8 +41,8 @@
 	root := &cobra.Command{
 		Use:   "gatewayctl",
 		Short: "Operators' tool of the query gateway",
-		Long: "gatewayctl checks settings, shows what front ends know, and tests them under faults.\n" +
-			"Exit codes: 0 yes, 1 no (a rule violated, a file not good), 2 could not run.",
+		Long: "gatewayctl checks settings, shows the state of front ends and of the fleet, and tests them under faults.\n" +
+			"Exit codes: 0 success, 1 negative answer (a rule is violated, a file is invalid), 2 could not run.",
 		SilenceErrors: true, SilenceUsage: true,
 	}
 	root.AddCommand(configCommand(), listCommand(), countersCommand(), faulttestCommand(), demoCommand(), benchCommand(),
@@ -51,13 +51,13 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.ExecuteContext(ctx)
-	var no negativeAnswerError
+	var negative negativeAnswerError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &no):
-		if no.error != nil {
-			_, _ = fmt.Fprintln(errs, no.error)
+	case errors.As(err, &negative):
+		if negative.error != nil {
+			_, _ = fmt.Fprintln(errs, negative.error)
 		}
 		return exitNegativeAnswer
 	}
@@ -65,34 +65,34 @@
 	return exitFailed
 }
 
-// newTable returns a writer that aligns cells, which tabs separate, in columns. The caller must flush it.
+// newTable returns a writer that aligns tab-separated cells in columns. The caller must flush the writer.
 func newTable(w io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(w, 0, 0, 2, ' ', 0) }
 
-// printTable prints names and values, one a line, by name.
-func printTable[V any](w io.Writer, format string, figures map[string]V) error {
+// printTable prints one line for each name with its value, sorted by name. format is the format of a value.
+func printTable[V any](w io.Writer, format string, values map[string]V) error {
 	t := newTable(w)
-	for _, name := range slices.Sorted(maps.Keys(figures)) {
-		fmt.Fprintf(t, "%s\t"+format+"\n", name, figures[name])
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		fmt.Fprintf(t, "%s\t"+format+"\n", name, values[name])
 	}
 	return t.Flush()
 }
 
-// programFlag lets a command take the front end to start, also under the flag's old name. faulttest.Program finds it
-// where none is named.
+// programFlag adds the flag with the path of the front end to start, and the flag's old name as a hidden flag. Without
+// the flag, faulttest.Program finds the front end.
 func programFlag(c *cobra.Command, program *string) {
-	c.Flags().StringVar(program, "gateway", "", "front end to start; none: the one beside this program")
+	c.Flags().StringVar(program, "gateway", "", "front end to start; default: the one in the directory of this program")
 	c.Flags().StringVar(program, oldProgramFlag, "", "old name of --gateway")
 	_ = c.Flags().MarkHidden(oldProgramFlag)
 }
 
 const oldProgramFlag = "beechcart"
 
-// printProgress tells a person what a command does, on a line of standard error.
+// printProgress prints one line about the progress of a command to standard error.
 func printProgress(c *cobra.Command, format string, a ...any) {
 	_, _ = fmt.Fprintf(c.ErrOrStderr(), format+"\n", a...)
 }
 
-// printJSON prints one indented document.
+// printJSON prints a value as one indented JSON document.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
