--- a/cmd/gatewayctl/recorded_commands_test.go
+++ b/cmd/gatewayctl/recorded_commands_test.go
@@ -16,17 +16,18 @@
 	helpFlag    = regexp.MustCompile(`(?m)^ +(?:(-[a-z]), |    )--([a-z-]+)(?: ([a-zA-Z0-9]+))?  `)
 )
 
-// flagValues are values of each kind of flag, by the kind's name in the help.
+// flagValues holds a valid value for each kind of flag, by the kind's name in the help text.
 var flagValues = map[string]string{
 	"": "true", "string": "x", "int": "7", "uint": "7", "float": "0.5", "duration": "2s", "ints": "1,2",
 	"stringArray": "x",
 	"strings":     "x", "uint32": "7", "uint16": "7",
 }
 
-// commandLines lists the command lines that the help tells of: one for each command, and for each flag of a command.
+// commandLines returns the command lines that the help texts list: one for each command below path, and one for each
+// flag of a command.
 func commandLines(t *testing.T, path ...string) (lines []string) {
 	t.Helper()
-	code, help, errs := ctl(append(slices.Clone(path), "--help")...)
+	code, help, errs := runCommand(append(slices.Clone(path), "--help")...)
 	require.Zero(t, code, "%s: %s", path, errs)
 	if len(path) > 0 {
 		lines = append(lines, strings.Join(path, " "))
@@ -37,7 +38,7 @@
 			continue
 		}
 		value, known := flagValues[f[3]]
-		require.True(t, known, "%s --%s: a flag of kind %q", path, f[2], f[3])
+		require.True(t, known, "%s --%s: flagValues has no value for a flag of kind %q", path, f[2], f[3])
 		lines = append(lines, strings.Join(append(slices.Clone(path), "--"+f[2]+"="+value), " "))
 		if f[1] != "" {
 			lines = append(lines, strings.Join(append(slices.Clone(path), f[1]+"="+value), " "))
@@ -53,12 +54,12 @@
 	return lines
 }
 
-// TestRecordedCommandLines holds each command and flag that was ever told of to be taken still, under whatever name it
-// has now. The help is asked for beside it, so that nothing runs.
+// TestRecordedCommandLines guards against the loss of a command or flag of an earlier version: each recorded
+// command line must still be accepted, under its old name too. Each gets --help in addition, so that no command runs.
 func TestRecordedCommandLines(t *testing.T) {
 	const path = "testdata/recorded/command_lines.txt"
 	if _, err := os.Stat(path); os.IsNotExist(err) && os.Getenv("RECORD") == "1" {
-		lines := append(commandLines(t), "scale host") // which the help leaves out
+		lines := append(commandLines(t), "scale host") // a hidden command, which the help does not list
 		require.NoError(t, os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644))
 	}
 	recorded, err := os.ReadFile(path)
@@ -68,11 +69,11 @@
 		line, _, _ := strings.Cut(after, "\n")
 		return line
 	}
-	_, root, _ := ctl("--help")
+	_, root, _ := runCommand("--help")
 	for line := range strings.Lines(string(recorded)) {
-		code, out, errs := ctl(append(strings.Fields(line), "--help")...)
+		code, out, errs := runCommand(append(strings.Fields(line), "--help")...)
 		assert.Zero(t, code, "%s%s", line, errs)
 		assert.NotEmpty(t, usage(out), line)
-		assert.NotEqual(t, usage(root), usage(out), "%s is no command", line)
+		assert.NotEqual(t, usage(root), usage(out), "%s: not a command", line)
 	}
 }
--- a/cmd/gatewayctl/recorded_fleet_test.go
+++ b/cmd/gatewayctl/recorded_fleet_test.go
@@ -21,7 +21,7 @@
 	"beechcart/internal/recorded"
 )
 
-// filledFleetValue is the JSON text of a value with every field set.
+// filledFleetValue returns the JSON text of a value of type T with every field set.
 func filledFleetValue[T any](t *testing.T) json.RawMessage {
 	t.Helper()
 	var value T
@@ -32,7 +32,7 @@
 	return text
 }
 
-// fakeReplica answers calls with values in which every field is set, and notes what it is sent.
+// fakeReplica is a control replica that answers calls with fixed values and records the requests.
 type fakeReplica struct {
 	values map[string]json.RawMessage // by path
 	calls  bytes.Buffer
@@ -44,8 +44,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]json.RawMessage{"value": f.values[r.URL.Path]})
 }
 
-// Every fleet command that has --json: what it sends, what it prints, and its exit code. The answers have every field
-// set.
+// TestRecordedFleetJSON compares the request, output and exit code of each fleet command that has --json with a
+// recording. The answers of the replica have every field set.
 func TestRecordedFleetJSON(t *testing.T) {
 	replica := &fakeReplica{values: map[string]json.RawMessage{
 		"/status": filledFleetValue[fleet.Status](t),
@@ -69,14 +69,14 @@
 	run := func(args string) {
 		replica.calls.Reset()
 		fmt.Fprintf(&out, "$ fleet %s\n", args)
-		code, stdout, stderr := ctl(append([]string{"fleet", "--settings", settings, "--json", "--id", "id-1", "--by", "ann"},
-			strings.Fields(args)...)...)
+		code, stdout, stderr := runCommand(append([]string{"fleet", "--settings", settings, "--json", "--id", "id-1",
+			"--by", "ann"}, strings.Fields(args)...)...)
 		fmt.Fprintf(&out, "%s%s%sexit %d\n\n", replica.calls.String(), stdout, stderr, code)
 	}
 	commands := []string{"drain engine e0", "drain front-end n0", "undrain engine e0", "forget front-end n0",
 		"release start r2 --from r1 --waves 0.1,1 --soak 90s", "release halt", "release resume", "release back"}
 	for _, args := range append([]string{"status", "audit", "release status", "release plan r2 --from r1"}, commands...) {
-		run(args) // an answer that refuses
+		run(args) // the result of /apply has every field set, so that it is a rejection
 	}
 	var err error
 	replica.values["/apply"], err = json.Marshal(accepted)
@@ -89,6 +89,6 @@
 	for _, args := range []string{"status", "audit", "release status", "init", "wanted n0"} {
 		run(args)
 	}
-	assert.NotContains(t, out.String(), dir, "no path of this machine is recorded")
+	assert.NotContains(t, out.String(), dir, "a recording must not contain paths of this machine")
 	recorded.Compare(t, "fleet-json.txt", out.Bytes())
 }
--- a/cmd/gatewayctl/recorded_test.go
+++ b/cmd/gatewayctl/recorded_test.go
@@ -22,7 +22,8 @@
 	"beechcart/internal/source/endpointcache"
 )
 
-// fill sets all that v holds to values of its own, counted from n on, in the order of the fields.
+// fill sets v, with all its fields and elements, to distinct values. Each value is derived from n, which increases in
+// the order of the fields.
 func fill(v reflect.Value, n *int) {
 	*n++
 	switch {
@@ -62,6 +63,7 @@
 	}
 }
 
+// filled returns a value of type T with every field set.
 func filled[T any]() T {
 	var value T
 	n := 0
@@ -69,7 +71,8 @@
 	return value
 }
 
-// TestRecordedReports holds the JSON of reports that commands print after a run: their keys, order and form.
+// TestRecordedReports compares the JSON of the reports that commands print after a run with recordings, and so their
+// keys, order and format.
 func TestRecordedReports(t *testing.T) {
 	var out bytes.Buffer
 	r := filled[faulttest.Report]()
@@ -110,7 +113,7 @@
 		{"config_print.cue", []string{"config", "print", "every_field.cue"}},
 	}
 	for _, c := range calls {
-		code, out, errs := ctl(c.args...)
+		code, out, errs := runCommand(c.args...)
 		results = append(results, fmt.Sprintf("exit code %d\n%s%s", code, out, errs))
 	}
 	t.Chdir(home)
@@ -120,13 +123,13 @@
 }
 
 func TestRecordedListAndCounters(t *testing.T) {
-	dir, err := os.MkdirTemp("", "bc") // the path of a socket is short
+	dir, err := os.MkdirTemp("", "bc") // t.TempDir() may exceed the maximum length of a socket path
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	beliefs := filled[[]source.EngineStatus]()
+	statuses := filled[[]source.EngineStatus]()
 	path := filepath.Join(dir, "s")
 	socket, err := admin.Listen(path, map[string]admin.Command{
-		"list":     func() (any, error) { return beliefs, nil },
+		"list":     func() (any, error) { return statuses, nil },
 		"counters": func() (any, error) { return map[string]int64{"served": 7, "answers": 8, "zero": 0}, nil },
 	})
 	require.NoError(t, err)
@@ -151,13 +154,13 @@
 		{"counters.json", []string{"counters", "--json", "--socket", path}},
 		{"counters.txt", []string{"counters", "--socket", path}},
 	} {
-		code, out, errs := ctl(c.args...)
+		code, out, errs := runCommand(c.args...)
 		recorded.Compare(t, c.file, fmt.Appendf(nil, "exit code %d\n%s%s", code, out, errs))
 	}
 }
 
 func TestRecordedScalePage(t *testing.T) {
-	code, out, errs := ctl("scale", "page", "--check", "--page", "../../docs/CAPACITY.md", "--recordings",
+	code, out, errs := runCommand("scale", "page", "--check", "--page", "../../docs/CAPACITY.md", "--recordings",
 		"../../bench/scale")
 	recorded.Compare(t, "scale_page_check.txt", fmt.Appendf(nil, "exit code %d\n%s%s", code, out, errs))
 }
--- a/cmd/gatewayctl/scale_page_test.go
+++ b/cmd/gatewayctl/scale_page_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runScalePage runs the command alone, below no root.
+// runScalePage runs the command scale page without its root command, and returns its standard output.
 func runScalePage(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -31,11 +31,11 @@
 	require.NoError(t, os.WriteFile(page, changed, 0o600))
 
 	_, err = runScalePage(t, "--check", "--page", page, "--recordings", recordings)
-	var no negativeAnswerError
-	require.ErrorAs(t, err, &no, "a page that differs is an answer of no")
+	var negative negativeAnswerError
+	require.ErrorAs(t, err, &negative, "a page that differs gives a negative answer")
 	after, err := os.ReadFile(page)
 	require.NoError(t, err)
-	assert.Equal(t, changed, after, "--check writes nothing")
+	assert.Equal(t, changed, after, "--check must not write the page")
 
 	_, err = runScalePage(t, "--page", page, "--recordings", recordings)
 	require.NoError(t, err)
--- a/cmd/gatewayctl/scale_test.go
+++ b/cmd/gatewayctl/scale_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestScaleHostNamesWhatIsWrong(t *testing.T) {
+func TestScaleHostReportsInvalidConfiguration(t *testing.T) {
 	for input, problem := range map[string]string{
 		"{}":            "report_millis: found 0",
 		"":              "host configuration: EOF",
