--- a/cmd/gatewayctl/main.go
+++ b/cmd/gatewayctl/main.go
@@ -1,7 +1,8 @@
 // Command gatewayctl is the operators' tool: settings, the engine list, the fleet, fault tests, measurements and a
 // demonstration. Large libraries are linked here, and not into the front end.
 //
-// main.go has what the commands share; each other file has a command and its subcommands, named after it.
+// main.go has the root command and the helpers that commands share. Each other file has the command that the file is
+// named after, with its subcommands.
 package main
 
 import (
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -22,7 +22,8 @@
 )
 
 // allowed returns the largest allowed value of a count. The number of reads that deliver a large result, and with it
-// the number of allocations, varies between runs, so only the relative limit applies to the large scenario.
+// the number of allocations, varies between runs, so only the relative limit applies to the allocations of the large
+// scenario, as it does to bytes.
 func allowed(scenario, name string, baseline float64) float64 {
 	if name == "alloc_bytes" || (scenario == "large" && name == "allocs") {
 		return baseline * (1 + MaxRelativeRise)
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -16,7 +16,7 @@
 	dialTimeout = 3 * time.Second
 )
 
-// firstID is the id of the first request that a client repeats.
+// firstID is the id of the first request made by client.repeat.
 const firstID uint64 = 1<<40 + 1
 
 // client makes requests of one scenario, one at a time: all on one session, or each on a new session if the scenario
