--- a/decision/discovery/observation.go
+++ b/decision/discovery/observation.go
@@ -80,7 +80,7 @@
 		return sound || len(list) > 0 // no endpoint is known yet: untrusted endpoints are better than none
 	}
 	if sound && (!s.trusted || observation.Index >= s.index) {
-		s.staleReads = 0
+		s.earlierIndexReads = 0
 		delete(s.notified, NoticeUntrusted)
 		return true
 	}
@@ -89,11 +89,11 @@
 	if !sound {
 		return false
 	}
-	s.staleReads++
-	if s.staleReads == 1 {
-		s.staleSince = s.now
+	s.earlierIndexReads++
+	if s.earlierIndexReads == 1 {
+		s.earlierIndexSince = s.now
 	}
-	if s.staleReads < s.settings.ConfirmReads || s.now-s.staleSince < s.settings.ResetAfter {
+	if s.earlierIndexReads < s.settings.ConfirmReads || s.now-s.earlierIndexSince < s.settings.ResetAfter {
 		return false
 	}
 	update.notify(NoticeIndexReset, len(list), fmt.Sprintf("from %d to %d", s.index, observation.Index))
@@ -109,7 +109,7 @@
 	for _, e := range s.endpoints {
 		e.drainIndex, e.CreateIndex, e.ModifyIndex = 0, 0, 0
 	}
-	s.staleReads = 0
+	s.earlierIndexReads = 0
 }
 
 // add adds an endpoint, or returns nil if another endpoint has the same id (invariant 10).
--- a/decision/discovery/set.go
+++ b/decision/discovery/set.go
@@ -20,7 +20,7 @@
 	cached         bool // known from the cached list only
 	deregistered   bool
 	deregisteredAt time.Duration
-	missing        bool // absent from the latest trusted list, which is suspect
+	missing        bool // absent from the list of the latest trusted observation; that list is suspect
 
 	drain      bool
 	drainIndex uint64 // the latest index of this epoch that reported the drain
@@ -32,7 +32,7 @@
 	penalty      penalty
 	suppressed   bool // because of flapping
 
-	addressConflict Reason // why another endpoint at the same address holds this one back; empty: no conflict
+	addressConflict Reason // why the endpoint drains because of another one at its address; empty: no conflict
 }
 
 // EndpointSet is the state of all endpoints as seen by one front end.
@@ -42,12 +42,12 @@
 	keys      map[uint32]string    // by id
 
 	now         time.Duration // time of the current event
-	initialized bool          // endpoints were reported, by a catalogue or a cached list
+	initialized bool          // an observation was trusted, or a cached list with endpoints was restored
 	trusted     bool          // an observation of this epoch was trusted
 	index       uint64        // of the latest trusted observation of this epoch; 0: none
 
-	staleReads int           // consecutive observations of an earlier index, with a leader and not too stale
-	staleSince time.Duration // time of the first observation that staleReads counts
+	earlierIndexReads int           // observations with a leader and not too stale, since the latest trusted one
+	earlierIndexSince time.Duration // time of the first of these reads
 
 	suspicion    suspicion
 	recentLosses []time.Duration     // times of the deregistrations obeyed within LossWindow
@@ -80,11 +80,12 @@
 // Index returns the index of the latest trusted observation of this epoch; 0: none.
 func (s *EndpointSet) Index() uint64 { return s.index }
 
-// Suspicious reports whether a list awaits confirmation, for which the catalogue must be read again soon.
+// Suspicious reports whether a list awaits confirmation. The caller must then read the catalogue again soon.
 func (s *EndpointSet) Suspicious() bool { return s.suspicion.active }
 
-// Restore adds the endpoints of a cached list. Restore must be the first event of an EndpointSet. The drains of the
-// list hold until a catalogue lifts them. An engine whose start is not reported counts as started long ago.
+// Restore adds the endpoints of a cached list. Restore must be the first event of an EndpointSet. An endpoint that
+// drains in the list drains until a trusted observation reports the endpoint without the drain. An engine whose start
+// is not reported counts as started long ago.
 func (s *EndpointSet) Restore(now time.Duration, list []Endpoint) Update {
 	s.now = now
 	var update Update
@@ -141,8 +142,8 @@
 	return s.finish(update)
 }
 
-// Advance sets the time and returns the changes that are due by then without an observation. Next returns the time of
-// the next call.
+// Advance sets the time and returns the changes that the passage of time alone causes, such as the end of a suspicion.
+// Next returns the time of the next call.
 func (s *EndpointSet) Advance(now time.Duration) Update {
 	s.now = now
 	return s.finish(Update{})
@@ -209,10 +210,10 @@
 			continue
 		}
 		isNew := !e.isAnnounced
-		onlyReason := !isNew && change.senderFields() == e.announced.senderFields()
+		sameForSender := !isNew && change.senderFields() == e.announced.senderFields()
 		e.announced, e.isAnnounced = change, true
-		if onlyReason {
-			continue // a new reason for the same state is visible in Current only
+		if sameForSender {
+			continue // only Current shows a change that does not matter to senders, such as a new reason
 		}
 		if change.State == Removed {
 			delete(s.endpoints, e.Key)
@@ -255,7 +256,8 @@
 	return change
 }
 
-// stateOf returns the state of an endpoint and its reason. Commands take precedence over evidence.
+// stateOf returns the state of an endpoint and its reason. Operators' commands, a deregistration or a drain, take
+// precedence over evidence, such as failing checks.
 func (s *EndpointSet) stateOf(e *endpoint) (State, Reason) {
 	switch {
 	case e.deregistered && s.now-e.deregisteredAt >= s.settings.Linger:
--- a/decision/discovery/set_test.go
+++ b/decision/discovery/set_test.go
@@ -60,23 +60,23 @@
 
 // Keys of the map that the function states returns.
 const (
-	passing         = "ready, passing"
-	drainRequested  = "draining, drain commanded"
-	suspect         = "ready, missing, list in doubt"
-	deregistered    = "draining, deregistered"
-	emptyList       = "ready, missing, an empty list is not obeyed"
-	checkFailing    = "draining, check failing"
-	failingKept     = "ready, failing, kept: too many are out"
-	flapping        = "draining, flapping"
-	addressReused   = "draining, address taken by a later registration"
-	addressDraining = "draining, an engine at this address drains"
-	cached          = "ready, from the last good list"
+	passing          = "ready, passing"
+	drainRequested   = "draining, drain commanded"
+	missingSuspect   = "ready, missing, list in doubt"
+	deregistered     = "draining, deregistered"
+	missingEmptyList = "ready, missing, an empty list is not obeyed"
+	checkFailing     = "draining, check failing"
+	failingKept      = "ready, failing, kept: too many are out"
+	flapping         = "draining, flapping"
+	addressReused    = "draining, address taken by a later registration"
+	addressDraining  = "draining, an engine at this address drains"
+	cached           = "ready, from the last good list"
 )
 
-// truthTable is the table in docs/consul.md of the effect of each kind of observation on a ready endpoint.
+// truthTable lists the effect of each kind of observation on a ready endpoint, like the table in docs/consul.md.
 var truthTable = []struct {
 	name     string
-	reported []Observation // one second apart, after a first observation of all endpoints at index 10
+	reported []Observation // one second apart, after a first observation that has index 10 and reports all endpoints
 	want     map[string]int
 }{
 	{
@@ -102,7 +102,7 @@
 	{
 		name:     "drain, in a suspect list",
 		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)[:3])},
-		want:     map[string]int{passing: 2, drainRequested: 1, suspect: 5},
+		want:     map[string]int{passing: 2, drainRequested: 1, missingSuspect: 5},
 	},
 	{
 		name:     "all drain",
@@ -150,17 +150,17 @@
 	{
 		name:     "three deregistered at once",
 		reported: []Observation{trustedAt(11, all[3:])},
-		want:     map[string]int{passing: 5, suspect: 3},
+		want:     map[string]int{passing: 5, missingSuspect: 3},
 	},
 	{
 		name:     "three deregistered one by one",
 		reported: []Observation{trustedAt(11, all[1:]), trustedAt(12, all[2:]), trustedAt(13, all[3:])},
-		want:     map[string]int{passing: 5, deregistered: 2, suspect: 1},
+		want:     map[string]int{passing: 5, deregistered: 2, missingSuspect: 1},
 	},
 	{
 		name:     "one missing, same index",
 		reported: []Observation{trustedAt(10, all[1:])},
-		want:     map[string]int{passing: 7, suspect: 1},
+		want:     map[string]int{passing: 7, missingSuspect: 1},
 	},
 	{
 		name:     "one missing, earlier index",
@@ -175,12 +175,12 @@
 	{
 		name:     "empty list",
 		reported: []Observation{trustedAt(11, nil)},
-		want:     map[string]int{emptyList: 8},
+		want:     map[string]int{missingEmptyList: 8},
 	},
 	{
 		name:     "empty list after a drain",
 		reported: []Observation{trustedAt(11, withEntry(all, 0, drain)), trustedAt(12, nil)},
-		want:     map[string]int{emptyList: 7, drainRequested: 1},
+		want:     map[string]int{missingEmptyList: 7, drainRequested: 1},
 	},
 	{
 		name:     "one fails",
@@ -291,7 +291,7 @@
 	require.True(t, s.Suspicious())
 	require.Equal(t, []Notice{{NoticeListSuspect, 4, "of 8"}}, update.Notices)
 	s.Observe(7*second, trustedAt(11, all[4:]))
-	assert.Equal(t, 4, states(s)[suspect], "two reads must not confirm the list")
+	assert.Equal(t, 4, states(s)[missingSuspect], "two reads must not confirm the list")
 	update = s.Observe(12*second, trustedAt(11, all[4:]))
 	require.Equal(t, []Notice{{NoticeListConfirmed, 4, ""}}, update.Notices)
 	assert.Equal(t, 4, states(s)[deregistered])
@@ -326,15 +326,15 @@
 		s.Observe(time.Duration(i+2)*second, trustedAt(11, nil))
 		s.Advance(time.Duration(i+2) * second)
 	}
-	assert.Equal(t, map[string]int{emptyList: 8}, states(s))
+	assert.Equal(t, map[string]int{missingEmptyList: 8}, states(s))
 	s.Observe(400*second, trustedAt(12, all[4:]))
-	assert.Equal(t, 4, states(s)[suspect])
+	assert.Equal(t, 4, states(s)[missingSuspect])
 	update := s.Observe(401*second, trustedAt(13, all))
 	assert.Equal(t, NoticeSuspicionCleared, update.Notices[0].Kind)
 	assert.Equal(t, map[string]int{passing: 8}, states(s))
 }
 
-func TestIndexResetIsAcceptedAfterResetAfter(t *testing.T) {
+func TestIndexResetIsAcceptedOnceResetAfterHasPassed(t *testing.T) {
 	s := newTestSet(t)
 	s.Observe(second, trustedAt(1000, withEntry(all, 0, drain)))
 	for i := range 10 {
@@ -364,7 +364,7 @@
 	assert.Equal(t, 8, states(s)[passing])
 }
 
-// Responses of a lagging follower that alternate with those of the leader do not reset the index.
+// The catalogue's leader and a lagging follower respond in turn. The follower's earlier index does not reset the index.
 func TestAlternatingLaggingFollowerDoesNotResetTheIndex(t *testing.T) {
 	s := newTestSet(t)
 	for i := range 100 {
@@ -431,7 +431,7 @@
 	require.Len(t, update.Changes, 8)
 	assert.Equal(t, map[string]int{cached: 7, drainRequested: 1}, states(s))
 	s.Observe(2*second, trustedAt(7, nil))
-	assert.Equal(t, 7, states(s)[emptyList], "an empty first response removes no endpoint")
+	assert.Equal(t, 7, states(s)[missingEmptyList], "an empty first response removes no endpoint")
 	s.Observe(3*second, trustedAt(8, withEntry(all, 1, drain)))
 	assert.Equal(t, map[string]int{passing: 7, drainRequested: 1}, states(s), "the catalogue replaces the cached list")
 }
--- a/decision/poll/poll.go
+++ b/decision/poll/poll.go
@@ -50,7 +50,7 @@
 	next               Request
 	index              uint64        // of the latest response; 0: no index, or the index went backwards
 	failures           int           // consecutive
-	timedOut           bool          // a request timed out in the current round of addresses
+	timedOut           bool          // a request timed out in the current round, which tries each address once
 	responseTimeout    time.Duration // current value; grows after timeouts (invariant 8)
 	awaitsConfirmation bool          // from the latest successful result
 }
@@ -75,7 +75,7 @@
 const (
 	// waitVariation is the fraction of the wait by which the requested wait varies at random in either direction.
 	waitVariation = 0.1
-	// serverJitterDivisor is the wait over the longest jitter that Consul adds to it.
+	// serverJitterDivisor is the ratio of a wait to the longest jitter that Consul adds to the wait.
 	serverJitterDivisor = 16
 )
 
@@ -95,8 +95,9 @@
 	p.next = request
 }
 
-// drawWait returns how long the catalogue may hold the next request, varied at random. The request also blocks while a
-// list awaits confirmation, so that a drain in the meantime is received at once.
+// drawWait returns how long the catalogue may hold the next request, varied at random. While a list
+// awaits confirmation, the request still blocks, but for about ConfirmInterval at most. A drain that is set during that
+// interval is therefore received at once.
 func (p *Poller) drawWait() time.Duration {
 	wait := p.settings.Wait
 	if p.awaitsConfirmation {
@@ -133,7 +134,7 @@
 		p.responseTimeout /= 2
 	}
 	if result.Index < p.index {
-		p.index = 0 // the index went backwards (invariant 2)
+		p.index = 0 // the index went backwards: the next request has no index (invariant 2)
 	} else {
 		p.index = result.Index
 	}
@@ -149,8 +150,8 @@
 	return interval
 }
 
-// handleFailure counts a failure. After a round of addresses in which a request timed out, handleFailure doubles the
-// timeouts (invariant 8).
+// handleFailure counts a failure. After a round of failures at all addresses in which a request timed out,
+// handleFailure doubles the timeouts (invariant 8).
 func (p *Poller) handleFailure(result Result) {
 	p.failures++
 	p.timedOut = p.timedOut || result.TimedOut
@@ -163,8 +164,8 @@
 // maxDoublings limits the doublings of the backoff, so that the shift does not overflow.
 const maxDoublings = 16
 
-// backoff returns the delay of the next request after a failure: 0 until all addresses have been tried (invariants 3
-// and 6).
+// backoff returns the delay of the next request after a failure. The delay is 0 unless the failure completes a round of
+// all addresses (invariants 3 and 6).
 func (p *Poller) backoff() time.Duration {
 	rounds := p.failures / p.addresses
 	if rounds == 0 || p.failures%p.addresses != 0 {
--- a/decision/reuse/reuse.go
+++ b/decision/reuse/reuse.go
@@ -9,7 +9,7 @@
 type Conn struct {
 	Queries       int           // queries that the connection has served
 	IdleTime      time.Duration // since the last response was consumed
-	EngineSilence time.Duration // since the last sign of life from the engine
+	EngineSilence time.Duration // since the engine's last response on any connection
 	Clean         bool          // open, all responses consumed to the last byte, and no surplus data received
 	Closing       bool          // the engine has announced that it closes the connection
 }
@@ -18,10 +18,10 @@
 type Policy struct {
 	settings        Settings
 	engines         map[uint32]*engineRecord
-	quietInRow      int           // consecutive connections that stayed quiet, to all engines
+	quietInRow      int           // consecutive connections, to any engine, that stayed quiet
 	distrustedUntil time.Duration // until then, no connection is trusted
 	lastFaultAt     time.Duration
-	recentFaults    int // each within FaultMemory after the previous one
+	recentFaults    int // consecutive faults, each within FaultMemory after the one before
 	idle            int // kept connections
 }
 
@@ -77,9 +77,9 @@
 	p.quietInRow++
 }
 
-// Keep reports whether to keep a connection that has just completed a query. A kept connection may serve again, or only
-// counts as proof if it stays quiet. The caller must call Released for each kept connection once the connection is
-// closed or used.
+// Keep reports whether to keep a connection that has just completed a query. Decide decides whether a kept connection
+// may serve again. A kept connection that may not serve still counts as proof for reuse if the connection stays quiet.
+// The caller must call Released for each kept connection once the connection is closed or used.
 func (p *Policy) Keep(id uint32, c Conn) bool {
 	engine := p.engine(id)
 	switch {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Decision is the use of a kept connection for a query.
+// Decision tells what to do with a kept connection when a query is about to be sent to its engine.
 type Decision int
 
 // The decisions.
@@ -122,7 +122,7 @@
 	case !c.Clean || c.Closing || c.IdleTime > p.settings.MaxIdleTime:
 		return Close
 	case now < p.distrustedUntil && !p.settings.ConfirmResponses:
-		return Close // during distrust, a kept connection only proves that it stays quiet
+		return Close // during distrust, a kept connection serves no query and is only watched for surplus data
 	case c.IdleTime < p.settings.QuietPeriod || nonIdempotent || c.EngineSilence > p.settings.MaxEngineSilence:
 		return KeepIdle
 	case p.Trusted(id, now):
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -51,13 +51,13 @@
 
 	mu    sync.Mutex
 	queue []message     // guarded by mu
-	wake  chan struct{} // holds one token while the queue may not be empty
+	wake  chan struct{} // capacity 1; holds a token after a message was queued
 
 	// Owned by Run.
-	open       map[string]*request // by request id
-	recent     *recentIDs
-	shutdownAt time.Time // latest time of any answer; zero until a shutdown begins
-	batch      []admission.Event
+	open             map[string]*request // by request id
+	recent           *recentIDs
+	shutdownDeadline time.Time // time by which every request must be answered; zero until a shutdown begins
+	batch            []admission.Event
 }
 
 // New returns a Dispatcher for a controller that was created with the same classes.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -58,14 +58,14 @@
 // timeLeft returns the time left until the final answer is due.
 func (d *Dispatcher) timeLeft(x *exchange.Exchange) time.Duration {
 	left := time.Until(x.Deadline()) - answerMargin
-	if !d.shutdownAt.IsZero() {
-		left = min(left, time.Until(d.shutdownAt))
+	if !d.shutdownDeadline.IsZero() {
+		left = min(left, time.Until(d.shutdownDeadline))
 	}
 	return left
 }
 
 // expire answers a request at its deadline. It runs on the timer's goroutine, so that a long step of the controller
-// does not delay the answer.
+// does not delay the answer. The controller then handles the request like one whose client has disconnected.
 func (d *Dispatcher) expire(x *exchange.Exchange) {
 	if x.Settle(exchange.Answer{Kind: exchange.Failed, Reason: "the time given has run out"}) {
 		d.counters.Add("deadline", 1)
@@ -73,10 +73,10 @@
 	}
 }
 
-// beginShutdown limits the deadlines of all open requests to the end of the process. Requests that the controller
-// leaves open would otherwise never be answered.
+// beginShutdown sets shutdownDeadline and brings forward the deadline of each open request that would expire later. A
+// request that the controller leaves open would otherwise never be answered.
 func (d *Dispatcher) beginShutdown(timeout time.Duration) {
-	d.shutdownAt = time.Now().Add(timeout)
+	d.shutdownDeadline = time.Now().Add(timeout)
 	for _, r := range d.open {
 		if !r.exchange.Settled() {
 			r.deadline.Reset(d.timeLeft(r.exchange))
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -40,9 +40,9 @@
 	outcome    admission.Outcome
 	conn       *connection // nil or closed: the next call opens a connection
 	lastCallAt time.Time   // the latest time at which the engine may have received a call for the query
-	// acknowledged reports that the engine has responded to a call for the query, so the engine has the query unless the
-	// response reported the end of the query. If false, the POST got no response, and the engine may not have read the
-	// POST yet.
+	// acknowledged reports that the engine has responded to a call for the query. The engine then has the query, unless
+	// the response reported the end of the query. If acknowledged is false, the POST got no response, and the engine may
+	// not have read the POST yet.
 	acknowledged bool
 	// unconfirmed is a connection that has carried another query and is not trusted. A response on this connection may
 	// belong to the other query, and counts only once confirm has succeeded.
@@ -99,7 +99,8 @@
 }
 
 // post sends the query and reads the response. A status other than OK ends the attempt and guarantees that the query
-// has not run.
+// has not run. If the status is OK, a non-nil err means that the response was lost or malformed: the query may be
+// running.
 func (a *attempt) post() (r response, status admission.Status, err error) {
 	for posts := 1; ; posts++ {
 		if status := a.connect(); status != admission.OK {
@@ -113,7 +114,7 @@
 		if isTimeout(err) || len(a.conn.request) > singleWriteBytes {
 			break // a part of the request may have been sent
 		}
-		// The kernel had already registered the closing of the connection, and has sent nothing.
+		// The connection was closed or reset before the write, so the kernel has sent nothing.
 		a.conn.close()
 		a.client.options.Counters.Add("unwritten", 1)
 		if posts == maxDials {
@@ -151,9 +152,9 @@
 	if a.unconfirmed = nil; needsConfirmation {
 		a.unconfirmed = a.conn
 	}
-	// During the connect the engine may have begun to drain, the client may have disconnected, or the deadline or the
-	// deduplication window may have passed. Abandoned is checked in addition to isCancelled, because where queries may not
-	// be deleted, the disconnect of a client does not cancel the attempt.
+	// While the connection was opened, the engine may have begun to drain, the client may have disconnected, or the
+	// deadline or notAfter (the end of the deduplication window) may have passed. Where queries may not be deleted, the
+	// disconnect of a client does not cancel the attempt, so Abandoned is checked in addition to isCancelled.
 	tooLate := time.Until(a.deadline) < minTimeLeft || (!a.notAfter.IsZero() && time.Now().After(a.notAfter))
 	if tooLate || a.isCancelled() || !a.instance.isReady() || a.exchange.Abandoned() {
 		a.client.options.Counters.Add("unsent", 1)
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -14,13 +14,15 @@
 	redialPause  = 20 * time.Millisecond
 	// withdrawDelay is the time within which an engine reads a POST that arrived before its connection was reset.
 	withdrawDelay = 100 * time.Millisecond
-	// maxTimeouts bounds the calls in a row that time out. A process may hang while its kernel accepts connections, and
-	// each call may still reach the process, so unlimited polls would keep the attempt in flight until the client
-	// disconnects.
+	// maxTimeouts is the number of calls that may time out in one recovery, or while one page is read; one more timeout
+	// ends the recovery or the read. The timeout that caused a recovery counts. A process may hang while its kernel
+	// accepts connections, and each call may still reach the process, so unlimited polls would keep the attempt in flight
+	// until the client disconnects.
 	maxTimeouts = 4
-	// maxPolls bounds the calls that fail in a row. A reset or a malformed response takes almost no time, so a time limit
-	// alone would not bound their number.
-	maxPolls = 10
+	// maxFailedPolls bounds the calls that fail in one recovery, or while one page is read. A reset or a malformed
+	// response takes almost no time, so a time limit alone would not bound their number. A recovery does not count
+	// failures to open a connection, which repollWindow bounds.
+	maxFailedPolls = 10
 )
 
 // recoverQuery polls a query on new connections after a call was lost or got a malformed response. A query is not bound
@@ -33,24 +35,24 @@
 	if isTimeout(cause) {
 		timeouts++
 	}
-	for polls := 0; polls < maxPolls && timeouts <= maxTimeouts && time.Since(a.lastCallAt) < repollWindow; {
+	for failed := 0; failed < maxFailedPolls && timeouts <= maxTimeouts && time.Since(a.lastCallAt) < repollWindow; {
 		r, err := a.poll()
 		switch {
 		case errors.Is(err, errRetired):
-			polls = maxPolls
+			failed = maxFailedPolls
 		case isRefused(err):
 			return r, admission.Reset // the process has ended, and with it the query
 		case errors.Is(err, errUnreachable):
 			time.Sleep(redialPause)
 		case isTimeout(err):
 			timeouts++
-			polls++
+			failed++
 		case err != nil:
-			polls++
+			failed++
 		case !acknowledged && (r.status == statusInternalError || r.status == statusNoContent):
 			// Either the engine has not read the POST yet, or the query failed and the response to the POST was lost.
 			if !a.withdraw() {
-				polls++
+				failed++
 				continue
 			}
 			return r, a.withdrawnStatus()
@@ -58,6 +60,7 @@
 			return r, admission.OK
 		}
 	}
+	// Whether the query still runs is unknown, so the attempt ends only once the engine has ended the unpolled query.
 	time.Sleep(time.Until(a.lastCallAt.Add(queryExpiry)))
 	a.client.options.Counters.Add("lost_attempt", 1)
 	switch {
@@ -69,7 +72,7 @@
 	return response{}, admission.Reset
 }
 
-// withdraw deletes a query whose POST got no response and which the engine does not have. The connection of the POST is
+// withdraw deletes a query that the engine does not have and whose POST got no response. The connection of the POST is
 // closed, so no more bytes of the POST are sent. The engine may still read bytes that arrived at its host before the
 // reset, and withdrawDelay leaves time for that. withdraw returns true if the engine has confirmed the DELETE: the
 // query does not run and will not run.
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -57,7 +57,7 @@
 		if isTimeout(err) {
 			timeouts++
 		}
-		if errors.Is(err, errRetired) || isRefused(err) || polls == maxPolls || timeouts > maxTimeouts ||
+		if errors.Is(err, errRetired) || isRefused(err) || polls == maxFailedPolls || timeouts > maxTimeouts ||
 			a.isCancelled() || time.Now().After(a.deadline) {
 			return r, admission.Reset
 		}
--- a/internal/mysql/limits.go
+++ b/internal/mysql/limits.go
@@ -10,7 +10,8 @@
 	maxDrainBytes     = 1 << 20                            // input discarded after a final error
 )
 
-// Time limits of a session. A client that sends no valid input is answered or disconnected within 3 s.
+// Time limits of a session. A client that sends no first command, only a part of a packet, or invalid input is answered
+// or disconnected within 3 s.
 const (
 	firstCommandTimeout = 2500 * time.Millisecond // measured from the connect
 	noCommandThreshold  = time.Second             // without a command by then, a session is unlikely to send one
@@ -26,10 +27,10 @@
 	malformedLogInterval = 5 * time.Second
 )
 
-// admit reports whether a new session fits into the limit of sessions, and returns the sessions that the caller must
-// close for it. evictionCandidate chooses them, so that clients that send nothing cannot use up all sessions. A
-// rejected session stays registered until its client has read the error or the next session connects, so there is at
-// most one such session.
+// admit reports whether a new session fits into the limit of sessions, and returns the evicted sessions, which the
+// caller must close to make room. evictionCandidate chooses them, so that clients that send nothing cannot use up all
+// sessions. A rejected session stays registered until its client has read the error or the next new session evicts it,
+// so there is at most one such session.
 func (s *Server) admit(ses *session) (evicted []*session, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,7 @@
 		s.mu.Unlock()
 		for _, ses := range expired {
 			_ = ses.conn.Close()
-			ses.abandonRequest() // the descriptor stays open until the open request is settled
+			ses.abandonRequest() // Close frees the descriptor only once the open request is settled
 		}
 		clear(expired)
 	}
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -154,7 +154,7 @@
 	s.mu.Lock()
 	// KILL QUERY may be processed before the query that it cancels has been read. The session remembers the
 	// cancellation, so that the query is not run for a client that no longer waits for its answer.
-	ses.killed = ses.open == nil && (ses.readingPacket || ses.hasUnread())
+	ses.killed = ses.openExchange == nil && (ses.readingPacket || ses.hasUnread())
 	s.mu.Unlock()
 	ses.abandonRequest()
 	return true
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -34,9 +34,9 @@
 	sentCommand bool
 
 	// Guarded by the server's lock.
-	open          *exchange.Exchange // the request being served
+	openExchange  *exchange.Exchange // the request being served
 	readingPacket bool
-	killed        bool // KILL QUERY was processed before the query that it cancels
+	killed        bool // KILL QUERY was processed before the query to cancel was read
 	phase         phase
 	phaseSince    time.Time // start of the phase; while greeted, the time of the connect
 	registered    bool      // requests are accepted; set to false before the connection is closed
@@ -54,7 +54,7 @@
 // abandonRequest reports to the handler that the client no longer waits for the open request, if there is one.
 func (s *session) abandonRequest() {
 	s.server.mu.Lock()
-	x := s.open
+	x := s.openExchange
 	s.server.mu.Unlock()
 	if x != nil {
 		s.server.handler.ClientGone(x)
@@ -67,7 +67,7 @@
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	if s.readingPacket = p == reading; p == idle {
-		s.killed = false // the packet was not a query, so there is nothing to cancel
+		s.killed = false // openRequest clears killed for each query; after any other packet there is no query to cancel
 	}
 	if s.phase == greeted && (p == reading || (p == idle && !s.sentCommand)) {
 		return
@@ -75,15 +75,16 @@
 	s.server.sessions.move(s, p, time.Now())
 }
 
-// openRequest records x as the open request. ok is false if the session was removed before, because its client has
-// disconnected or because the session was evicted: its remaining requests are not accepted then. The check and the
-// removal hold the same lock. killed reports that KILL QUERY cancelled the request before it was read.
+// openRequest records x as the open request. ok is false if the session has already been removed, for example because
+// its client has disconnected or because the session was evicted: no further request of the session is accepted. The
+// check holds the lock under which sessions are removed, so no request opens after the removal. killed reports that
+// KILL QUERY cancelled the request before the request was read.
 func (s *session) openRequest(x *exchange.Exchange) (ok, killed bool) {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	killed, s.killed = s.killed, false
 	if s.registered && !killed {
-		s.open = x
+		s.openExchange = x
 	}
 	return s.registered, killed
 }
@@ -91,7 +92,7 @@
 // closeRequest clears the open request after it has been settled.
 func (s *session) closeRequest() {
 	s.server.mu.Lock()
-	s.open = nil
+	s.openExchange = nil
 	s.server.mu.Unlock()
 }
 
