--- a/internal/scale/capacity/capacity.go
+++ b/internal/scale/capacity/capacity.go
@@ -1,12 +1,11 @@
-// Package capacity renders the tables of docs/CAPACITY.md from the recordings under bench/scale. What the page says
-// of a quantity is defined here as a [Row]: which recorded quantities it is made of, what it grows with, what carries
-// it and what it may be. The figures come from the recordings alone, and a row whose quantities no recording has says
-// "not measured".
+// Package capacity renders the tables of docs/CAPACITY.md from the recordings under bench/scale. Each line of a table
+// is a [Row], which names the recorded quantities, the law by which they grow, the mechanism and the budget. All
+// figures come from the recordings. A row whose quantities are in no recording is shown as "not measured".
 package capacity
 
 import "beechcart/internal/scale/record"
 
-// Unit is what a row's value is counted in. Prefixes on the page are decimal: 10 KB is 10,000 bytes.
+// Unit is the unit of a row's value. Prefixes on the page are decimal: 10 KB is 10,000 bytes.
 type Unit string
 
 // The units of rows.
@@ -22,15 +21,15 @@
 	Share          Unit = "share"
 )
 
-// Take tells which figure of a recorded quantity a term uses.
-type Take int
+// Stat selects the figure of a recorded quantity that a term uses.
+type Stat int
 
-// The figures of a quantity.
+// The statistics of a quantity.
 const (
-	Planned Take = iota // the fitted line's value at the planning numbers
+	Planned Stat = iota // the fitted line's value at the planning numbers
 	Slope               // the fitted line's slope alone
-	Worst               // the greatest value that was measured at the planning numbers
-	Least               // the least value that was measured at the planning numbers
+	Worst               // the greatest value measured at the planning numbers
+	Least               // the least value measured at the planning numbers
 )
 
 // Factor is a planning number that a term is multiplied by.
@@ -39,50 +38,52 @@
 	Value float64
 }
 
-// Condition tells when a recorded quantity says nothing: where another one, of the same runs, is over a bound.
+// Condition excludes a recorded quantity if the value of another quantity exceeds a limit in any run.
 type Condition struct {
 	Quantity string
 	Over     float64
-	Because  string // what the other quantity is then
+	Reason   string // the end of the note that the page shows, after the value of Quantity
 }
 
-// Term is one recorded quantity, multiplied by planning numbers. One without a quantity is arithmetic on planning
-// numbers and on constants of the code, and the page says so.
+// Term is one recorded quantity, multiplied by planning numbers. A term without a quantity is arithmetic on planning
+// numbers and constants of the code, and the page marks it as such.
 type Term struct {
 	Quantity string
-	Law      record.Law // what it grows with; not used by Worst and Least
-	Take     Take
+	Law      record.Law // the law by which Quantity grows; not used by Worst and Least
+	Stat     Stat
 	Rate     int // the planning rate, with the law InRate
 	Times    []Factor
 	Unless   Condition
-	OutOf    string // a quantity that each run records: a run of it without Quantity is one in which that never came
+	// RunMarker names a quantity that every run records. In a run that records RunMarker without Quantity, the event
+	// that Quantity measures never occurred.
+	RunMarker string
 }
 
-// Budget is what a value may be. The zero budget is none.
+// Budget is the limit of a value. The zero value means that there is no budget.
 type Budget struct {
 	Limit   float64
-	AtLeast bool   // the value must not be under the limit; else it must not be over it
-	Source  string // who set it
+	AtLeast bool   // true: the value must be at least Limit; false: at most Limit
+	Source  string // who set the budget, or the page that states it
 }
 
 // Row is one line of a table: the sum of its terms against its budget.
 type Row struct {
-	What      string
+	Label     string
 	Terms     []Term
 	Unit      Unit
-	Mechanism string // that carries it, with its file
+	Mechanism string // the mechanism that causes the value, with its package or file
 	Budget    Budget
-	Absent    string // why it cannot be done at all, whatever is measured; empty: it can
+	Blocker   string // why no mechanism can meet the budget, whatever is measured; empty: none
 }
 
-// Table is a named table of rows. The name is the one of its marker on the page.
+// Table is a named table of rows. Its marker on the page has the same name.
 type Table struct {
 	Name string
-	Role record.Role // whose quantities these are; empty: of several
+	Role record.Role // the role that records the quantities; empty: several roles
 	Rows []Row
 }
 
-// Quantities names the recorded quantities that a row is made of.
+// Quantities returns the names of the recorded quantities that a row uses, including those of conditions.
 func (r Row) Quantities() (names []string) {
 	for _, t := range r.Terms {
 		if t.Quantity != "" {
@@ -95,8 +96,8 @@
 	return names
 }
 
-// Tables returns all tables of rows, in the order of the page. Which shares of paused members have rows depends on
-// the recordings.
+// Tables returns all tables of rows, in the order of the page. The storm table has rows for each share of paused
+// members in the recordings.
 func Tables(recordings []record.Recording) []Table {
 	var tables []Table
 	tables = append(tables, frontEndTables(recordings)...)
--- a/internal/scale/capacity/capacity_test.go
+++ b/internal/scale/capacity/capacity_test.go
@@ -19,8 +19,8 @@
 	recordingsDir = "../../../bench/scale"
 )
 
-// TestThePageIsWhatTheRecordingsSay holds the page and the recorded results together.
-func TestThePageIsWhatTheRecordingsSay(t *testing.T) {
+// TestPageMatchesRecordings checks that the tables of docs/CAPACITY.md are those rendered from the recordings.
+func TestPageMatchesRecordings(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	recordings, err := record.Load(recordingsDir)
@@ -30,7 +30,7 @@
 	assert.Equal(t, rendered, string(page), "run: gatewayctl scale page")
 }
 
-func TestThePageBeginsWithWhatIsMissed(t *testing.T) {
+func TestPageBeginsWithMissedBudgets(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	lines := strings.Split(string(page), "\n")
@@ -44,31 +44,33 @@
 	tables := map[string]bool{}
 	for _, table := range Tables(nil) {
 		assert.Regexp(t, `^[a-z_]+$`, table.Name)
-		assert.False(t, tables[table.Name], "table %s is there twice", table.Name)
+		assert.False(t, tables[table.Name], "table %s is defined twice", table.Name)
 		tables[table.Name] = true
 		rows := map[string]bool{}
 		for _, r := range table.Rows {
-			assert.False(t, rows[r.What], "%s: row %q is there twice", table.Name, r.What)
-			rows[r.What] = true
-			assert.NotEmpty(t, r.Mechanism, r.What)
-			assert.NotEmpty(t, r.Unit, r.What)
-			assert.True(t, len(r.Terms) > 0 || r.Absent != "", "%s: row %q has nothing to say", table.Name, r.What)
+			assert.False(t, rows[r.Label], "%s: row %q is defined twice", table.Name, r.Label)
+			rows[r.Label] = true
+			assert.NotEmpty(t, r.Mechanism, r.Label)
+			assert.NotEmpty(t, r.Unit, r.Label)
+			assert.True(t, len(r.Terms) > 0 || r.Blocker != "", "%s: row %q has neither terms nor a blocker", table.Name,
+				r.Label)
 			for _, quantity := range r.Quantities() {
 				assert.Regexp(t, name, quantity)
 			}
 			for _, term := range r.Terms {
 				_, err := record.Fit{Law: term.Law}.At(planningSize)
-				assert.True(t, term.Quantity == "" || term.Take == Worst || term.Take == Least || err == nil, "%s: law %q",
-					r.What, term.Law)
-				assert.True(t, term.Law != record.InRate || term.Rate > 0 || term.Take == Slope, "%s: no planning rate", r.What)
+				assert.True(t, term.Quantity == "" || term.Stat == Worst || term.Stat == Least || err == nil, "%s: law %q",
+					r.Label, term.Law)
+				assert.True(t, term.Law != record.InRate || term.Rate > 0 || term.Stat == Slope,
+					"%s: found law InRate without a rate", r.Label)
 			}
 		}
 	}
 }
 
-// TestARowIsOfTheRoleOfItsTable finds a quantity that was recorded for another role than the one that the page shows
-// it under.
-func TestARowIsOfTheRoleOfItsTable(t *testing.T) {
+// TestQuantitiesHaveRoleOfTheirTable guards against a quantity that the page shows under a role other than the recorded
+// one.
+func TestQuantitiesHaveRoleOfTheirTable(t *testing.T) {
 	recordings, err := record.Load(recordingsDir)
 	require.NoError(t, err)
 	for _, table := range Tables(recordings) {
@@ -85,8 +87,8 @@
 	}
 }
 
-// TestBudgetsAreThoseOfTheRuns holds the page's verdicts and those of gatewayctl scale to the same budgets.
-func TestBudgetsAreThoseOfTheRuns(t *testing.T) {
+// TestPageAndRunsUseSameBudgets checks that the page and gatewayctl scale judge by the same budgets.
+func TestPageAndRunsUseSameBudgets(t *testing.T) {
 	assert.InDelta(t, scale.BudgetBytesPerSecond, memberBytesPerSecond, 0)
 	assert.InDelta(t, scale.BudgetCPUShare, memberCores, 0)
 	assert.InDelta(t, scale.BudgetHeapBytes, memberBytes, 0)
@@ -94,7 +96,7 @@
 	assert.InDelta(t, scale.BudgetPrimaryChangeSeconds, primarySeconds, 0)
 }
 
-func TestLeadsNameRowsThatAreThere(t *testing.T) {
+func TestLeadsNameExistingRows(t *testing.T) {
 	for _, l := range leads() {
 		rows := l.rows(Tables(nil))
 		assert.NotEmpty(t, rows, l.Suspicion)
@@ -103,7 +105,7 @@
 	}
 }
 
-func TestALeadIsConfirmedByAMissAndRuledOutByBudgetsKept(t *testing.T) {
+func TestLeadIsConfirmedByMissAndRuledOutByKeptBudgets(t *testing.T) {
 	recordings := []record.Recording{sweep("a_bytes_per_second", planMembers, func(float64) float64 { return 300 })}
 	find := func(budget float64, more ...Row) string {
 		table := Table{Name: "one", Rows: append([]Row{lineOf("a_bytes_per_second", budget)}, more...)}
@@ -116,7 +118,7 @@
 	assert.Equal(t, "confirmed", find(200, lineOf("b_bytes", 1)))
 }
 
-// sizes are those of a sweep.
+// sizes lists the numbers of front ends in a sweep.
 var sizes = []int{50, 100, 200, 400, planMembers}
 
 func sweep(quantity string, upTo int, value func(members float64) float64) record.Recording {
@@ -132,11 +134,11 @@
 }
 
 func lineOf(quantity string, budget float64) Row {
-	return Row{What: quantity, Terms: []Term{perMember(quantity)}, Unit: BytesPerSecond, Mechanism: "test",
+	return Row{Label: quantity, Terms: []Term{perMember(quantity)}, Unit: BytesPerSecond, Mechanism: "test",
 		Budget: Budget{Limit: budget}}
 }
 
-func TestALineGivesValueSlopeAndVerdict(t *testing.T) {
+func TestLineGivesValueSlopeAndVerdict(t *testing.T) {
 	recordings := []record.Recording{sweep("a_bytes_per_second", planMembers,
 		func(n float64) float64 { return 1000 + 2*n })}
 	row := lineOf("a_bytes_per_second", 1210)
@@ -165,11 +167,11 @@
 
 	row.Terms = append(row.Terms, level("c_bytes"))
 	f = row.evaluate(recordings)
-	assert.False(t, f.Measured, "a sum that lacks a part is not measured")
+	assert.False(t, f.Measured, "a sum with a missing term is not measured")
 	assert.Equal(t, []string{"c_bytes"}, f.Missing)
 }
 
-func TestALineThatDoesNotFitGivesWhatWasMeasuredAtTheSize(t *testing.T) {
+func TestLineThatDoesNotFitGivesMeanAtPlanningNumbers(t *testing.T) {
 	square := func(n float64) float64 { return n * n }
 	row := lineOf("a_bytes_per_second", 100)
 	f := row.evaluate([]record.Recording{sweep("a_bytes_per_second", planMembers, square)})
@@ -184,7 +186,7 @@
 	assert.Contains(t, row.value(f), "not measured (a line does not fit")
 }
 
-func TestAConstantThatGrowsDoesNotFit(t *testing.T) {
+func TestConstantDoesNotFitGrowingValues(t *testing.T) {
 	row := Row{Unit: Bytes, Terms: []Term{level("a_bytes")}}
 	f := row.evaluate([]record.Recording{sweep("a_bytes", 400, func(n float64) float64 { return n })})
 	assert.False(t, f.Measured)
@@ -194,16 +196,16 @@
 	assert.InDelta(t, 7, f.Value, 1e-9)
 }
 
-func TestALineBeyondWhatWasMeasuredSaysSo(t *testing.T) {
+func TestExtrapolatedLineIsMarked(t *testing.T) {
 	row := lineOf("a_bytes_per_second", 100)
 	f := row.evaluate([]record.Recording{sweep("a_bytes_per_second", 400, func(n float64) float64 { return n })})
 	require.True(t, f.Measured)
 	assert.Contains(t, row.value(f), "extrapolated: measured up to 400, here 710")
 	f = row.evaluate([]record.Recording{sweep("a_bytes_per_second", 100, func(n float64) float64 { return n })})
-	assert.False(t, f.Measured, "two sizes make no line")
+	assert.False(t, f.Measured, "two sizes are too few for a line")
 }
 
-func TestTheWorstIsTakenAtThePlanningNumbersOnly(t *testing.T) {
+func TestWorstUsesOnlyPlanningNumbers(t *testing.T) {
 	row := Row{Unit: Seconds, Terms: worst("a_seconds"), Budget: Budget{Limit: 4}}
 	f := row.evaluate([]record.Recording{sweep("a_seconds", planMembers, func(n float64) float64 { return n / 100 })})
 	assert.Equal(t, "7.1 s (worst of 3)", row.value(f))
@@ -212,8 +214,8 @@
 	assert.Equal(t, "not measured (measured up to 400 x 456: 4 s there)", row.value(f))
 }
 
-func TestAtLeastAndNone(t *testing.T) {
-	row := Row{Unit: Count, Terms: []Term{{Quantity: "a_members", Take: Least}}, Budget: Budget{Limit: planMembers,
+func TestAtLeastBudgetWithValueZero(t *testing.T) {
+	row := Row{Unit: Count, Terms: []Term{{Quantity: "a_members", Stat: Least}}, Budget: Budget{Limit: planMembers,
 		AtLeast: true}}
 	f := row.evaluate([]record.Recording{sweep("a_members", planMembers, func(n float64) float64 { return n })})
 	assert.Equal(t, Within, row.judge(f).Verdict)
@@ -221,30 +223,30 @@
 	assert.Equal(t, "missed by more than a factor can say", row.judge(f).String())
 }
 
-func TestWhatNeverCameInSomeRunIsAMiss(t *testing.T) {
-	row := Row{Unit: Seconds, Terms: []Term{{Quantity: "a_seconds", Take: Worst, OutOf: "a_members"}},
+func TestEventMissingInSomeRunIsAMiss(t *testing.T) {
+	row := Row{Unit: Seconds, Terms: []Term{{Quantity: "a_seconds", Stat: Worst, RunMarker: "a_members"}},
 		Budget: Budget{Limit: 60}}
 	runs := sweep("a_members", planMembers, func(n float64) float64 { return n })
 	f := row.evaluate([]record.Recording{runs})
 	assert.Equal(t, "never (never in 3 of 3 runs)", row.value(f))
 	assert.Equal(t, Missed, row.judge(f).Verdict)
-	came := sweep("a_seconds", planMembers, func(float64) float64 { return 5 })
-	f = row.evaluate([]record.Recording{runs, came})
+	occurred := sweep("a_seconds", planMembers, func(float64) float64 { return 5 })
+	f = row.evaluate([]record.Recording{runs, occurred})
 	assert.Equal(t, "5 s (worst of 3)", row.value(f))
 	assert.Equal(t, Within, row.judge(f).Verdict)
-	came.Samples = came.Samples[:len(came.Samples)-1]
-	f = row.evaluate([]record.Recording{runs, came})
+	occurred.Samples = occurred.Samples[:len(occurred.Samples)-1]
+	f = row.evaluate([]record.Recording{runs, occurred})
 	assert.Equal(t, "5 s (never in 1 of 3 runs; worst of 2)", row.value(f))
 	assert.Equal(t, Missed, row.judge(f).Verdict)
 	assert.Equal(t, NotMeasured, row.judge(row.evaluate(nil)).Verdict)
 
 	f = row.evaluate([]record.Recording{sweep("a_members", 400, func(n float64) float64 { return n })})
 	assert.Equal(t, "not measured (never in 3 of 3 runs at 400 x 456)", row.value(f),
-		"a smaller fleet says nothing certain of a larger one")
+		"a run of a smaller fleet does not decide the verdict for the planning numbers")
 	assert.Equal(t, NotMeasured, row.judge(f).Verdict)
 }
 
-func TestRunsWhoseStatementsWereNotAnsweredSayNothing(t *testing.T) {
+func TestRunsWithUnansweredStatementsAreExcluded(t *testing.T) {
 	row := lineOf("a_cpu_cores", 1)
 	row.Terms[0].Unless = Condition{"a_unanswered_ratio", 0.01, "ended without rows"}
 	cost := sweep("a_cpu_cores", planMembers, func(n float64) float64 { return n })
@@ -257,7 +259,7 @@
 	assert.Equal(t, NotMeasured, row.judge(f).Verdict)
 }
 
-func TestABudgetOfNothing(t *testing.T) {
+func TestZeroBudgetWithSourceIsABudget(t *testing.T) {
 	row := Row{Unit: Count, Terms: worst("a_count"), Budget: Budget{Source: "operators"}}
 	f := row.evaluate([]record.Recording{sweep("a_count", planMembers, func(float64) float64 { return 0 })})
 	assert.Equal(t, Within, row.judge(f).Verdict)
@@ -271,17 +273,17 @@
 		sweep("storm_share_5_percent_heard_least_members", planMembers, func(float64) float64 { return 710 })}
 	rows := stormRows(recordings)
 	require.Len(t, rows, 8)
-	assert.Contains(t, rows[0].What, "5% of the front ends stand still")
-	assert.Contains(t, rows[4].What, "21% of the front ends stand still")
+	assert.Contains(t, rows[0].Label, "5% of the front ends stand still")
+	assert.Contains(t, rows[4].Label, "21% of the front ends stand still")
 	assert.Len(t, stormRows(nil), 4)
 }
 
-func TestMissesAreOrderedWithTheImpossibleFirst(t *testing.T) {
+func TestMissesWithBlockerComeFirst(t *testing.T) {
 	recordings := []record.Recording{sweep("a_bytes_per_second", planMembers, func(float64) float64 { return 300 })}
-	impossible := Row{What: "impossible", Absent: "nothing carries it"}
+	blocked := Row{Label: "impossible", Blocker: "nothing carries it"}
 	tables := []Table{{Name: "one", Rows: []Row{lineOf("a_bytes_per_second", 200), lineOf("a_bytes_per_second", 301),
 		lineOf("b_bytes", 1)}},
-		{Name: "two", Rows: []Row{lineOf("a_bytes_per_second", 100), impossible}}}
+		{Name: "two", Rows: []Row{lineOf("a_bytes_per_second", 100), blocked}}}
 	var factors []float64
 	for _, m := range misses(tables, recordings) {
 		factors = append(factors, math.Round(m.judgement.Factor*10)/10)
@@ -292,7 +294,7 @@
 	assert.Contains(t, renderNotMeasured(tables, recordings), "no recording has `b_bytes`")
 }
 
-func TestRenderReplacesTablesAndLeavesTextAlone(t *testing.T) {
+func TestRenderReplacesTablesAndKeepsOtherText(t *testing.T) {
 	var page strings.Builder
 	for name := range renderTables(nil) {
 		page.WriteString("Before " + name + ".\n<!-- table: " + name + " -->\nold\n<!-- end table -->\nAfter.\n")
@@ -314,16 +316,15 @@
 	assert.ErrorContains(t, err, "not on the page")
 }
 
-// TestARecordedQuantityWithoutARowIsShown guards against a row whose quantity is spelled otherwise than the
-// recording's.
-func TestARecordedQuantityWithoutARowIsShown(t *testing.T) {
+// TestRecordedQuantityWithoutRowIsShown guards against a row that misspells the name of a recorded quantity.
+func TestRecordedQuantityWithoutRowIsShown(t *testing.T) {
 	tables := []Table{{Name: "one", Rows: []Row{lineOf("a_bytes_per_second", 1)}}}
 	recordings := []record.Recording{sweep("a_bytes_a_second", planMembers, func(n float64) float64 { return n })}
 	text := renderOthers(tables, recordings)
 	assert.Contains(t, text, "`a_bytes_a_second` | 710 to 710 | 710 x 810 | 3 | test")
 }
 
-func TestNumbers(t *testing.T) {
+func TestFormat(t *testing.T) {
 	for want, got := range map[string]string{
 		"0": number(0), "1,234,567": number(1234567), "-1,234": number(-1234), "12.3": number(12.34), "12": number(12),
 		"100":    number(99.96),
--- a/internal/scale/capacity/evaluate.go
+++ b/internal/scale/capacity/evaluate.go
@@ -7,17 +7,17 @@
 	"beechcart/internal/scale/record"
 )
 
-// leastSizes is at how many sizes a quantity has to be measured for a line to say anything.
-const leastSizes = 3
+// minSizes is the number of sizes at which a quantity must be measured before a fitted line is used.
+const minSizes = 3
 
 // Figure is the value of a row or a term at the planning numbers.
 type Figure struct {
 	Value      float64
 	Measured   bool
-	Missing    []string // quantities that no recording has
-	Notes      []string // what a reader has to know of the value
-	Recordings []string // that it comes from
-	Never      bool     // in some run it never came, so the value is no bound
+	Missing    []string // quantities that are in no recording
+	Notes      []string // remarks on the value for the reader of the page
+	Recordings []string // names of the recordings that the value comes from
+	Unbounded  bool     // true if the measured event never occurred in some run, so that the value is no upper bound
 	Fits       []record.Fit
 }
 
@@ -28,7 +28,7 @@
 		f := t.evaluate(recordings, r.Unit)
 		sum.Value += f.Value
 		sum.Measured = sum.Measured && f.Measured
-		sum.Never = sum.Never || f.Never
+		sum.Unbounded = sum.Unbounded || f.Unbounded
 		sum.Missing = append(sum.Missing, f.Missing...)
 		sum.Notes = appendNew(sum.Notes, f.Notes)
 		sum.Recordings = appendNew(sum.Recordings, f.Recordings)
@@ -37,7 +37,7 @@
 	return sum
 }
 
-// factor is the product of what the term is multiplied by.
+// factor returns the product of the term's planning numbers.
 func (t Term) factor() float64 {
 	product := 1.0
 	for _, f := range t.Times {
@@ -46,25 +46,25 @@
 	return product
 }
 
-// evaluate takes the term's figure from the recordings. A quantity that was not measured is no error.
+// evaluate returns the term's figure from the recordings. A quantity that was not measured is not an error.
 func (t Term) evaluate(recordings []record.Recording, unit Unit) Figure {
 	if t.Quantity == "" {
 		return Figure{Value: t.factor(), Measured: true, Notes: []string{"arithmetic, not a measurement"}}
 	}
-	samples, runs := record.Select(recordings, t.Quantity), record.Select(recordings, t.OutOf)
+	samples, runs := record.Select(recordings, t.Quantity), record.Select(recordings, t.RunMarker)
 	if len(samples) == 0 && len(runs) == 0 {
 		return Figure{Missing: []string{t.Quantity}}
 	}
 	f := Figure{Recordings: recordedIn(recordings, t.Quantity)}
-	if f.noteAbsent(samples, runs) {
-		f.Recordings = recordedIn(recordings, t.OutOf)
+	if f.noteRunsWithout(samples, runs) {
+		f.Recordings = recordedIn(recordings, t.RunMarker)
 	}
-	if len(samples) == 0 || f.isVoid(recordings, t.Unless) {
+	if len(samples) == 0 || f.isExcluded(recordings, t.Unless) {
 		return f
 	}
-	switch t.Take {
+	switch t.Stat {
 	case Worst, Least:
-		f.extreme(samples, t.Take, unit)
+		f.extreme(samples, t.Stat, unit)
 	default:
 		f.line(samples, t)
 	}
@@ -72,8 +72,8 @@
 	return f
 }
 
-// isVoid notes that the quantity says nothing, where the condition holds for any sample.
-func (f *Figure) isVoid(recordings []record.Recording, c Condition) bool {
+// isExcluded reports whether a sample exceeds the limit of the condition, and then adds a note to the figure.
+func (f *Figure) isExcluded(recordings []record.Recording, c Condition) bool {
 	others := record.Select(recordings, c.Quantity)
 	if len(others) == 0 {
 		return false
@@ -82,58 +82,59 @@
 	if most <= c.Over {
 		return false
 	}
-	f.Notes = append(f.Notes, "what was recorded says nothing: up to "+percent(most)+" "+c.Because)
+	f.Notes = append(f.Notes, "what was recorded says nothing: up to "+percent(most)+" "+c.Reason)
 	return true
 }
 
-// noteAbsent notes runs in which what was recorded by samples never came: those at the planning numbers, or at the
-// largest size where there is none. It tells whether there were any.
-func (f *Figure) noteAbsent(samples, runs []record.Sample) bool {
-	all, came, where := atPlanning(runs), atPlanning(samples), ""
+// noteRunsWithout notes the number of runs in which the measured event never occurred, and reports whether there are
+// any. It looks at runs at the planning numbers or, if there are none, at the largest size.
+func (f *Figure) noteRunsWithout(samples, runs []record.Sample) bool {
+	all, present, where := atPlanning(runs), atPlanning(samples), ""
 	planning := len(all) > 0
 	if !planning {
 		members, engines := largest(runs)
-		all, came, where = ofSize(runs, members, engines), ofSize(samples, members, engines), fmt.Sprintf(" at %d x %d",
+		all, present, where = ofSize(runs, members, engines), ofSize(samples, members, engines), fmt.Sprintf(" at %d x %d",
 			members, engines)
 	}
-	if len(came) >= len(all) {
+	if len(present) >= len(all) {
 		return false
 	}
-	f.Never = planning
-	f.Notes = append(f.Notes, fmt.Sprintf("never in %d of %d runs%s", len(all)-len(came), len(all), where))
+	f.Unbounded = planning
+	f.Notes = append(f.Notes, fmt.Sprintf("never in %d of %d runs%s", len(all)-len(present), len(all), where))
 	return true
 }
 
-// extreme takes the greatest or the least value that was measured at the planning numbers.
-func (f *Figure) extreme(samples []record.Sample, take Take, unit Unit) {
+// extreme sets the value to the greatest or the least value measured at the planning numbers.
+func (f *Figure) extreme(samples []record.Sample, stat Stat, unit Unit) {
 	at := atPlanning(samples)
 	if len(at) == 0 {
 		members, engines := largest(samples)
 		f.Notes = append(f.Notes, fmt.Sprintf("measured up to %d x %d: %s there", members, engines,
-			format(extremeOf(ofSize(samples, members, engines), take), unit)))
+			format(extremeOf(ofSize(samples, members, engines), stat), unit)))
 		return
 	}
-	f.Value, f.Measured = extremeOf(at, take), true
-	if take == Worst {
+	f.Value, f.Measured = extremeOf(at, stat), true
+	if stat == Worst {
 		f.Notes = append(f.Notes, fmt.Sprintf("worst of %d", len(at)))
 	} else {
 		f.Notes = append(f.Notes, fmt.Sprintf("least of %d", len(at)))
 	}
 }
 
-func extremeOf(samples []record.Sample, take Take) float64 {
+func extremeOf(samples []record.Sample, stat Stat) float64 {
 	values := make([]float64, 0, len(samples))
 	for _, s := range samples {
 		values = append(values, s.Value)
 	}
-	if take == Least {
+	if stat == Least {
 		return slices.Min(values)
 	}
 	return slices.Max(values)
 }
 
-// line takes the value, or the slope, of the line over the samples. Where a line says nothing, the value is the mean
-// of what was measured at the planning numbers, and there is none without such a measurement.
+// line sets the value to that of the line fitted to the samples, or to the slope of the line. If a line needs more
+// sizes or does not fit, the value is the mean of the samples at the planning numbers; without such samples there is
+// none.
 func (f *Figure) line(samples []record.Sample, t Term) {
 	fit, err := record.FitLine(samples, t.Law)
 	if err != nil {
@@ -143,8 +144,8 @@
 	size := planningSize
 	size.Rate = t.Rate
 	switch {
-	case t.Law != record.Constant && fit.Sizes < leastSizes:
-		f.Notes = append(f.Notes, fmt.Sprintf("measured at %d of %d sizes that a line needs", fit.Sizes, leastSizes))
+	case t.Law != record.Constant && fit.Sizes < minSizes:
+		f.Notes = append(f.Notes, fmt.Sprintf("measured at %d of %d sizes that a line needs", fit.Sizes, minSizes))
 		f.mean(samples, t)
 		return
 	case !fit.Fits():
@@ -153,7 +154,7 @@
 		return
 	}
 	f.Fits, f.Measured = []record.Fit{scaled(fit, t.factor())}, true
-	if t.Take == Slope {
+	if t.Stat == Slope {
 		f.Value = fit.Slope
 		return
 	}
@@ -165,13 +166,13 @@
 	}
 }
 
-// mean takes the mean of what was measured at the planning numbers. A slope has none.
+// mean sets the value to the mean of the samples at the planning numbers. A slope has no mean.
 func (f *Figure) mean(samples []record.Sample, t Term) {
 	at := atPlanning(samples)
 	if t.Law == record.InRate {
 		at = slices.DeleteFunc(at, func(s record.Sample) bool { return s.Size.Rate != t.Rate })
 	}
-	if t.Take == Slope || len(at) == 0 {
+	if t.Stat == Slope || len(at) == 0 {
 		return
 	}
 	for _, s := range at {
@@ -181,7 +182,8 @@
 	f.Notes = append(f.Notes, fmt.Sprintf("mean of %d measured at this size", len(at)))
 }
 
-// variableAt is the value of a law's variable at a size: that of a line through the origin with slope 1.
+// variableAt returns the value of a law's variable at a size; 0 if the law has none. The value is that of a line
+// through the origin with slope 1.
 func variableAt(law record.Law, size record.Size) float64 {
 	x, err := record.Fit{Law: law, Slope: 1}.At(size)
 	if err != nil {
@@ -190,14 +192,14 @@
 	return x
 }
 
-// scaled is a fit of the quantity times a factor.
+// scaled returns the fit of the quantity multiplied by factor.
 func scaled(f record.Fit, factor float64) record.Fit {
 	f.Intercept, f.Slope, f.SlopeLow, f.SlopeHigh = f.Intercept*factor, f.Slope*factor, f.SlopeLow*factor,
 		f.SlopeHigh*factor
 	return f
 }
 
-// atPlanning are the samples at the planning numbers; a number that a sample doesn't name is not asked for.
+// atPlanning returns the samples at the planning numbers. A size of 0 in a sample matches every number.
 func atPlanning(samples []record.Sample) (at []record.Sample) {
 	same := func(found, wanted int) bool { return found == 0 || found == wanted }
 	for _, s := range samples {
@@ -209,7 +211,7 @@
 	return at
 }
 
-// largest is the largest size that was measured: by front ends, then by databases.
+// largest returns the largest measured size, compared by front ends and then by databases.
 func largest(samples []record.Sample) (members, engines int) {
 	for _, s := range samples {
 		if s.Size.Members > members || (s.Size.Members == members && s.Size.Engines > engines) {
--- a/internal/scale/capacity/format.go
+++ b/internal/scale/capacity/format.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// number writes a value with three significant digits, and whole from 100 on, with commas between thousands.
+// number formats a value with three significant digits. Values from 100 on are rounded to whole numbers, with commas
+// between thousands.
 func number(v float64) string {
 	size := math.Abs(v)
 	switch {
@@ -29,7 +30,7 @@
 	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".")
 }
 
-// thousands puts a comma between each three digits of a whole number.
+// thousands inserts a comma after each group of three digits of a whole number, counted from the right.
 func thousands(text string) string {
 	sign := ""
 	if strings.HasPrefix(text, "-") {
@@ -41,18 +42,18 @@
 	return sign + text
 }
 
-// percent writes a share.
+// percent formats a share as a percentage.
 func percent(share float64) string { return number(share*100) + "%" }
 
-// deviation writes how far values lie apart, as a share.
+// deviation formats a relative deviation as a percentage with one decimal.
 func deviation(share float64) string { return strconv.FormatFloat(share*100, 'f', 1, 64) + "%" }
 
-// leastPrefixed is the least amount of bytes that is written with a prefix.
-const leastPrefixed = 10_000
+// minPrefixed is the least number of bytes that is formatted with a prefix.
+const minPrefixed = 10_000
 
-// bytes writes an amount of bytes, large ones with a decimal prefix.
+// bytes formats a number of bytes. From minPrefixed on, the unit has a decimal prefix.
 func bytes(v float64) string {
-	if math.Abs(v) < leastPrefixed {
+	if math.Abs(v) < minPrefixed {
 		return number(v) + " B"
 	}
 	for _, prefix := range []struct {
@@ -66,7 +67,7 @@
 	return number(v) + " B"
 }
 
-// format writes a value in its unit.
+// format formats a value with its unit.
 func format(v float64, unit Unit) string {
 	switch unit {
 	case Bytes:
@@ -90,7 +91,7 @@
 	}
 }
 
-// duration writes seconds in the unit that suits them.
+// duration formats seconds as s, ms or µs, depending on the size.
 func duration(seconds float64) string {
 	switch size := math.Abs(seconds); {
 	case size >= 1 || size == 0:
--- a/internal/scale/capacity/leads.go
+++ b/internal/scale/capacity/leads.go
@@ -7,14 +7,14 @@
 	"beechcart/internal/scale/record"
 )
 
-// Lead is something that issue 29 suspects, and the rows that confirm it or rule it out.
+// Lead is a suspected bottleneck of issue 29, with the rows that confirm it or rule it out.
 type Lead struct {
 	Suspicion string
 	Table     string
-	Rows      []string // by Row.What; none: all rows of the table that have a budget
+	Rows      []string // by Row.Label; none: all rows of the table that have a budget
 }
 
-// leads lists the leads of issue 29 in its order.
+// leads returns the leads in the order of issue 29.
 func leads() []Lead {
 	return []Lead{
 		{"gossip and calls cost more than the budgets in a quiet minute", "front_end",
@@ -47,7 +47,7 @@
 	}
 }
 
-// renderLeads renders what the recordings say of each lead.
+// renderLeads renders the table of leads with the finding of each lead.
 func renderLeads(tables []Table, recordings []record.Recording) string {
 	var lines [][]string
 	for _, l := range leads() {
@@ -57,8 +57,8 @@
 	return markdown([]string{"lead", "finding", "table", "by"}, lines)
 }
 
-// finding tells what a lead's rows say together: a budget that is missed confirms it, and budgets that are all kept
-// rule it out.
+// finding returns the finding on a lead and the values of its rows. A missed budget confirms a lead. If all budgets are
+// kept, the lead is ruled out.
 func (l Lead) finding(tables []Table, recordings []record.Recording) (finding string, values []string) {
 	var verdicts []Verdict
 	measuredMiss := false
@@ -67,11 +67,11 @@
 		j := r.judge(f)
 		verdicts = append(verdicts, j.Verdict)
 		if j.Verdict == CannotBeDone {
-			values = append(values, r.What+": "+r.Absent)
+			values = append(values, r.Label+": "+r.Blocker)
 			continue
 		}
 		measuredMiss = measuredMiss || (j.Verdict == Missed && len(r.Quantities()) > 0)
-		values = append(values, r.What+": "+r.value(f))
+		values = append(values, r.Label+": "+r.value(f))
 	}
 	switch {
 	case slices.Contains(verdicts, CannotBeDone), measuredMiss:
@@ -86,11 +86,11 @@
 	return "recorded; no budget is set", values
 }
 
-// rows are the rows that a lead names.
+// rows returns the rows that a lead names.
 func (l Lead) rows(tables []Table) (rows []Row) {
 	for _, t := range tables {
 		for _, r := range t.Rows {
-			named := slices.Contains(l.Rows, r.What) || (len(l.Rows) == 0 && r.Budget != Budget{})
+			named := slices.Contains(l.Rows, r.Label) || (len(l.Rows) == 0 && r.Budget != Budget{})
 			if t.Name == l.Table && named {
 				rows = append(rows, r)
 			}
--- a/internal/scale/capacity/planning.go
+++ b/internal/scale/capacity/planning.go
@@ -2,37 +2,37 @@
 
 import "beechcart/internal/scale/record"
 
-// The planning numbers, as the operators gave them (issue 29).
+// The planning numbers that the operators set (issue 29).
 const (
-	planMembers         = 710
-	planEngines         = 810
-	planSessions        = 1_400_000
-	planStatements      = 540_000 // a second
-	planChanges         = 1_600   // of configuration, a day
-	planPrimaryChanges  = 2       // a day
-	planRegions         = 2
-	planZones           = 7
-	planControlMachines = 8
-	planRestarts        = 78 // machines, within an hour
-	secondsPerDay       = 86_400
-	secondsPerHour      = 3_600
+	planMembers              = 710
+	planEngines              = 810
+	planSessions             = 1_400_000
+	planStatementsPerSecond  = 540_000
+	planChangesPerDay        = 1_600 // changes of configuration
+	planPrimaryChangesPerDay = 2
+	planRegions              = 2
+	planZones                = 7
+	planControlMachines      = 8
+	planRestarts             = 78 // machines, within an hour
+	secondsPerDay            = 86_400
+	secondsPerHour           = 3_600
 )
 
-// The budgets, as the operators gave them, and one of the project's own.
+// The budgets that the operators set, and one that docs/rollout.md states.
 const (
 	memberBytesPerSecond = 4_096 // 4 KB, sent and received together: docs/questions.md
 	memberCores          = 0.013
 	memberBytes          = 64 << 20 // 64 MB
 	inForceSeconds       = 4
 	primarySeconds       = 6
-	readySeconds         = 10  // nine in ten restarted processes are ready within it
+	readySeconds         = 10  // time within which nine in ten restarted processes are ready
 	noticeSeconds        = 2.5 // docs/rollout.md: a front end counts as out about 2.5 s after its end
 )
 
-// What follows from the planning numbers, rounded up.
+// Numbers derived from the planning numbers, rounded up.
 const (
 	sessionsPerMember   = (planSessions + planMembers - 1) / planMembers
-	statementsPerMember = planStatements / planMembers
+	statementsPerMember = planStatementsPerSecond / planMembers
 	membersPerZone      = (planMembers + planZones - 1) / planZones
 	enginesPerZone      = (planEngines + planZones - 1) / planZones
 	membersPerRegion    = (planMembers + planRegions - 1) / planRegions
@@ -44,20 +44,20 @@
 
 // The planning numbers that terms are multiplied by.
 var (
-	changesPerDay    = Factor{"changes of configuration a day", planChanges}
-	changesPerSecond = Factor{"changes of configuration a second", planChanges / float64(secondsPerDay)}
-	allMembers       = Factor{"front ends", planMembers}
-	zoneEngines      = Factor{"databases of a zone", enginesPerZone}
-	zoneMembers      = Factor{"front ends of a zone", membersPerZone}
-	regionMembers    = Factor{"front ends of a region", membersPerRegion}
-	rackOfMembers    = Factor{"front ends of a rack", rackMembers}
-	restarts         = Factor{"restarts", planRestarts}
-	aSecondInAnHour  = Factor{"a second, over an hour", 1.0 / secondsPerHour}
-	aSecondInAMinute = Factor{"a second, over a minute", 1.0 / 60}
-	sessions         = Factor{"sessions of a front end", sessionsPerMember}
+	changesPerDay      = Factor{"changes of configuration a day", planChangesPerDay}
+	changesPerSecond   = Factor{"changes of configuration a second", planChangesPerDay / float64(secondsPerDay)}
+	allMembers         = Factor{"front ends", planMembers}
+	zoneEngines        = Factor{"databases of a zone", enginesPerZone}
+	zoneMembers        = Factor{"front ends of a zone", membersPerZone}
+	regionMembers      = Factor{"front ends of a region", membersPerRegion}
+	membersOfRack      = Factor{"front ends of a rack", rackMembers}
+	restarts           = Factor{"restarts", planRestarts}
+	perSecondOfAnHour  = Factor{"a second, over an hour", 1.0 / secondsPerHour}
+	perSecondOfAMinute = Factor{"a second, over a minute", 1.0 / 60}
+	sessions           = Factor{"sessions of a front end", sessionsPerMember}
 )
 
-// planningLines are the lines of the table of planning numbers.
+// planningLines returns the lines of the table of planning numbers.
 func planningLines() [][]string {
 	line := func(what string, value float64) []string { return []string{what, number(value)} }
 	return [][]string{
@@ -66,10 +66,10 @@
 		line("pairs of a front end and a database", planMembers*planEngines),
 		line("client connections", planSessions),
 		line("client connections of one front end, rounded up", sessionsPerMember),
-		line("statements a second", planStatements),
+		line("statements a second", planStatementsPerSecond),
 		line("statements a second of one front end", statementsPerMember),
-		line("changes of configuration a day", planChanges),
-		line("changes of primary a day", planPrimaryChanges),
+		line("changes of configuration a day", planChangesPerDay),
+		line("changes of primary a day", planPrimaryChangesPerDay),
 		line("regions", planRegions),
 		line("zones", planZones),
 		line("front ends of a zone, rounded up", membersPerZone),
--- a/internal/scale/capacity/render.go
+++ b/internal/scale/capacity/render.go
@@ -23,8 +23,8 @@
 // markers matches one table of the page, with its markers.
 var markers = regexp.MustCompile(`(?s)<!-- table: ([a-z_]+) -->\n.*?<!-- end table -->`)
 
-// Render returns the page with its tables as the recordings have them. The text between tables is left alone. The
-// page must hold each table once.
+// Render returns the page with every table replaced by one rendered from the recordings. Text outside the tables stays
+// unchanged. Render returns an error unless the page holds each table exactly once.
 func Render(page string, recordings []record.Recording) (string, error) {
 	rendered := renderTables(recordings)
 	seen := map[string]bool{}
@@ -50,7 +50,7 @@
 	return page, problem
 }
 
-// renderTables renders every table by its name.
+// renderTables returns every rendered table, by the name of the table.
 func renderTables(recordings []record.Recording) map[string]string {
 	tables := Tables(recordings)
 	rendered := map[string]string{
@@ -75,20 +75,20 @@
 	for _, r := range t.Rows {
 		f := r.evaluate(recordings)
 		lines = append(lines, []string{
-			r.What + ": " + r.formula(), r.law(), r.slope(f), r.value(f), r.budget(), r.judge(f).String(), r.Mechanism,
+			r.Label + ": " + r.formula(), r.law(), r.slope(f), r.value(f), r.budget(), r.judge(f).String(), r.Mechanism,
 			strings.Join(f.Recordings, ", "),
 		})
 	}
 	return markdown(header, lines)
 }
 
-// formula writes the sum of a row's terms.
+// formula returns the sum of a row's terms as text.
 func (r Row) formula() string {
 	var terms []string
 	for _, t := range r.Terms {
 		var factors []string
 		switch {
-		case t.Quantity != "" && t.Take == Slope:
+		case t.Quantity != "" && t.Stat == Slope:
 			factors = append(factors, "slope of `"+t.Quantity+"`")
 		case t.Quantity != "":
 			factors = append(factors, "`"+t.Quantity+"`")
@@ -104,7 +104,7 @@
 	return strings.Join(terms, " + ")
 }
 
-// law names what the row grows with.
+// law returns the names of the laws of a row's terms.
 func (r Row) law() string {
 	var laws []string
 	for _, t := range r.Terms {
@@ -117,15 +117,15 @@
 	switch {
 	case t.Quantity == "":
 		return "arithmetic"
-	case t.Take == Worst:
+	case t.Stat == Worst:
 		return "worst measured"
-	case t.Take == Least:
+	case t.Stat == Least:
 		return "least measured"
 	}
 	return string(t.Law)
 }
 
-// slope writes the slope of each line of a figure, with the least and the greatest slope of the repeats.
+// slope returns the slope of each line of a figure as text, with the least and the greatest slope of the repeats.
 func (r Row) slope(f Figure) string {
 	var slopes []string
 	for _, fit := range f.Fits {
@@ -140,7 +140,7 @@
 	return strings.Join(slopes, "; ")
 }
 
-// per names one unit of a law's variable.
+// per returns the name of one unit of a law's variable.
 func per(law record.Law) string {
 	switch law {
 	case record.InMembers:
@@ -165,7 +165,7 @@
 	switch {
 	case f.Measured:
 		text = format(f.Value, r.Unit)
-	case f.Never:
+	case f.Unbounded:
 		text = "never"
 	}
 	if len(f.Notes) > 0 {
@@ -191,7 +191,8 @@
 	judgement Judgement
 }
 
-// misses lists the rows that miss their budgets: first what cannot be done at all, then the largest factor first.
+// misses returns the rows that miss their budgets. Rows with a blocker come first, then the others by decreasing
+// factor.
 func misses(tables []Table, recordings []record.Recording) (list []miss) {
 	for _, t := range tables {
 		for _, r := range t.Rows {
@@ -212,10 +213,10 @@
 	var lines [][]string
 	for i, m := range misses(tables, recordings) {
 		value := m.row.value(m.figure)
-		if m.row.Absent != "" {
-			value = m.row.Absent
+		if m.row.Blocker != "" {
+			value = m.row.Blocker
 		}
-		lines = append(lines, []string{number(float64(i + 1)), m.row.What, value, m.row.budget(), m.judgement.String()})
+		lines = append(lines, []string{number(float64(i + 1)), m.row.Label, value, m.row.budget(), m.judgement.String()})
 	}
 	return markdown([]string{"", "budget that is missed", "at 710 x 810", "budget", "verdict"}, lines)
 }
@@ -225,21 +226,21 @@
 	for _, t := range tables {
 		for _, r := range t.Rows {
 			f := r.evaluate(recordings)
-			if f.Measured || f.Never || len(r.Terms) == 0 {
+			if f.Measured || f.Unbounded || len(r.Terms) == 0 {
 				continue
 			}
 			why := strings.Join(f.Notes, "; ")
 			if len(f.Missing) > 0 {
 				why = "no recording has `" + strings.Join(f.Missing, "`, `") + "`"
 			}
-			lines = append(lines, []string{r.What, t.Name, why})
+			lines = append(lines, []string{r.Label, t.Name, why})
 		}
 	}
 	return markdown([]string{"row", "table", "why"}, lines)
 }
 
-// renderOthers lists quantities that recordings have and no row uses, so that nothing recorded is hidden, and a row
-// whose quantity is spelled otherwise than the recording's is seen.
+// renderOthers renders the recorded quantities that no row uses, so that no recorded quantity is hidden, and a quantity
+// that a row misspells shows up.
 func renderOthers(tables []Table, recordings []record.Recording) string {
 	used := map[string]bool{}
 	for _, t := range tables {
@@ -281,7 +282,7 @@
 	return markdown([]string{"recording", "command", "at (UTC)", "commit", "cores", "notes"}, lines)
 }
 
-// markdown writes a table; one without lines says so.
+// markdown returns a Markdown table, or "None." if there are no lines.
 func markdown(header []string, lines [][]string) string {
 	var b strings.Builder
 	write := func(cells []string) {
--- a/internal/scale/capacity/rows_gossip.go
+++ b/internal/scale/capacity/rows_gossip.go
@@ -10,41 +10,41 @@
 	"beechcart/internal/scale/record"
 )
 
-// The times after which a front end that has ended counts as out, as internal/fleet sets them: a suspicion stands for
-// SuspicionMult x log10(members) x ProbeInterval (memberlist: suspicionTimeout), and what the leader hears nothing of
-// is entered after doubtFor.
+// The delays until a front end that has ended counts as suspected. Gossip keeps a suspicion for SuspicionMult x
+// log10(members) x ProbeInterval (suspicionTimeout of memberlist). The leader then enters the front end in the control
+// log as suspected once the front end has not been alive for suspicionTimeout of internal/fleet.
 var (
-	suspicionStands = Factor{"s that a suspicion stands (3 x log10 of 710 x 0.3 s)", 3 * math.Log10(planMembers) * 0.3}
-	leaderWaits     = Factor{"s until the leader enters it", 0.7}
+	suspicionDuration = Factor{"s that a suspicion stands (3 x log10 of 710 x 0.3 s)", 3 * math.Log10(planMembers) * 0.3}
+	leaderCheckDelay  = Factor{"s until the leader enters it", 0.7}
 )
 
 func gossipRows() []Row {
 	return []Row{
-		{What: "front ends that each one hears of, the least", Unit: Count, Mechanism: byGossip, Budget: hearsAll,
+		{Label: "front ends that each one hears of, the least", Unit: Count, Mechanism: byGossip, Budget: hearsAll,
 			Terms: least("heard_least_members")},
-		{What: "time until all are known and hear of all, from a common start", Unit: Seconds, Mechanism: byGossip,
+		{Label: "time until all are known and hear of all, from a common start", Unit: Seconds, Mechanism: byGossip,
 			Terms: worst("formation_seconds")},
-		{What: "front ends not known by then", Unit: Count, Mechanism: byGossip, Terms: worst("formation_unknown_members")},
-		{What: "a dead front end counts as out, at the least", Unit: Seconds, Mechanism: bySuspicion,
-			Budget: Budget{Limit: noticeSeconds, Source: byProject}, Terms: append(arithmetic(suspicionStands),
-				arithmetic(leaderWaits)...)},
-		{What: "a dead front end is noticed", Unit: Seconds, Mechanism: bySuspicion, Budget: Budget{Limit: noticeSeconds,
+		{Label: "front ends not known by then", Unit: Count, Mechanism: byGossip, Terms: worst("formation_unknown_members")},
+		{Label: "a dead front end counts as out, at the least", Unit: Seconds, Mechanism: bySuspicion,
+			Budget: Budget{Limit: noticeSeconds, Source: byProject}, Terms: append(arithmetic(suspicionDuration),
+				arithmetic(leaderCheckDelay)...)},
+		{Label: "a dead front end is noticed", Unit: Seconds, Mechanism: bySuspicion, Budget: Budget{Limit: noticeSeconds,
 			Source: byProject},
 			Terms: worst("notice_dead_max_seconds")},
-		{What: "a stopped front end is noticed", Unit: Seconds, Mechanism: bySuspicion,
+		{Label: "a stopped front end is noticed", Unit: Seconds, Mechanism: bySuspicion,
 			Terms: worst("notice_stopped_max_seconds")},
-		{What: "a one-way link is noticed", Unit: Seconds, Mechanism: bySuspicion,
+		{Label: "a one-way link is noticed", Unit: Seconds, Mechanism: bySuspicion,
 			Terms: worst("notice_one_way_max_seconds")},
 	}
 }
 
-// stormQuantity matches what a run records of a pause of a share of the front ends.
+// stormQuantity matches the quantities that a run records for a pause of a share of the front ends.
 var stormQuantity = regexp.MustCompile(`^storm_share_([0-9]+)_percent_`)
 
-// assumedShare is the share of the rows that stand for the table while no share has been recorded.
+// assumedShare is the share in percent for which rows are shown while no share has been recorded.
 const assumedShare = 10
 
-// stormRows are the rows of each share of front ends whose pause was recorded.
+// stormRows returns rows for each share of front ends whose pause was recorded.
 func stormRows(recordings []record.Recording) (rows []Row) {
 	shares := []int{}
 	for _, r := range recordings {
@@ -67,17 +67,18 @@
 	return rows
 }
 
-// afterRows are what runs record of the time after a fault.
+// afterRows returns the rows of the time after a fault.
 func afterRows(name, prefix string) []Row {
 	return []Row{
-		{What: name + ": control traffic in the 5 s after, sent and received", Unit: BytesPerSecond, Mechanism: byMember,
+		{Label: name + ": control traffic in the 5 s after, sent and received", Unit: BytesPerSecond, Mechanism: byMember,
 			Budget: bytesBudget,
 			Terms:  append(worst(prefix+"_sent_bytes_per_second"), worst(prefix+"_received_bytes_per_second")...)},
-		{What: name + ": processor time of control in the 5 s after", Unit: Cores, Mechanism: byMember, Budget: coresBudget,
+		{Label: name + ": processor time of control in the 5 s after", Unit: Cores, Mechanism: byMember, Budget: coresBudget,
 			Terms: worst(prefix + "_member_cpu_cores")},
-		{What: name + ": front ends that each one hears of in the minute after, the least", Unit: Count, Mechanism: byGossip,
+		{Label: name + ": front ends that each one hears of in the minute after, the least", Unit: Count, Mechanism: byGossip,
 			Terms: least(prefix + "_heard_least_members")},
-		{What: name + ": time until all hear of all again", Unit: Seconds, Mechanism: byGossip,
-			Terms: one(Term{Quantity: prefix + "_quiet_after_seconds", Take: Worst, OutOf: prefix + "_heard_least_members"})},
+		{Label: name + ": time until all hear of all again", Unit: Seconds, Mechanism: byGossip,
+			Terms: one(Term{Quantity: prefix + "_quiet_after_seconds", Stat: Worst,
+				RunMarker: prefix + "_heard_least_members"})},
 	}
 }
--- a/internal/scale/capacity/verdict.go
+++ b/internal/scale/capacity/verdict.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Verdict is how a row stands against its budget.
+// Verdict is the result of comparing a row with its budget.
 type Verdict int
 
 // The verdicts.
@@ -20,19 +20,19 @@
 // Judgement is a row's verdict, and the factor by which it misses its budget.
 type Judgement struct {
 	Verdict Verdict
-	Factor  float64 // over 1 where the budget is missed; what is used of the budget else
+	Factor  float64 // the used share of the budget; over 1 if the budget is missed
 }
 
-// judge holds a row's figure against its budget.
+// judge compares a row's figure with its budget.
 func (r Row) judge(f Figure) Judgement {
 	switch {
-	case r.Absent != "":
+	case r.Blocker != "":
 		return Judgement{Verdict: CannotBeDone, Factor: math.Inf(1)}
-	case !f.Measured && !f.Never:
+	case !f.Measured && !f.Unbounded:
 		return Judgement{Verdict: NotMeasured}
 	case r.Budget == Budget{}:
 		return Judgement{Verdict: NoBudget}
-	case f.Never:
+	case f.Unbounded:
 		return Judgement{Missed, math.Inf(1)}
 	}
 	factor := r.Budget.used(f.Value)
@@ -42,8 +42,8 @@
 	return Judgement{Within, factor}
 }
 
-// used is how much of the budget a value takes: over 1 where it misses it, infinite where nothing of a budget is left
-// to compare with.
+// used returns the share of the budget that a value uses. The share is over 1 if the value misses the budget, and
+// infinite if the divisor is 0.
 func (b Budget) used(value float64) float64 {
 	over, under := value, b.Limit
 	if b.AtLeast {
@@ -58,7 +58,7 @@
 	return math.Inf(1)
 }
 
-// String is the judgement as the page says it.
+// String returns the judgement in the words of the page.
 func (j Judgement) String() string {
 	switch j.Verdict {
 	case CannotBeDone:
@@ -74,7 +74,7 @@
 	}
 }
 
-// times is a factor as the page says it.
+// times returns a factor in the words of the page.
 func times(factor float64) string {
 	if math.IsInf(factor, 1) {
 		return "more than a factor can say"
