--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -9,18 +9,18 @@
 	"beechcart/decision/rollout"
 )
 
-// change is one drain of a database, as the members had it in force.
+// change is one drain of a database and the times at which the members applied it.
 type change struct {
 	engine   string
-	sent     time.Time   // when the call that the log accepted was made
-	inForce  []time.Time // at each live member that had it
-	live     int         // members that had to have it
-	reverted int         // members at which it went out of force while it stood
+	sent     time.Time   // start of the call that the control log accepted; zero: not accepted
+	inForce  []time.Time // one time for each live member that has applied the drain
+	live     int         // live members, each of which must apply the drain
+	reverted int         // members at which the drain ended before it was undone
 }
 
 func (c *change) lost() bool { return len(c.inForce) < c.live }
 
-// last is when the last live member had the change in force.
+// last returns the latest time at which a live member applied the change; zero if none did.
 func (c *change) last() (last time.Time) {
 	for _, at := range c.inForce {
 		if at.After(last) {
@@ -30,7 +30,8 @@
 	return last
 }
 
-// latency is from the drain's acceptance until the last live member that has it had it in force; 0 where none has.
+// latency returns the time from the accepted call until the last of the members that applied the drain did so. It
+// returns 0 if no member applied the drain.
 func (c *change) latency() time.Duration {
 	if len(c.inForce) == 0 {
 		return 0
@@ -38,13 +39,13 @@
 	return c.last().Sub(c.sent)
 }
 
-// changeLog is all changes of a run, and the next database to drain.
+// changeLog holds all changes of a run, and the index of the next database to drain.
 type changeLog struct {
 	made       []*change
 	nextEngine int
 }
 
-// summarize counts the changes and their percentiles.
+// summarize writes the counts of changes and the percentiles of their latency to result.
 func (l *changeLog) summarize(result *Result) {
 	seen := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	result.Changes = Changes{Made: len(l.made)}
@@ -64,15 +65,17 @@
 	}
 }
 
-// runChanges drains databases one after the other, and measures until each is in force everywhere.
+// runChanges drains and undrains databases one after the other, and measures how long each drain takes to be in force
+// at every live member.
 func (r *run) runChanges(ctx context.Context) {
 	for range r.options.Changes {
 		r.undrain(ctx, r.drain(ctx))
 	}
 }
 
-// drain drains the next database, waits until it is in force at every live member, and watches it for a while. A
-// drain that the log does not accept in time is lost: a fleet that can't agree is a finding.
+// drain drains the next database, waits until the drain is in force at every live member, and then checks that the
+// drain stays in force for Options.RevertWindow. A drain that the control log does not accept in time counts as lost,
+// not as an error: a control log without a quorum is a result of the run.
 func (r *run) drain(ctx context.Context) *change {
 	c := &change{engine: engineName(r.changes.nextEngine % r.options.Engines)}
 	r.changes.nextEngine++
@@ -81,25 +84,26 @@
 	defer cancel()
 	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Subject{Name: c.engine, Engine: true}})
 	if err != nil {
-		r.logf("drain of %s is not accepted: %v", c.engine, err)
+		r.logf("control log did not accept the drain of %s: %v", c.engine, err)
 		c.live = r.options.Members
 		return c
 	}
 	c.sent = accepted.sent
 	for r.collect(c); c.lost(); r.collect(c) {
-		if !sleepFor(within, lookInterval) {
+		if !sleepFor(within, pollInterval) {
 			break
 		}
 	}
-	r.logf("drain of %s: in force at %d of %d after %.2f s", c.engine, len(c.inForce), c.live, c.latency().Seconds())
+	r.logf("drain of %s: in force at %d of %d members after %.2f s", c.engine, len(c.inForce), c.live,
+		c.latency().Seconds())
 	if !c.lost() {
-		sleepFor(ctx, r.options.ChangeStands)
+		sleepFor(ctx, r.options.RevertWindow)
 		c.reverted = r.reverted(c)
 	}
 	return c
 }
 
-// undrain ends a drain and waits until it is out of force at all hosts.
+// undrain ends a drain and waits until no live member excludes the database.
 func (r *run) undrain(ctx context.Context, c *change) {
 	if c.sent.IsZero() {
 		return
@@ -107,19 +111,19 @@
 	within, cancel := context.WithTimeout(ctx, r.options.ChangeWithin)
 	defer cancel()
 	if _, err := r.apply(within, rollout.Command{Undrain: &rollout.Subject{Name: c.engine, Engine: true}}); err != nil {
-		r.logf("undrain of %s is not accepted: %v", c.engine, err)
+		r.logf("control log did not accept the undrain of %s: %v", c.engine, err)
 		return
 	}
 	ended := &change{engine: c.engine}
 	for r.collect(ended); len(ended.inForce) > 0; r.collect(ended) {
-		if !sleepFor(within, lookInterval) {
+		if !sleepFor(within, pollInterval) {
 			r.logf("%s is still drained at %d members", c.engine, len(ended.inForce))
 			return
 		}
 	}
 }
 
-// collect reads from the last reports at which live members the change is in force, and since when.
+// collect sets c.inForce and c.live from the latest reports of the live members.
 func (r *run) collect(c *change) {
 	c.inForce, c.live = nil, 0
 	for _, h := range r.hosts {
@@ -140,7 +144,8 @@
 	}
 }
 
-// reverted counts the live members at which a change that was in force everywhere is not any more, or has come anew.
+// reverted counts the live members at which a change that was in force everywhere has ended, or has ended and been
+// applied again.
 func (r *run) reverted(c *change) int {
 	last := c.last()
 	now := &change{engine: c.engine}
@@ -154,7 +159,7 @@
 	return count
 }
 
-// drainOf is what a report tells of an engine's drain.
+// drainOf returns the state of an engine's drain in a report; no members if the report has no such drain.
 func drainOf(report HostReport, engine string) DrainState {
 	for _, d := range report.Drains {
 		if d.Engine == engine {
--- a/internal/scale/fault.go
+++ b/internal/scale/fault.go
@@ -7,55 +7,56 @@
 )
 
 const (
-	costAfterFor = 5 * time.Second  // the window after a fault whose cost is reported
-	quietWithin  = 60 * time.Second // how long a fleet is watched after a fault
-	quietFor     = 5 * time.Second  // so long all must hear of all to count as quiet
+	afterFaultWindow = 5 * time.Second  // the window after a fault for which FaultResult.After is measured
+	quietTimeout     = 60 * time.Second // the longest time that a fleet is observed after a fault
+	quietFor         = 5 * time.Second  // the fleet is quiet once its membership has been complete for this long
 )
 
-// FaultResult is what a fault did to the fleet.
+// FaultResult is the effect of one fault on the fleet.
 type FaultResult struct {
 	Name    string  `json:"name"`
-	Played  string  `json:"played"`  // what was done, to whom
-	Members int     `json:"members"` // that it was done to
-	Seconds float64 `json:"seconds"` // that the fault lasted
-	// from its end until every member was known and heard of all, and that stayed; null: not within the run
+	Played  string  `json:"played"`  // the fault in words, with the members that it affected
+	Members int     `json:"members"` // number of members that the fault affected
+	Seconds float64 `json:"seconds"` // duration of the fault
+	// from the fault's end until the control log knows every member, every member hears of all members, and both hold
+	// for quietFor; null: not within quietTimeout
 	QuietAfterSeconds *float64 `json:"quiet_after_seconds"`
-	// in the 5 s after its end; hosts that were started again in them are not in it
+	// in the 5 s after the fault's end, of hosts with two reports or more in that window
 	After      MemberCost    `json:"per_member_after"`
-	AfterCores float64       `json:"cpu_cores_after"` // of all hosts
-	Heard      []HeardSample `json:"heard"`           // over time
-	// of a drain that was made after the quiet: until it was in force everywhere
+	AfterCores float64       `json:"cpu_cores_after"` // of all hosts, in the same window
+	Heard      []HeardSample `json:"heard"`           // samples after the fault's end, in order
+	// latency of a drain that was made once the fleet was quiet, until it was in force at every live member
 	DrainInForce float64 `json:"drain_in_force_seconds"`
-	// that drain was not in force everywhere within the bound
+	// true if that drain was not in force at every live member within Options.ChangeWithin
 	DrainLost bool `json:"drain_lost"`
-	// members without a drain that was made during the fault, at its end; null: none was made
+	// members that had not applied the drain that was made during the fault, at the fault's end; null: no such drain
 	HeldBack *int `json:"drain_during_held_back"`
-	// from the fault's end until that drain was in force everywhere
+	// from the fault's end until the drain made during the fault was in force at every live member
 	CaughtUpSeconds *float64 `json:"drain_caught_up_seconds"`
 
-	Notice *Notice `json:"notice,omitempty"` // of the faults that measure how long until their members are suspected
+	Notice *Notice `json:"notice,omitempty"` // set for faults that measure the time until their members are suspected
 
 	during *change // the drain that was made during the fault
 }
 
-// HeardSample tells of how many members the others hear, at a time after the fault's end.
+// HeardSample is one sample of the membership views: how many members each member hears of.
 type HeardSample struct {
-	Seconds float64 `json:"seconds"`
+	Seconds float64 `json:"seconds"` // since the fault's end
 	Least   int     `json:"least"`
 	Mean    float64 `json:"mean"`
 	Known   int     `json:"known"`
-	// that have not reported since the fault's end, and are not in the other figures
+	// hosts without a report since the fault's end; the other fields exclude them
 	Silent int `json:"silent_hosts"`
 }
 
-// fault is one kind of fault: play lets it begin and end, and tells what was done. All is well again but for what
-// the fleet itself has to mend.
+// fault is one kind of fault. play starts the fault, ends it, and describes it in found. When play returns, the cause
+// is removed and only the fleet's own recovery remains.
 type fault struct {
 	name string
 	play func(ctx context.Context, r *run, found *FaultResult) error
 }
 
-// faults lists them in the order of --faults all.
+// faults lists all faults in the order of --faults all.
 var faults = []fault{
 	{"pause", injectPause}, {"leader", injectLeaderLoss}, {"zone", injectZoneCut}, {"all-restart", injectFullRestart},
 	{"restarts",
@@ -72,7 +73,7 @@
 	return names
 }
 
-// injectFaults plays the faults that were asked for, one after the other.
+// injectFaults plays the faults of Options.Faults one after the other.
 func (r *run) injectFaults(ctx context.Context, result *Result) error {
 	for _, name := range r.options.Faults {
 		for _, f := range faults {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// injectFault plays one fault, watches the fleet after it until it is quiet, and drains a database then.
+// injectFault plays one fault, observes the fleet until it is quiet, and then measures the drain of a database.
 func (r *run) injectFault(ctx context.Context, f fault) (FaultResult, error) {
 	found := FaultResult{Name: f.name}
 	r.logf("fault: %s", f.name)
@@ -99,14 +100,14 @@
 	}
 	over := time.Now()
 	found.Seconds = over.Sub(began).Seconds()
-	r.logf("%s, is over after %.1f s", found.Played, found.Seconds)
-	r.noteNotice(found.Notice)
+	r.logf("%s: ended after %.1f s", found.Played, found.Seconds)
+	r.logNotice(found.Notice)
 	r.awaitQuiet(ctx, over, &found)
-	c := r.costsBetween(over, over.Add(costAfterFor))
+	c := r.costsBetween(over, over.Add(afterFaultWindow))
 	found.After, found.AfterCores = c.member, c.cpuCores
-	r.logf("a member sends %.0f B/s in the %v after", c.member.SentBytesPerSecond, costAfterFor)
+	r.logf("a member sends %.0f B/s in the %v after the fault", c.member.SentBytesPerSecond, afterFaultWindow)
 	if found.during != nil {
-		r.catchUp(ctx, over, &found)
+		r.measureCatchUp(ctx, over, &found)
 	}
 	after := r.drain(ctx)
 	found.DrainInForce, found.DrainLost = after.latency().Seconds(), after.lost()
@@ -114,11 +115,11 @@
 	return found, ctx.Err()
 }
 
-// awaitQuiet follows who hears of whom from the end of a fault until all have heard of all for quietFor, or
-// quietWithin is over.
+// awaitQuiet samples the membership views from the end of a fault until they have been complete for quietFor, or
+// quietTimeout has passed.
 func (r *run) awaitQuiet(ctx context.Context, over time.Time, found *FaultResult) {
-	unquiet := over // the last time at which it was not
-	for time.Since(over) < quietWithin {
+	lastIncomplete := over // last time at which the membership was not complete
+	for time.Since(over) < quietTimeout {
 		now := time.Now()
 		state := r.observeSince(over)
 		if state.silent < len(r.hosts) {
@@ -126,12 +127,12 @@
 				state.known, state.silent})
 		}
 		if !state.complete(r.options.Members) {
-			unquiet = now
+			lastIncomplete = now
 		}
-		if now.Sub(unquiet) >= quietFor {
-			seconds := unquiet.Sub(over).Seconds()
+		if now.Sub(lastIncomplete) >= quietFor {
+			seconds := lastIncomplete.Sub(over).Seconds()
 			found.QuietAfterSeconds = &seconds
-			r.logf("quiet after %.1f s", seconds)
+			r.logf("fleet quiet after %.1f s", seconds)
 			return
 		}
 		if !sleepFor(ctx, reportMillis*time.Millisecond/2) {
@@ -139,7 +140,6 @@
 		}
 	}
 	last := r.observeSince(over)
-	r.logf("not quiet after %v: least heard of %d, mean %.1f, known %d of %d, %d hosts silent", quietWithin,
-		last.heardLeast, last.heardMean,
-		last.known, last.members, last.silent)
+	r.logf("fleet not quiet after %v: members hear of %d at least, %.1f on average; %d of %d registered, %d hosts silent",
+		quietTimeout, last.heardLeast, last.heardMean, last.known, last.members, last.silent)
 }
--- a/internal/scale/fault_cut.go
+++ b/internal/scale/fault_cut.go
@@ -9,14 +9,15 @@
 	"beechcart/decision/rollout"
 )
 
-// The lengths of cuts. An hour between regions is played shortened: what is waited for in the fleet takes seconds.
+// Durations of network cuts. A cut of an hour between regions is shortened: all timeouts of the fleet that matter here
+// are in seconds.
 const (
 	zoneCutFor    = 10 * time.Second
 	regionsCutFor = 20 * time.Second
-	drainIntoCut  = 2 * time.Second // from the begin of a cut to a drain
+	drainDelay    = 2 * time.Second // from the start of a cut to the drain that is made during the cut
 )
 
-// orderAll gives all hosts the same orders.
+// orderAll sends the same order to all hosts.
 func (r *run) orderAll(order HostOrder) error {
 	for _, h := range r.hosts {
 		if err := h.order(order); err != nil {
@@ -26,19 +27,19 @@
 	return nil
 }
 
-// cutFor lets a cut stand for a while, and drains a database meanwhile. Real front ends are not cut: they take no
-// orders.
-func (r *run) cutFor(ctx context.Context, blocked map[string][]string, stands time.Duration, found *FaultResult) error {
+// cutFor keeps a cut in place for length, and drains a database during the cut. Real front ends are not cut,
+// because they accept no orders.
+func (r *run) cutFor(ctx context.Context, blocked map[string][]string, length time.Duration, found *FaultResult) error {
 	if err := r.orderAll(HostOrder{Blocked: blocked}); err != nil {
 		return err
 	}
 	began := time.Now()
-	sleepFor(ctx, drainIntoCut)
-	during, err := r.drainThrough(ctx, stands-drainIntoCut)
+	sleepFor(ctx, drainDelay)
+	during, err := r.drainWithoutWait(ctx, length-drainDelay)
 	if err != nil {
-		r.logf("%v", err) // nobody could agree
+		r.logf("%v", err) // without a quorum there is no drain to measure
 	}
-	sleepFor(ctx, time.Until(began.Add(stands)))
+	sleepFor(ctx, time.Until(began.Add(length)))
 	if during != nil {
 		r.collect(during)
 		heldBack := during.live - len(during.inForce)
@@ -47,22 +48,22 @@
 	return r.orderAll(HostOrder{})
 }
 
-// drainThrough enters a drain within a time and does not wait for its effect.
-func (r *run) drainThrough(ctx context.Context, wait time.Duration) (*change, error) {
+// drainWithoutWait has the control log accept a drain within wait. It does not wait until the drain is in force.
+func (r *run) drainWithoutWait(ctx context.Context, wait time.Duration) (*change, error) {
 	within, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	engine := engineName(r.changes.nextEngine % r.options.Engines)
 	r.changes.nextEngine++
 	accepted, err := r.apply(within, rollout.Command{Drain: &rollout.Subject{Name: engine, Engine: true}})
 	if err != nil {
-		return nil, fmt.Errorf("no drain is agreed on during the cut: %w", err)
+		return nil, fmt.Errorf("control log accepted no drain during the cut: %w", err)
 	}
 	return &change{engine: engine, sent: accepted.sent}, nil
 }
 
-// catchUp tells when a drain that was made during a fault was in force everywhere after it, and ends the drain. One
-// that is not in force everywhere by now is lost.
-func (r *run) catchUp(ctx context.Context, over time.Time, found *FaultResult) {
+// measureCatchUp records how long after the fault a drain made during the fault came into force at every live member,
+// and ends the drain. A drain that is not in force at every live member by now counts as lost.
+func (r *run) measureCatchUp(ctx context.Context, over time.Time, found *FaultResult) {
 	during := found.during
 	r.collect(during)
 	if during.lost() {
@@ -74,10 +75,10 @@
 	r.undrain(ctx, during)
 }
 
-// cutZone is a zone without real front ends, where there is one, as the seed draws it.
+// cutZone draws the zone to cut off, from the seed. Zones without real front ends are preferred.
 func (r *run) cutZone() (string, error) {
 	if r.options.Zones < 2 {
-		return "", errors.New("there is one zone only")
+		return "", errors.New("zones: found 1, must be at least 2")
 	}
 	hasReal := map[string]bool{} // by zone
 	for _, m := range r.plan.members {
@@ -97,8 +98,8 @@
 	return free[r.rng.IntN(len(free))], nil
 }
 
-// zonesBut lists all other zones.
-func (r *run) zonesBut(zone string) (others []string) {
+// otherZones lists all zones except the given one.
+func (r *run) otherZones(zone string) (others []string) {
 	for _, z := range r.plan.zones {
 		if z.Zone != zone {
 			others = append(others, z.Zone)
@@ -107,8 +108,8 @@
 	return others
 }
 
-// namesIn lists the members of a zone that can be cut: all but the real front ends.
-func (r *run) namesIn(zone string) (names []string) {
+// cuttableMembers lists the members of a zone that can be cut off: all except the real front ends.
+func (r *run) cuttableMembers(zone string) (names []string) {
 	for _, m := range r.plan.members {
 		if m.Zone == zone && !m.real {
 			names = append(names, m.Name)
@@ -117,7 +118,7 @@
 	return names
 }
 
-func (r *run) membersIn(zone string) int { return len(r.namesIn(zone)) }
+func (r *run) membersIn(zone string) int { return len(r.cuttableMembers(zone)) }
 
 // injectZoneCut cuts a zone off from all others.
 func injectZoneCut(ctx context.Context, r *run, found *FaultResult) error {
@@ -125,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	others := r.zonesBut(zone)
+	others := r.otherZones(zone)
 	blocked := map[string][]string{zone: others}
 	for _, other := range others {
 		blocked[other] = []string{zone}
@@ -135,7 +136,7 @@
 	return r.cutFor(ctx, blocked, zoneCutFor, found)
 }
 
-// injectOneWayCut lets everything that a zone sends to others be lost; it still receives.
+// injectOneWayCut drops all traffic from one zone to the others. The zone still receives traffic.
 func injectOneWayCut(ctx context.Context, r *run, found *FaultResult) error {
 	zone, err := r.cutZone()
 	if err != nil {
@@ -143,8 +144,8 @@
 	}
 	found.Members = r.membersIn(zone)
 	found.Played = fmt.Sprintf("what %s with %d members sends is lost for %v", zone, found.Members, zoneCutFor)
-	watch := r.watchSuspicion(ctx, r.namesIn(zone), zoneCutFor)
-	err = r.cutFor(ctx, map[string][]string{zone: r.zonesBut(zone)}, zoneCutFor, found)
+	watch := r.watchSuspicion(ctx, r.cuttableMembers(zone), zoneCutFor)
+	err = r.cutFor(ctx, map[string][]string{zone: r.otherZones(zone)}, zoneCutFor, found)
 	found.Notice = watch.await()
 	return err
 }
@@ -152,7 +153,7 @@
 // injectRegionCut cuts all regions from one another.
 func injectRegionCut(ctx context.Context, r *run, found *FaultResult) error {
 	if r.options.Regions < 2 {
-		return errors.New("there is one region only")
+		return errors.New("regions: found 1, must be at least 2")
 	}
 	blocked := map[string][]string{}
 	for _, from := range r.plan.zones {
--- a/internal/scale/fault_dead.go
+++ b/internal/scale/fault_dead.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// injectDeath kills a host, watches until all of its members are suspected, and starts it again.
+// injectDeath kills a host, waits until all of its members are suspected or the wait times out, and restarts the host.
 func injectDeath(ctx context.Context, r *run, found *FaultResult) error {
 	hosts := r.shuffledHosts()
 	if len(hosts) == 0 {
--- a/internal/scale/fault_pause.go
+++ b/internal/scale/fault_pause.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// shuffledHosts are the hosts without a replica, in an order that the seed gives.
+// shuffledHosts returns the hosts without a control replica, in an order drawn from the seed.
 func (r *run) shuffledHosts() []*hostProcess {
 	list := append([]*hostProcess(nil), r.hosts[r.options.Control:]...)
 	r.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
-// hostsOfShare are the first of a list of hosts that together have a share of the fleet's members, one at the least.
-func (r *run) hostsOfShare(list []*hostProcess, share float64) []*hostProcess {
+// hostsForShare returns the shortest prefix of list whose hosts run the given share of the fleet's members, and at
+// least one host.
+func (r *run) hostsForShare(list []*hostProcess, share float64) []*hostProcess {
 	want := int(math.Round(share * float64(r.options.Members)))
 	members := 0
 	for i, h := range list {
@@ -42,14 +43,14 @@
 	return names
 }
 
-// stopHosts stops hosts for a while.
-func stopHosts(ctx context.Context, hosts []*hostProcess, stand time.Duration) error {
+// stopHosts stops hosts with SIGSTOP, waits for pause, and continues them.
+func stopHosts(ctx context.Context, hosts []*hostProcess, pause time.Duration) error {
 	for _, h := range hosts {
 		if err := h.signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
 	}
-	sleepFor(ctx, stand)
+	sleepFor(ctx, pause)
 	for _, h := range hosts {
 		if err := h.signal(syscall.SIGCONT); err != nil {
 			return err
@@ -58,20 +59,18 @@
 	return nil
 }
 
-// injectPause stops a share of all hosts together for a moment: long enough for their members to be
-// suspected.
+// injectPause stops a share of all hosts at the same time, for long enough that their members are suspected.
 func injectPause(ctx context.Context, r *run, found *FaultResult) error {
-	hosts := r.hostsOfShare(r.shuffledHosts(), r.options.PauseShare)
+	hosts := r.hostsForShare(r.shuffledHosts(), r.options.PauseShare)
 	found.Members = membersOf(hosts)
 	found.Played = fmt.Sprintf("%d hosts with %d members are stopped together for %d ms", len(hosts), found.Members,
 		r.options.PauseMillis)
 	return stopHosts(ctx, hosts, time.Duration(r.options.PauseMillis)*time.Millisecond)
 }
 
-// stopFor is how long the stop fault stops a host.
 const stopFor = 10 * time.Second
 
-// injectStop stops one host for longer than its members are waited for.
+// injectStop stops one host for longer than its members take to be suspected.
 func injectStop(ctx context.Context, r *run, found *FaultResult) error {
 	hosts := r.shuffledHosts()
 	if len(hosts) == 0 {
--- a/internal/scale/fault_restart.go
+++ b/internal/scale/fault_restart.go
@@ -7,13 +7,13 @@
 	"os"
 )
 
-// errNoHosts tells that all members are control replicas or real front ends.
-var errNoHosts = errors.New("there is no host of hollow members alone")
+// errNoHosts is returned if all members are control replicas or real front ends.
+var errNoHosts = errors.New("found no host of simulated front ends besides the control replicas, need at least 1")
 
-// restartShare is the share of members that the restarts fault starts again: 78 of 710.
+// restartShare is the share of members that the restarts fault restarts: 78 of 710.
 const restartShare = 78.0 / 710
 
-// restartHosts kills all of them, and starts them again after that.
+// restartHosts kills all hosts, and starts them again once all are killed.
 func restartHosts(hosts []*hostProcess) error {
 	for _, h := range hosts {
 		h.kill()
@@ -26,22 +26,22 @@
 	return nil
 }
 
-// injectRestarts kills a share of the members at once, and starts them again.
+// injectRestarts kills restartShare of the members at the same time, and restarts them.
 func injectRestarts(_ context.Context, r *run, found *FaultResult) error {
-	hosts := r.hostsOfShare(r.shuffledHosts(), restartShare)
+	hosts := r.hostsForShare(r.shuffledHosts(), restartShare)
 	found.Members = membersOf(hosts)
 	found.Played = fmt.Sprintf("%d hosts with %d members are killed and started again", len(hosts), found.Members)
 	return restartHosts(hosts)
 }
 
-// injectFullRestart kills every host, the control replicas too, and starts them all at once.
+// injectFullRestart kills every host, including the control replicas, and restarts all at the same time.
 func injectFullRestart(_ context.Context, r *run, found *FaultResult) error {
 	found.Members = membersOf(r.hosts)
 	found.Played = fmt.Sprintf("all %d hosts are killed and started again at once", len(r.hosts))
 	return restartHosts(r.hosts)
 }
 
-// injectLeaderLoss kills the replica that leads, and starts it again once another one leads.
+// injectLeaderLoss kills the leader, and restarts it once another replica leads.
 func injectLeaderLoss(ctx context.Context, r *run, found *FaultResult) error {
 	leader, err := r.leader(ctx)
 	if err != nil {
@@ -56,10 +56,10 @@
 	return leader.start()
 }
 
-// injectDiskLoss kills a control replica that does not lead, removes its log, and starts it again.
+// injectDiskLoss kills a control replica that is not the leader, removes its log, and restarts it.
 func injectDiskLoss(ctx context.Context, r *run, found *FaultResult) error {
 	if r.options.Control < 3 {
-		return errors.New("with fewer than three control replicas a lost disk is a lost log")
+		return errors.New("control: found 1 replica, must be at least 3: the loss of the only disk loses the log")
 	}
 	leader, err := r.leader(ctx)
 	if err != nil {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -12,40 +12,41 @@
 	"beechcart/internal/fleet"
 )
 
-// Times of a front end's process, as a real one has them.
+// Times in the life of a front end's process. They match those of a real front end.
 const (
-	registrationTimeout = 3 * time.Second        // that a start waits for the log to take it, before it serves without
-	goneWithin          = 500 * time.Millisecond // that the report of its end may take
-	restartsAfter       = 200 * time.Millisecond // that its service manager starts it again
+	registrationTimeout = 3 * time.Second        // a front end that has not registered by then serves unregistered
+	leaveReportTimeout  = 500 * time.Millisecond // bounds the report of the shutdown
+	restartDelay        = 200 * time.Millisecond // delay of the service manager before it restarts a process
 )
 
-// hollowWeight is what a hollow front end can carry, in requests a second. All carry the same, so budgets go by number.
-const hollowWeight = 100
+// simulatedCapacityPerSecond is the capacity of a simulated front end, in requests a second. All have the same
+// capacity, so budgets that are weighted by capacity depend only on the number of front ends.
+const simulatedCapacityPerSecond = 100
 
-// hollow is one front end without client traffic, through all its processes.
-type hollow struct {
-	config  HollowMember
+// simulatedMember is one front end without client traffic. It lives on through restarts of its process.
+type simulatedMember struct {
+	config  MemberConfig
 	options fleet.Options
 	wire    *fleet.Transport
 	engines []rollout.Engine
-	rate    float64 // requests a second that it counts
+	rate    float64 // requests a second that the front end reports as served
 
 	mu  sync.Mutex
 	now process
 }
 
-// process is one start of a hollow front end.
+// process is one incarnation of a simulated front end.
 type process struct {
-	member *fleet.Member // nil: none runs
-	front  *hollowFront
+	member *fleet.Member // nil: no process runs
+	front  *simulatedFrontEnd
 }
 
-func newHollow(config *HostConfig, member HollowMember) *hollow {
-	address, _, _ := net.SplitHostPort(member.Gossip) // checked with the configuration
+func newSimulatedMember(config *HostConfig, member MemberConfig) *simulatedMember {
+	address, _, _ := net.SplitHostPort(member.Gossip) // HostConfig.Check has validated the address
 	wire := fleet.NewTransport(address)
-	h := &hollow{config: member, wire: wire, rate: config.RequestsASec}
+	h := &simulatedMember{config: member, wire: wire, rate: config.RequestsASec}
 	h.options = fleet.Options{Name: member.Name, Zone: member.Zone, Revision: config.Revision,
-		CapacityPerSecond: hollowWeight,
+		CapacityPerSecond: simulatedCapacityPerSecond,
 		GossipAddress:     member.Gossip,
 		ControlReplicas:   config.Replicas, LogDirectory: member.Dir, Key: config.Key, Settings: rollout.Defaults(),
 		Transport: wire,
@@ -56,7 +57,7 @@
 	return h
 }
 
-func listedEngines(engines []HollowEngine) (listed []rollout.Engine) {
+func listedEngines(engines []EngineConfig) (listed []rollout.Engine) {
 	for _, engine := range engines {
 		listed = append(listed, rollout.Engine{Name: engine.Name, Zone: engine.Zone, Cores: engine.Cores, Process: 1,
 			Listed: true, Ready: true})
@@ -64,22 +65,22 @@
 	return listed
 }
 
-// current is the process that runs now.
-func (h *hollow) current() process {
+// current returns the running process; its member is nil if none runs.
+func (h *simulatedMember) current() process {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.now
 }
 
-func (h *hollow) set(p process) {
+func (h *simulatedMember) set(p process) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.now = p
 }
 
-// run runs one process after the other, as a service manager does, until ctx ends or the fleet drains it. An error
-// tells what can't be opened.
-func (h *hollow) run(ctx context.Context, slots chan struct{}) error {
+// run runs one process after the other, as a service manager does, until ctx ends or the fleet drains the member. It
+// returns the error of a process that cannot join the fleet.
+func (h *simulatedMember) run(ctx context.Context, slots chan struct{}) error {
 	for ctx.Err() == nil {
 		grant, err := h.runProcess(ctx, slots)
 		if err != nil {
@@ -91,17 +92,17 @@
 		if grant.Revision != "" {
 			h.options.Revision = grant.Revision
 		}
-		sleep(ctx, restartsAfter)
+		sleep(ctx, restartDelay)
 	}
 	return nil
 }
 
-// runProcess joins the fleet and serves, until ctx ends or the fleet grants a shutdown, which it returns.
-func (h *hollow) runProcess(ctx context.Context, slots chan struct{}) (grant fleet.ShutdownGrant, err error) {
+// runProcess joins the fleet and serves until ctx ends or the fleet grants a shutdown. It returns the grant.
+func (h *simulatedMember) runProcess(ctx context.Context, slots chan struct{}) (grant fleet.ShutdownGrant, err error) {
 	if !h.acquire(ctx, slots) {
 		return fleet.ShutdownGrant{}, nil
 	}
-	started := process{front: newHollowFront(h.engines, h.rate)}
+	started := process{front: newSimulatedFrontEnd(h.engines, h.rate)}
 	if started.member, err = fleet.Join(h.options, started.front); err != nil {
 		h.release(slots)
 		return fleet.ShutdownGrant{}, err
@@ -121,14 +122,14 @@
 	case grant = <-started.member.Shutdowns():
 		started.member.SetPhase(rollout.Draining)
 	}
-	started.member.Close(goneWithin)
+	started.member.Close(leaveReportTimeout)
 	h.set(process{})
 	return grant, nil
 }
 
-// acquire waits for a slot to start in; false where ctx ends before. Replicas need none: the others can't start
-// without them.
-func (h *hollow) acquire(ctx context.Context, slots chan struct{}) bool {
+// acquire waits for a start slot. It returns false if ctx ends first. Control replicas need no slot, because front ends
+// cannot register without them.
+func (h *simulatedMember) acquire(ctx context.Context, slots chan struct{}) bool {
 	if h.config.Dir != "" {
 		return true
 	}
@@ -140,13 +141,13 @@
 	}
 }
 
-func (h *hollow) release(slots chan struct{}) {
+func (h *simulatedMember) release(slots chan struct{}) {
 	if h.config.Dir == "" {
 		<-slots
 	}
 }
 
-// known tells whether the log has taken the process.
+// known reports whether the control log has registered the process.
 func (p process) known() bool {
 	select {
 	case <-p.member.Registered():
--- a/internal/scale/hollow_front.go
+++ b/internal/scale/hollow_front.go
@@ -9,23 +9,23 @@
 	"beechcart/internal/fleet"
 )
 
-// hollowFront is what a hollow member stands for: a front end that has nothing out at any engine, and counts requests
-// that nobody sent.
-type hollowFront struct {
+// simulatedFrontEnd implements the front end of a simulated member: no request is in flight at any engine, and the
+// request counts grow at a fixed rate without client traffic.
+type simulatedFrontEnd struct {
 	engines []rollout.Engine
 	rate    float64 // requests a second
 	started time.Time
 
 	mu      sync.Mutex
-	inForce map[string]time.Time // since when each drained engine is excluded
+	inForce map[string]time.Time // by excluded engine: when the exclusion began
 }
 
-func newHollowFront(engines []rollout.Engine, rate float64) *hollowFront {
-	return &hollowFront{engines: engines, rate: rate, started: time.Now(), inForce: map[string]time.Time{}}
+func newSimulatedFrontEnd(engines []rollout.Engine, rate float64) *simulatedFrontEnd {
+	return &simulatedFrontEnd{engines: engines, rate: rate, started: time.Now(), inForce: map[string]time.Time{}}
 }
 
 // Exclude implements fleet.FrontEnd.
-func (f *hollowFront) Exclude(engines fleet.EngineSet) {
+func (f *simulatedFrontEnd) Exclude(engines fleet.EngineSet) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for engine := range f.inForce {
@@ -41,18 +41,18 @@
 }
 
 // Drained implements fleet.FrontEnd.
-func (f *hollowFront) Drained(string) bool { return true }
+func (f *simulatedFrontEnd) Drained(string) bool { return true }
 
 // Engines implements fleet.FrontEnd.
-func (f *hollowFront) Engines() []rollout.Engine { return f.engines }
+func (f *simulatedFrontEnd) Engines() []rollout.Engine { return f.engines }
 
 // RequestCounts implements fleet.FrontEnd.
-func (f *hollowFront) RequestCounts() rollout.RequestCounts {
+func (f *simulatedFrontEnd) RequestCounts() rollout.RequestCounts {
 	return rollout.RequestCounts{Requests: int64(f.rate * time.Since(f.started).Seconds())}
 }
 
-// excludedSince tells since when each drained engine is excluded.
-func (f *hollowFront) excludedSince() map[string]time.Time {
+// excludedSince returns, for each excluded engine, the time at which the exclusion began.
+func (f *simulatedFrontEnd) excludedSince() map[string]time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.inForce)
--- a/internal/scale/host.go
+++ b/internal/scale/host.go
@@ -12,25 +12,25 @@
 	"beechcart/internal/fleet"
 )
 
-// joinsAtOnce bounds how many hollow front ends of a host start at the same time, so that starting a host is no storm
-// of its own.
-const joinsAtOnce = 20
+// maxConcurrentJoins bounds how many simulated front ends of a host start at the same time, so that the start of a host
+// does not itself overload the fleet.
+const maxConcurrentJoins = 20
 
-// closeWithin bounds how long the members of a host take to leave.
-const closeWithin = 10 * time.Second
+// closeTimeout bounds how long the members of a host take to leave.
+const closeTimeout = 10 * time.Second
 
-// host runs hollow members.
+// host runs simulated members.
 type host struct {
 	config  *HostConfig
-	members []*hollow
+	members []*simulatedMember
 	slots   chan struct{} // a member holds one while it starts
 	running sync.WaitGroup
 }
 
-// RunHost reads a [HostConfig] from in, runs its members, and writes a [HostReport] a line to out, until in or ctx
-// ends. All members have left then, or an error tells how many have not. The fleet's log must have been begun
-// elsewhere ([fleet.Client.Init]), best before a host of front ends starts: they serve without it after a while, as
-// real ones do, and go on asking.
+// RunHost reads a [HostConfig] from in, runs its members, and writes [HostReport] values to out, one a line, until in
+// or ctx ends. It then waits until all members have left, and returns an error with the number of members that have
+// not. The caller initializes the control log elsewhere ([fleet.Client.Init]), preferably before a host of front ends
+// starts: like real front ends, simulated ones serve unregistered after a timeout, and go on trying to register.
 func RunHost(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := json.NewDecoder(in)
 	lines.DisallowUnknownFields()
@@ -50,14 +50,14 @@
 }
 
 func newHost(config *HostConfig) *host {
-	h := &host{config: config, slots: make(chan struct{}, joinsAtOnce)}
+	h := &host{config: config, slots: make(chan struct{}, maxConcurrentJoins)}
 	for _, member := range config.Members {
-		h.members = append(h.members, newHollow(config, member))
+		h.members = append(h.members, newSimulatedMember(config, member))
 	}
 	return h
 }
 
-// start starts all members, and returns where errors of those that can't join are sent.
+// start starts all members. The returned channel receives an error for each member that cannot join the fleet.
 func (h *host) start(ctx context.Context) <-chan error {
 	failed := make(chan error, len(h.members))
 	for i, member := range h.members {
@@ -72,7 +72,7 @@
 	return failed
 }
 
-// serve carries out orders and reports until one of its inputs ends.
+// serve applies orders and writes reports until ctx or the orders end, or a member fails to join.
 func (h *host) serve(ctx context.Context, lines *json.Decoder, out *json.Encoder, failed <-chan error) error {
 	orders, ended := make(chan HostOrder), make(chan error, 1)
 	go func() { ended <- readOrders(ctx, lines, orders) }()
@@ -98,7 +98,7 @@
 	}
 }
 
-// readOrders hands orders over until there are no more.
+// readOrders sends each order of lines to orders, until lines or ctx ends.
 func readOrders(ctx context.Context, lines *json.Decoder, orders chan<- HostOrder) error {
 	for {
 		var order HostOrder
@@ -115,7 +115,7 @@
 	}
 }
 
-// apply restricts each member to what the order lets it reach.
+// apply blocks, at each member, the addresses that the order cuts its zone off from.
 func (h *host) apply(order HostOrder) error {
 	blockedHosts, err := h.config.blockedHosts(order)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// blockedHosts lists, by the zone that is cut, which hosts its members send nothing to.
+// blockedHosts returns, by zone, the hosts to which the zone's members must send nothing.
 func (c *HostConfig) blockedHosts(order HostOrder) (map[string]fleet.HostSet, error) {
 	hostsOf := map[string][]string{}
 	for _, zone := range c.AddressByZone {
@@ -149,7 +149,7 @@
 	return blocked, nil
 }
 
-// awaitEnd waits until all members have left.
+// awaitEnd waits until all members have left, for closeTimeout at most.
 func (h *host) awaitEnd() error {
 	left := make(chan struct{})
 	go func() {
@@ -159,13 +159,13 @@
 	select {
 	case <-left:
 		return nil
-	case <-time.After(closeWithin):
+	case <-time.After(closeTimeout):
 		remaining := 0
 		for _, member := range h.members {
 			if member.current().member != nil {
 				remaining++
 			}
 		}
-		return fmt.Errorf("scale: %d members have not left within %v", remaining, closeWithin)
+		return fmt.Errorf("scale: %d members have not left within %v", remaining, closeTimeout)
 	}
 }
--- a/internal/scale/host_config.go
+++ b/internal/scale/host_config.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// Check names the first field that can't be used. No members at all is allowed: such a host measures what a host
-// costs by itself.
+// Check returns an error that names the first invalid field. A configuration without members is valid: such a host
+// measures the overhead of a host process.
 func (c *HostConfig) Check() error {
 	if c.ReportMillis <= 0 {
 		return fmt.Errorf("scale: report_millis: found %d, allowed is 1 or more", c.ReportMillis)
@@ -44,7 +44,7 @@
 	seen := map[string]bool{}
 	for i, member := range c.Members {
 		if member.Name == "" || seen[member.Name] {
-			return fmt.Errorf("scale: members[%d]: name: found %q, allowed is one that no other has", i, member.Name)
+			return fmt.Errorf("scale: members[%d]: name: found %q, allowed is a name that no other member has", i, member.Name)
 		}
 		seen[member.Name] = true
 		if member.Zone == "" {
@@ -55,7 +55,7 @@
 			return fmt.Errorf("scale: members[%d]: gossip: found %q, allowed is IP:PORT", i, member.Gossip)
 		}
 		if replicas[member.Name] != (member.Dir != "") {
-			return fmt.Errorf("scale: members[%d]: dir: found %q, allowed is a folder for those of replicas, and none for "+
+			return fmt.Errorf("scale: members[%d]: dir: found %q, allowed is a directory for replicas, and none for "+
 				"others", i, member.Dir)
 		}
 	}
--- a/internal/scale/host_report.go
+++ b/internal/scale/host_report.go
@@ -16,7 +16,7 @@
 // heapMetric names the bytes of objects on the heap, live or not yet collected.
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-// report tells of the host as it is now.
+// report returns the current state of the host.
 func (h *host) report() HostReport {
 	r := HostReport{UnixNanos: time.Now().UnixNano(), CPUSeconds: cpuSeconds(), HeapBytes: heapBytes(),
 		ResidentBytes: residentBytes(),
@@ -50,7 +50,7 @@
 	return r
 }
 
-// addHeard takes in how many members one more hears of; it is called before that one is counted.
+// addHeard adds the number of members that one more member hears of. Call it before r.Members counts that member.
 func (r *HostReport) addHeard(heard int) {
 	if r.Members == 0 {
 		r.HeardLeast = heard
@@ -76,7 +76,7 @@
 	t.Connections += more.Connections
 }
 
-// cpuSeconds is what the process has used since its start, in user and system time.
+// cpuSeconds returns the user and system time of the process since its start; 0 if it cannot be read.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -91,7 +91,7 @@
 	return sample[0].Value.Uint64()
 }
 
-// residentBytes is the memory of the process that is in RAM; 0 where the system does not tell.
+// residentBytes returns the resident set size of the process; 0 if it cannot be read.
 func residentBytes() uint64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/scale/host_test.go
+++ b/internal/scale/host_test.go
@@ -22,11 +22,11 @@
 
 const testKey = "0123456789abcdef"
 
-// longWait is more than any step takes on a machine that is starved; no verdict hangs on how much sooner it is done.
-const longWait = 90 * time.Second
+// waitTimeout is longer than any step takes on an overloaded machine. No test checks how much earlier a step completes.
+const waitTimeout = 90 * time.Second
 
-// loopbackNet returns the first three numbers of addresses that no other fleet on this machine uses: a port of the
-// last one is held as the mark, until the test ends.
+// loopbackNet returns the first three bytes of a loopback network that no other fleet on this machine uses. Until the
+// test ends, a listener on the network's last address marks the network as taken.
 func loopbackNet(t *testing.T) string {
 	t.Helper()
 	for n := range 200 {
@@ -36,11 +36,12 @@
 			return base
 		}
 	}
-	t.Fatal("no loopback addresses are free")
+	t.Fatal("found no free loopback network in 200 tries")
 	return ""
 }
 
-// testConfig lays out one replica and some hollow front ends, by turns in zones a and b.
+// testConfig returns the configuration of one control replica and members-1 simulated front ends, placed alternately in
+// zones a and b.
 func testConfig(t *testing.T, members int) HostConfig {
 	t.Helper()
 	base := loopbackNet(t)
@@ -48,13 +49,13 @@
 	config := HostConfig{Key: testKey, Revision: "r1", ReportMillis: 50, RequestsASec: 10,
 		Replicas: []fleet.ReplicaAddress{{Name: "n0", LogAddress: address(0, 7002), APIAddress: address(0, 7003),
 			GossipAddress: address(0, 7004)}},
-		Engines:       []HollowEngine{{"e0", "a", 12}, {"e1", "b", 12}, {"e2", "a", 12}, {"e3", "b", 12}},
+		Engines:       []EngineConfig{{"e0", "a", 12}, {"e1", "b", 12}, {"e2", "a", 12}, {"e3", "b", 12}},
 		AddressByZone: []ZoneAddresses{{Zone: "a"}, {Zone: "b"}},
 	}
 	for i := range members {
 		zone := &config.AddressByZone[i%2]
 		zone.Hosts = append(zone.Hosts, fmt.Sprintf("%s.%d", base, i+1))
-		config.Members = append(config.Members, HollowMember{Name: fmt.Sprint("n", i), Zone: zone.Zone, Region: "r",
+		config.Members = append(config.Members, MemberConfig{Name: fmt.Sprint("n", i), Zone: zone.Zone, Region: "r",
 			Gossip: address(i, 7004)})
 	}
 	if members > 0 {
@@ -80,7 +81,7 @@
 	go func() {
 		h.ended <- RunHost(ctx, orderReader, reportWriter)
 		_ = reportWriter.Close()
-		_ = orderReader.Close() // what is sent to a host that has ended fails
+		_ = orderReader.Close() // a write to a host that has ended then fails
 	}()
 	go func() {
 		defer close(h.reports)
@@ -104,25 +105,25 @@
 	require.NoError(h.t, json.NewEncoder(h.in).Encode(line))
 }
 
-// await returns the first report that is as wanted.
+// await returns the first report for which wanted is true. what names the awaited state in failure messages.
 func (h *testHost) await(what string, wanted func(HostReport) bool) HostReport {
 	h.t.Helper()
-	late := time.After(longWait)
+	timeout := time.After(waitTimeout)
 	var last HostReport
 	for {
 		select {
 		case report, running := <-h.reports:
-			require.True(h.t, running, "the host has ended before %s", what)
+			require.True(h.t, running, "the host ended before: %s", what)
 			if last = report; wanted(report) {
 				return report
 			}
-		case <-late:
-			require.Fail(h.t, "waited in vain", "for %s; last report: %+v", what, last)
+		case <-timeout:
+			require.Fail(h.t, "no such report in time", "awaited: %s; last report: %+v", what, last)
 		}
 	}
 }
 
-// end closes the host's input, and returns how it ended.
+// end closes the host's input, and returns the result of RunHost.
 func (h *testHost) end() error {
 	require.NoError(h.t, h.in.Close())
 	for range h.reports {
@@ -130,19 +131,19 @@
 	return <-h.ended
 }
 
-// begin begins the fleet's log once its replica answers.
-func begin(t *testing.T, config HostConfig) *fleet.Client {
+// initFleetLog initializes the control log once its replica answers.
+func initFleetLog(t *testing.T, config HostConfig) *fleet.Client {
 	t.Helper()
 	client := fleet.NewClient(&fleet.Options{ControlReplicas: config.Replicas, Key: testKey})
-	require.Eventually(t, func() bool { return client.Init() == nil }, longWait, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return client.Init() == nil }, waitTimeout, 20*time.Millisecond)
 	return client
 }
 
-func TestAHostRunsAFleet(t *testing.T) {
+func TestHostRunsFleet(t *testing.T) {
 	config := testConfig(t, 11)
 	h := startHost(t, config)
-	client := begin(t, config)
-	report := h.await("all members known and heard", func(r HostReport) bool {
+	client := initFleetLog(t, config)
+	report := h.await("all members registered and heard of", func(r HostReport) bool {
 		return r.Known == 11 &&
 			r.HeardLeast == 11
 	})
@@ -169,7 +170,7 @@
 		}
 		return err == nil && serving == 11 && len(status.State.Engines) == len(config.Engines)
 	}
-	require.Eventually(t, ready, longWait, 50*time.Millisecond)
+	require.Eventually(t, ready, waitTimeout, 50*time.Millisecond)
 	drain := rollout.Command{ID: "drain-e1", Drain: &rollout.Subject{Name: "e1", Engine: true}}
 	var result rollout.Result
 	began := time.Now()
@@ -177,9 +178,9 @@
 		var err error
 		result, err = client.Apply(drain)
 		return err == nil
-	}, longWait, 100*time.Millisecond)
+	}, waitTimeout, 100*time.Millisecond)
 	require.Nil(t, result.Rejected)
-	report = h.await("the drain in force at all", func(r HostReport) bool {
+	report = h.await("the drain in force at all members", func(r HostReport) bool {
 		return len(r.Drains) == 1 &&
 			r.Drains[0].InForce == 11
 	})
@@ -191,24 +192,24 @@
 	require.NoError(t, h.end())
 }
 
-// A cut between zones holds in one process, and ends with the next order.
-func TestAHostCutsZonesApart(t *testing.T) {
+// A cut between zones also separates members of one process, and ends with the next order.
+func TestHostCutsZonesApart(t *testing.T) {
 	config := testConfig(t, 6)
 	h := startHost(t, config)
-	begin(t, config)
-	h.await("all members heard", func(r HostReport) bool { return r.Known == 6 && r.HeardLeast == 6 })
+	initFleetLog(t, config)
+	h.await("all members heard of", func(r HostReport) bool { return r.Known == 6 && r.HeardLeast == 6 })
 	h.send(HostOrder{Blocked: map[string][]string{"a": {"b"}, "b": {"a"}}})
-	h.await("each zone by itself", func(r HostReport) bool { return r.HeardLeast == 3 && r.HeardMost == 3 })
+	h.await("each zone hearing only of itself", func(r HostReport) bool { return r.HeardLeast == 3 && r.HeardMost == 3 })
 	h.send(HostOrder{})
-	h.await("all members heard again", func(r HostReport) bool { return r.HeardLeast == 6 })
+	h.await("all members heard of again", func(r HostReport) bool { return r.HeardLeast == 6 })
 	h.send(HostOrder{Blocked: map[string][]string{"a": {"nowhere"}}})
 	for range h.reports {
 	}
 	assert.ErrorContains(t, <-h.ended, `blocked: a: found zone "nowhere"`)
 }
 
-// A leader that is cut off, also in one direction only, is followed by another one, and the fleet is whole again
-// after the cut.
+// Another replica becomes leader when the leader is cut off, also in one direction only. Before the next cut, the
+// fleet has a leader and all three servers again.
 func TestAHostCutsALeaderOff(t *testing.T) {
 	config := testConfig(t, 3)
 	dir := t.TempDir()
@@ -223,17 +224,17 @@
 		config.AddressByZone = append(config.AddressByZone, ZoneAddresses{Zone: member.Zone, Hosts: []string{address}})
 	}
 	h := startHost(t, config)
-	client := begin(t, config)
-	drained := make(chan struct{})
-	defer close(drained)
-	h.await("all members known and heard", func(r HostReport) bool {
+	client := initFleetLog(t, config)
+	discardEnded := make(chan struct{})
+	defer close(discardEnded)
+	h.await("all members registered and heard of", func(r HostReport) bool {
 		return r.Known == 3 && r.HeardLeast == 3 &&
 			r.Log.SentBytes > 0
 	})
 	go func() {
-		for range h.reports { // the host waits for whoever reads
+		for range h.reports { // the host blocks until its reports are read
 			select {
-			case <-drained:
+			case <-discardEnded:
 				return
 			default:
 			}
@@ -254,23 +255,24 @@
 		func(leader, b, c string) map[string][]string { return map[string][]string{leader: {b, c}} },
 		func(leader, b, c string) map[string][]string { return map[string][]string{b: {leader}, c: {leader}} },
 	} {
-		was := ""
-		require.Eventually(t, func() bool { was = leader(); return was != "" }, longWait, 50*time.Millisecond)
+		previous := ""
+		require.Eventually(t, func() bool { previous = leader(); return previous != "" }, waitTimeout, 50*time.Millisecond)
 		zones := map[string]string{}
 		var others []string
 		for _, member := range config.Members {
 			zones[member.Name] = member.Zone
-			if member.Name != was {
+			if member.Name != previous {
 				others = append(others, member.Zone)
 			}
 		}
-		h.send(HostOrder{Blocked: blocked(zones[was], others[0], others[1])})
-		require.Eventually(t, func() bool { now := leader(); return now != "" && now != was }, longWait, 50*time.Millisecond)
+		h.send(HostOrder{Blocked: blocked(zones[previous], others[0], others[1])})
+		require.Eventually(t, func() bool { now := leader(); return now != "" && now != previous }, waitTimeout,
+			50*time.Millisecond)
 		h.send(HostOrder{})
 	}
 }
 
-func TestAHostWithoutMembersReportsWhatItCosts(t *testing.T) {
+func TestHostWithoutMembersReportsItsOwnCost(t *testing.T) {
 	h := startHost(t, HostConfig{ReportMillis: 10})
 	report := h.await("a report", func(HostReport) bool { return true })
 	assert.Zero(t, report.Members)
@@ -279,9 +281,9 @@
 	require.NoError(t, h.end())
 }
 
-func TestAHostNamesWhatIsWrong(t *testing.T) {
+func TestRunHostNamesInvalidField(t *testing.T) {
 	config := testConfig(t, 3)
-	for problem, change := range map[string]func(*HostConfig){
+	for wantError, change := range map[string]func(*HostConfig){
 		"report_millis: found 0":          func(c *HostConfig) { c.ReportMillis = 0 },
 		"requests_a_sec: found -1":        func(c *HostConfig) { c.RequestsASec = -1 },
 		"revision: found none":            func(c *HostConfig) { c.Revision = "" },
@@ -302,10 +304,11 @@
 		change(&changed)
 		text, err = json.Marshal(changed)
 		require.NoError(t, err)
-		never, end := io.Pipe() // the input stays open
+		openInput, end := io.Pipe() // keeps the input open
 		defer func() { _ = end.Close() }()
 		var out bytes.Buffer
-		require.ErrorContains(t, RunHost(context.Background(), io.MultiReader(bytes.NewReader(text), never), &out), problem)
+		require.ErrorContains(t, RunHost(context.Background(), io.MultiReader(bytes.NewReader(text), openInput), &out),
+			wantError)
 	}
 	assert.ErrorContains(t, RunHost(context.Background(), bytes.NewBufferString(`{"memebrs":[]}`), io.Discard), "memebrs")
 }
--- a/internal/scale/layout.go
+++ b/internal/scale/layout.go
@@ -10,45 +10,44 @@
 	"beechcart/internal/fleet"
 )
 
-// The ports of a member at its own loopback address.
+// The ports of a member, at the loopback address of that member.
 const (
 	servePort  = 7001
 	logPort    = 7002
-	askPort    = 7003
+	apiPort    = 7003
 	gossipPort = 7004
 )
 
-// membersPerNet is how many addresses a net of rig.LoopbackNet has.
+// membersPerNet is the number of addresses in a network of [cluster.ReserveLoopbackNet].
 const membersPerNet = 253
 
-// reportMillis is the interval of the hosts' reports.
-const reportMillis = 1000
+const reportMillis = 1000 // interval of the hosts' reports
 
-// revision is what all members of a run serve on.
+// revision is the revision of all members of a run.
 const revision = "r1"
 
-// plannedMember is a member and the address that is its own.
+// plannedMember is a member with its loopback address.
 type plannedMember struct {
-	HollowMember
+	MemberConfig
 	host string
 	real bool
 }
 
-// layout says which process runs which members, at which addresses.
+// layout assigns the members of a run to host processes and addresses.
 type layout struct {
 	key      string
 	members  []plannedMember // control replicas first, real front ends last
 	replicas []fleet.ReplicaAddress
-	engines  []HollowEngine
+	engines  []EngineConfig
 	zones    []ZoneAddresses
-	hosts    []hostPlan // control replicas first, each alone
+	hosts    []hostPlan // control replicas first, each in a host of its own
 }
 
-// hostPlan is what one host process runs.
+// hostPlan lists the members that one host process runs.
 type hostPlan struct {
 	name    string
 	replica bool
-	members []HollowMember
+	members []MemberConfig
 }
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone+1) }
@@ -71,7 +70,7 @@
 		return nil, err
 	}
 	for i := range o.Engines {
-		l.engines = append(l.engines, HollowEngine{Name: engineName(i), Zone: zoneName(i % o.Zones), Cores: 4})
+		l.engines = append(l.engines, EngineConfig{Name: engineName(i), Zone: zoneName(i % o.Zones), Cores: 4})
 	}
 	l.placeHosts(o)
 	return l, nil
@@ -88,12 +87,12 @@
 		}
 		zone := i % o.Zones
 		m := plannedMember{host: fmt.Sprintf("%s.%d", base, i%membersPerNet+1), real: i >= o.Members-o.Real}
-		m.HollowMember = HollowMember{Name: fmt.Sprintf("m%d", i), Zone: zoneName(zone), Region: regionName(zone, o.Regions),
+		m.MemberConfig = MemberConfig{Name: fmt.Sprintf("m%d", i), Zone: zoneName(zone), Region: regionName(zone, o.Regions),
 			Gossip: at(m.host, gossipPort)}
 		if i < o.Control {
 			m.Dir = filepath.Join(dir, m.Name+".log")
 			l.replicas = append(l.replicas, fleet.ReplicaAddress{Name: m.Name, LogAddress: at(m.host, logPort),
-				APIAddress:    at(m.host, askPort),
+				APIAddress:    at(m.host, apiPort),
 				GossipAddress: m.Gossip})
 		}
 		l.members = append(l.members, m)
@@ -103,21 +102,21 @@
 }
 
 func (l *layout) placeHosts(o *Options) {
-	hollow := l.members[o.Control : o.Members-o.Real]
+	simulated := l.members[o.Control : o.Members-o.Real]
 	for _, m := range l.members[:o.Control] {
-		l.hosts = append(l.hosts, hostPlan{name: "replica-" + m.Name, replica: true, members: []HollowMember{m.HollowMember}})
+		l.hosts = append(l.hosts, hostPlan{name: "replica-" + m.Name, replica: true, members: []MemberConfig{m.MemberConfig}})
 	}
-	for from := 0; from < len(hollow); from += o.PerHost {
+	for from := 0; from < len(simulated); from += o.PerHost {
 		plan := hostPlan{name: fmt.Sprintf("host-%d", from/o.PerHost)}
-		for _, m := range hollow[from:min(from+o.PerHost, len(hollow))] {
-			plan.members = append(plan.members, m.HollowMember)
+		for _, m := range simulated[from:min(from+o.PerHost, len(simulated))] {
+			plan.members = append(plan.members, m.MemberConfig)
 		}
 		l.hosts = append(l.hosts, plan)
 	}
 }
 
-// config is the first line that a host with these members reads.
-func (l *layout) config(members []HollowMember) HostConfig {
+// config returns the configuration of a host that runs the given members.
+func (l *layout) config(members []MemberConfig) HostConfig {
 	return HostConfig{Members: members, Replicas: l.replicas, Key: l.key, Engines: l.engines, Revision: revision,
 		ReportMillis: reportMillis, RequestsASec: 10, AddressByZone: l.zones}
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// rates are the differences of a host's counters over a time, a second.
+// rates are the increases of a host's counters over a window, each per second.
 type rates struct {
 	seconds             float64
 	gossip, calls       trafficRate
-	served, log         trafficRate // of replicas
-	cpu                 float64     // of a core
-	heap, resident      float64     // the mean of the reports, bytes
+	served, log         trafficRate // at control replicas
+	cpu                 float64     // in cores
+	heap, resident      float64     // means of the reports, in bytes
 	members, heardLeast int
 }
 
-// trafficRate is Traffic a second.
+// trafficRate is the increase of [Traffic] per second.
 type trafficRate struct{ sent, received, messages, connections float64 }
 
 func (t trafficRate) bytes() float64 { return t.sent + t.received }
@@ -30,7 +30,8 @@
 		rate(first.SentMessages, last.SentMessages), rate(first.Connections, last.Connections)}
 }
 
-// ratesOf is what reports tell of the time between the first and the last of them; false where they are fewer than two.
+// ratesOf returns the rates between the first and the last report. It returns false if there are fewer than two reports
+// or no time between them.
 func ratesOf(reports []HostReport) (rates, bool) {
 	if len(reports) < 2 {
 		return rates{}, false
@@ -51,7 +52,7 @@
 	return r, true
 }
 
-// costs are what a window of time cost.
+// costs is the resource use of the fleet in a window of time.
 type costs struct {
 	member   MemberCost
 	control  ControlCost
@@ -59,8 +60,8 @@
 	cpuCores float64 // of all hosts
 }
 
-// costsBetween sums up what the hosts have reported of the time between. Hosts that were started again within it are
-// left out.
+// costsBetween sums up the hosts' reports of a window. Hosts with fewer than two reports from it, such as hosts that
+// were restarted near its end, are left out.
 func (r *run) costsBetween(from, to time.Time) costs {
 	var c costs
 	if idle, ok := ratesOf(r.idle.between(from, to)); ok {
@@ -76,7 +77,7 @@
 		}
 		c.cpuCores += one.cpu
 		if h.plan.replica {
-			c.control.take(one)
+			c.control.addMax(one)
 			continue
 		}
 		members += one.members
@@ -99,7 +100,7 @@
 	return c
 }
 
-func (c *ControlCost) take(r rates) {
+func (c *ControlCost) addMax(r rates) {
 	c.CPUShareMax = max(c.CPUShareMax, r.cpu)
 	c.ResidentBytesMax = max(c.ResidentBytesMax, r.resident)
 	c.LogBytesPerSecond = max(c.LogBytesPerSecond, r.log.bytes())
@@ -108,23 +109,23 @@
 		r.gossip.messages+r.calls.messages+r.served.messages+r.log.messages)
 }
 
-// fleetState is what the last reports of all hosts tell together.
+// fleetState summarizes the latest reports of all hosts.
 type fleetState struct {
-	members, known int // known by the log, as hosts that have reported tell
-	silent         int // hosts that have not reported
-	heardLeast     int // among members of hosts that have reported
+	members, known int // known: registered with the control log, according to the reports
+	silent         int // hosts without a report
+	heardLeast     int // lowest number of members that a member of a reporting host hears of
 	heardMean      float64
 }
 
-// complete tells whether all hosts have reported, all members are known, and all hear of all.
+// complete reports whether all hosts have reported, the control log knows all members, and each member hears of all.
 func (s fleetState) complete(members int) bool {
 	return s.silent == 0 && s.known == s.members && s.heardLeast >= members
 }
 
-// observe sums the last reports up.
+// observe summarizes the latest reports.
 func (r *run) observe() fleetState { return r.observeSince(time.Time{}) }
 
-// observeSince sums up the last reports that were made after a time.
+// observeSince summarizes the latest reports, and counts hosts without a report since after as silent.
 func (r *run) observeSince(after time.Time) fleetState {
 	s := fleetState{heardLeast: r.options.Members}
 	reported := 0
--- a/internal/scale/notice.go
+++ b/internal/scale/notice.go
@@ -9,18 +9,18 @@
 	"beechcart/internal/fleet"
 )
 
-// noticeInterval is the wait between two requests for the leader's status while suspicions are watched for.
+// noticeInterval is the interval at which the leader's status is polled for suspicions.
 const noticeInterval = 75 * time.Millisecond
 
-// noticeFaults are the faults of a run with --notice, and noticeNames names the quantity of each fault that measures
-// one.
+// noticeFaults lists the faults that --notice adds. noticeQuantities gives, for each fault that measures a time to
+// notice, the part of the quantity's name that stands for the fault.
 var (
-	noticeFaults = []string{"dead", "stop"}
-	noticeNames  = map[string]string{"dead": "dead", "stop": "stopped", "one-way": "one_way"}
+	noticeFaults     = []string{"dead", "stop"}
+	noticeQuantities = map[string]string{"dead": "dead", "stop": "stopped", "one-way": "one_way"}
 )
 
-// WithNotice adds the faults that measure the time to notice a dead and a stopped member to a list of faults that may
-// hold them already.
+// WithNotice returns a copy of faults, to which it adds the faults that measure the time to notice a dead and a stopped
+// member where they are missing.
 func WithNotice(faults []string) []string {
 	faults = slices.Clone(faults)
 	for _, name := range noticeFaults {
@@ -31,24 +31,24 @@
 	return faults
 }
 
-// Notice tells how long the control log took to suspect the members of a fault, counted from just before the fault
-// began. Times are those of the leader's answers, so they are late by a request and the interval between two, at the
-// most.
+// Notice is the time that the control log took to suspect the members of a fault, measured from just before the fault
+// began. Times are those at which the leader's answers arrive, so they are too long by at most one request and one
+// polling interval.
 type Notice struct {
-	Members      int     `json:"members"`       // that were watched
-	Suspected    int     `json:"suspected"`     // of them, within the bound
-	BoundSeconds float64 `json:"bound_seconds"` // that suspicions were watched for
-	// until the last member was suspected; null: not all were within the bound
+	Members      int     `json:"members"`       // number of members that were watched
+	Suspected    int     `json:"suspected"`     // number of those that were suspected within the bound
+	BoundSeconds float64 `json:"bound_seconds"` // how long the watch lasts at most
+	// until the last member was suspected; null: not all members were suspected within the bound
 	MaxSeconds *float64 `json:"max_seconds"`
 }
 
-// suspicionWatch follows which of some members the leader's state has counted as suspected, and since when.
+// suspicionWatch records when the leader's state first counts each of a set of members as suspected.
 type suspicionWatch struct {
 	members     []string
 	began       time.Time
 	bound       time.Duration
-	suspectedAt map[string]time.Duration // since began, of the first answer that had it
-	done        chan struct{}            // closed when all are suspected, or the bound or the context is over
+	suspectedAt map[string]time.Duration // by member: time from began to the first answer that has it suspected
+	done        chan struct{}            // closed once all are suspected, the bound has passed or the context has ended
 }
 
 func newSuspicionWatch(members []string, began time.Time, bound time.Duration) *suspicionWatch {
@@ -56,12 +56,12 @@
 		done: make(chan struct{})}
 }
 
-// watchSuspicion waits until the leader's state has all of some members unsuspected, and watches them from then on,
-// while the caller lets the fault begin. It returns nil, and notes that, where they were not all unsuspected within
-// Options.NoticeWithin.
+// watchSuspicion waits until the leader's state has none of the members suspected, and then watches them in the
+// background; the caller starts the fault when watchSuspicion returns. If members are still suspected after
+// Options.NoticeWithin, it logs that and returns nil.
 func (r *run) watchSuspicion(ctx context.Context, members []string, bound time.Duration) *suspicionWatch {
 	if !r.awaitUnsuspected(ctx, members) {
-		r.logf("time to notice is not measured: the log has not had all %d members unsuspected within %v", len(members),
+		r.logf("time to notice not measured: the log has not had all %d members unsuspected within %v", len(members),
 			r.options.NoticeWithin)
 		return nil
 	}
@@ -70,7 +70,8 @@
 	return w
 }
 
-// awaitUnsuspected tells whether the leader's state has all of some members unsuspected within Options.NoticeWithin.
+// awaitUnsuspected waits until the leader's state knows all members and has none of them suspected. It returns false
+// after Options.NoticeWithin.
 func (r *run) awaitUnsuspected(ctx context.Context, members []string) bool {
 	return waitUntil(ctx, r.options.NoticeWithin, noticeInterval, func() bool {
 		status, err := r.client.Status()
@@ -87,8 +88,8 @@
 	return true
 }
 
-// follow asks for the status until all members are suspected, or the bound or ctx is over. Answers of replicas that
-// do not lead do not count.
+// follow polls the status until all members are suspected, the bound has passed or ctx has ended. It ignores answers of
+// replicas that are not the leader.
 func (w *suspicionWatch) follow(ctx context.Context, ask func() (fleet.Status, error)) {
 	defer close(w.done)
 	for {
@@ -106,7 +107,7 @@
 	}
 }
 
-// observe takes a state of the log that was answered so long after the begin.
+// observe records the members that a state of the log has suspected. The state arrived at the given time after began.
 func (w *suspicionWatch) observe(state map[string]*rollout.Member, after time.Duration) {
 	for _, name := range w.members {
 		_, known := w.suspectedAt[name]
@@ -116,7 +117,7 @@
 	}
 }
 
-// await returns what was found once the watch is over; nil of a watch that did not begin.
+// await returns the result once the watch has ended. For a nil watch it returns nil.
 func (w *suspicionWatch) await() *Notice {
 	if w == nil {
 		return nil
@@ -134,14 +135,14 @@
 	return notice
 }
 
-// noteNotice notes what a watch found, also that members were not noticed.
-func (r *run) noteNotice(notice *Notice) {
+// logNotice logs the result of a watch, including members that were not suspected in time.
+func (r *run) logNotice(notice *Notice) {
 	switch {
-	case notice == nil: // watchSuspicion has noted why
+	case notice == nil: // watchSuspicion has logged the reason, or the fault measures no time to notice
 	case notice.MaxSeconds == nil:
-		r.logf("not noticed: %d of %d members are suspected within %.0f s", notice.Suspected, notice.Members,
+		r.logf("fault not noticed in full: %d of %d members suspected within %.0f s", notice.Suspected, notice.Members,
 			notice.BoundSeconds)
 	default:
-		r.logf("all %d members are suspected after %.2f s", notice.Members, *notice.MaxSeconds)
+		r.logf("all %d members suspected after %.2f s", notice.Members, *notice.MaxSeconds)
 	}
 }
--- a/internal/scale/primary.go
+++ b/internal/scale/primary.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// rejoinWithin is how long a control replica that is started again may take to be known and to hear of all.
-const rejoinWithin = 30 * time.Second
+// rejoinTimeout bounds the time in which a restarted control replica is registered and hears of all members.
+const rejoinTimeout = 30 * time.Second
 
-// leader is the host of the control replica that leads.
+// leader returns the host of the leader. It waits for an election for Options.FormWithin at most.
 func (r *run) leader(ctx context.Context) (*hostProcess, error) {
 	within, cancel := context.WithTimeout(ctx, r.options.FormWithin)
 	defer cancel()
@@ -21,14 +21,14 @@
 				}
 			}
 		}
-		if !sleepFor(within, lookInterval) {
-			return nil, errors.New("scale: no control replica leads")
+		if !sleepFor(within, pollInterval) {
+			return nil, errors.New("scale: no control replica became leader in time")
 		}
 	}
 }
 
-// runPrimaryChanges kills the leading replica, drains a database at once, and measures from the kill until the drain
-// is in force at every live member. With one replica there is nobody to take over, and nothing is measured.
+// runPrimaryChanges repeatedly kills the leader, drains a database at once, and measures the time from the kill until
+// the drain is in force at every live member. With a single replica no other one can take over, so nothing is measured.
 func (r *run) runPrimaryChanges(ctx context.Context, result *Result) error {
 	if r.options.Control == 1 {
 		return nil
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// primaryChange plays one kill and starts the killed replica again from its disk. Where nobody leads in the first
-// place there is nothing to kill, and what is reported is how long that was waited for.
+// primaryChange kills the leader once, measures a drain, and restarts the killed replica from its disk. Without a
+// leader there is nothing to kill, and the result is the time spent waiting for one.
 func (r *run) primaryChange(ctx context.Context) (seconds float64, err error) {
 	began := time.Now()
 	leader, err := r.leader(ctx)
@@ -57,9 +57,9 @@
 	leader.kill()
 	c := r.drain(ctx)
 	if seconds = c.last().Sub(killed).Seconds(); c.lost() {
-		seconds = time.Since(killed).Seconds() // at least so long
+		seconds = time.Since(killed).Seconds() // a lower bound: the drain is not in force everywhere yet
 	}
-	r.logf("%s killed: a drain accepted after it is in force after %.2f s, lost: %v", leader.plan.name, seconds, c.lost())
+	r.logf("%s killed: next drain in force after %.2f s, lost: %v", leader.plan.name, seconds, c.lost())
 	if err := leader.start(); err != nil {
 		return 0, err
 	}
@@ -68,14 +68,14 @@
 	return seconds, nil
 }
 
-// awaitHost waits until the members of a host that was started again are known and hear of all.
+// awaitHost waits until the members of a restarted host are registered and hear of all members.
 func (r *run) awaitHost(ctx context.Context, h *hostProcess) bool {
-	back := waitUntil(ctx, rejoinWithin, lookInterval, func() bool {
+	back := waitUntil(ctx, rejoinTimeout, pollInterval, func() bool {
 		report, ok := h.latest()
 		return ok && report.Known == len(h.plan.members) && report.HeardLeast >= r.options.Members
 	})
 	if !back {
-		r.logf("%s is not back after %v", h.plan.name, rejoinWithin)
+		r.logf("%s has not rejoined after %v", h.plan.name, rejoinTimeout)
 	}
 	return back
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -14,32 +14,33 @@
 	"time"
 )
 
-// endWithin is how long a host may take to end after its standard input has.
-const endWithin = 5 * time.Second
+// exitTimeout bounds the time in which a host exits after its standard input ends.
+const exitTimeout = 5 * time.Second
 
-// HostProcessors is GOMAXPROCS of hosts that are no control replicas: with one runtime thread for each core of the
-// machine, dozens of processes would spend its idle time on garbage collection, and count that as the members'.
+// HostProcessors is the GOMAXPROCS of hosts that run no control replica. With one runtime thread for each core, dozens
+// of processes would use the machine's idle time for garbage collection, and the CPU time of the members would include
+// it.
 const HostProcessors = 2
 
-// mostReport bounds one line of a host.
-const mostReport = 4 << 20
+// maxReportBytes bounds the length of one report line.
+const maxReportBytes = 4 << 20
 
-// hostProcess is a host and all that its running process has reported. It is safe for concurrent use.
+// hostProcess is a host and the reports of its running process. It is safe for concurrent use.
 type hostProcess struct {
 	plan    hostPlan
 	config  HostConfig
 	command []string
-	dir     string // for what it writes to standard error
+	dir     string // holds the file of the process's standard error
 
 	mu      sync.Mutex
-	process *os.Process // nil: it does not run
+	process *os.Process // nil: not running
 	input   io.WriteCloser
-	ended   chan struct{} // closed when the process is over
+	ended   chan struct{} // closed when the process has exited
 	stopped bool          // by SIGSTOP
 	reports []HostReport  // of the running process, in order
 }
 
-// start starts the process and hands it its configuration.
+// start starts the process and sends the configuration to it.
 func (h *hostProcess) start() error {
 	config, err := json.Marshal(h.config)
 	if err != nil {
@@ -87,11 +88,11 @@
 
 func (h *hostProcess) read(output io.Reader) {
 	lines := bufio.NewScanner(output)
-	lines.Buffer(make([]byte, 0, 64<<10), mostReport)
+	lines.Buffer(make([]byte, 0, 64<<10), maxReportBytes)
 	for lines.Scan() {
 		var report HostReport
 		if json.Unmarshal(lines.Bytes(), &report) != nil {
-			continue // a line that is cut off by the end of the process
+			continue // a line that the end of the process cut off
 		}
 		h.mu.Lock()
 		h.reports = append(h.reports, report)
@@ -100,7 +101,7 @@
 	_, _ = io.Copy(io.Discard, output)
 }
 
-// order replaces the host's orders.
+// order sends an order to the host. It replaces the previous order.
 func (h *hostProcess) order(o HostOrder) error {
 	line, err := json.Marshal(o)
 	if err != nil {
@@ -115,14 +116,14 @@
 	return nil
 }
 
-// runs tells whether there is a process, and it is not stopped.
+// runs reports whether the process runs and is not stopped.
 func (h *hostProcess) runs() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.process != nil && !h.stopped
 }
 
-// latest is the last report of the running process; false where there is none yet.
+// latest returns the latest report of the running process; false if there is none.
 func (h *hostProcess) latest() (HostReport, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,7 +133,7 @@
 	return h.reports[len(h.reports)-1], true
 }
 
-// between lists the reports of the running process that were made between two times.
+// between returns the reports that the running process made from one time to another, both included.
 func (h *hostProcess) between(from, to time.Time) []HostReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,24 +146,24 @@
 	return list
 }
 
-// signal sends a signal to the process, and remembers whether it is stopped.
+// signal sends a signal to the process, and tracks whether the process is stopped.
 func (h *hostProcess) signal(signal syscall.Signal) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.process == nil {
-		return fmt.Errorf("scale: %s does not run", h.plan.name)
+		return fmt.Errorf("scale: %s is not running", h.plan.name)
 	}
 	switch signal {
 	case syscall.SIGSTOP:
 		h.stopped = true
 	case syscall.SIGCONT:
 		h.stopped = false
-	default: // does not change whether it is stopped
+	default: // other signals do not stop or continue a process
 	}
 	return h.process.Signal(signal)
 }
 
-// kill ends the process at once and returns when it is over.
+// kill kills the process and returns when it has exited.
 func (h *hostProcess) kill() {
 	h.mu.Lock()
 	process, ended := h.process, h.ended
@@ -176,7 +177,7 @@
 	<-ended
 }
 
-// stop ends the process as a host's runner does, by ending its standard input.
+// stop ends the process by closing its standard input, and kills it after exitTimeout.
 func (h *hostProcess) stop() {
 	h.mu.Lock()
 	process, input, ended := h.process, h.input, h.ended
@@ -188,12 +189,12 @@
 	_ = input.Close()
 	select {
 	case <-ended:
-	case <-time.After(endWithin):
+	case <-time.After(exitTimeout):
 		h.kill()
 	}
 }
 
-// pid is the id of the process; 0 where there is none.
+// pid returns the process id; 0 if no process runs.
 func (h *hostProcess) pid() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scale/quantities.go
+++ b/internal/scale/quantities.go
@@ -8,7 +8,7 @@
 	"beechcart/internal/scale/record"
 )
 
-// Samples are what a run measured, under the names that docs/CAPACITY.md is rendered from.
+// Samples returns the measurements of a run, under the quantity names from which docs/CAPACITY.md is rendered.
 func (r *Result) Samples(repeat int) []record.Sample {
 	size := record.Size{Members: r.Scale.Members, Engines: r.Scale.Engines}
 	var samples []record.Sample
@@ -50,7 +50,8 @@
 	return samples
 }
 
-// faultPrefix names a fault's quantities: those of pauses by the share that was paused.
+// faultPrefix returns the prefix of the names of a fault's quantities. For pauses it contains the share of members that
+// were paused.
 func (r *Result) faultPrefix(f FaultResult) string {
 	if f.Name == "pause" {
 		return fmt.Sprintf("storm_share_%d_percent", int(math.Round(100*float64(f.Members)/float64(r.Scale.Members))))
@@ -68,7 +69,7 @@
 	add(record.FrontEnd, prefix+"_received_bytes_per_second", f.After.ReceivedBytesPerSecond)
 	add(record.FrontEnd, prefix+"_member_cpu_cores", f.After.CPUShare)
 	add(record.FrontEnd, prefix+"_heard_least_members", float64(least))
-	if !f.DrainLost { // a drain that was lost has no time: the page counts the runs without one
+	if !f.DrainLost { // a lost drain has no latency; the page counts the runs without this sample
 		add(record.FrontEnd, prefix+"_drain_in_force_seconds", f.DrainInForce)
 	}
 	if f.QuietAfterSeconds != nil {
@@ -77,8 +78,8 @@
 	if f.HeldBack != nil {
 		add(record.FrontEnd, prefix+"_held_back_members", float64(*f.HeldBack))
 	}
-	if f.Notice != nil && f.Notice.MaxSeconds != nil { // members that were not all noticed have no time
-		add(record.FrontEnd, "notice_"+noticeNames[f.Name]+"_max_seconds", *f.Notice.MaxSeconds)
+	if f.Notice != nil && f.Notice.MaxSeconds != nil { // there is no time to notice unless all members were suspected
+		add(record.FrontEnd, "notice_"+noticeQuantities[f.Name]+"_max_seconds", *f.Notice.MaxSeconds)
 	}
 	if f.CaughtUpSeconds != nil {
 		add(record.FrontEnd, prefix+"_caught_up_seconds", *f.CaughtUpSeconds)
--- a/internal/scale/quantities_test.go
+++ b/internal/scale/quantities_test.go
@@ -6,10 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestALostDrainHasNoTime guards against a drain that the log never accepted, and that would be recorded as in force
-// after 0 s.
-func TestALostDrainHasNoTime(t *testing.T) {
-	times := func(lost bool) (values []float64) {
+// Guards against recording a drain that the control log never accepted as in force after 0 s.
+func TestSamplesOmitLatencyOfLostDrain(t *testing.T) {
+	latencies := func(lost bool) (values []float64) {
 		r := Result{Scale: Sizes{Members: 10}, Faults: []FaultResult{{Name: "zone", DrainInForce: 3, DrainLost: lost}}}
 		for _, s := range r.Samples(1) {
 			if s.Quantity == "fault_zone_drain_in_force_seconds" {
@@ -18,6 +17,6 @@
 		}
 		return values
 	}
-	assert.Equal(t, []float64{3}, times(false))
-	assert.Empty(t, times(true))
+	assert.Equal(t, []float64{3}, latencies(false))
+	assert.Empty(t, latencies(true))
 }
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -15,15 +15,15 @@
 	"beechcart/internal/fleet"
 )
 
-// fakeServers are fake databases, all in this process, and the change log that lists them. Real front ends
-// probe them.
+// fakeServers holds the fake databases and the change log that lists them, all in this process. Real front ends probe
+// the databases.
 type fakeServers struct {
 	log     *changelog.Log
 	engines []*engine.Engine
 }
 
 // startFakeServers starts a fake server for each database and lists them all.
-func startFakeServers(engines []HollowEngine) (*fakeServers, error) {
+func startFakeServers(engines []EngineConfig) (*fakeServers, error) {
 	s := &fakeServers{}
 	var err error
 	if s.log, err = changelog.Start("127.0.0.1:0"); err != nil {
@@ -31,13 +31,13 @@
 	}
 	var list []changelog.Endpoint
 	for _, e := range engines {
-		stand, err := engine.Start("127.0.0.1:0", engine.Options{Name: e.Name, Cores: int(e.Cores), MaxQueries: 64})
+		server, err := engine.Start("127.0.0.1:0", engine.Options{Name: e.Name, Cores: int(e.Cores), MaxQueries: 64})
 		if err != nil {
 			s.close()
 			return nil, fmt.Errorf("scale: %w", err)
 		}
-		s.engines = append(s.engines, stand)
-		list = append(list, changelog.Endpoint{Name: e.Name, Address: stand.Addr, Zone: e.Zone, Type: "std-4",
+		s.engines = append(s.engines, server)
+		list = append(list, changelog.Endpoint{Name: e.Name, Address: server.Addr, Zone: e.Zone, Type: "std-4",
 			Status: "ready"})
 	}
 	s.log.Publish(true, list...)
@@ -51,18 +51,18 @@
 	s.log.Close()
 }
 
-// realFrontEnd is a gateway process, and what its log has said of drains.
+// realFrontEnd is a gateway process and the state of drains that its log reports.
 type realFrontEnd struct {
 	name  string
 	front *faulttest.FrontEnd
 
 	mu      sync.Mutex
-	inForce map[string]time.Time // by database: since when it is excluded; absent: it is not
-	lifted  map[string]int       // how often it came back
+	inForce map[string]time.Time // by excluded database: when the exclusion began
+	lifted  map[string]int       // by database: number of exclusions that ended
 }
 
-// take follows one line of the front end's log.
-func (f *realFrontEnd) take(line string) {
+// handleLogLine updates the exclusions from one line of the front end's log.
+func (f *realFrontEnd) handleLogLine(line string) {
 	listed, ok := faulttest.ParseEngineListed(line)
 	if !ok {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// since tells since when a drain is in force at the front end.
+// since returns when the drain of a database came into force at the front end; false if it is not in force.
 func (f *realFrontEnd) since(engine string) (time.Time, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,7 +87,7 @@
 	return at, ok
 }
 
-// fleetSettings is the fleet's part of the operators' settings, in the names of internal/operatorconfig.
+// fleetSettings is the fleet section of the operators' settings, with the names that internal/operatorconfig reads.
 type fleetSettings struct {
 	Gossip   string            `json:"gossip"`
 	Zone     string            `json:"room"`
@@ -104,7 +104,7 @@
 	Gossip string `json:"gossip"`
 }
 
-func settingsOf(m plannedMember, replicas []fleet.ReplicaAddress, keyFile string) (string, error) {
+func operatorSettings(m plannedMember, replicas []fleet.ReplicaAddress, keyFile string) (string, error) {
 	part := fleetSettings{Gossip: m.Gossip, Zone: m.Zone, Revision: revision, Weight: 100, KeyFile: keyFile}
 	for _, r := range replicas {
 		part.Replicas = append(part.Replicas, replicaSettings{r.Name, r.LogAddress, r.APIAddress, r.GossipAddress})
@@ -119,13 +119,13 @@
 	return string(text), nil
 }
 
-// startRealFrontEnd starts a gateway at the member's address and returns once it listens.
+// startRealFrontEnd starts a gateway at the member's address and returns once the gateway listens.
 func startRealFrontEnd(o *Options, l *layout, m plannedMember, changeLog, dir string) (*realFrontEnd, error) {
 	keyFile := filepath.Join(dir, "key")
 	if err := os.WriteFile(keyFile, []byte(l.key), 0o600); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	settings, err := settingsOf(m, l.replicas, keyFile)
+	settings, err := operatorSettings(m, l.replicas, keyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -139,11 +139,11 @@
 	f.front, err = faulttest.StartFrontEnd(faulttest.FrontEndOptions{Program: o.Program, Dir: dir, Name: m.Name,
 		Listen:    at(m.host, servePort),
 		ChangeLog: changeLog, MemoryMB: 256, Descriptors: 4096, PlatformSettings: facts, OperatorSettings: settings,
-		OnLogLine: f.take})
+		OnLogLine: f.handleLogLine})
 	return f, err
 }
 
-// residentBytesOf is what a process holds in memory, from /proc; 0 where it is over.
+// residentBytesOf returns the resident set size of a process, from /proc; 0 if the process has exited.
 func residentBytesOf(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -7,28 +7,28 @@
 
 // The budgets of a run.
 const (
-	BudgetBytesPerSecond       = 4096     // of a member, sent and received together
-	BudgetCPUShare             = 0.013    // of a core, of a member
-	BudgetHeapBytes            = 64 << 20 // for control, of a front end
+	BudgetBytesPerSecond       = 4096     // of a member, sent and received bytes added
+	BudgetCPUShare             = 0.013    // of a member, in cores
+	BudgetHeapBytes            = 64 << 20 // heap of the control side of a front end
 	BudgetInForceSeconds       = 4.0      // until a change is in force everywhere
 	BudgetPrimaryChangeSeconds = 6.0
 )
 
-// InForceOf is the change that in_force_seconds and primary_change_seconds are measured on: nothing carries a
-// configuration to the members yet, and the drain of a database is what is brought to every member now.
+// InForceOf names the kind of change that in_force_seconds and primary_change_seconds measure. No mechanism distributes
+// a configuration to the members yet; the drain of a database is a change that reaches every member.
 const InForceOf = "engine drain"
 
-// Sizes are what a run was made of.
+// Sizes are the numbers of members, databases and replicas of a run.
 type Sizes struct {
-	Members int `json:"members"`
-	Real    int `json:"real"`
-	Hollow  int `json:"hollow"` // the control replicas among them
-	Engines int `json:"engines"`
-	Control int `json:"control"`
+	Members   int `json:"members"`
+	Real      int `json:"real"`
+	Simulated int `json:"hollow"` // simulated members, including the control replicas
+	Engines   int `json:"engines"`
+	Control   int `json:"control"`
 }
 
-// MemberCost is the mean of the hollow members that are no control replicas, in the quiet window. The share of the
-// harness, taken from a host process without members, is taken off.
+// MemberCost is the mean cost of a simulated member that is not a control replica, in the quiet window. The CPU time
+// and heap of the harness, measured at a host process without members, are subtracted.
 type MemberCost struct {
 	SentBytesPerSecond           float64 `json:"sent_bytes_per_second"`
 	ReceivedBytesPerSecond       float64 `json:"received_bytes_per_second"`
@@ -42,23 +42,23 @@
 	ConnectionsPerSecond         float64 `json:"connections_per_second"`
 }
 
-// ControlCost is of the control replica with the highest value, each quantity by itself, in the quiet window.
+// ControlCost holds the highest value among the control replicas, for each quantity separately, in the quiet window.
 type ControlCost struct {
 	CPUShareMax            float64 `json:"cpu_share_max"`
 	ResidentBytesMax       float64 `json:"resident_bytes_max"`
-	LogBytesPerSecond      float64 `json:"log_bytes_per_second"`       // sent and received between replicas
-	CallsBytesPerSecondMax float64 `json:"calls_bytes_per_second_max"` // made and served, sent and received
+	LogBytesPerSecond      float64 `json:"log_bytes_per_second"`       // between replicas, sent and received bytes
+	CallsBytesPerSecondMax float64 `json:"calls_bytes_per_second_max"` // calls made and served, sent and received bytes
 	MessagesPerSecondMax   float64 `json:"messages_per_second_max"`    // sent
 }
 
-// Percentiles are over all live members and all changes, in seconds.
+// Percentiles are taken over all live members and all changes, in seconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// PrimaryChange is the worst of several kills of the leading replica.
+// PrimaryChange holds the times of several kills of the leader, in seconds.
 type PrimaryChange struct {
 	Max  float64   `json:"max"` // from the kill until a drain accepted after it is in force at every live member
 	Each []float64 `json:"each"`
@@ -67,26 +67,26 @@
 // Changes counts drains of databases.
 type Changes struct {
 	Made     int `json:"made"`
-	Lost     int `json:"lost"`     // not in force at every live member within Options.ChangeWithin
-	Reverted int `json:"reverted"` // members at which one went out of force while it stood
+	Lost     int `json:"lost"`     // drains not in force at every live member within Options.ChangeWithin
+	Reverted int `json:"reverted"` // members at which a drain ended before it was undone
 }
 
-// Formation tells how the fleet came together.
+// Formation describes how the fleet formed.
 type Formation struct {
-	Seconds float64 `json:"seconds"` // from the first start until all were known and heard of all, or the bound
-	Unknown int     `json:"unknown"` // hollow members that the log had not taken by then
-	// members that the member that heard of fewest heard of, at the end of the quiet window
+	Seconds float64 `json:"seconds"` // from the first start until the membership was complete, or the time limit
+	Unknown int     `json:"unknown"` // simulated members that were not registered with the control log by then
+	// lowest number of members that a member heard of, at the end of the quiet window
 	HeardLeast int `json:"heard_least"`
 }
 
-// Machine is what the run took of the machine.
+// Machine is the use of the machine by the run.
 type Machine struct {
 	Processes     int     `json:"processes"`
-	ResidentBytes uint64  `json:"resident_bytes"` // of all processes, the runner and its fake servers included
-	CPUCores      float64 `json:"cpu_cores"`      // of all hosts in the quiet window
+	ResidentBytes uint64  `json:"resident_bytes"` // of all processes, including the runner with its fake servers
+	CPUCores      float64 `json:"cpu_cores"`      // of all hosts, in the quiet window
 }
 
-// Miss is a budget that was not kept.
+// Miss is a value over its budget.
 type Miss struct {
 	Quantity string  `json:"quantity"`
 	Found    float64 `json:"found"`
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("%s: found %.6g, allowed is up to %.6g", m.Quantity, m.Found, m.Allowed)
 }
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
 	Scale         Sizes          `json:"scale"`
 	Seed          uint64         `json:"seed"`
@@ -113,17 +113,17 @@
 	Faults        []FaultResult  `json:"faults,omitempty"`
 	Missed        []Miss         `json:"missed,omitempty"`
 	At            time.Time      `json:"at"`
-	QuietSeconds  float64        `json:"quiet_seconds"` // that the costs were measured over
+	QuietSeconds  float64        `json:"quiet_seconds"` // length of the window in which costs were measured
 	Harness       HarnessProcess `json:"harness"`
 }
 
-// HarnessProcess is what a host process without members costs.
+// HarnessProcess is the cost of a host process without members.
 type HarnessProcess struct {
 	CPUShare  float64 `json:"cpu_share"`
 	HeapBytes float64 `json:"heap_bytes"`
 }
 
-// judge holds the result against the budgets.
+// judge compares the result with the budgets and sets Missed and Passed.
 func (r *Result) judge() {
 	r.Missed = nil
 	hold := func(quantity string, found, allowed float64) {
--- a/internal/scale/runner.go
+++ b/internal/scale/runner.go
@@ -15,14 +15,14 @@
 	"beechcart/internal/fleet"
 )
 
-// lookInterval is the time from one look at the hosts' reports to the next.
-const lookInterval = 100 * time.Millisecond
+// pollInterval is the interval at which the runner polls the hosts' reports and the control replicas.
+const pollInterval = 100 * time.Millisecond
 
-// mostDrains is the budget of databases that may be drained at once: enough for drains that a fleet without agreement
-// did not end.
-const mostDrains = 50
+// maxDrains is the budget of databases that may be drained at the same time. It leaves room for drains that could not
+// be undone because the control log had no quorum.
+const maxDrains = 50
 
-// run is a running fleet.
+// run is the state of one run.
 type run struct {
 	options Options
 	rng     *rand.Rand
@@ -30,15 +30,16 @@
 	plan    *layout
 	client  *fleet.Client
 	hosts   []*hostProcess // control replicas first
-	idle    *hostProcess   // without members: what the harness costs
-	stands  *fakeServers
+	idle    *hostProcess   // without members, to measure the cost of the harness
+	fakes   *fakeServers
 	fronts  []*realFrontEnd
 	began   time.Time
 	changes changeLog
 	nextID  int
 }
 
-// Run starts a fleet, measures it, ends it and tells what was found. An error tells that it could not be run.
+// Run starts a fleet, measures it, stops it and returns the result. It returns an error if the run could not be
+// completed; missed budgets are part of the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -48,7 +49,7 @@
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	result := &Result{Scale: Sizes{Members: o.Members, Real: o.Real, Hollow: o.Members - o.Real, Engines: o.Engines,
+	result := &Result{Scale: Sizes{Members: o.Members, Real: o.Real, Simulated: o.Members - o.Real, Engines: o.Engines,
 		Control: o.Control},
 		Seed: o.Seed, InForceOf: InForceOf, At: r.began}
 	if err := r.assemble(ctx, result); err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-// open lays the fleet out and starts the fake servers; no member runs yet.
+// open plans the layout of the fleet and starts the fake servers. It starts no member.
 func (r *run) open() (err error) {
 	if r.dir, err = os.MkdirTemp("", "beechcart-scale"); err != nil {
 		return fmt.Errorf("scale: %w", err)
@@ -91,7 +92,7 @@
 	}
 	r.idle = r.newHost(hostPlan{name: "idle"})
 	if r.options.Real > 0 {
-		r.stands, err = startFakeServers(r.plan.engines)
+		r.fakes, err = startFakeServers(r.plan.engines)
 	}
 	return err
 }
@@ -100,7 +101,7 @@
 	return &hostProcess{plan: plan, config: r.plan.config(plan.members), command: r.options.HostCommand, dir: r.dir}
 }
 
-// close ends all processes and removes their files.
+// close stops all processes and removes their files.
 func (r *run) close() {
 	for _, f := range r.fronts {
 		_ = f.front.Stop()
@@ -119,17 +120,17 @@
 	for range all {
 		<-ended
 	}
-	if r.stands != nil {
-		r.stands.close()
+	if r.fakes != nil {
+		r.fakes.close()
 	}
 	if r.dir != "" {
 		_ = os.RemoveAll(r.dir)
 	}
 }
 
-// assemble starts the control replicas, lets them begin the log, starts all other members one host after the other, and
-// waits until the log knows all and all hear of all, or the bound is over. A fleet that does not come together is a
-// finding and no error.
+// assemble starts the control replicas, initializes the control log, starts all other members one host after the other,
+// and waits until the membership is complete, for Options.FormWithin at most. An incomplete membership is a result of
+// the run, not an error.
 func (r *run) assemble(ctx context.Context, result *Result) error {
 	for _, h := range append([]*hostProcess{r.idle}, r.hosts[:r.options.Control]...) {
 		if err := h.start(); err != nil {
@@ -139,7 +140,7 @@
 	if err := r.initLog(ctx); err != nil {
 		return err
 	}
-	r.logf("the log has begun")
+	r.logf("control log initialized")
 	for _, h := range r.hosts[r.options.Control:] {
 		if err := h.start(); err != nil {
 			return err
@@ -151,18 +152,18 @@
 	if err := r.startFrontEnds(); err != nil {
 		return err
 	}
-	r.logf("all processes are started")
+	r.logf("all processes started")
 	r.awaitAssembled(ctx)
 	state := r.observe()
 	result.Formation.Seconds = time.Since(r.began).Seconds()
 	result.Formation.Unknown = state.members - state.known
-	r.logf("%d of %d hollow members are known; least heard of %d, mean %.1f", state.known, state.members,
-		state.heardLeast, state.heardMean)
+	r.logf("%d of %d simulated members registered; members hear of %d members at least, %.1f on average",
+		state.known, state.members, state.heardLeast, state.heardMean)
 	r.awaitEngines(ctx)
 	return ctx.Err()
 }
 
-// initLog lets the replicas begin the log, and agrees on budgets that let the run's drains through.
+// initLog initializes the control log and configures budgets that allow the drains of the run.
 func (r *run) initLog(ctx context.Context) error {
 	within, cancel := context.WithTimeout(ctx, r.options.FormWithin)
 	defer cancel()
@@ -171,14 +172,14 @@
 		if err == nil || errors.As(err, new(*fleet.RejectedError)) {
 			break
 		}
-		if !sleepFor(within, lookInterval) {
-			return fmt.Errorf("scale: the control replicas do not begin: %w\n%s", err, r.errorOutput())
+		if !sleepFor(within, pollInterval) {
+			return fmt.Errorf("scale: control log not initialized: %w\n%s", err, r.errorOutput())
 		}
 	}
 	settings := rollout.Defaults()
-	settings.Engines = rollout.Budget{Max: mostDrains}
+	settings.Engines = rollout.Budget{Max: maxDrains}
 	if _, err := r.apply(within, rollout.Command{Configure: &settings}); err != nil {
-		return fmt.Errorf("scale: the control replicas agree on nothing: %w\n%s", err, r.errorOutput())
+		return fmt.Errorf("scale: control log did not accept the settings: %w\n%s", err, r.errorOutput())
 	}
 	return nil
 }
@@ -189,7 +190,7 @@
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			return fmt.Errorf("scale: %w", err)
 		}
-		f, err := startRealFrontEnd(&r.options, r.plan, m, r.stands.log.Addr, dir)
+		f, err := startRealFrontEnd(&r.options, r.plan, m, r.fakes.log.Addr, dir)
 		if err != nil {
 			return err
 		}
@@ -198,13 +199,13 @@
 	return nil
 }
 
-// awaitAssembled waits until all hollow members are known and hear of all, for so long at most.
+// awaitAssembled waits until the membership is complete, for Options.FormWithin at most.
 func (r *run) awaitAssembled(ctx context.Context) bool {
-	return waitUntil(ctx, r.options.FormWithin, lookInterval,
+	return waitUntil(ctx, r.options.FormWithin, pollInterval,
 		func() bool { return r.observe().complete(r.options.Members) })
 }
 
-// awaitEngines waits until the log has all databases; drains need them.
+// awaitEngines waits until the control log lists all databases, because only a listed database can be drained.
 func (r *run) awaitEngines(ctx context.Context) {
 	var s fleet.Status
 	var err error
@@ -219,12 +220,12 @@
 	r.logf("the log has %d members and %d databases; %s leads", len(s.State.Members), len(s.State.Engines), s.Replica)
 }
 
-// measureQuiet measures what the fleet costs while nothing happens.
+// measureQuiet measures the cost of the fleet while no change is made.
 func (r *run) measureQuiet(ctx context.Context, result *Result) {
 	sleepFor(ctx, r.options.Settle)
 	from := time.Now()
-	r.logf("quiet for %d s", r.options.Seconds)
-	// The window ends after a report, so that there are two even in the shortest.
+	r.logf("quiet window of %d s begins", r.options.Seconds)
+	// The window is one report interval longer, so that even the shortest one contains two reports.
 	sleepFor(ctx, time.Duration(r.options.Seconds)*time.Second+reportMillis*time.Millisecond)
 	to := time.Now()
 	c := r.costsBetween(from, to)
@@ -232,11 +233,11 @@
 	result.PerMember, result.Control, result.Harness = c.member, c.control, c.harness
 	result.Formation.HeardLeast = r.observe().heardLeast
 	result.Machine = Machine{Processes: r.options.processes(), ResidentBytes: r.resident(), CPUCores: c.cpuCores}
-	r.logf("a member sends %.0f B/s, receives %.0f B/s, takes %.4f of a core", c.member.SentBytesPerSecond,
+	r.logf("a member sends %.0f B/s, receives %.0f B/s, uses %.4f cores", c.member.SentBytesPerSecond,
 		c.member.ReceivedBytesPerSecond, c.member.CPUShare)
 }
 
-// resident sums the memory of all processes up.
+// resident returns the resident memory of all processes, in bytes.
 func (r *run) resident() uint64 {
 	sum := residentBytesOf(os.Getpid())
 	for _, h := range append([]*hostProcess{r.idle}, r.hosts...) {
@@ -250,7 +251,7 @@
 	return sum
 }
 
-// apply enters a command, again under the same id until it is answered or ctx is over.
+// apply sends a command to the control log, and retries it under the same id until it is answered or ctx ends.
 func (r *run) apply(ctx context.Context, c rollout.Command) (applied, error) {
 	r.nextID++
 	c.ID, c.RequestedBy = fmt.Sprintf("scale-%d", r.nextID), "scale run"
@@ -269,26 +270,26 @@
 	}
 }
 
-// applied is what a command was answered with, and when the call was made that was answered: no later than the log
-// accepted it.
+// applied is the result of a command, and the start of the call that was answered. The start is never later than the
+// moment at which the log accepted the command.
 type applied struct {
 	result rollout.Result
 	sent   time.Time
 }
 
-// errorOutput is what hosts have written to standard error last, for an error.
+// errorOutput returns the end of the standard error of each control replica's host, for error messages.
 func (r *run) errorOutput() (text string) {
-	var textSb273 strings.Builder
+	var tails strings.Builder
 	for _, h := range r.hosts[:r.options.Control] {
 		if errs, err := os.ReadFile(filepath.Join(r.dir, h.plan.name+".err")); err == nil && len(errs) > 0 {
-			textSb273.WriteString(h.plan.name + ": " + string(errs[max(0, len(errs)-500):]) + "\n")
+			tails.WriteString(h.plan.name + ": " + string(errs[max(0, len(errs)-500):]) + "\n")
 		}
 	}
-	text += textSb273.String()
+	text += tails.String()
 	return text
 }
 
-// sleepFor waits; false once ctx is over.
+// sleepFor waits for d. It returns false if ctx ends first.
 func sleepFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -300,8 +301,8 @@
 	}
 }
 
-// waitUntil asks at an interval whether something is ready, at once first; false once the bound or ctx is over before
-// it is.
+// waitUntil polls ready, first at once and then at an interval, until it returns true. waitUntil returns false if the
+// bound passes or ctx ends first.
 func waitUntil(ctx context.Context, bound, interval time.Duration, ready func() bool) bool {
 	within, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
--- a/internal/scale/runner_test.go
+++ b/internal/scale/runner_test.go
@@ -14,14 +14,15 @@
 	"beechcart/internal/testbinary"
 )
 
-// hostVariable lets the test program run as a host, in place of its tests.
-const hostVariable = "BEECHCART_SCALE_HOST"
+// hostModeVariable names the environment variable that makes the test binary run as a host instead of running its
+// tests.
+const hostModeVariable = "BEECHCART_SCALE_HOST"
 
-// program is a debug build of the front end.
+// program is the path of a debug build of the gateway.
 var program string
 
 func TestMain(m *testing.M) {
-	if os.Getenv(hostVariable) == "" {
+	if os.Getenv(hostModeVariable) == "" {
 		testbinary.Main(m, &program, "-tags", "debug")
 	}
 	if err := RunHost(context.Background(), os.Stdin, os.Stdout); err != nil {
@@ -31,32 +32,32 @@
 	os.Exit(0)
 }
 
-// testOptions are a small fleet whose bounds are no matter of the machine's speed.
+// testOptions returns the options of a small fleet, with time limits that do not depend on the speed of the machine.
 func testOptions(t *testing.T) Options {
 	t.Helper()
 	o := Defaults()
 	o.Members, o.Engines, o.Real, o.Control, o.Zones, o.PerHost, o.Seconds = 60, 40, 1, 3, 5, 15, 2
-	o.Settle, o.ChangeStands, o.StartPace = time.Second, time.Second, 200*time.Millisecond
-	o.Changes, o.PrimaryChanges, o.FormWithin, o.ChangeWithin = 2, 1, longWait, longWait
+	o.Settle, o.RevertWindow, o.StartPace = time.Second, time.Second, 200*time.Millisecond
+	o.Changes, o.PrimaryChanges, o.FormWithin, o.ChangeWithin = 2, 1, waitTimeout, waitTimeout
 	o.Seed, o.Program, o.HostCommand = rand.Uint64N(1_000_000), program, []string{os.Args[0]}
 	o.Logf = t.Logf
 	return o
 }
 
-// The short form: a fleet comes together, drains reach every live member and stay, also when the leading replica is
-// killed. How long that takes, and whether it is in the budgets, is measured by hand ('gatewayctl scale').
-func TestASmallFleetHasEveryChangeInForce(t *testing.T) {
-	t.Setenv(hostVariable, "1")
+// A fleet forms, and drains reach every live member and stay in force, also after the leader is killed. The test checks
+// no times or budgets; 'gatewayctl scale' measures them.
+func TestDrainsReachEveryMemberOfSmallFleet(t *testing.T) {
+	t.Setenv(hostModeVariable, "1")
 	o := testOptions(t)
 	r, err := Run(context.Background(), o)
 	require.NoError(t, err, "seed %d", o.Seed)
-	assert.Zero(t, r.Formation.Unknown, "seed %d: all are known", o.Seed)
-	assert.Equal(t, Changes{Made: 3}, r.Changes, "seed %d: none lost or reverted", o.Seed)
+	assert.Zero(t, r.Formation.Unknown, "seed %d: all members must be registered", o.Seed)
+	assert.Equal(t, Changes{Made: 3}, r.Changes, "seed %d: no drain may be lost or reverted", o.Seed)
 	assert.Len(t, r.PrimaryChange.Each, 1)
 	assert.Positive(t, r.PrimaryChange.Max)
 	assert.Positive(t, r.InForce.P50)
 	assert.GreaterOrEqual(t, r.InForce.Max, r.InForce.P50)
-	assert.Equal(t, Sizes{Members: 60, Real: 1, Hollow: 59, Engines: 40, Control: 3}, r.Scale)
+	assert.Equal(t, Sizes{Members: 60, Real: 1, Simulated: 59, Engines: 40, Control: 3}, r.Scale)
 	assert.Equal(t, o.processes(), r.Machine.Processes)
 	for name, figure := range map[string]float64{"gossip sent": r.PerMember.GossipSentBytesPerSecond,
 		"gossip received": r.PerMember.GossipReceivedBytesPerSecond,
@@ -72,8 +73,8 @@
 	}
 }
 
-func TestSizesThatDoNotFitAreRefusedByName(t *testing.T) {
-	for option, spoil := range map[string]func(*Options){
+func TestInvalidOptionsAreRejectedByName(t *testing.T) {
+	for option, invalidate := range map[string]func(*Options){
 		"members":  func(o *Options) { o.Members = 1001 },
 		"real":     func(o *Options) { o.Real = 21 },
 		"control":  func(o *Options) { o.Control = 4 },
@@ -90,23 +91,23 @@
 		o := Defaults()
 		o.Program, o.HostCommand = "beechcart", []string{"host"}
 		require.NoError(t, o.Check())
-		spoil(&o)
+		invalidate(&o)
 		_, err := Run(context.Background(), o)
-		var refused *SizeError
-		require.ErrorAs(t, err, &refused, option)
-		assert.Equal(t, option, refused.Option)
-		assert.NotEmpty(t, refused.Allowed)
+		var sizeError *SizeError
+		require.ErrorAs(t, err, &sizeError, option)
+		assert.Equal(t, option, sizeError.Option)
+		assert.NotEmpty(t, sizeError.Allowed)
 	}
 	o := Defaults()
 	o.Program, o.HostCommand, o.Members, o.Control = "beechcart", []string{"host"}, 6, 5
 	assert.ErrorContains(t, o.Check(), "at least 9")
 }
 
-// Guards against a run that takes a member without the change for one that has it.
-func TestAChangeIsLostWithoutOneMemberAndRevertedByOne(t *testing.T) {
+// Guards against counting a member that has not applied a change as one that has.
+func TestChangeIsLostOrRevertedByOneMember(t *testing.T) {
 	began := time.Unix(1000, 0)
 	reports := func(nanos ...int64) *hostProcess {
-		plan := hostPlan{members: make([]HollowMember, 2)}
+		plan := hostPlan{members: make([]MemberConfig, 2)}
 		return &hostProcess{plan: plan, process: &os.Process{}, reports: []HostReport{{Drains: []DrainState{{Engine: "e0",
 			EachNanos: nanos}}}}}
 	}
@@ -128,12 +129,12 @@
 	assert.InDelta(t, 0.04, result.InForce.Max, 0.001)
 
 	r.hosts[1] = reports(at(20), at(500))
-	assert.Equal(t, 1, r.reverted(c), "it went out of force and came back")
+	assert.Equal(t, 1, r.reverted(c), "the drain ended at one member and was applied again")
 	r.hosts[1] = reports(at(20))
 	assert.Equal(t, 1, r.reverted(c))
 }
 
-func TestRatesAreDifferencesOverTheReports(t *testing.T) {
+func TestRatesAreDifferencesBetweenFirstAndLastReport(t *testing.T) {
 	first := HostReport{UnixNanos: 1e9, Gossip: Traffic{SentBytes: 100, SentMessages: 1}, CPUSeconds: 1, HeapBytes: 10}
 	last := HostReport{UnixNanos: 3e9, Gossip: Traffic{SentBytes: 500, SentMessages: 5}, CPUSeconds: 1.5, HeapBytes: 20,
 		Members: 3}
@@ -147,7 +148,7 @@
 	assert.InDelta(t, 15, got.heap, 1e-9)
 }
 
-func TestABudgetThatIsMissedIsNamed(t *testing.T) {
+func TestMissedBudgetIsNamed(t *testing.T) {
 	r := Result{PerMember: MemberCost{SentBytesPerSecond: 2500, ReceivedBytesPerSecond: 2000},
 		InForce: Percentiles{Max: 3.9}}
 	r.judge()
--- a/internal/scale/sweep.go
+++ b/internal/scale/sweep.go
@@ -11,22 +11,23 @@
 	"beechcart/internal/scale/record"
 )
 
-// planning is the size that the databases of a sweep are scaled from.
+// The planning size, from which the numbers of databases in a sweep are scaled.
 const (
 	planningMembers = 710
 	planningEngines = 810
 )
 
-// EnginesFor scales the databases of the planning size to a number of front ends.
+// EnginesFor returns the number of databases for a number of front ends, in the ratio of the planning size and at
+// least 1.
 func EnginesFor(members int) int {
 	return max(1, int(math.Round(float64(members)*planningEngines/planningMembers)))
 }
 
-// Repeats are the numbers of a sweep's rounds over all sizes, first to last.
+// Repeats are the first and the last number of a sweep's rounds over all sizes.
 type Repeats struct{ First, Last int }
 
-// Sweep runs all sizes in each repeat, and calls done after each run. Samples of runs that have ended are returned
-// also with an error.
+// Sweep runs all sizes in each repeat, and calls done after each run. If a run fails, Sweep returns the error together
+// with the samples of the completed runs.
 func Sweep(ctx context.Context, base Options, sizes []int, repeats Repeats,
 	done func(*Result)) (samples []record.Sample, err error) {
 	for repeat := repeats.First; repeat <= repeats.Last; repeat++ {
@@ -44,8 +45,8 @@
 	return samples, nil
 }
 
-// lawsTried are the laws that a sweep's quantities are fitted with; the one with the least residual is reported.
-var lawsTried = []record.Law{record.Constant, record.InMembers, record.InEngines, record.InProduct}
+// candidateLaws are the laws that Fits tries for each quantity.
+var candidateLaws = []record.Law{record.Constant, record.InMembers, record.InEngines, record.InProduct}
 
 // NamedFit is the fit of a quantity.
 type NamedFit struct {
@@ -53,7 +54,8 @@
 	record.Fit
 }
 
-// Fits fits every quantity of the samples with the law that leaves the least residual.
+// Fits fits each quantity of the samples with every candidate law, and returns the fit with the smallest residual. Of
+// laws with equal residuals, the first in candidateLaws wins.
 func Fits(samples []record.Sample) (fits []NamedFit, err error) {
 	var quantities []string
 	by := map[string][]record.Sample{}
@@ -65,7 +67,7 @@
 	}
 	for _, quantity := range quantities {
 		var tried []record.Fit
-		for _, law := range lawsTried {
+		for _, law := range candidateLaws {
 			fit, err := record.FitLine(by[quantity], law)
 			if err != nil {
 				return nil, err
