--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -109,7 +109,7 @@
 		return &SizeError{"notice-within", fmt.Sprint(o.NoticeWithin), "more than 0"}
 	case o.processes() > MaxProcesses:
 		return &SizeError{"per-host", strconv.Itoa(o.PerHost),
-			fmt.Sprintf("a number that needs at most %d processes; this one needs %d", MaxProcesses, o.processes())}
+			fmt.Sprintf("what needs at most %d processes; this needs %d", MaxProcesses, o.processes())}
 	case o.memory() > MaxMemory:
 		return &SizeError{"members", strconv.Itoa(o.Members),
 			fmt.Sprintf("a number that fits into %d MB; this one is estimated at %d MB", MaxMemory>>20, o.memory()>>20)}
