--- a/cmd/gateway/command.go
+++ b/cmd/gateway/command.go
@@ -20,12 +20,12 @@
 	root := &cobra.Command{
 		Use:   "gateway",
 		Short: "Query front end: MySQL protocol to clients, HTTP to engines",
-		Long: "gateway takes queries over the MySQL protocol, and decides when and on which engine each one runs.\n" +
-			"Without a command it runs, as 'gateway run' does, with the configuration that PROXY_CONFIG names.",
+		Long: "gateway accepts queries over the MySQL protocol, and decides when and on which engine each one runs.\n" +
+			"Without a command, gateway serves as 'gateway run' does, with the configuration that PROXY_CONFIG names.",
 		SilenceErrors: true, SilenceUsage: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return usageError{fmt.Errorf("unknown command %q; gateway --help tells what there is", args[0])}
+				return usageError{fmt.Errorf("unknown command %q; 'gateway --help' lists the commands", args[0])}
 			}
 			return nil
 		},
@@ -37,17 +37,17 @@
 	return root
 }
 
-// addFlags lets a command take the paths of the two files.
+// addFlags adds flags for the paths of the two files. The environment variables are their defaults.
 func (p *configPaths) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&p.platform, "config", os.Getenv("PROXY_CONFIG"),
-		"the platform's configuration, JSON (PROXY_CONFIG)")
+		"path of the platform's configuration, JSON (PROXY_CONFIG)")
 	c.Flags().StringVar(&p.operators, "settings", os.Getenv("BEECHCART_SETTINGS"),
-		"operators' settings, as built by 'gatewayctl config build' (BEECHCART_SETTINGS); none: the defaults")
+		"path of the operators' settings, built by 'gatewayctl config build' (BEECHCART_SETTINGS); empty: defaults")
 	_ = c.MarkFlagFilename("config", "json")
 	_ = c.MarkFlagFilename("settings", "json")
 }
 
-// noArguments makes an argument a usageError.
+// noArguments rejects any argument with a usageError.
 func noArguments(c *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(c, args); err != nil {
 		return usageError{err}
@@ -57,7 +57,7 @@
 
 func runCommand(paths *configPaths) *cobra.Command {
 	c := &cobra.Command{
-		Use: "run", Short: "Serve until SIGTERM; SIGHUP reads both files again", Args: noArguments,
+		Use: "run", Short: "Serve until SIGTERM; SIGHUP reloads both files", Args: noArguments,
 		Example: "  gateway run --config config.json\n  gateway run --config config.json --settings beechcart.json",
 		RunE:    func(*cobra.Command, []string) error { return run(paths) },
 	}
@@ -67,7 +67,7 @@
 
 func checkCommand(paths *configPaths) *cobra.Command {
 	c := &cobra.Command{
-		Use: "check", Short: "Read both files, tell what is wrong with them, and end", Args: noArguments,
+		Use: "check", Short: "Read and check both files, report any problem and exit", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			config, err := paths.load()
 			if err != nil {
--- a/cmd/gateway/command_lean.go
+++ b/cmd/gateway/command_lean.go
@@ -7,8 +7,9 @@
 	"os"
 )
 
-// execute runs the front end as the platform starts it. The library of the command line and TLS cost 3 MB resident,
-// and the platform needs neither: its build leaves them out (docs/consul.md has the figures).
+// execute runs the front end with the files that the environment variables name. The lean build leaves out the
+// command-line library and TLS: they take 3 MB of resident memory and the platform needs neither (docs/consul.md has
+// the figures).
 func execute() error {
 	if len(os.Args) > 1 {
 		return usageError{errors.New("this build (tag lean) takes no arguments: PROXY_CONFIG names the configuration, " +
--- a/cmd/gateway/config.go
+++ b/cmd/gateway/config.go
@@ -8,19 +8,19 @@
 	"beechcart/internal/platformconfig"
 )
 
-// configPaths are the paths of the two files that configure a front end.
+// configPaths holds the paths of the two files that configure a front end.
 type configPaths struct {
 	platform  string
-	operators string // empty: the defaults
+	operators string // empty: default settings
 }
 
-// configuration is what the two files hold.
+// configuration is the parsed content of the two files.
 type configuration struct {
 	platform  *platformconfig.Config
 	operators operatorconfig.Settings
 }
 
-// load reads both files and checks what can be checked without starting.
+// load reads both files and makes every check that needs no running front end.
 func (p *configPaths) load() (configuration, error) {
 	var c configuration
 	var err error
@@ -37,7 +37,7 @@
 		return c, fmt.Errorf("configuration %s: %w", p.platform, err)
 	}
 	if c.operators.Source == operatorconfig.SourceChangeLog && c.platform.ChangeLog == "" {
-		return c, fmt.Errorf("configuration %s: changelog: no address is given", p.platform)
+		return c, fmt.Errorf("configuration %s: changelog: no address is given; the settings' source needs one", p.platform)
 	}
 	return c, nil
 }
--- a/cmd/gateway/endpoints.go
+++ b/cmd/gateway/endpoints.go
@@ -15,8 +15,8 @@
 	"beechcart/internal/source/endpointcache"
 )
 
-// endpointFollower keeps the engine list up to date from one source at a time. Only the goroutine of server.serve may
-// call it.
+// endpointFollower keeps the endpoint list up to date from one source at a time. Its methods must not run concurrently:
+// the goroutine of server.serve makes all calls.
 type endpointFollower struct {
 	paths     *configPaths
 	engines   *engine.Client
@@ -25,12 +25,12 @@
 	log       *slog.Logger
 	counters  *invariant.Counters
 
-	operators operatorconfig.Settings // in force
-	consul    *consul.Source          // nil: the change log is followed
-	cache     *endpointcache.Store    // nil: the list is not kept
+	operators operatorconfig.Settings // settings in force
+	consul    *consul.Source          // nil: the change log is the source
+	cache     *endpointcache.Store    // nil: the endpoint list is not cached on disk
 }
 
-// newConsulSource returns the source for the catalogue that the settings name; nil where they name the change log.
+// newConsulSource returns a source that reads the catalogue, or nil if the settings name the change log as the source.
 func newConsulSource(
 	c configuration,
 	cache consul.Store,
@@ -43,10 +43,10 @@
 	return consul.New(c.operators.Consul, c.platform.Names, cache, counters, log, c.platform.Seed)
 }
 
-// follow moves to the source that the settings name. On an error the source before it stays.
+// follow switches to the source that the settings name. On an error the previous source stays in use.
 func (f *endpointFollower) follow(c configuration) error {
 	var cache *endpointcache.Store
-	var store consul.Store // a nil interface where nothing is kept
+	var store consul.Store // must be a nil interface, not a nil pointer in one, if there is no cache
 	if settings := c.operators.EndpointCache; settings.Path != "" && c.operators.Source == operatorconfig.SourceConsul {
 		cache = endpointcache.New(settings.Path, settings.WriteInterval, settings.MaxAge, f.log)
 		store = cache
@@ -58,7 +58,8 @@
 	previous := f.operators.Source
 	switch {
 	case next == nil:
-		// The events of the change log are numbered: it goes on from the last one, and after another source from the first.
+		// The events of the change log are numbered. Reading starts at the first event if the previous source was Consul,
+		// and resumes after the last event read otherwise.
 		if previous == operatorconfig.SourceConsul {
 			f.changeLog = endpoints.NewChangeLog(c.platform.Names)
 			f.feed.Follow(changelog.New(f.engines, c.platform.ChangeLog, f.changeLog, f.log))
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// stop ends the source and writes the list that it had.
+// stop stops the source and writes its last endpoint list to the cache.
 func (f *endpointFollower) stop() {
 	f.feed.Stop()
 	if f.cache != nil {
@@ -86,8 +87,8 @@
 	}
 }
 
-// reload reads both files again. Files that are bad or half written change nothing. Only the source of the engine list
-// can change while the program runs.
+// reload reads both files again and follows the source that they name. Invalid or half-written files change nothing. No
+// other setting changes while the process runs.
 func (f *endpointFollower) reload() {
 	c, err := f.paths.load()
 	if err == nil && c.operators.Source == operatorconfig.SourceConsul && f.consul != nil &&
--- a/cmd/gateway/fleet.go
+++ b/cmd/gateway/fleet.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// fleetCloseTimeout bounds the last report to the fleet: whoever waits for the process waits no longer than that more.
+	// fleetCloseTimeout bounds the last report to the fleet, and with it the delay that the report adds to a shutdown.
 	fleetCloseTimeout = 500 * time.Millisecond
 
 	// registrationTimeout is how long a start waits for the drains that the fleet has agreed on. A front end that
-	// reaches no control replica by then serves without them.
+	// reaches no control replica within registrationTimeout serves without those drains.
 	registrationTimeout = 3 * time.Second
 )
 
-// fleetMember connects the front end and its member of the fleet: it is the membership of the one and the
-// fleet.FrontEnd of the other.
+// fleetMember connects the server with its fleet.Member: fleetMember implements membership for the server and
+// fleet.FrontEnd for the member.
 type fleetMember struct {
 	member         *fleet.Member
 	feed           *source.Feed
@@ -37,7 +37,8 @@
 	shutdownGrants chan int
 }
 
-// joinFleet joins the fleet that the operators' settings name, if any.
+// joinFleet joins the fleet that the operators' settings name, and waits up to registrationTimeout for its drains.
+// Without a gossip address in the settings, the result is standalone.
 func joinFleet(config configuration, feed *source.Feed, engines *engine.Client, counters *invariant.Counters,
 	log *slog.Logger) (membership, error) {
 	platform, settings := config.platform, config.operators.Fleet
@@ -56,7 +57,7 @@
 	if m.member, err = fleet.Join(fleetOptions(platform.Name, settings, log), m); err != nil {
 		return nil, err
 	}
-	go m.awaitShutdownGrant() // ends with the process
+	go m.awaitShutdownGrant() // returns at the first grant; otherwise runs until the process ends
 	select {
 	case <-m.member.Registered():
 	case <-time.After(registrationTimeout):
@@ -147,8 +148,8 @@
 // RequestCounts implements fleet.FrontEnd.
 func (m *fleetMember) RequestCounts() rollout.RequestCounts { return requestCounts(m.counters.Map()) }
 
-// requestCounts counts requests by their answers, each once it has ended. Requests are not counted as they begin: a
-// window in which more end than begin would have impossible counts, and a control replica discards such a window.
+// requestCounts counts each request at its end, by its answer. Requests are not counted at their start: a window in
+// which more requests end than start would have impossible counts, and a control replica discards such a window.
 func requestCounts(counters map[string]int64) rollout.RequestCounts {
 	failed := counters["failed"] + counters["deadline"]
 	return rollout.RequestCounts{
@@ -159,7 +160,7 @@
 	}
 }
 
-// nameAt returns the name that has an index; empty where none has.
+// nameAt returns the name with the given index, or "" if no name has that index.
 func nameAt(names map[string]int, index int) string {
 	for name, i := range names {
 		if i == index {
--- a/cmd/gateway/logger.go
+++ b/cmd/gateway/logger.go
@@ -15,7 +15,7 @@
 	flushTimeout   = 100 * time.Millisecond
 )
 
-// newLogger returns a logger in the form that the operators have set.
+// newLogger returns a logger with the format and the level of the operators' settings.
 func newLogger(w io.Writer, settings operatorconfig.Log) *slog.Logger {
 	options := &slog.HandlerOptions{Level: settings.Level}
 	if settings.Format == "json" {
@@ -24,17 +24,16 @@
 	return slog.New(slog.NewTextHandler(w, options))
 }
 
-// logWriter writes a log from a goroutine of its own, so that a reader of the log that has stopped reading holds up
-// neither the caller nor the decisions behind it. A line that the queue has no place for is dropped and counted as
-// log_lost.
+// logWriter writes log lines in a separate goroutine, so that a log reader that has stopped reading blocks no caller. A
+// line that finds the queue full is dropped and counted as log_lost.
 type logWriter struct {
 	w        io.Writer
 	counters *invariant.Counters
-	queue    chan []byte // nil: flush
+	queue    chan []byte // a nil line ends run, for flush
 	flushed  chan struct{}
 }
 
-// newLogWriter starts the goroutine that writes to w. It ends with flush.
+// newLogWriter starts the goroutine that writes to w. The goroutine ends at the call of flush.
 func newLogWriter(w io.Writer, counters *invariant.Counters) *logWriter {
 	l := &logWriter{
 		w:        w,
@@ -56,7 +55,7 @@
 	}
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues a copy of one line. Write never blocks and always returns a nil error.
 func (l *logWriter) Write(line []byte) (int, error) {
 	select {
 	case l.queue <- bytes.Clone(line):
@@ -66,7 +65,7 @@
 	return len(line), nil
 }
 
-// flush waits up to flushTimeout until the lines taken so far are written. Nothing is written after it.
+// flush waits up to flushTimeout until the queued lines are written. Lines that are queued later are not written.
 func (l *logWriter) flush() {
 	timeout := time.After(flushTimeout)
 	select {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,7 +1,8 @@
 // Command gateway is the front end: it takes queries over the MySQL protocol and runs them on engines over HTTP.
 //
 // main.go has the exit codes, config.go reads the files, server.go wires the parts up and runs them from start to
-// shutdown, endpoints.go follows the engine list, fleet.go joins the fleet. docs/ARCHITECTURE.md has the whole picture.
+// shutdown, endpoints.go follows the engine list, fleet.go joins the fleet. docs/ARCHITECTURE.md describes the
+// whole system.
 package main
 
 import (
@@ -12,20 +13,20 @@
 
 // The exit codes.
 const (
-	exitFailed = 1 // it could not start, or could not go on
-	exitUsage  = 2 // the command line does not read
+	exitFailed = 1 // the front end could not start or could not continue
+	exitUsage  = 2 // the command line is invalid
 
-	// The fleet has granted a shutdown: whoever starts programs on this machine starts this one again ...
-	exitRestart = 75 // ... on the revision that 'gatewayctl fleet wanted' names
-	exitDrained = 76 // ... once it is undrained
+	// The fleet has granted a shutdown. The supervisor of the machine starts the front end again:
+	exitRestart = 75 // at once, at the revision that 'gatewayctl fleet wanted' names
+	exitDrained = 76 // after the front end is undrained
 )
 
-// exitError is an end that is no fault, with an exit code of its own.
+// exitError is the exit code of a shutdown without a failure.
 type exitError int
 
 func (e exitError) Error() string { return fmt.Sprintf("ended with code %d", int(e)) }
 
-// usageError is a command line that does not read.
+// usageError reports an invalid command line.
 type usageError struct{ error }
 
 func main() {
--- a/cmd/gateway/membership.go
+++ b/cmd/gateway/membership.go
@@ -1,16 +1,17 @@
 package main
 
-// membership is this front end's part in the fleet, or that of one which is in none.
+// membership is how the server reports to the fleet. A front end outside any fleet uses standalone.
 type membership interface {
-	// ShutdownGrants sends the exit code to end with, once the fleet lets the process end.
+	// ShutdownGrants returns a channel that receives the exit code once the fleet grants a shutdown. The channel is nil
+	// outside a fleet.
 	ShutdownGrants() <-chan int
 	ReportServing()
 	ReportDraining()
-	// Close reports the end of the process and leaves the fleet.
+	// Close reports that the process ends, and leaves the fleet.
 	Close()
 }
 
-// standalone is a member of no fleet.
+// standalone is the membership of a front end outside any fleet.
 type standalone struct{}
 
 func (standalone) ShutdownGrants() <-chan int { return nil }
--- a/cmd/gateway/server.go
+++ b/cmd/gateway/server.go
@@ -30,20 +30,23 @@
 )
 
 const (
-	// drainingPeriod is how long the listener stays open after SIGTERM: the platform sends new requests for up to 0.6 s.
+	// drainingPeriod is how long the listener stays open after SIGTERM: the platform still sends new requests for up to
+	// 0.6 s.
 	drainingPeriod = 850 * time.Millisecond
 
-	// The platform kills the process once the longest deadline, taken as maxDeadline at most, and killDelay have passed.
+	// The time from SIGTERM until the platform kills the process is the longest deadline of a class, capped at
+	// maxDeadline, plus killDelay.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
-	// killMargin is left for the last answers to go out, of which sessions that read none have sessionMargin.
+	// killMargin is reserved before the kill for the last answers to be sent. Within killMargin, the sessions of clients
+	// that do not read their answers may stay open for sessionMargin.
 	killMargin    = 150 * time.Millisecond
 	sessionMargin = 100 * time.Millisecond
 
 	counterLogInterval = 30 * time.Second
 )
 
-// server is a front end: its parts, wired up, from the start to the shutdown of the process.
+// server holds the components of a front end, from the start to the shutdown of the process.
 type server struct {
 	config     configuration
 	log        *slog.Logger
@@ -54,24 +57,24 @@
 	endpoints  *endpointFollower
 	member     membership
 
-	ctx     context.Context // ends with the server
-	closers []func()        // in the order of starting
+	ctx     context.Context // cancelled by close
+	closers []func()        // in the order of the starts
 }
 
-// signals are those that the process acts on.
+// signals holds the channels of the signals that the process handles.
 type signals struct{ stop, reload chan os.Signal }
 
-// notifySignals takes signals from now on. Each kind has a channel of its own, because a full channel drops signals: a
-// stop must not be lost behind many reloads.
+// notifySignals starts to receive signals. Stop and reload signals have separate channels, because a full channel drops
+// signals: many reloads must not displace a stop.
 func notifySignals() signals {
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go away
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may close its end
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
-// run serves until a signal, or the fleet, ends it.
+// run serves until a stop signal arrives or the fleet grants a shutdown.
 func run(paths *configPaths) error {
 	received := notifySignals()
 	config, err := paths.load()
@@ -106,14 +109,14 @@
 	return nil
 }
 
-// limitResources sizes the runtime to the part of the machine that the front end has.
+// limitResources sizes the Go runtime to the cores and the memory of the configuration.
 func limitResources(config *platformconfig.Config, log io.Writer) error {
 	runtime.GOMAXPROCS(max(1, int(config.Cores)))
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 7 / 10)
 	return netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: log})
 }
 
-// newServer wires the parts up. Nothing runs before start.
+// newServer creates and connects the components. No component runs before start.
 func newServer(
 	paths *configPaths,
 	config configuration,
@@ -160,8 +163,8 @@
 	return s, nil
 }
 
-// newEndpoints makes the follower of the engine list, and lets it take the list that the platform's configuration
-// holds.
+// newEndpoints creates the endpoint follower. If the source is the change log, newEndpoints also publishes the endpoint
+// lists that the platform's configuration holds.
 func (s *server) newEndpoints(paths *configPaths) error {
 	platform, operators := s.config.platform, s.config.operators
 	changeLog := endpoints.NewChangeLog(platform.Names)
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// start begins all that goes on in the background. close ends what has been started, also after an error.
+// start starts all background work. close stops the work that was started, also after an error of start.
 func (s *server) start() error {
 	stop := make(chan struct{})
 	s.closers = append(s.closers, func() { close(stop) })
@@ -209,14 +212,14 @@
 	return nil
 }
 
-// close ends what start has begun, the last first.
+// close calls the closers in reverse order.
 func (s *server) close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		s.closers[i]()
 	}
 }
 
-// openAdminSocket opens the socket that gatewayctl asks, where the operators have set one.
+// openAdminSocket opens the socket that gatewayctl connects to, if the operators' settings name one.
 func (s *server) openAdminSocket() error {
 	path := s.config.operators.AdminSocket
 	if path == "" {
@@ -234,10 +237,10 @@
 	return nil
 }
 
-// shutdownRequest is why the server ends in order.
+// shutdownRequest is a request for an orderly shutdown. The exit code is 0 after a signal.
 type shutdownRequest struct{ exitCode int }
 
-// serve takes clients until the listener fails, which gives no request, or a shutdown is asked for.
+// serve accepts clients until a shutdown is requested or the listener fails. The request is nil if the listener fails.
 func (s *server) serve(received signals) (*shutdownRequest, error) {
 	served := make(chan error, 1)
 	go func() { served <- s.listener.Serve(s.config.platform.Listen) }()
@@ -258,12 +261,13 @@
 	}
 }
 
-// shutDown lets the requests in flight end, and then all sessions.
+// shutDown waits for the requests in flight to end, and closes all sessions.
 func (s *server) shutDown() error {
 	s.member.ReportDraining()
 	timeout := shutdownTimeout(s.config.platform.Admission.Classes)
 	s.dispatcher.Shutdown(timeout)
-	// Sessions that hold the end up, with half a packet or a client that reads nothing, are owed nothing by then.
+	// When ctx expires, all requests are answered: the sessions that are left hold half a packet, or their clients do not
+	// read.
 	ctx, cancel := context.WithTimeout(s.ctx, timeout+sessionMargin)
 	defer cancel()
 	time.Sleep(min(drainingPeriod, timeout))
@@ -277,7 +281,7 @@
 	return nil
 }
 
-// shutdownTimeout is how long after SIGTERM the last request must be answered.
+// shutdownTimeout returns the time after SIGTERM within which the last request must be answered.
 func shutdownTimeout(classes []admission.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -286,7 +290,7 @@
 	return min(longest, maxDeadline) + killDelay - killMargin
 }
 
-// logCounters logs the counters at each interval until ctx ends.
+// logCounters logs the counters every counterLogInterval until ctx is cancelled.
 func logCounters(ctx context.Context, counters *invariant.Counters, log *slog.Logger) {
 	ticker := time.NewTicker(counterLogInterval)
 	defer ticker.Stop()
