--- a/cmd/gateway/changelog_test.go
+++ b/cmd/gateway/changelog_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The greatest age of a drain's news, whatever the poll that should have brought it does: decision/watchtimeout has
-// the sum.
-func TestADrainIsHeardWithinTheGraceWhateverAPollBrings(t *testing.T) {
+// The program reads a drain within the drain grace even if the poll that should have returned the drain fails or
+// hangs. decision/watchtimeout derives the delay.
+func TestDrainIsReadWithinGraceDespiteFailedPolls(t *testing.T) {
 	write := func(text string) func(w http.ResponseWriter, q *http.Request) {
 		return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 	}
@@ -29,15 +29,15 @@
 			<-q.Context().Done()
 		}
 	}
-	for name, spoil := range map[string]func(w http.ResponseWriter, q *http.Request){
-		"falls silent":         hold(""),
-		"stops short":          hold(`{"seq":`),
-		"is reset":             func(w http.ResponseWriter, _ *http.Request) { reset(w) },
-		"is answered 500":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) },
-		"brings garbage":       write("\x8c\x6d\x4f"),
-		"brings an old number": write(`{"seq":0,"results":[]}`),
-		"brings a number only": write(`{"seq":99,"results":[]}`),
-		"brings half a list":   write(`{"seq":99,"results":[{"seq":99,"fleet":{"endpoints":[{`),
+	for name, respond := range map[string]func(w http.ResponseWriter, q *http.Request){
+		"never answers":       hold(""),
+		"stops in the body":   hold(`{"seq":`),
+		"is reset":            func(w http.ResponseWriter, _ *http.Request) { resetConnection(w) },
+		"is answered 500":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) },
+		"returns garbage":     write("\x8c\x6d\x4f"),
+		"returns an old seq":  write(`{"seq":0,"results":[]}`),
+		"returns a seq only":  write(`{"seq":99,"results":[]}`),
+		"returns half a list": write(`{"seq":99,"results":[{"seq":99,"fleet":{"endpoints":[{`),
 		"never ends": func(w http.ResponseWriter, q *http.Request) {
 			for q.Context().Err() == nil {
 				if _, err := w.Write(make([]byte, 1<<10)); err != nil {
@@ -49,24 +49,25 @@
 		t.Run(name, func(t *testing.T) {
 			e := newEngine(t, nil)
 			r := start(t, e)
-			// The least of five: a busy machine only adds to it, and a sum that is too long is so each time.
-			age := time.Hour
+			// The minimum of five runs: a busy machine only adds to a delay, and wrong timeouts lengthen the delay in every
+			// run.
+			delay := time.Hour
 			for n := range 5 {
 				state := []string{"draining", "ready"}[n%2]
 				before := strings.Count(r.log.String(), "state="+state)
-				told := r.publishUnheard(spoil, e.entry(state, 0))
+				published := r.publishWithReplacedPolls(respond, e.entry(state, 0))
 				require.Eventually(t, func() bool { return strings.Count(r.log.String(), "state="+state) > before },
 					time.Minute, time.Millisecond)
-				age = min(age, time.Since(told))
+				delay = min(delay, time.Since(published))
 			}
-			t.Log("age of the news", age)
-			assert.Less(t, age, 500*time.Millisecond, "the grace of the settings")
+			t.Log("delay of the drain", delay)
+			assert.Less(t, delay, 500*time.Millisecond, "must be below drain_grace of the platform settings")
 		})
 	}
 }
 
-// A list may be far longer than any answer of an engine.
-func TestALongListIsHeard(t *testing.T) {
+// An endpoint list may be far longer than any answer of an engine.
+func TestLongEndpointListIsRead(t *testing.T) {
 	e := newEngine(t, nil)
 	r := start(t, e)
 	list := []string{e.entry("draining", 0)}
@@ -79,32 +80,33 @@
 	r.waitForLog("state=draining")
 }
 
-// An old address that takes no connection holds up neither the reload nor the end behind it.
-func TestAReloadWaitsForNoAddressThatTakesNoConnection(t *testing.T) {
-	late, coming, _ := lateEngine(t)
+// A reload does not wait for a connect to the old change log address that gets no answer. Neither does a shutdown that
+// follows a reload.
+func TestReloadDoesNotWaitForPendingConnect(t *testing.T) {
+	unconnectable, connecting, _ := newUnconnectableEngine(t)
 	e := newEngine(t, nil)
-	r := startAs(t, withoutHealthChecks(true), e)
-	address := strings.TrimPrefix(late.URL, "http://")
-	good := r.config
-	before, rest, _ := strings.Cut(good, `"changelog":"`)
-	old, _, _ := strings.Cut(rest, `"`)
-	r.write(before + `"changelog":"` + address + rest[len(old):])
+	r := startWithPlatformSettings(t, withoutHealthChecks(true), e)
+	address := strings.TrimPrefix(unconnectable.URL, "http://")
+	valid := r.config
+	before, rest, _ := strings.Cut(valid, `"changelog":"`)
+	oldAddress, _, _ := strings.Cut(rest, `"`)
+	r.write(before + `"changelog":"` + address + rest[len(oldAddress):])
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
 	r.waitForLog("changelog=" + address)
-	require.Eventually(t, coming, 10*time.Second, time.Millisecond)
-	r.write(good)
-	age := time.Hour
-	for range 3 { // the first meets the dial in hand
+	require.Eventually(t, connecting, 10*time.Second, time.Millisecond)
+	r.write(valid)
+	delay := time.Hour
+	for range 3 { // the connect is still pending during the first reload
 		began := time.Now()
 		n := strings.Count(r.log.String(), "msg=reloaded")
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
 		require.Eventually(t, func() bool { return strings.Count(r.log.String(), "msg=reloaded") > n }, 10*time.Second,
 			time.Millisecond)
-		if age == time.Hour {
-			age = time.Since(began)
+		if delay == time.Hour {
+			delay = time.Since(began)
 		}
 	}
-	assert.Less(t, age, 2*time.Second, "a dial of 8 s was waited for")
+	assert.Less(t, delay, 2*time.Second, "the reload waited for the connect, whose timeout is 8 s")
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, <-r.exit)
--- a/cmd/gateway/client_test.go
+++ b/cmd/gateway/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// client is a session of the MySQL protocol.
+// client is the client side of a MySQL session.
 type client struct {
 	t  *testing.T
 	c  net.Conn
@@ -29,7 +29,7 @@
 	text string
 }
 
-const login = "\x08\x82\x08\x00" + "\x00\x00\x00\x01" + "\x2d" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
+const loginPayload = "\x08\x82\x08\x00" + "\x00\x00\x00\x01" + "\x2d" + "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" +
 	"\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00" + "app\x00" + "\x00" + "bi\x00" + "mysql_native_password\x00"
 
 func packet(seq byte, payload string) string {
@@ -48,12 +48,12 @@
 // dial opens a session and logs in.
 func (r *testGateway) dial() *client {
 	c := r.connect()
-	c.send(1, login)
-	c.greeted()
+	c.send(1, loginPayload)
+	c.completeLogin()
 	return c
 }
 
-func (c *client) greeted() {
+func (c *client) completeLogin() {
 	p, err := c.packet()
 	require.NoError(c.t, err)
 	_, rest, _ := bytes.Cut(p, []byte{0})
@@ -76,7 +76,7 @@
 	return p, err
 }
 
-// read reads one whole answer; a connection that ends first is code -1.
+// read reads one whole answer. The code is -1 if the connection ends first.
 func (c *client) read() answer {
 	var a answer
 	for eofs := 0; eofs < 2; {
@@ -102,13 +102,13 @@
 	return a
 }
 
-// statement is a query of a class that is waited for so many milliseconds.
-func statement(class string, left int) string {
+// statement returns a COM_QUERY payload with a query of a class, whose client waits for deadlineMS milliseconds.
+func statement(class string, deadlineMS int) string {
 	return fmt.Sprintf("\x03/* c=%s,i=%016x,d=%d,t=south-grain,h=20.0,need_mb=16 */ SELECT a FROM sales_17.orders",
-		class, rand.Uint64(), left)
+		class, rand.Uint64(), deadlineMS)
 }
 
-func (c *client) query(class string, left int) answer {
-	c.send(0, statement(class, left))
+func (c *client) query(class string, deadlineMS int) answer {
+	c.send(0, statement(class, deadlineMS))
 	return c.read()
 }
--- a/cmd/gateway/config_test.go
+++ b/cmd/gateway/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBadConfigurationIsOneLine(t *testing.T) {
+func TestBadConfigurationIsReportedInOneLine(t *testing.T) {
 	for config, want := range map[string]string{
 		`{`:                           "JSON",
 		`{"changelog":"127.0.0.1:1"}`: "settings: missing",
@@ -29,10 +29,10 @@
 	}
 }
 
-// A setting that is missing, of a wrong type or out of range is told by one line that names it, its value and what it
-// may be.
+// A setting that is missing, of a wrong type or out of range is reported in one line with the name of the setting, its
+// value and the allowed values.
 func TestBadSettingsAreNamed(t *testing.T) {
-	for _, k := range []struct{ was, is, want string }{
+	for _, k := range []struct{ old, replacement, want string }{
 		{`"me":0`, `"me":1`, "settings.me: 1 is not allowed: it must be under settings.replicas_of_me, which is 1"},
 		{`"me":0`, `"me":0.5`, "me: 0.5 is not allowed: it must be a whole number from 0 on"},
 		{`"cancel":true`, `"cancel":"yes"`, `permissions.cancel: "yes" is not allowed: it must be true or false`},
@@ -49,10 +49,11 @@
 			`services[0].semantics: "odd" is not known: it must be one of ["idempotency_key" "non_idempotent" "read_like"]`},
 		{`"skus":["std-12"]`, `"skus":"std-12"`, `skus: "std-12" is not allowed: it must be a list`},
 	} {
-		require.Contains(t, defaultPlatformSettings, k.was)
+		require.Contains(t, defaultPlatformSettings, k.old)
 		r := &testGateway{t: t, addr: "127.0.0.1:0", log: &lockedBuffer{}, exit: make(chan error, 1)}
-		r.run(`{"changelog":"127.0.0.1:1","settings":` + strings.Replace(defaultPlatformSettings, k.was, k.is, 1) + `}`)
-		require.EqualError(t, <-r.exit, "exit status 1", k.is)
+		r.run(`{"changelog":"127.0.0.1:1","settings":` +
+			strings.Replace(defaultPlatformSettings, k.old, k.replacement, 1) + `}`)
+		require.EqualError(t, <-r.exit, "exit status 1", k.replacement)
 		assert.Contains(t, r.log.String(), k.want)
 		assert.Equal(t, 1, strings.Count(r.log.String(), "\n"), r.log.String())
 	}
@@ -68,8 +69,8 @@
 	}
 }
 
-// Settings that are merely unusual serve, whatever the names, the number and the order of the classes.
-func TestUnusualSettingsServe(t *testing.T) {
+// Valid but unusual settings are accepted: any names, number and order of classes, and optional settings left out.
+func TestUnusualSettingsAreAccepted(t *testing.T) {
 	class := func(name, semantics string, deadline int) string {
 		return fmt.Sprintf(`{"deadline":%d000000,"name":%q,"on_time":100000000,"points":1,"semantics":%q}`, deadline, name,
 			semantics)
@@ -80,18 +81,18 @@
 			300+i*5000))
 	}
 	for name, k := range map[string]struct {
-		facts   string
-		sockets int
+		platform string
+		sockets  int
 	}{
-		"one class, nothing else told": {`{"replicas_of_me":1,"services":[` + class("lookup", "read_like", 300) + `]}`,
+		"one class, no other settings": {`{"replicas_of_me":1,"services":[` + class("lookup", "read_like", 300) + `]}`,
 			1024},
-		"one unsafe class": {`{"replicas_of_me":1,"services":[` + class("lookup", "non_idempotent",
+		"one non-idempotent class": {`{"replicas_of_me":1,"services":[` + class("lookup", "non_idempotent",
 			300) + `]}`, 1024},
-		"ten classes":                  {`{"replicas_of_me":3,"me":2,"services":[` + strings.Join(ten, ",") + `]}`, 1024},
-		"a quarter of the descriptors": {defaultPlatformSettings, 64},
+		"ten classes":     {`{"replicas_of_me":3,"me":2,"services":[` + strings.Join(ten, ",") + `]}`, 1024},
+		"few descriptors": {defaultPlatformSettings, 64},
 		"no tenants": {strings.Replace(defaultPlatformSettings,
 			`"tenants":[{"allowance_per_s":1000,"fraction":1,"name":"south-grain"}]`, `"tenants":[]`, 1), 1024},
-		"no probes, no notes, no cancel": {strings.NewReplacer(`"tells_every":1000000000`,
+		"no health checks, no progress reports, no cancel": {strings.NewReplacer(`"tells_every":1000000000`,
 			`"tells_every":0`).Replace(withoutHealthChecks(false)), 1024},
 		"a short grace": {strings.Replace(defaultPlatformSettings, `"drain_grace":500000000`, `"drain_grace":1000000`, 1),
 			1024},
@@ -100,7 +101,7 @@
 			t.Parallel()
 			e := newEngine(t, nil)
 			r := (&testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1),
-				platformSettings: k.facts}).start(k.sockets, e)
+				platformSettings: k.platform}).start(k.sockets, e)
 			statement := fmt.Sprintf("\x03/* c=lookup,i=%016x,d=2000 */ SELECT a FROM sales_17.orders", 7)
 			c := r.dial()
 			c.send(0, statement)
--- a/cmd/gateway/deploy_test.go
+++ b/cmd/gateway/deploy_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDeployBuildLinksTheCLibrary guards against a build line that makes a program without the C library: Go resolves
-// nothing through it then, and what a platform loads into the process meets neither its sockets nor its clocks. The
-// program must be that of run, as one exec.
+// TestDeployBuildLinksTheCLibrary guards against a build line whose program is not linked to the C library. Go
+// resolves nothing through the C library in such a program, and a library that the platform loads into the process
+// reaches neither the program's sockets nor its clocks. The run line must start the built program with one exec.
 func TestDeployBuildLinksTheCLibrary(t *testing.T) {
 	file, err := os.ReadFile("../../deploy/balancer.toml")
 	require.NoError(t, err)
@@ -25,13 +25,13 @@
 		require.NotNil(t, m, key)
 		return string(m[1])
 	}
-	require.Regexp(t, `^exec [^ ;&|]+$`, line("run"), "one process, by one exec")
+	require.Regexp(t, `^exec [^ ;&|]+$`, line("run"), "the run line must be a single exec")
 	out := t.TempDir()
 	build := strings.ReplaceAll(strings.ReplaceAll(line("build"), "mkdir -p bin && ", ""), "-o bin/", "-o "+out+"/")
 	cmd := exec.Command("/bin/sh", "-c", build)
 	cmd.Dir = "../.."
-	said, err := cmd.CombinedOutput()
-	require.NoError(t, err, string(said))
+	output, err := cmd.CombinedOutput()
+	require.NoError(t, err, string(output))
 	program, err := elf.Open(filepath.Join(out, filepath.Base(strings.TrimPrefix(line("run"), "exec "))))
 	require.NoError(t, err)
 	defer func() { _ = program.Close() }()
@@ -39,12 +39,11 @@
 	require.NoError(t, err)
 	require.Contains(t, libraries, "libc.so.6")
 	loader := program.Section(".interp")
-	require.NotNil(t, loader, "the program names a dynamic loader")
+	require.NotNil(t, loader, "the program must be dynamically linked")
 }
 
-// TestDeployNamesEveryPackage guards against a package that the deployed program is linked from and that the deploy
-// file names under neither node nor policy: who judges a version by the files named there would judge another
-// program.
+// TestDeployNamesEveryPackage guards against a package of the deployed program that the deploy file lists under
+// neither node nor policy: a review of the listed files would then not cover the whole program.
 func TestDeployNamesEveryPackage(t *testing.T) {
 	var deploy struct{ Policy, Node []string }
 	_, err := toml.DecodeFile("../../deploy/balancer.toml", &deploy)
@@ -66,14 +65,15 @@
 			return folder == n || strings.HasPrefix(folder, n+"/")
 		}) ||
 			slices.ContainsFunc(deploy.Policy, func(p string) bool { return filepath.Dir(p) == folder })
-		require.True(t, named, "%s is in the deployed program, and deploy/balancer.toml names it under neither node nor "+
+		require.True(t, named, "%s is in the deployed program, but deploy/balancer.toml lists it under neither node nor "+
 			"policy", folder)
 	}
-	require.Greater(t, own, 10, "the packages of the program were listed")
+	require.Greater(t, own, 10, "go list must list the packages of the program")
 }
 
-// TestDeployNamesEveryPolicyFile guards against a file of a decision module that the deploy file doesn't name under
-// policy, and against a name there without a file: of a package of which it names one file, it names all.
+// TestDeployNamesEveryPolicyFile guards against a file of a decision package that is missing from policy in the
+// deploy file, and against an entry of policy without a file. If policy lists one file of a package, it must list all
+// of them.
 func TestDeployNamesEveryPolicyFile(t *testing.T) {
 	var deploy struct{ Policy []string }
 	_, err := toml.DecodeFile("../../deploy/balancer.toml", &deploy)
@@ -83,7 +83,7 @@
 	for _, named := range deploy.Policy {
 		folders[filepath.Dir(named)] = true
 	}
-	require.True(t, folders["admission"], "the decision module is named")
+	require.True(t, folders["admission"], "policy must list the package admission")
 	var present []string
 	for folder := range folders {
 		files, err := filepath.Glob(filepath.Join("../..", folder, "*.go"))
--- a/cmd/gateway/disconnect_matrix_test.go
+++ b/cmd/gateway/disconnect_matrix_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// departureBound is the time after its client left within which an attempt may still begin.
-	departureBound = 100 * time.Millisecond
-	// witnessBound is the time within which the program answers a ping while its machine gives it a core.
-	witnessBound = departureBound / 2
+	// disconnectBound is the time after a client's disconnect within which an attempt may still start.
+	disconnectBound = 100 * time.Millisecond
+	// pingBound is the time within which the program answers a ping if it is not short of CPU time.
+	pingBound = disconnectBound / 2
 )
 
-// postLog records when each request's POSTs arrived at any engine.
+// postLog records the arrival times of each request's POSTs at all engines.
 type postLog struct {
 	mu       sync.Mutex
 	arrivals map[string][]time.Time // by request id
@@ -31,7 +31,7 @@
 
 func newPostLog() *postLog { return &postLog{arrivals: map[string][]time.Time{}} }
 
-// wrap records the POSTs that an engine gets, and passes all calls on.
+// wrap returns a handler that records POSTs and passes all calls to handle.
 func (l *postLog) wrap(handle func(call string, w http.ResponseWriter, q *http.Request) bool) func(string,
 	http.ResponseWriter, *http.Request) bool {
 	return func(call string, w http.ResponseWriter, q *http.Request) bool {
@@ -45,7 +45,7 @@
 	}
 }
 
-// after lists the requests that were posted after that time, but for the one with that id.
+// after returns the ids of the requests whose last POST arrived after bound, without the id except.
 func (l *postLog) after(bound time.Time, except string) (ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,15 +57,15 @@
 	return ids
 }
 
-// disconnect is a client that waits for a request and is about to leave.
+// disconnect is a client that waits for a request and is about to disconnect.
 type disconnect struct {
-	way   string
-	ids   []string // of all requests that it sent
-	leave func()
-	heard func() // checks that the program took it, long after; nil: there is nobody to tell
+	method       string
+	ids          []string // of all requests that the client sent
+	leave        func()
+	checkAnswers func() // asserts the answers to the client; nil: the client gets no answer
 }
 
-// ping shows that the session serves, after which it may stay idle.
+// ping sends a ping and asserts that the answer is OK. A session that has sent a command has the long idle timeout.
 func (c *client) ping() {
 	c.send(0, "\x0e")
 	require.Zero(c.t, c.read().code)
@@ -76,9 +76,9 @@
 	return rest[:16]
 }
 
-// sendAndDisconnect sends requests over a session that is to leave in that way.
-func sendAndDisconnect(r *testGateway, way string, c *client, leave func(), payloads ...string) *disconnect {
-	d := &disconnect{way: way, leave: leave}
+// sendAndDisconnect sends requests over a session, and returns the disconnect that leave will make.
+func sendAndDisconnect(r *testGateway, method string, c *client, leave func(), payloads ...string) *disconnect {
+	d := &disconnect{method: method, leave: leave}
 	var packets []string
 	for _, p := range payloads {
 		if strings.Contains(p, "i=") {
@@ -87,10 +87,10 @@
 		packets = append(packets, packet(0, p))
 	}
 	out := strings.Join(packets, "")
-	if way == "close during the login" || way == "half-close during the login" {
-		out = packet(1, login) + out
+	if method == "close during the login" || method == "half-close during the login" {
+		out = packet(1, loginPayload) + out
 	}
-	if way == "close, half a packet behind" {
+	if method == "close with half a packet pipelined" {
 		out = out[:len(out)-30]
 	}
 	_, err := io.WriteString(c.c, out)
@@ -98,12 +98,13 @@
 	return d
 }
 
-// disconnects open a session for each way to leave, and send one request or several. One request of each is taken.
+// disconnects opens a session for each way to disconnect and sends one or more requests on each session. The program
+// accepts one request of each session.
 func disconnects(r *testGateway, class string) (all []*disconnect) {
-	add := func(way string, c *client, leave func(), payloads ...string) {
-		all = append(all, sendAndDisconnect(r, way, c, leave, payloads...))
+	add := func(method string, c *client, leave func(), payloads ...string) {
+		all = append(all, sendAndDisconnect(r, method, c, leave, payloads...))
 	}
-	ask := func() string { return statement(class, 20000) }
+	newStatement := func() string { return statement(class, 20000) }
 	closes := func(c *client) func() { return func() { assert.NoError(r.t, c.c.Close()) } }
 	halfCloses := func(c *client) func() {
 		return func() { assert.NoError(r.t, c.c.(*net.TCPConn).CloseWrite()) }
@@ -111,48 +112,48 @@
 
 	killed, killer := r.dial(), r.dial()
 	killer.ping()
-	add("kill", killed, func() { killer.send(0, fmt.Sprintf("\x03KILL QUERY %d", killed.id)) }, ask())
-	all[0].heard = func() {
+	add("kill", killed, func() { killer.send(0, fmt.Sprintf("\x03KILL QUERY %d", killed.id)) }, newStatement())
+	all[0].checkAnswers = func() {
 		assert.Zero(r.t, killer.read().code)
 		assert.Equal(r.t, 1317, killed.read().code)
 	}
 	c := r.dial()
-	add("close", c, closes(c), ask())
+	add("close", c, closes(c), newStatement())
 	c = r.dial()
-	add("half-close", c, halfCloses(c), ask())
+	add("half-close", c, halfCloses(c), newStatement())
 	reset := r.dial()
 	add("reset", reset, func() {
 		assert.NoError(r.t, reset.c.(*net.TCPConn).SetLinger(0))
 		assert.NoError(r.t, reset.c.Close())
-	}, ask())
+	}, newStatement())
 	c = r.dial()
-	add("close, an answer unread", c, closes(c), "\x0e", ask())
+	add("close with an unread answer", c, closes(c), "\x0e", newStatement())
 	c = r.dial()
-	add("close, requests behind", c, closes(c), ask(), ask(), ask())
+	add("close with pipelined requests", c, closes(c), newStatement(), newStatement(), newStatement())
 	c = r.dial()
-	add("close, half a packet behind", c, closes(c), ask(), ask())
+	add("close with half a packet pipelined", c, closes(c), newStatement(), newStatement())
 	c = r.dial()
-	add("close, 200 KB behind", c, closes(c), ask(), ask()+strings.Repeat(" ", 200<<10))
+	add("close with 200 KB pipelined", c, closes(c), newStatement(), newStatement()+strings.Repeat(" ", 200<<10))
 	c = r.connect()
-	add("close during the login", c, closes(c), ask())
+	add("close during the login", c, closes(c), newStatement())
 	c = r.connect()
-	add("half-close during the login", c, halfCloses(c), ask())
+	add("half-close during the login", c, halfCloses(c), newStatement())
 	return all
 }
 
-// obstacle keeps requests waiting until it is removed; then an attempt for each could begin at once.
+// obstacle keeps requests waiting. Once the obstacle is removed, an attempt for each request could start at once.
 type obstacle struct {
-	class   string // of the requests
-	engines []*engine
-	start   func(r *testGateway)               // before the requests are sent
-	waiting func(r *testGateway, requests int) // returns once so many wait
-	latest  func() time.Time                   // when they leave; nil: at once
-	remove  func(r *testGateway)
-	over    func(r *testGateway, requests int) // returns once what was out has ended; nil: nothing was
+	class        string // of the requests
+	engines      []*engine
+	start        func(r *testGateway)               // called before the requests are sent; nil: not needed
+	waitBlocked  func(r *testGateway, requests int) // returns when that many requests wait
+	disconnectAt func() time.Time                   // returns the time at which the clients disconnect; nil: at once
+	remove       func(r *testGateway)
+	waitEnded    func(r *testGateway, requests int) // returns when the attempts in flight have ended; nil: there are none
 }
 
-// drained keeps requests in the queue: no engine is ready.
-func drained(t *testing.T, posts *postLog) *obstacle {
+// noReadyEngine keeps requests in the queue, because no engine is ready.
+func noReadyEngine(t *testing.T, posts *postLog) *obstacle {
 	t.Helper()
 	old, ready := newEngine(t, posts.wrap(nil)), newEngine(t, posts.wrap(nil))
 	return &obstacle{
@@ -161,27 +162,27 @@
 			r.publish(old.entry("draining", 0))
 			r.waitForLog("state=draining")
 		},
-		waiting: func(r *testGateway, requests int) { r.waitForCounter("taken", int64(requests)) },
-		remove:  func(r *testGateway) { r.publish(ready.entry("ready", 0)) },
+		waitBlocked: func(r *testGateway, requests int) { r.waitForCounter("taken", int64(requests)) },
+		remove:      func(r *testGateway) { r.publish(ready.entry("ready", 0)) },
 	}
 }
 
-// unconnected keeps requests in a dial that their engine's machine does not answer.
-func unconnected(t *testing.T, posts *postLog) *obstacle {
+// pendingConnect keeps requests waiting for a connect that gets no answer.
+func pendingConnect(t *testing.T, posts *postLog) *obstacle {
 	t.Helper()
-	e, _, open := lateEngine(t)
+	e, _, open := newUnconnectableEngine(t)
 	e.handle = posts.wrap(nil)
 	remote := fmt.Appendf(nil, " 0100007F:%04X 02 ", e.Listener.Addr().(*net.TCPAddr).Port)
 	return &obstacle{
 		class: "lookup", engines: []*engine{e},
-		waiting: func(r *testGateway, requests int) {
+		waitBlocked: func(r *testGateway, requests int) {
 			require.Eventually(t, func() bool {
 				list, err := os.ReadFile("/proc/net/tcp")
 				return err == nil && bytes.Count(list, remote) == requests
 			}, 10*time.Second, time.Millisecond)
 		},
 		remove: func(*testGateway) { open() },
-		over: func(r *testGateway, requests int) {
+		waitEnded: func(r *testGateway, requests int) {
 			require.Eventually(t, func() bool {
 				return r.counter("ended_moot")+int64(e.count("POST")) >= int64(requests)
 			}, 15*time.Second, 5*time.Millisecond)
@@ -189,11 +190,12 @@
 	}
 }
 
-// openHandler answers a call of an engine whose obstacle is removed once open is closed.
+// openHandler handles a call to an engine. The obstacle is removed when open is closed.
 type openHandler func(open <-chan struct{}, call string, w http.ResponseWriter, q *http.Request) bool
 
-// attempted is an engine on which all attempts are out, with another that is ready to take what it gives back.
-func attempted(t *testing.T, posts *postLog, call string, handle openHandler) *obstacle {
+// attemptInFlight keeps the attempts of all requests in flight at one engine. Another engine is ready for their
+// retries.
+func attemptInFlight(t *testing.T, posts *postLog, call string, handle openHandler) *obstacle {
 	t.Helper()
 	open := make(chan struct{})
 	first := newEngine(t, posts.wrap(func(call string, w http.ResponseWriter, q *http.Request) bool {
@@ -202,14 +204,14 @@
 	other := newEngine(t, posts.wrap(nil))
 	return &obstacle{
 		class: "lookup", engines: []*engine{first},
-		waiting: func(r *testGateway, requests int) {
+		waitBlocked: func(r *testGateway, requests int) {
 			first.waitFor(t, "POST", requests)
 			r.publish(first.entry("draining", 0), other.entry("ready", 0))
 			r.waitForLog("engine=" + other.name)
 			first.waitFor(t, call, requests)
 		},
 		remove: func(*testGateway) { close(open) },
-		over: func(r *testGateway, requests int) {
+		waitEnded: func(r *testGateway, requests int) {
 			require.Eventually(t, func() bool {
 				n := int64(0)
 				for _, status := range []string{"full", "timeout", "reset", "cancelled", "moot", "error"} {
@@ -221,10 +223,10 @@
 	}
 }
 
-// refusing is an engine that gives its queries back unrun.
-func refusing(t *testing.T, posts *postLog) *obstacle {
+// rejectingEngine is an engine that rejects its queries without having run them.
+func rejectingEngine(t *testing.T, posts *postLog) *obstacle {
 	t.Helper()
-	return attempted(t, posts, "POST", func(open <-chan struct{}, call string, w http.ResponseWriter,
+	return attemptInFlight(t, posts, "POST", func(open <-chan struct{}, call string, w http.ResponseWriter,
 		q *http.Request) bool {
 		if call == "DELETE" {
 			select {
@@ -237,19 +239,19 @@
 			w.Header().Set("X-Unrun", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
-			running(w, q)
+			respondRunning(w, q)
 		}
 		return true
 	})
 }
 
-// forgetful is an engine that resets each POST, and knows nothing of the query.
-func forgetful(t *testing.T, posts *postLog) *obstacle {
+// engineWithoutQuery is an engine that resets each POST and does not know the query afterwards.
+func engineWithoutQuery(t *testing.T, posts *postLog) *obstacle {
 	t.Helper()
-	return attempted(t, posts, "GET 0", func(open <-chan struct{}, call string, w http.ResponseWriter,
+	return attemptInFlight(t, posts, "GET 0", func(open <-chan struct{}, call string, w http.ResponseWriter,
 		q *http.Request) bool {
 		if call == "POST" {
-			reset(w)
+			resetConnection(w)
 			return true
 		}
 		select {
@@ -261,26 +263,26 @@
 	})
 }
 
-// silent is an engine that answers nothing: an attempt is over 2.1 s after the last call.
-func silent(t *testing.T, posts *postLog) *obstacle {
+// unresponsiveEngine is an engine that answers no call. An attempt ends 2.1 s after the last call.
+func unresponsiveEngine(t *testing.T, posts *postLog) *obstacle {
 	t.Helper()
 	var mu sync.Mutex
 	var last time.Time
-	o := attempted(t, posts, "POST", func(_ <-chan struct{}, _ string, _ http.ResponseWriter, q *http.Request) bool {
+	o := attemptInFlight(t, posts, "POST", func(_ <-chan struct{}, _ string, _ http.ResponseWriter, q *http.Request) bool {
 		mu.Lock()
 		last = time.Now()
 		mu.Unlock()
 		<-q.Context().Done()
 		return true
 	})
-	o.latest = func() time.Time {
-		const callTime, overAfter = 350 * time.Millisecond, 2100 * time.Millisecond
+	o.disconnectAt = func() time.Time {
+		const callTime, endsAfter = 350 * time.Millisecond, 2100 * time.Millisecond
 		for {
 			mu.Lock()
 			at := last
 			mu.Unlock()
 			if time.Since(at) > 2*callTime {
-				return at.Add(callTime + overAfter - departureBound - 30*time.Millisecond)
+				return at.Add(callTime + endsAfter - disconnectBound - 30*time.Millisecond)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -289,56 +291,59 @@
 }
 
 var obstacles = map[string]func(t *testing.T, posts *postLog) *obstacle{
-	"in the queue":               drained,
-	"in a dial":                  unconnected,
-	"between two attempts":       refusing,
-	"while a POST is taken back": forgetful,
-	"in a pause":                 silent,
+	"while queued":               noReadyEngine,
+	"during a connect":           pendingConnect,
+	"between two attempts":       rejectingEngine,
+	"after the reset of a POST":  engineWithoutQuery,
+	"before a lost attempt ends": unresponsiveEngine,
 }
 
-// No attempt begins more than 0.1 s after its client has left, whether or not the program has been seen to notice:
-// what kept the request waiting goes away at that instant.
-func TestNoAttemptBeginsAfterItsClientLeft(t *testing.T) {
+// No attempt starts more than 0.1 s after its client has disconnected. The obstacle is removed 0.1 s after the
+// disconnect, whether or not the program has detected the disconnect.
+func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	for name, obstacle := range obstacles {
 		for _, cancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %t", name, cancel), func(t *testing.T) {
 				t.Parallel()
-				for !disconnectsAreHeard(t, obstacle, cancel, none) {
-					t.Log("the program was given no core: played again")
+				for !runDisconnects(t, obstacle, cancel, noPause) {
+					t.Log("the program was short of CPU time: repeated")
 				}
 			})
 		}
 	}
 }
 
-// A program that stood still over the leave and over the event that lets attempts begin looks at the leave first,
-// whichever came first.
-func TestNoAttemptBeginsAfterAStandstillOverTheLeave(t *testing.T) {
-	for _, name := range []string{"in the queue", "in a dial", "between two attempts", "while a POST is taken back"} {
+// A program that is paused during the disconnect and during the removal of the obstacle handles the disconnect first,
+// whichever of the two came first.
+func TestNoAttemptStartsAfterDisconnectDuringAPause(t *testing.T) {
+	for _, name := range []string{"while queued", "during a connect", "between two attempts",
+		"after the reset of a POST"} {
 		for _, cancel := range []bool{true, false} {
-			for order, stop := range map[string]pausePoint{"left first": leaveFirst, "free first": removalFirst} {
+			for order, pauseAt := range map[string]pausePoint{
+				"disconnect first": disconnectFirst, "removal first": removalFirst,
+			} {
 				t.Run(fmt.Sprintf("%s, cancel %t, %s", name, cancel, order), func(t *testing.T) {
 					t.Parallel()
-					disconnectsAreHeard(t, obstacles[name], cancel, stop)
+					runDisconnects(t, obstacles[name], cancel, pauseAt)
 				})
 			}
 		}
 	}
 }
 
-// pausePoint says whether the program has no core while its clients leave, and in which order it then finds what has
-// happened.
+// pausePoint states whether the program is paused while its clients disconnect, and whether they do so before or
+// after the obstacle is removed.
 type pausePoint int
 
 const (
-	none pausePoint = iota
-	leaveFirst
-	removalFirst // of the obstacle
+	noPause pausePoint = iota
+	disconnectFirst
+	removalFirst // the obstacle is removed first
 )
 
-// disconnectsAreHeard lets clients wait behind an obstacle and leave, and removes it once the bound is over. False:
-// the program had no core between the two, and the play tells nothing.
-func disconnectsAreHeard(t *testing.T, build func(*testing.T, *postLog) *obstacle, cancel bool, stop pausePoint) bool {
+// runDisconnects runs clients that wait behind an obstacle and disconnect, and removes the obstacle after
+// disconnectBound. The result is false if the program was short of CPU time in between, so that the run is void.
+func runDisconnects(t *testing.T, build func(*testing.T, *postLog) *obstacle, cancel bool, pauseAt pausePoint) bool {
 	t.Helper()
 	posts := newPostLog()
 	o := build(t, posts)
@@ -350,60 +355,61 @@
 		o.start(r)
 	}
 	clients := disconnects(r, o.class)
-	witness := r.dial()
-	witness.ping()
-	o.waiting(r, len(clients))
-	if o.latest != nil {
-		time.Sleep(time.Until(o.latest()))
+	observer := r.dial()
+	observer.ping()
+	o.waitBlocked(r, len(clients))
+	if o.disconnectAt != nil {
+		time.Sleep(time.Until(o.disconnectAt()))
 	}
-	goOn := func() {}
-	if stop != none {
-		goOn = r.pause()
+	resume := func() {}
+	if pauseAt != noPause {
+		resume = r.pause()
 	}
-	if stop == removalFirst {
+	if pauseAt == removalFirst {
 		o.remove(r)
-		time.Sleep(departureBound) // for the news to reach the machine
+		time.Sleep(disconnectBound) // for the event to arrive at the program's machine
 	}
 	for _, d := range clients {
 		d.leave()
 	}
-	left := time.Now()
-	starved := false
-	if stop == none {
-		witness.ping()
-		starved = time.Since(left) > witnessBound
+	disconnected := time.Now()
+	delayed := false
+	if pauseAt == noPause {
+		observer.ping()
+		delayed = time.Since(disconnected) > pingBound
 	}
-	time.Sleep(time.Until(left.Add(departureBound)))
-	if stop != removalFirst {
+	time.Sleep(time.Until(disconnected.Add(disconnectBound)))
+	if pauseAt != removalFirst {
 		o.remove(r)
 	}
-	if stop == leaveFirst {
-		time.Sleep(departureBound)
+	if pauseAt == disconnectFirst {
+		time.Sleep(disconnectBound)
 	}
-	goOn()
-	if o.over != nil {
-		o.over(r, len(clients))
+	resume()
+	if o.waitEnded != nil {
+		o.waitEnded(r, len(clients))
 	}
-	last := statement(o.class, 20000) // served where theirs would have been
-	witness.send(0, last)
-	a := witness.read()
+	last := statement(o.class, 20000) // must be served where the other requests would have been
+	observer.send(0, last)
+	a := observer.read()
 	assert.Zero(t, a.code, a.text)
-	if starved {
+	if delayed {
 		return false
 	}
-	assertHeard(t, clients, posts.after(left.Add(departureBound), requestID(last)))
+	assertNotSentLate(t, clients, posts.after(disconnected.Add(disconnectBound), requestID(last)))
 	return true
 }
 
-// assertHeard asserts that no request of a client that has left was sent late, and names the way it left.
-func assertHeard(t *testing.T, clients []*disconnect, late []string) {
+// assertNotSentLate asserts that no request of a disconnected client is in late. A failure names the method of the
+// disconnect.
+func assertNotSentLate(t *testing.T, clients []*disconnect, late []string) {
 	t.Helper()
 	for _, d := range clients {
-		if d.heard != nil {
-			d.heard()
+		if d.checkAnswers != nil {
+			d.checkAnswers()
 		}
 		for _, id := range d.ids {
-			assert.NotContains(t, late, id, d.way)
+			assert.NotContains(t, late, id, d.method)
 		}
 	}
 	assert.Empty(t, late)
--- a/cmd/gateway/endpoints.go
+++ b/cmd/gateway/endpoints.go
@@ -15,8 +15,8 @@
 	"beechcart/internal/source/endpointcache"
 )
 
-// endpointFollower keeps the endpoint list up to date from one source at a time. Its methods must not run concurrently:
-// the goroutine of server.serve makes all calls.
+// endpointFollower keeps the endpoint list up to date from one source at a time. Its methods must not run
+// concurrently: the goroutine of server.serve makes all calls.
 type endpointFollower struct {
 	paths     *configPaths
 	engines   *engine.Client
@@ -87,8 +87,8 @@
 	}
 }
 
-// reload reads both files again and follows the source that they name. Invalid or half-written files change nothing. No
-// other setting changes while the process runs.
+// reload reads both files again and follows the source that they name. Invalid or half-written files change nothing.
+// No other setting changes while the process runs.
 func (f *endpointFollower) reload() {
 	c, err := f.paths.load()
 	if err == nil && c.operators.Source == operatorconfig.SourceConsul && f.consul != nil &&
--- a/cmd/gateway/fakeengine_test.go
+++ b/cmd/gateway/fakeengine_test.go
@@ -16,25 +16,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// engine is a server as the program sees one. handle may answer a call itself.
+// engine is a fake engine. handle may answer a call itself, and reports whether the call was answered.
 type engine struct {
 	*httptest.Server
 	name   string
 	pages  []string
 	handle func(call string, w http.ResponseWriter, q *http.Request) bool
 
-	probes atomic.Int64 // that were answered
+	healthChecks atomic.Int64 // health checks that were answered
 
-	mu    sync.Mutex
-	calls []string // such as "POST 9b1f03aa5c7e2d41", "GET 0", "DELETE"
-	heads []http.Header
-	body  string
-	peers map[string]int // calls by connection
+	mu                sync.Mutex
+	calls             []string // such as "POST", "GET 0", "DELETE"
+	headers           []http.Header
+	body              string
+	callsByConnection map[string]int // by the remote address of the connection
 }
 
 func newEngine(t *testing.T, handle func(call string, w http.ResponseWriter, q *http.Request) bool) *engine {
 	t.Helper()
-	e := &engine{pages: []string{"a\tb\tc\n"}, handle: handle, peers: map[string]int{}}
+	e := &engine{pages: []string{"a\tb\tc\n"}, handle: handle, callsByConnection: map[string]int{}}
 	e.Server = httptest.NewServer(e)
 	e.name = fmt.Sprintf("s-%08x", e.Listener.Addr().(*net.TCPAddr).Port)
 	t.Cleanup(func() {
@@ -53,7 +53,7 @@
 func (e *engine) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path == "/-/gauges" {
 		w.Header().Set("X-Gauges", "util:0.10")
-		e.probes.Add(1)
+		e.healthChecks.Add(1)
 		return
 	}
 	call := q.Method
@@ -63,9 +63,9 @@
 	body, _ := io.ReadAll(q.Body)
 	e.mu.Lock()
 	e.calls = append(e.calls, call)
-	e.peers[q.RemoteAddr]++
+	e.callsByConnection[q.RemoteAddr]++
 	if call == "POST" {
-		e.heads, e.body = append(e.heads, q.Header), string(body)
+		e.headers, e.body = append(e.headers, q.Header), string(body)
 	}
 	e.mu.Unlock()
 	if e.handle != nil && e.handle(call, w, q) {
@@ -75,14 +75,14 @@
 	case "DELETE":
 		w.WriteHeader(http.StatusNoContent)
 	case "POST", "GET 0":
-		e.page(w, 0)
+		e.writePage(w, 0)
 	default:
 		n, _ := strconv.Atoi(strings.TrimPrefix(call, "GET "))
-		e.page(w, n)
+		e.writePage(w, n)
 	}
 }
 
-func (e *engine) page(w http.ResponseWriter, n int) {
+func (e *engine) writePage(w http.ResponseWriter, n int) {
 	if n == 0 {
 		w.Header().Set("X-Batches", strconv.Itoa(len(e.pages)))
 		w.Header().Set("X-Spent", "12.5")
@@ -93,7 +93,7 @@
 	fmt.Fprint(w, e.pages[n])
 }
 
-// count tells how many calls of a kind came.
+// count returns the number of calls of a kind that were received, such as "POST" or "GET 0".
 func (e *engine) count(call string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,16 +110,16 @@
 	require.Eventually(t, func() bool { return e.count(call) >= n }, 10*time.Second, 2*time.Millisecond, call)
 }
 
-// reset ends a connection without an answer, as a process that dies does.
-func reset(w http.ResponseWriter) {
+// resetConnection resets a connection without an answer, as the death of a process does.
+func resetConnection(w http.ResponseWriter) {
 	if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 }
 
-// running answers that the query is not yet over.
-func running(w http.ResponseWriter, q *http.Request) {
+// respondRunning answers after 20 ms that the query is still running.
+func respondRunning(w http.ResponseWriter, q *http.Request) {
 	select {
 	case <-time.After(20 * time.Millisecond):
 	case <-q.Context().Done():
@@ -129,16 +129,16 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// slow answers every call but DELETE that the query is not yet over.
-func slow(call string, w http.ResponseWriter, q *http.Request) bool {
+// neverFinish answers every call except DELETE with the status that the query is still running.
+func neverFinish(call string, w http.ResponseWriter, q *http.Request) bool {
 	if call != "DELETE" {
-		running(w, q)
+		respondRunning(w, q)
 	}
 	return call != "DELETE"
 }
 
-// heldEngine ends no query before release is closed.
-func heldEngine(t *testing.T) (e *engine, release chan struct{}) {
+// newBlockedEngine starts an engine whose queries run until release is closed.
+func newBlockedEngine(t *testing.T) (e *engine, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
 	return newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
@@ -146,7 +146,7 @@
 		case <-release:
 			return false
 		default:
-			return slow(call, w, q)
+			return neverFinish(call, w, q)
 		}
 	}), release
 }
--- a/cmd/gateway/fleet_test.go
+++ b/cmd/gateway/fleet_test.go
@@ -10,9 +10,9 @@
 	"beechcart/decision/rollout"
 )
 
-// Three requests were taken in the window before and end in this one, in which one comes: counted against what was
-// taken, the window had more failures than requests.
-func TestCountsOfAWindowArePossible(t *testing.T) {
+// Guards against a window with more failures than requests. Three requests that started in the previous window fail in
+// this window, in which only one request starts, so that a count of started requests would be lower than the failures.
+func TestFailuresInAWindowDoNotExceedRequests(t *testing.T) {
 	before := requestCounts(map[string]int64{"taken": 13, "served": 9, "served_late": 2, "refused": 1})
 	now := requestCounts(map[string]int64{"taken": 14, "served": 9, "served_late": 2, "refused": 1, "deadline": 3})
 	assert.Equal(t, rollout.RequestCounts{Requests: 10, Rejected: 1, Slow: 2}, before)
--- a/cmd/gateway/helper_test.go
+++ b/cmd/gateway/helper_test.go
@@ -21,7 +21,8 @@
 	"beechcart/internal/testbinary"
 )
 
-// program is the binary under test: a debug build, so that a broken invariant ends it.
+// program is the path of the binary under test. The binary is a debug build, in which a violated invariant ends the
+// process.
 var program string
 
 func TestMain(m *testing.M) { testbinary.Main(m, &program, "-race", "-tags", "debug") }
@@ -37,7 +38,7 @@
 {"deadline":25000000000,"late_worth":0.6,"name":"load","on_time":3000000000,"points":12,"semantics":"non_idempotent"}],
 "skus":["std-12"],"tenants":[{"allowance_per_s":1000,"fraction":1,"name":"south-grain"}],"zones":["room-a"]}`
 
-// testGateway is one front end process with the change log that it follows.
+// testGateway is one front end process and, unless changeLogAddr is set, the change log that the process reads.
 type testGateway struct {
 	t    *testing.T
 	addr string
@@ -45,18 +46,18 @@
 	log  *lockedBuffer
 	exit chan error
 
-	config, path     string // as written last, and where
-	settings         string // the file of the operators' settings; empty: none
+	config, path     string // the content written last, and its path
+	settings         string // the path of the operators' settings; empty: none
 	platformSettings string // the platform's settings; empty: defaultPlatformSettings
-	changeLogAddr    string // the change log's address; empty: the test serves it
+	changeLogAddr    string // the change log's address; empty: testGateway serves the change log
 
-	mu              sync.Mutex
-	events          []string
-	polls           int
-	pollsToCut      int                                          // so many polls of the change log are cut off
-	waitingPolls    int                                          // polls that wait for news
-	lastUnheardPoll int                                          // the polls up to this one hear nothing of the news
-	replacement     func(w http.ResponseWriter, q *http.Request) // what they get in its place
+	mu               sync.Mutex
+	events           []string
+	polls            int
+	pollsToCut       int                                          // the number of further polls to reset
+	waitingPolls     int                                          // polls in flight that wait for an event
+	lastReplacedPoll int                                          // the last poll that replacement answers
+	replacement      func(w http.ResponseWriter, q *http.Request) // answers polls in place of the change log
 
 	stats *processstats.Client
 }
@@ -78,34 +79,34 @@
 	return l.b.String()
 }
 
-// start runs the program with those engines in its list, and waits until it answers a ping.
+// start runs the program with the engines in its endpoint list, and waits until the program answers a ping.
 func start(t *testing.T, engines ...*engine) *testGateway {
 	t.Helper()
-	return startWith(t, 1024, engines...)
+	return startWithDescriptors(t, 1024, engines...)
 }
 
-// startAs is start with other settings of the platform.
-func startAs(t *testing.T, facts string, engines ...*engine) *testGateway {
+// startWithPlatformSettings is start with the given platform settings.
+func startWithPlatformSettings(t *testing.T, settings string, engines ...*engine) *testGateway {
 	t.Helper()
-	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), platformSettings: facts}
+	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), platformSettings: settings}
 	return r.start(1024, engines...)
 }
 
-// startWith is start with that many descriptors.
-func startWith(t *testing.T, sockets int, engines ...*engine) *testGateway {
+// startWithDescriptors is start with the given limit on descriptors.
+func startWithDescriptors(t *testing.T, sockets int, engines ...*engine) *testGateway {
 	t.Helper()
 	r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1)}
 	return r.start(sockets, engines...)
 }
 
-// start runs the program.
+// start runs the program with the engines in its endpoint list, and waits until the program answers a ping.
 func (r *testGateway) start(sockets int, engines ...*engine) *testGateway {
 	t := r.t
-	feed := r.changeLogAddr
-	if feed == "" {
-		feed = serve(t, r.changes)
+	logAddr := r.changeLogAddr
+	if logAddr == "" {
+		logAddr = serve(t, r.serveChanges)
 	}
-	r.addr = "127.0.0.1:0" // the machine chooses a port that nobody has; the log tells which
+	r.addr = "127.0.0.1:0" // the kernel chooses a free port; the log contains the port
 	var list []string
 	for _, e := range engines {
 		list = append(list, e.entry("ready", 0))
@@ -116,7 +117,7 @@
 	}
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
 		"sockets":%d},"changelog":%q,"known":{"seq":1,"results":[%s]},"settings":%s}`,
-		r.addr, sockets, feed, r.events[0], r.platformSettings)
+		r.addr, sockets, logAddr, r.events[0], r.platformSettings)
 	r.run(config)
 	t.Cleanup(func() {
 		_ = r.cmd.Process.Kill()
@@ -133,14 +134,14 @@
 		c.send(0, "\x0e")
 		code := c.read().code
 		if code == -1 && time.Since(began) > 2*time.Second {
-			continue // a machine that stood still: a session without a command is closed after 2.5 s
+			continue // the machine stalled: a session without a command is closed after 2.5 s
 		}
 		require.Zero(t, code)
 		return r
 	}
 }
 
-// serve answers HTTP at the address that it returns.
+// serve starts an HTTP server and returns its address.
 func serve(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -164,11 +165,11 @@
 	r.cmd.Stdout, r.cmd.Stderr = r.log, r.log
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(r.t, err)
-	theirs := os.NewFile(uintptr(pair[1]), "door")
-	defer func() { _ = theirs.Close() }()
+	inherited := os.NewFile(uintptr(pair[1]), "door")
+	defer func() { _ = inherited.Close() }()
 	r.stats = processstats.NewClient(os.NewFile(uintptr(pair[0]), "door"))
 	r.t.Cleanup(r.stats.Close)
-	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{theirs}, append(r.cmd.Env, processstats.DescriptorEnv+"=3")
+	r.cmd.ExtraFiles, r.cmd.Env = []*os.File{inherited}, append(r.cmd.Env, processstats.DescriptorEnv+"=3")
 	require.NoError(r.t, r.cmd.Start())
 	go func() { r.exit <- r.cmd.Wait() }()
 }
@@ -185,25 +186,25 @@
 		len(r.events)+1, strings.Join(entries, ",")))
 }
 
-func (r *testGateway) changes(w http.ResponseWriter, q *http.Request) {
+func (r *testGateway) serveChanges(w http.ResponseWriter, q *http.Request) {
 	since, _ := strconv.Atoi(q.URL.Query().Get("since"))
 	wait, _ := strconv.Atoi(q.URL.Query().Get("timeout"))
 	r.mu.Lock()
 	r.polls++
-	nth, held := r.polls, false
+	poll, waiting := r.polls, false
 	r.mu.Unlock()
 	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); ; time.Sleep(2 * time.Millisecond) {
 		r.mu.Lock()
-		events, cut, deaf, spoil := r.events, r.pollsToCut > 0, nth <= r.lastUnheardPoll, r.replacement
-		over := len(events) > since || time.Now().After(end) || q.Context().Err() != nil
-		switch wasHeld := held; {
-		case cut || deaf || over:
-			held = false
-			if wasHeld {
+		events, cut, replaced, respond := r.events, r.pollsToCut > 0, poll <= r.lastReplacedPoll, r.replacement
+		complete := len(events) > since || time.Now().After(end) || q.Context().Err() != nil
+		switch wasWaiting := waiting; {
+		case cut || replaced || complete:
+			waiting = false
+			if wasWaiting {
 				r.waitingPolls--
 			}
-		case !held:
-			held = true
+		case !waiting:
+			waiting = true
 			r.waitingPolls++
 		}
 		if cut {
@@ -211,36 +212,37 @@
 		}
 		r.mu.Unlock()
 		switch {
-		case deaf:
-			spoil(w, q)
+		case replaced:
+			respond(w, q)
 			return
 		case cut:
-			reset(w)
+			resetConnection(w)
 			return
-		case over:
+		case complete:
 			fmt.Fprintf(w, `{"seq":%d,"results":[%s]}`, len(events), strings.Join(events[min(since, len(events)):], ","))
 			return
 		}
 	}
 }
 
-// publishUnheard adds an event while a poll waits for news, and lets that poll, and all before it, get something else
-// in its place. It returns when the event stood in the change log.
-func (r *testGateway) publishUnheard(spoil func(w http.ResponseWriter, q *http.Request), entries ...string) time.Time {
+// publishWithReplacedPolls adds an event while exactly one poll waits for an event. That poll and all polls before it
+// are answered by respond instead. The result is the time just after the event was added.
+func (r *testGateway) publishWithReplacedPolls(respond func(w http.ResponseWriter, q *http.Request),
+	entries ...string) time.Time {
 	require.Eventually(r.t, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.waitingPolls != 1 {
 			return false
 		}
-		r.lastUnheardPoll, r.replacement = r.polls, spoil
+		r.lastReplacedPoll, r.replacement = r.polls, respond
 		r.append(entries...)
 		return true
 	}, 10*time.Second, time.Millisecond)
 	return time.Now()
 }
 
-// waitForCounter waits until a counter of the program has come to n.
+// waitForCounter waits until a counter of the program is at least n.
 func (r *testGateway) waitForCounter(name string, n int64) {
 	end := time.Now().Add(15 * time.Second)
 	for r.counter(name) < n {
@@ -261,8 +263,8 @@
 		10*time.Second, 5*time.Millisecond, text)
 }
 
-// call runs the program with those arguments to its end, and returns its exit code and all that it printed.
-func call(args ...string) (int, string) {
+// runProgram runs the program with args until it exits, and returns the exit code and the combined output.
+func runProgram(args ...string) (int, string) {
 	cmd := exec.Command(program, args...)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG=", "BEECHCART_SETTINGS=")
 	out, _ := cmd.CombinedOutput()
--- a/cmd/gateway/logger.go
+++ b/cmd/gateway/logger.go
@@ -24,8 +24,8 @@
 	return slog.New(slog.NewTextHandler(w, options))
 }
 
-// logWriter writes log lines in a separate goroutine, so that a log reader that has stopped reading blocks no caller. A
-// line that finds the queue full is dropped and counted as log_lost.
+// logWriter writes log lines in a separate goroutine, so that a log reader that has stopped reading blocks no caller.
+// A line that finds the queue full is dropped and counted as log_lost.
 type logWriter struct {
 	w        io.Writer
 	counters *invariant.Counters
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -16,43 +16,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-// retrySafeCodes are the codes that tell a client that a repeat is harmless.
+// retrySafeCodes are the error codes that tell a client that a retry is safe.
 var retrySafeCodes = []int{1040, 1203, 1226}
 
 func TestServesAllPagesUnchanged(t *testing.T) {
 	e := newEngine(t, nil)
 	e.pages = []string{"a\tb\tc\n\t\t\n", "d\t\u00e9\tf\n", strings.Repeat("x", 200) + "\t1\t2\n"}
 	c := start(t, e).connect()
-	// Login and first query come joined, and cut in the middle, before the greeting is read.
-	all := packet(1, login) + packet(0, statement("lookup", 2500))
+	// The login and the first query are sent in two parts, cut inside the login, before the greeting is read.
+	all := packet(1, loginPayload) + packet(0, statement("lookup", 2500))
 	for _, part := range []string{all[:50], all[50:]} {
 		_, err := io.WriteString(c.c, part)
 		require.NoError(t, err)
 	}
-	c.greeted()
+	c.completeLogin()
 	want := answer{rows: []string{"a\tb\tc", "\t\t", "d\t\u00e9\tf", strings.Repeat("x", 200) + "\t1\t2"}}
 	assert.Equal(t, want, c.read())
-	assert.Equal(t, want, c.query("lookup", 2500), "the session serves on")
+	assert.Equal(t, want, c.query("lookup", 2500), "the session must serve a second query")
 	assert.Equal(t, "SELECT a FROM sales_17.orders", e.body)
-	h := e.heads[0]
+	h := e.headers[0]
 	assert.Equal(t, "lookup", h.Get("X-Lane"))
 	assert.Len(t, h.Get("X-Txn"), 16)
 	assert.Regexp(t, `^[0-3]$`, h.Get("X-Weight-Class"))
 	assert.Regexp(t, `^[12]\d\d\d$`, h.Get("X-Limit-Ms"))
 }
 
-// An engine that gets no word of memory takes its own choice, and the controller books another figure.
-func TestGrantsReachTheEngine(t *testing.T) {
+// Guards against a query that is sent without its memory reservation where the platform takes one: the engine would
+// then reserve an amount of its own choice, which differs from the one that the controller counts.
+func TestMemoryReservationIsSentToTheEngine(t *testing.T) {
 	for grants, want := range map[bool]string{true: "24", false: ""} {
 		e := newEngine(t, nil)
-		r := startAs(t, strings.Replace(defaultPlatformSettings, `"lanes_count":true`,
+		r := startWithPlatformSettings(t, strings.Replace(defaultPlatformSettings, `"lanes_count":true`,
 			fmt.Sprintf(`"lanes_count":true,"takes_grants":%t,"most_grant":0.25`, grants), 1), e)
 		require.Zero(t, r.dial().query("lookup", 2500).code)
-		assert.Equal(t, want, e.heads[0].Get("X-Reserve"), "half over the estimate of 16 MB, where the platform takes grants")
+		assert.Equal(t, want, e.headers[0].Get("X-Reserve"),
+			"must be 1.5 times the estimate of 16 MB with takes_grants, and absent without")
 	}
 }
 
-func TestEndings(t *testing.T) {
+func TestRetryAfterEngineFailure(t *testing.T) {
 	fail := func(status int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }
 	}
@@ -62,15 +64,15 @@
 		posts int
 		code  int // 0: served
 	}{
-		"an error may be repeated where that is safe": {"lookup", fail(500), 2, 0},
-		"an error of a load is final":                 {"load", fail(500), 1, 1105},
-		"a reset of a load may have run": {"load", func(w http.ResponseWriter, _ *http.Request) { reset(w) },
-			1, 1105},
-		"a load that never ran goes out again": {"load", func(w http.ResponseWriter, _ *http.Request) {
+		"idempotent request is retried after an error":         {"lookup", fail(500), 2, 0},
+		"non-idempotent request is not retried after an error": {"load", fail(500), 1, 1105},
+		"non-idempotent request is not retried after a reset": {"load",
+			func(w http.ResponseWriter, _ *http.Request) { resetConnection(w) }, 1, 1105},
+		"non-idempotent request that did not run is retried": {"load", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Unrun", "1")
 			w.WriteHeader(503)
 		}, 2, 0},
-		"503 without the proof may have run": {"load", fail(503), 1, 1105},
+		"non-idempotent request is not retried after a 503 without X-Unrun": {"load", fail(503), 1, 1105},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var posts atomic.Int32
@@ -79,7 +81,7 @@
 				case call == "POST" && posts.Add(1) == 1:
 					k.first(w, q)
 				case call == "GET 0":
-					w.WriteHeader(500) // not known
+					w.WriteHeader(500) // the engine does not know the query
 				default:
 					return false
 				}
@@ -95,18 +97,18 @@
 	}
 }
 
-func TestLostPollIsAskedAgain(t *testing.T) {
+func TestLostResultPollIsRetried(t *testing.T) {
 	var gets atomic.Int32
-	var lost, again atomic.Int64
+	var lost, retried atomic.Int64
 	e := newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
 		switch {
 		case call == "POST":
-			running(w, q)
+			respondRunning(w, q)
 		case call == "GET 0" && gets.Add(1) == 1:
 			lost.Store(time.Now().UnixNano())
-			<-q.Context().Done() // silent, as a connection into a cut is
+			<-q.Context().Done() // no answer, as on a connection whose packets are lost
 		case call == "GET 0":
-			again.CompareAndSwap(0, time.Now().UnixNano())
+			retried.CompareAndSwap(0, time.Now().UnixNano())
 			return false
 		default:
 			return false
@@ -116,15 +118,15 @@
 	a := start(t, e).dial().query("load", 20000)
 	assert.Zero(t, a.code, a.text)
 	assert.Equal(t, 1, e.count("POST"))
-	assert.Less(t, time.Duration(again.Load()-lost.Load()), 2*time.Second,
-		"the engine gives a query up that nobody asks for")
+	assert.Less(t, time.Duration(retried.Load()-lost.Load()), 2*time.Second,
+		"the engine abandons a query that is not polled for 2 s")
 }
 
-func TestSilentEngineIsLeftOnlyWhenItsQueryIsOver(t *testing.T) {
+func TestUnresponsiveEngineIsReplacedOnlyOnceItsQueryIsOver(t *testing.T) {
 	t.Parallel()
-	var asked, posted atomic.Int64
+	var lastCall, sentElsewhere atomic.Int64
 	silent := func(q *http.Request) bool {
-		asked.Store(time.Now().UnixNano())
+		lastCall.Store(time.Now().UnixNano())
 		<-q.Context().Done()
 		return true
 	}
@@ -136,17 +138,18 @@
 			if first.CompareAndSwap(nil, e) || first.Load() == e {
 				return silent(q)
 			}
-			posted.CompareAndSwap(0, time.Now().UnixNano())
+			sentElsewhere.CompareAndSwap(0, time.Now().UnixNano())
 			return false
 		})
 		engines[i] = e
 	}
 	a := start(t, engines[:]...).dial().query("lookup", 20000)
 	assert.Zero(t, a.code, a.text)
-	assert.Greater(t, time.Duration(posted.Load()-asked.Load()), 2*time.Second, "two attempts were out at once")
+	assert.Greater(t, time.Duration(sentElsewhere.Load()-lastCall.Load()), 2*time.Second,
+		"two attempts were in flight at once")
 }
 
-func TestWrongPageIsNoAnswer(t *testing.T) {
+func TestWrongPageFailsTheRequest(t *testing.T) {
 	e := newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
 		if call == "GET 1" {
 			w.Header().Set("X-Batch", "2")
@@ -157,37 +160,38 @@
 	e.pages = []string{"a\tb\tc\n", "d\te\tf\n"}
 	a := start(t, e).dial().query("load", 20000)
 	assert.Equal(t, 1105, a.code)
-	assert.Empty(t, a.rows, "rows went out before the result was whole")
+	assert.Empty(t, a.rows, "rows were sent before the result was complete")
 }
 
-func TestAnswersWhenTheTimeRunsOut(t *testing.T) {
-	e := newEngine(t, slow)
+func TestAnswersAtTheDeadline(t *testing.T) {
+	e := newEngine(t, neverFinish)
 	a := start(t, e).dial().query("load", 1000)
 	assert.Equal(t, 1105, a.code)
 	assert.Contains(t, a.text, "time")
 	e.waitFor(t, "DELETE", 1)
 }
 
-// Guards against queries that stay out for good where the platform lets nobody cancel: on a day on which one class
-// hung at two engines they filled every bound, and six in ten requests were refused while the engines idled.
-func TestAQueryThatCannotBeCancelledIsAskedForNoMore(t *testing.T) {
-	var asked atomic.Int64
+// Guards against queries that stay in flight forever where the platform does not permit cancellation. When the
+// queries of one class hung at two engines, such queries filled every limit, and six in ten requests were rejected
+// while the engines idled.
+func TestPollingEndsAtTheDeadlineWithoutCancelPermission(t *testing.T) {
+	var lastCall atomic.Int64
 	e := newEngine(t, func(call string, w http.ResponseWriter, q *http.Request) bool {
-		asked.Store(time.Now().UnixNano())
-		return slow(call, w, q)
+		lastCall.Store(time.Now().UnixNano())
+		return neverFinish(call, w, q)
 	})
-	r := startAs(t, strings.Replace(defaultPlatformSettings, `"cancel":true`, `"cancel":false`, 1), e)
+	r := startWithPlatformSettings(t, strings.Replace(defaultPlatformSettings, `"cancel":true`, `"cancel":false`, 1), e)
 	assert.Equal(t, 1105, r.dial().query("lookup", 1000).code)
-	assert.Eventually(t, func() bool { return time.Now().UnixNano()-asked.Load() > int64(time.Second) }, 10*time.Second,
+	assert.Eventually(t, func() bool { return time.Now().UnixNano()-lastCall.Load() > int64(time.Second) }, 10*time.Second,
 		10*time.Millisecond)
 	assert.Zero(t, e.count("DELETE"))
 }
 
-func TestSessionsThatAskNothingAreClosed(t *testing.T) {
+func TestSessionsWithoutQueryAreClosed(t *testing.T) {
 	r := start(t, newEngine(t, nil))
 	for name, in := range map[string]string{
-		"silent": "", "half a login": packet(1, login)[:30], "no query": packet(1, login),
-		"half a query": packet(1, login) + packet(0, statement("lookup", 2500))[:40],
+		"silent": "", "half a login": packet(1, loginPayload)[:30], "no query": packet(1, loginPayload),
+		"half a query": packet(1, loginPayload) + packet(0, statement("lookup", 2500))[:40],
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -197,59 +201,60 @@
 			began := time.Now()
 			_, err = io.Copy(io.Discard, c.r)
 			require.NoError(t, err)
-			assert.Less(t, time.Since(began), 4*time.Second, "a close is owed within 3 s")
+			assert.Less(t, time.Since(began), 4*time.Second, "the session must be closed within 3 s")
 		})
 	}
 }
 
-// At the bound silent peers make room, then those that have been idle for longest, and none that is at work.
-func TestSessionsOfLeastUseMakeRoom(t *testing.T) {
-	e, release := heldEngine(t)
-	r := startWith(t, 50, e)
-	asked := func() *client {
+// At the session limit, a new session evicts a session that has sent nothing, or else the session that has been idle
+// for longest. A session with a request in flight is not evicted.
+func TestIdleSessionsAreEvictedAtTheSessionLimit(t *testing.T) {
+	e, release := newBlockedEngine(t)
+	r := startWithDescriptors(t, 50, e)
+	pinged := func() *client {
 		c := r.dial()
 		c.send(0, "\x0e")
 		require.Zero(t, c.read().code)
 		return c
 	}
-	busy, early, late := r.dial(), asked(), asked()
+	busy, early, late := r.dial(), pinged(), pinged()
 	busy.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 1)
-	mute := r.connect()
-	time.Sleep(1100 * time.Millisecond) // it has to be silent for so long
-	for range 50*2/5 - 5 {              // with the session that start pinged on
-		asked()
+	silent := r.connect()
+	time.Sleep(1100 * time.Millisecond) // a session without a command may be evicted after 1 s
+	for range 50*2/5 - 5 {              // the session of the ping in start counts as well
+		pinged()
 	}
 	ended := func(c *client) bool {
 		require.NoError(t, c.c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 		_, err := io.Copy(io.Discard, c.r)
 		return err == nil
 	}
-	asked()
-	require.Eventually(t, func() bool { return ended(mute) }, 10*time.Second, time.Millisecond)
+	pinged()
+	require.Eventually(t, func() bool { return ended(silent) }, 10*time.Second, time.Millisecond)
 	assert.False(t, ended(early))
-	asked() // in place of the one that start pinged on
-	asked()
+	pinged() // evicts the session of the ping in start
+	pinged()
 	require.Eventually(t, func() bool { return ended(early) }, 10*time.Second, time.Millisecond)
 	assert.False(t, ended(late))
-	fresh := r.connect() // it is about to ask
-	asked()
+	fresh := r.connect() // has not sent anything yet
+	pinged()
 	assert.True(t, ended(late))
-	fresh.send(1, login)
-	fresh.greeted()
+	fresh.send(1, loginPayload)
+	fresh.completeLogin()
 	close(release)
 	assert.Zero(t, busy.read().code)
 }
 
-func TestInputBehindAnOpenRequestIsBounded(t *testing.T) {
-	e := newEngine(t, slow)
+func TestInputDuringARequestIsBounded(t *testing.T) {
+	e := newEngine(t, neverFinish)
 	r := start(t, e)
 	c := r.dial()
 	c.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 1)
 	for {
 		if _, err := c.c.Write(make([]byte, 64<<10)); err != nil {
-			break // else until the time of the connection is over
+			break // the front end has closed the session; the deadline of the connection ends the loop otherwise
 		}
 	}
 	e.waitFor(t, "DELETE", 1)
@@ -257,8 +262,9 @@
 	r.waitForLog("sessions_flooded=1")
 }
 
-// A close with input unread resets the connection, and the error that was just written may be lost.
-func TestTheLastErrorIsNotLost(t *testing.T) {
+// Guards against an error that is lost because the front end closes the connection with unread input: the close then
+// resets the connection, and the client may not receive the error.
+func TestErrorIsDeliveredBeforeClose(t *testing.T) {
 	r := start(t, newEngine(t, nil))
 	for range 20 {
 		c := r.dial()
@@ -270,7 +276,7 @@
 	}
 }
 
-func TestLeavingClientsEndTheirQueries(t *testing.T) {
+func TestDisconnectCancelsTheQuery(t *testing.T) {
 	for name, leave := range map[string]func(t *testing.T, r *testGateway, c *client){
 		"kill": func(t *testing.T, r *testGateway, c *client) {
 			t.Helper()
@@ -284,7 +290,7 @@
 		"close": func(_ *testing.T, _ *testGateway, c *client) { c.c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngine(t, slow)
+			e := newEngine(t, neverFinish)
 			r := start(t, e)
 			c := r.dial()
 			c.send(0, statement("load", 20000))
@@ -296,16 +302,16 @@
 	}
 }
 
-func TestAnIdThatIsOpenIsNotTakenTwice(t *testing.T) {
-	e, release := heldEngine(t)
+func TestDuplicateRequestIDInFlightIsRejected(t *testing.T) {
+	e, release := newBlockedEngine(t)
 	r := start(t, e)
-	one, two, q := r.dial(), r.dial(), statement("lookup", 2500)
-	one.send(0, q)
+	first, second, q := r.dial(), r.dial(), statement("lookup", 2500)
+	first.send(0, q)
 	e.waitFor(t, "POST", 1)
-	two.send(0, q)
-	assert.Equal(t, 1105, two.read().code)
+	second.send(0, q)
+	assert.Equal(t, 1105, second.read().code)
 	close(release)
-	assert.Zero(t, one.read().code)
+	assert.Zero(t, first.read().code)
 }
 
 func TestDrainStopsSendsAndRejectionCarriesRetryAfter(t *testing.T) {
@@ -314,69 +320,69 @@
 	c := r.dial()
 	require.Zero(t, c.query("lookup", 2500).code)
 	r.mu.Lock()
-	r.pollsToCut = 2 // the poll has to survive cuts
+	r.pollsToCut = 2 // the reads must recover from polls that are reset
 	r.mu.Unlock()
 	r.publish(e.entry("draining", 0))
 	r.waitForLog("state=draining")
 	a := c.query("lookup", 2500)
 	assert.Contains(t, retrySafeCodes, a.code, a.text)
-	assert.Regexp(t, `; w=[1-9]\d*$`, a.text, "clients read the pause there")
+	assert.Regexp(t, `; w=[1-9]\d*$`, a.text, "clients read the retry delay from the end of the text")
 	assert.Equal(t, 1, e.count("POST"))
 	r.waitForLog("change log back")
 }
 
-func TestReloadMovesTheChangeLogAtOnce(t *testing.T) {
+func TestReloadSwitchesTheChangeLogAtOnce(t *testing.T) {
 	e := newEngine(t, nil)
 	r := start(t, e)
 	var old, next, firstSince atomic.Int64
-	var dropped atomic.Bool
-	silent := serve(t, func(w http.ResponseWriter, q *http.Request) { // a log that has moved tells nothing more
+	var pollCancelled atomic.Bool
+	silent := serve(t, func(w http.ResponseWriter, q *http.Request) { // a change log that never answers
 		old.Add(1)
 		<-q.Context().Done()
-		dropped.Store(true)
+		pollCancelled.Store(true)
 	})
-	moved := serve(t, func(w http.ResponseWriter, q *http.Request) {
+	newAddress := serve(t, func(w http.ResponseWriter, q *http.Request) {
 		if next.Add(1) == 1 {
 			n, _ := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64)
 			firstSince.Store(n)
 		}
-		r.changes(w, q)
+		r.serveChanges(w, q)
 	})
-	reload := func(config, says string) {
+	reload := func(config, want string) {
 		r.write(config)
 		require.NoError(t, r.cmd.Process.Signal(syscall.SIGHUP))
-		r.waitForLog(says)
+		r.waitForLog(want)
 	}
-	good := r.config
-	reload(good[:len(good)/2], "reload failed")
-	reload(regexp.MustCompile(`"changelog":"[^"]*"`).ReplaceAllString(good, `"changelog":"`+silent+`"`),
+	valid := r.config
+	reload(valid[:len(valid)/2], "reload failed")
+	reload(regexp.MustCompile(`"changelog":"[^"]*"`).ReplaceAllString(valid, `"changelog":"`+silent+`"`),
 		"changelog="+silent)
 	require.Eventually(t, func() bool { return old.Load() == 1 }, 10*time.Second, time.Millisecond)
-	reload(strings.Replace(r.config, silent, moved, 1), "changelog="+moved)
-	require.Eventually(t, func() bool { return dropped.Load() && next.Load() > 0 }, 10*time.Second, time.Millisecond)
-	assert.EqualValues(t, 1, firstSince.Load(), "the number of the last event is kept")
+	reload(strings.Replace(r.config, silent, newAddress, 1), "changelog="+newAddress)
+	require.Eventually(t, func() bool { return pollCancelled.Load() && next.Load() > 0 }, 10*time.Second, time.Millisecond)
+	assert.EqualValues(t, 1, firstSince.Load(), "the first poll must resume after the last event")
 	assert.EqualValues(t, 1, old.Load())
-	assert.NotContains(t, r.log.String(), "change log lost", "a poll that was dropped on purpose is no loss")
+	assert.NotContains(t, r.log.String(), "change log lost", "a poll that the reload cancels must not be logged as a loss")
 	r.publish(e.entry("draining", 0))
 	r.waitForLog("state=draining")
 	assert.Contains(t, retrySafeCodes, r.dial().query("lookup", 2500).code)
 }
 
-func TestStopsAfterAnsweringAll(t *testing.T) {
-	e, release := heldEngine(t)
+func TestShutdownAnswersAllRequests(t *testing.T) {
+	e, release := newBlockedEngine(t)
 	r := start(t, e)
 	early, idle := r.dial(), r.dial()
 	early.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 1)
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
 	r.waitForLog("stopping")
-	late := r.dial() // connections keep coming for a while
+	late := r.dial() // the listener stays open for a while
 	late.send(0, statement("load", 20000))
 	e.waitFor(t, "POST", 2)
-	assert.Equal(t, -1, idle.read().code, "an idle session is closed")
+	assert.Equal(t, -1, idle.read().code, "an idle session must be closed")
 	select {
 	case err := <-r.exit:
-		t.Fatalf("ended with requests open: %v", err)
+		t.Fatalf("the program ended with requests in flight: %v", err)
 	default:
 	}
 	close(release)
@@ -386,9 +392,9 @@
 	assert.Contains(t, r.log.String(), "msg=stopped")
 }
 
-func TestStopsBeforeItIsKilled(t *testing.T) {
+func TestShutdownEndsBeforeThePlatformKills(t *testing.T) {
 	t.Parallel()
-	e := newEngine(t, slow)
+	e := newEngine(t, neverFinish)
 	r := start(t, e)
 	load, lookup := r.dial(), r.dial()
 	load.send(0, statement("load", 20000))
@@ -396,41 +402,41 @@
 	e.waitFor(t, "POST", 2)
 	began := time.Now()
 	require.NoError(t, r.cmd.Process.Signal(syscall.SIGTERM))
-	assert.Contains(t, retrySafeCodes, lookup.read().code, "another front end can serve it")
+	assert.Contains(t, retrySafeCodes, lookup.read().code, "a retry at another front end must be allowed")
 	assert.Equal(t, 1105, load.read().code)
 	r.waitForLog("msg=stopped")
-	assert.Less(t, time.Since(began), 3700*time.Millisecond, "the platform kills it then")
+	assert.Less(t, time.Since(began), 3700*time.Millisecond, "the platform kills the process after 3.7 s")
 }
 
-func TestMalformedInputEndsNothingButItsSession(t *testing.T) {
+func TestMalformedInputAffectsOnlyItsSession(t *testing.T) {
 	r := start(t, newEngine(t, nil))
-	hello := packet(1, login)
+	prefix := packet(1, loginPayload)
 	for name, k := range map[string]struct {
 		in   string
 		code int
 	}{
-		"not a login":       {packet(1, "hello"), 1043},
-		"empty packet":      {"\x00\x00\x00\x01", 1153},
-		"oversized packet":  {"\xff\xff\xff\x01", 1153},
-		"other user":        {packet(1, strings.Replace(login, "app", "eve", 1)), 1045},
-		"unknown command":   {hello + packet(0, "\x1fx"), 1047},
-		"no fields":         {hello + packet(0, "\x03SELECT 1"), 1064},
-		"open comment":      {hello + packet(0, "\x03/* c=lookup"), 1064},
-		"unknown class":     {hello + packet(0, "\x03/* c=x,i=0000000000000001,d=1 */ SELECT 1"), 1064},
-		"id of wrong form":  {hello + packet(0, "\x03/* c=lookup,i=zz,d=1 */ SELECT 1"), 1064},
-		"no time left":      {hello + packet(0, "\x03/* c=lookup,i=0000000000000001,d=1 */ SELECT 1"), 1040},
-		"unknown tenant":    {hello + packet(0, "\x03/* c=lookup,i=0000000000000001,d=900,t=nobody */ SELECT 1"), 1064},
-		"class twice":       {hello + packet(0, "\x03/* c=load,c=lookup,i=0000000000000001,d=900 */ SELECT 1"), 1064},
-		"signed time":       {hello + packet(0, "\x03/* c=lookup,i=0000000000000001,d=+900 */ SELECT 1"), 1064},
-		"endless time":      {hello + packet(0, "\x03/* c=lookup,i=0000000000000001,d=Inf */ SELECT 1"), 1064},
-		"time is no number": {hello + packet(0, "\x03/* c=lookup,i=0000000000000001,d=NaN */ SELECT 1"), 1064},
+		"not a login":          {packet(1, "hello"), 1043},
+		"empty packet":         {"\x00\x00\x00\x01", 1153},
+		"oversized packet":     {"\xff\xff\xff\x01", 1153},
+		"other user":           {packet(1, strings.Replace(loginPayload, "app", "eve", 1)), 1045},
+		"unknown command":      {prefix + packet(0, "\x1fx"), 1047},
+		"no fields":            {prefix + packet(0, "\x03SELECT 1"), 1064},
+		"unterminated comment": {prefix + packet(0, "\x03/* c=lookup"), 1064},
+		"unknown class":        {prefix + packet(0, "\x03/* c=x,i=0000000000000001,d=1 */ SELECT 1"), 1064},
+		"malformed id":         {prefix + packet(0, "\x03/* c=lookup,i=zz,d=1 */ SELECT 1"), 1064},
+		"no time left":         {prefix + packet(0, "\x03/* c=lookup,i=0000000000000001,d=1 */ SELECT 1"), 1040},
+		"unknown tenant":       {prefix + packet(0, "\x03/* c=lookup,i=0000000000000001,d=900,t=nobody */ SELECT 1"), 1064},
+		"class twice":          {prefix + packet(0, "\x03/* c=load,c=lookup,i=0000000000000001,d=900 */ SELECT 1"), 1064},
+		"signed duration":      {prefix + packet(0, "\x03/* c=lookup,i=0000000000000001,d=+900 */ SELECT 1"), 1064},
+		"infinite duration":    {prefix + packet(0, "\x03/* c=lookup,i=0000000000000001,d=Inf */ SELECT 1"), 1064},
+		"duration is NaN":      {prefix + packet(0, "\x03/* c=lookup,i=0000000000000001,d=NaN */ SELECT 1"), 1064},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.connect()
 			_, err := io.WriteString(c.c, k.in)
 			require.NoError(t, err)
-			if strings.HasPrefix(k.in, hello) {
-				c.greeted()
+			if strings.HasPrefix(k.in, prefix) {
+				c.completeLogin()
 			} else {
 				_, err = c.packet() // the greeting
 				require.NoError(t, err)
@@ -439,5 +445,5 @@
 			assert.Equal(t, k.code, a.code, a.text)
 		})
 	}
-	assert.Zero(t, r.dial().query("lookup", 2500).code, "others are served on")
+	assert.Zero(t, r.dial().query("lookup", 2500).code, "other sessions must still be served")
 }
--- a/cmd/gateway/outage_test.go
+++ b/cmd/gateway/outage_test.go
@@ -12,27 +12,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outage is a way in which the change log can't be read.
+// outage is a fault of the change log.
 type outage int
 
 const (
 	working      outage = iota
-	unreachable         // its machine answers no connection
-	notListening        // nobody listens
-	mute                // connections are accepted, and calls never answered
+	unreachable         // connects get no answer
+	notListening        // connects are refused
+	hanging             // connects succeed, and calls are never answered
 	resetting           // each call is reset
 	unavailable         // each call is answered 503
-	slowly              // each call is answered, 1 to 3 s late
+	slow                // each call is answered, 1 to 3 s late
 )
 
-// changeLog serves a rig's change log at one address, with outages.
+// changeLog serves the change log of a testGateway at a fixed address, and simulates outages.
 type changeLog struct {
-	t       *testing.T
-	address string
-	changes http.HandlerFunc
-	state   atomic.Int64 // an outage that the handler plays
-	server  *http.Server // nil while nobody serves
-	stop    func()       // ends the outage that needs a socket; nil: none
+	t            *testing.T
+	address      string
+	serveChanges http.HandlerFunc
+	state        atomic.Int64 // the outage in force, for the handler
+	server       *http.Server // the server started last; closed during some outages
+	stop         func()       // ends an outage in which the server is closed; nil: the server runs
 }
 
 func newChangeLog(t *testing.T) *changeLog {
@@ -52,30 +52,30 @@
 
 func (c *changeLog) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch outage(c.state.Load()) {
-	case mute:
+	case hanging:
 		<-q.Context().Done()
 	case resetting:
-		reset(w)
+		resetConnection(w)
 	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case slowly:
+	case slow:
 		select {
 		case <-time.After(time.Second + rand.N(2*time.Second)):
-			c.changes(w, q)
+			c.serveChanges(w, q)
 		case <-q.Context().Done():
 		}
 	default:
-		c.changes(w, q)
+		c.serveChanges(w, q)
 	}
 }
 
-// fail begins an outage: all connections are closed.
+// fail starts an outage and closes all connections.
 func (c *changeLog) fail(o outage) {
 	c.state.Store(int64(o))
 	require.NoError(c.t, c.server.Close())
 	switch o {
 	case unreachable:
-		c.stop = unanswered(c.t, c.address)
+		c.stop = blockConnections(c.t, c.address)
 	case notListening:
 		c.stop = func() {}
 	default:
@@ -102,8 +102,9 @@
 	return l
 }
 
-// unanswered lets the machine answer no connection to the address before stop is called.
-func unanswered(t *testing.T, address string) (stop func()) {
+// blockConnections leaves connects to the address without an answer until stop is called: it fills the backlog of a
+// listener that accepts nothing.
+func blockConnections(t *testing.T, address string) (stop func()) {
 	t.Helper()
 	a, err := net.ResolveTCPAddr("tcp", address)
 	require.NoError(t, err)
--- a/cmd/gateway/restart_test.go
+++ b/cmd/gateway/restart_test.go
@@ -20,32 +20,33 @@
 )
 
 const (
-	// readyBound is the time in which a process that was started again is ready.
+	// readyBound is the time within which a restarted process is ready.
 	readyBound = 10 * time.Second
-	// readyShare is the share of the processes that keep to it, in percent.
-	readyShare = 90
-	// mostDelay is the time for which a process may have waited for a core, in all its threads. Over it the play tells
-	// nothing.
-	mostDelay = readyBound / 5
+	// readyPercent is the least share of processes that are ready within readyBound.
+	readyPercent = 90
+	// maxRunDelay is the time that all threads of a process together may have waited for a core. A failure in which a
+	// late process has waited for longer is void.
+	maxRunDelay = readyBound / 5
 )
 
-// Front ends that end all at once and are started again all at once are ready in their time, whatever ails the change
-// log meanwhile.
+// Front ends that all end and restart at the same time are ready within readyBound, whichever fault the change log has
+// meanwhile.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
-	for name, o := range map[string]outage{"working": working, "slow": slowly, "mute": mute, "refusing": notListening,
+	for name, o := range map[string]outage{"working": working, "slow": slow, "mute": hanging, "refusing": notListening,
 		"unreachable": unreachable} {
-		for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-			t.Run(fmt.Sprintf("%s, %s", name, end), func(t *testing.T) {
-				for !restartsInTime(t, o, end) {
-					t.Log("the processes were given no core: played again")
+		for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
+			t.Run(fmt.Sprintf("%s, %s", name, signal), func(t *testing.T) {
+				for !restartsInTime(t, o, signal) {
+					t.Log("the processes were short of CPU time: repeated")
 				}
 			})
 		}
 	}
 }
 
-// restartsInTime plays one restart of all processes. False: some of them got no core, and the play tells nothing.
-func restartsInTime(t *testing.T, o outage, end syscall.Signal) bool {
+// restartsInTime restarts all processes once. The result is false if too few processes were ready in time and a late
+// one was short of CPU time, so that the run is void.
+func restartsInTime(t *testing.T, o outage, signal syscall.Signal) bool {
 	t.Helper()
 	const processes = 20
 	e, log := newEngine(t, nil), newChangeLog(t)
@@ -53,7 +54,7 @@
 	for i := range all {
 		r := &testGateway{t: t, log: &lockedBuffer{}, exit: make(chan error, 1), changeLogAddr: log.address}
 		if i == 0 {
-			log.changes = r.changes // all follow the list of the first
+			log.serveChanges = r.serveChanges // all processes read the change log of the first
 		}
 		all[i] = r.start(1024, e)
 	}
@@ -61,7 +62,7 @@
 		log.fail(o)
 	}
 	for _, r := range all {
-		require.NoError(t, r.cmd.Process.Signal(end))
+		require.NoError(t, r.cmd.Process.Signal(signal))
 	}
 	for _, r := range all {
 		r.t.Log("ended:", <-r.exit)
@@ -78,19 +79,19 @@
 	}
 	started.Wait()
 	ready := 0
-	starved := false
+	delayed := false
 	for i, r := range all {
 		if took[i] <= readyBound {
 			ready++
-		} else if r.runDelay() > mostDelay {
-			starved = true
+		} else if r.runDelay() > maxRunDelay {
+			delayed = true
 		}
 	}
-	t.Logf("ready: %d of %d, the last after %v", ready, processes, slices.Max(took))
-	if ready*100 < processes*readyShare && starved {
+	t.Logf("ready: %d of %d, the slowest after %v", ready, processes, slices.Max(took))
+	if ready*100 < processes*readyPercent && delayed {
 		return false
 	}
-	assert.GreaterOrEqual(t, ready*100, processes*readyShare, "%v", took)
+	assert.GreaterOrEqual(t, ready*100, processes*readyPercent, "%v", took)
 	for _, r := range all {
 		a := r.dial().query("lookup", 2500)
 		assert.Zero(t, a.code, a.text)
@@ -100,8 +101,8 @@
 	return true
 }
 
-// readyDelay is how long after that instant the program has said that it listens, and has answered a ping; over
-// readyBound where it has not by then.
+// readyDelay returns the time from began until the program has logged that it listens and has answered a ping. The
+// result exceeds readyBound if the program is not ready by then.
 func (r *testGateway) readyDelay(began time.Time) time.Duration {
 	for ; time.Since(began) <= readyBound; time.Sleep(5 * time.Millisecond) {
 		if strings.Contains(r.log.String(), "msg=listening") && answersPing(r.addr) {
@@ -112,18 +113,18 @@
 }
 
 func answersPing(address string) bool {
-	const patience = 2 * time.Second
-	c, err := net.DialTimeout("tcp", address, patience)
+	const timeout = 2 * time.Second
+	c, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
-	if _, err := io.WriteString(c, packet(1, login)+packet(0, "\x0e")); err != nil {
+	_ = c.SetDeadline(time.Now().Add(timeout))
+	if _, err := io.WriteString(c, packet(1, loginPayload)+packet(0, "\x0e")); err != nil {
 		return false
 	}
 	client := &client{c: c, r: bufio.NewReader(c)}
-	for _, first := range []byte{10, 0, 0} { // the greeting's version, and two OKs
+	for _, first := range []byte{10, 0, 0} { // the protocol version of the greeting, and two OK packets
 		p, err := client.packet()
 		if err != nil || len(p) == 0 || p[0] != first {
 			return false
@@ -132,7 +133,7 @@
 	return true
 }
 
-// runDelay is how long the threads of the process have waited for a core, in all.
+// runDelay returns the time for which all threads of the process together have waited for a core.
 func (r *testGateway) runDelay() (sum time.Duration) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", r.cmd.Process.Pid))
 	require.NoError(r.t, err)
@@ -141,7 +142,7 @@
 		if err != nil {
 			continue // the thread has ended
 		}
-		fields := strings.Fields(string(text)) // nanoseconds on a core, nanoseconds of waiting for one, turns
+		fields := strings.Fields(string(text)) // nanoseconds on a core, nanoseconds of waiting for a core, time slices
 		if len(fields) < 2 {
 			continue
 		}
--- a/cmd/gateway/server.go
+++ b/cmd/gateway/server.go
@@ -64,8 +64,8 @@
 // signals holds the channels of the signals that the process handles.
 type signals struct{ stop, reload chan os.Signal }
 
-// notifySignals starts to receive signals. Stop and reload signals have separate channels, because a full channel drops
-// signals: many reloads must not displace a stop.
+// notifySignals starts to receive signals. Stop and reload signals have separate channels, because a full channel
+// drops signals: many reloads must not displace a stop.
 func notifySignals() signals {
 	signal.Ignore(syscall.SIGPIPE) // the reader of the log may close its end
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -163,8 +163,8 @@
 	return s, nil
 }
 
-// newEndpoints creates the endpoint follower. If the source is the change log, newEndpoints also publishes the endpoint
-// lists that the platform's configuration holds.
+// newEndpoints creates the endpoint follower. If the source is the change log, newEndpoints also publishes the
+// endpoint lists that the platform's configuration holds.
 func (s *server) newEndpoints(paths *configPaths) error {
 	platform, operators := s.config.platform, s.config.operators
 	changeLog := endpoints.NewChangeLog(platform.Names)
