--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -38,12 +38,14 @@
 	}
 }
 
-// periodicCommands returns the commands that the leader applies without a request. notAliveSince holds the time since
-// which each member is not alive; the caller keeps the map between calls.
+// periodicCommands returns the commands that the leader applies without a request. notAliveSince holds, for each
+// unsuspected member that is not alive, the time of the first call that found this; the caller keeps the map between
+// calls.
 func (r *ControlReplica) periodicCommands(
 	alive map[string]uint64, notAliveSince map[string]time.Time, engines []rollout.Engine,
 ) (commands []rollout.Command) {
 	now := r.options.now()
+	// Members send the counts of a window after the window's end: the counts of the last window may be under way.
 	windows := r.counts.completeWindows(windowNumber(now) - 2)
 	r.readState(func(m *rollout.StateMachine) {
 		commands = append(commands, suspicions(m, now, alive, notAliveSince)...)
@@ -77,8 +79,9 @@
 	return commands
 }
 
-// engineChanges returns a command for each engine whose entry in the leader's endpoint list differs from the state,
-// and for each engine that the state has as listed and the list lacks. An empty list marks no engine as unlisted.
+// engineChanges returns a command for each engine whose entry in the leader's endpoint list differs from the state, and
+// for each engine that is marked as listed in the state and is not in the list. An empty list marks no engine as
+// unlisted.
 func engineChanges(m *rollout.StateMachine, engines []rollout.Engine) (commands []rollout.Command) {
 	listed := map[string]bool{}
 	for _, engine := range engines {
@@ -99,11 +102,12 @@
 	return commands
 }
 
-// loadChangeDivisor sets the threshold of a load command: the load must change by more than 1/loadChangeDivisor.
+// loadChangeDivisor sets the threshold of a load command: the load must differ from the load in the state by more than
+// 1/loadChangeDivisor of the latter.
 const loadChangeDivisor = 10
 
-// loadAndHealth returns the commands for complete windows of counts: the load, if it has changed enough, and the
-// health of an active release.
+// loadAndHealth returns the commands for complete windows of counts: the load, if it has changed enough, and the health
+// of a release that is neither done nor rolling back.
 func loadAndHealth(m *rollout.StateMachine, windows []countWindow) (commands []rollout.Command) {
 	for _, window := range windows {
 		load := rollout.Load{Engines: m.Load.Engines}
--- a/internal/fleet/member_loops.go
+++ b/internal/fleet/member_loops.go
@@ -10,14 +10,14 @@
 // Pauses of a member's goroutines.
 const (
 	retryInterval = 100 * time.Millisecond // after a failed call
-	viewInterval  = 50 * time.Millisecond  // before the next watch, after a view that is stale or not yet carried out
+	viewInterval  = 50 * time.Millisecond  // before the next watch, if the view is stale or must be applied again
 )
 
 // reportStatus sends the current status until a replica has acknowledged it, then waits for the next status. It runs
 // until the member stops.
 func (m *Member) reportStatus() {
 	defer m.done.Done()
-	var first sync.Once
+	var registerOnce sync.Once
 	for {
 		status, pending := m.status()
 		if !pending {
@@ -43,7 +43,7 @@
 		m.acknowledged = max(m.acknowledged, status.StatusSequence)
 		m.mu.Unlock()
 		notify(m.statusAcknowledged)
-		first.Do(func() { close(m.registered) })
+		registerOnce.Do(func() { close(m.registered) })
 	}
 }
 
@@ -66,14 +66,14 @@
 	return set
 }
 
-// watchState watches this member's view at one replica at a time, and carries the view out. It runs until the member
-// stops.
+// watchState watches this member's view at one replica at a time, and applies each view that it receives. It runs until
+// the member stops.
 func (m *Member) watchState() {
 	defer m.done.Done()
 	replicas := m.options.ControlReplicas
-	next, version, connected := int(m.incarnation/1000)%len(replicas), "", true
+	replicaIndex, version, connected := int(m.incarnation/1000)%len(replicas), "", true
 	for !m.stopped() {
-		replica := replicas[next%len(replicas)]
+		replica := replicas[replicaIndex%len(replicas)]
 		var answer watchAnswer
 		path := "/watch?name=" + m.options.Name + "&have=" + version
 		pause := time.Duration(0)
@@ -82,7 +82,7 @@
 				m.log.Warn("fleet connection lost", "replica", replica.Name, "error", err)
 			}
 			connected = false
-			next, version, pause = next+1, "", retryInterval
+			replicaIndex, version, pause = replicaIndex+1, "", retryInterval
 		} else {
 			if !connected {
 				m.log.Info("fleet connection restored", "replica", replica.Name)
@@ -90,7 +90,7 @@
 			connected, version = true, answer.Version
 			switch {
 			case !m.exclude(answer.AppliedIndex, answer.View.drainedEngines()): // this replica is behind
-				next, version, pause = next+1, "", viewInterval
+				replicaIndex, version, pause = replicaIndex+1, "", viewInterval
 			case m.applyView(answer.View):
 				version, pause = "", viewInterval
 			}
@@ -109,7 +109,8 @@
 	return engines
 }
 
-// applyView carries a view out. It returns true if the view must be applied again even if it does not change.
+// applyView reports this process's status and drains and activates its permit, as the view requires. It returns true if
+// the view must be applied again, even if the view does not change.
 func (m *Member) applyView(view MemberView) (again bool) {
 	phase := m.refreshStatus(view)
 	if view.Incarnation > m.incarnation {
@@ -125,8 +126,9 @@
 	return again
 }
 
-// refreshStatus reports the status again if the view lacks the process, has an older status or suspects the process.
-// If only the replica is behind, the repeated report is harmless. It returns the current phase.
+// refreshStatus returns the current phase. It also reports the status again if, in the view, this process is not
+// registered, is suspected or has an older status, unless a report is pending or a later process has this name. If the
+// view comes from a replica that is behind, the repeated report is harmless.
 func (m *Member) refreshStatus(view MemberView) rollout.Phase {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,7 +137,7 @@
 		return m.phase
 	}
 	if view.Registered && view.StatusSequence == m.sequence {
-		m.sequence++
+		m.sequence++ // the log rejects a report with a known sequence as stale
 	} else {
 		m.acknowledged = 0
 	}
@@ -143,8 +145,8 @@
 	return m.phase
 }
 
-// reportDrains reports each drained engine that runs no query of this front end. It returns true if it must be called
-// again.
+// reportDrains reports each draining engine that runs no query of this front end any more. It returns true if an engine
+// still runs one or a report has failed: the caller must call reportDrains again.
 func (m *Member) reportDrains(drains []EngineDrain) (again bool) {
 	for _, drain := range drains {
 		if drain.Acknowledged {
@@ -161,8 +163,8 @@
 	return again
 }
 
-// activatePermit activates the permit in the log, immediately before the shutdown, and grants the shutdown to the
-// front end, once. It returns true if it must be called again.
+// activatePermit activates the permit in the log and then immediately grants the shutdown to the front end, once for
+// each permit. It returns true if the caller must call activatePermit again.
 func (m *Member) activatePermit(permit *rollout.Permit) (again bool) {
 	if m.grantedPermits[permit.Number] || permit.Cancelled {
 		return false
@@ -199,11 +201,11 @@
 	return false
 }
 
-// minWindowSeconds is the smallest divisor in the computation of a window's load.
+// minWindowSeconds is the lower bound of a window's measured duration when its load in requests a second is computed.
 const minWindowSeconds = 0.1
 
-// reportCounts sends the counts of each window to the leader while the process serves. It does not retry a failed
-// call, whose counts are lost. It runs until the member stops.
+// reportCounts sends the counts of each window to the leader while the process serves. It makes one call for each
+// window: the counts of a failed call are lost. It runs until the member stops.
 func (m *Member) reportCounts() {
 	defer m.done.Done()
 	last, start := m.frontEnd.RequestCounts(), time.Now()
--- a/internal/fleet/replica_recovery.go
+++ b/internal/fleet/replica_recovery.go
@@ -7,7 +7,7 @@
 	"beechcart/decision/diskrecovery"
 )
 
-// recoveryInterval is the pause between two questions to the recovery policy while the log is not open.
+// recoveryInterval is the interval between requests for the policy's next action while the log is not open.
 const recoveryInterval = 200 * time.Millisecond
 
 // replicaRunner keeps a member's control replica open, and reopens or reinitializes the log after disk failures, as
@@ -21,8 +21,9 @@
 // now returns the time since the runner started, which is the policy's clock.
 func (r *replicaRunner) now() time.Duration { return time.Since(r.started) }
 
-// startReplica opens the log and keeps it open in a goroutine that runs until the member stops. It returns an error if
-// the log or a port can't be opened. A failed disk is no error: the front end serves without the log.
+// startReplica opens the log and starts a goroutine that keeps the log open until the member stops. A log with a
+// durability mark is not opened: the policy decides when to reinitialize it. startReplica returns an error if the log
+// or a port can't be opened. A failed disk is no error: the front end serves without the log.
 func (m *Member) startReplica() error {
 	r := &replicaRunner{member: m, started: time.Now()}
 	newPolicy := diskrecovery.New
@@ -49,13 +50,14 @@
 	return nil
 }
 
-// run runs the replica, which may be nil, and reopens the log when the policy decides so, until the member stops.
+// run serves the replica, and reopens or reinitializes the log when the policy decides so, until the member stops. A
+// nil replica means that the log is not open.
 func (r *replicaRunner) run(replica *ControlReplica) {
 	defer r.member.done.Done()
-	logged := "" // reason in the last log message
+	loggedReason := "" // reason in the last log message
 	for {
 		if replica != nil {
-			logged = ""
+			loggedReason = ""
 			if !r.serve(replica) {
 				return
 			}
@@ -63,8 +65,8 @@
 			replica = nil
 		}
 		action := r.policy.Next(r.now(), r.quorum())
-		if reason := r.policy.Reason(); reason != logged && reason != "" {
-			logged = reason
+		if reason := r.policy.Reason(); reason != loggedReason && reason != "" {
+			loggedReason = reason
 			r.member.log.Warn("control replica stopped", "why", reason)
 		}
 		if action == diskrecovery.Wait {
@@ -77,8 +79,8 @@
 	}
 }
 
-// open carries out the policy's action, which opens the log as it is or an empty one. It returns nil if the log can't
-// be opened.
+// open carries out the policy's action: Reopen opens the existing log, and Reinitialize sets that log aside and opens
+// an empty one. It returns nil if the log can't be opened.
 func (r *replicaRunner) open(action diskrecovery.Action) *ControlReplica {
 	options := &r.member.options
 	var err error
@@ -122,7 +124,7 @@
 }
 
 // diskFailed reports a disk failure to the policy. If the durability of the log is unknown, it also writes the
-// durability mark for the next process.
+// durability mark, so that the next process does not open the log.
 func (r *replicaRunner) diskFailed(err error) {
 	log := r.member.log
 	failure := classifyFailure(err)
@@ -135,8 +137,8 @@
 	r.policy.Failed(r.now(), failure)
 }
 
-// quorum asks the other replicas whether one of them leads, which proves that they have a quorum while this replica is
-// not open.
+// quorum reports whether the other replicas have a quorum without this one. It may be called only while this replica is
+// not open: a leader that answers is then one of the others, and a leader needs a quorum.
 func (r *replicaRunner) quorum() diskrecovery.Quorum {
 	status, err := r.member.client.Status()
 	return diskrecovery.Quorum(err == nil && status.IsLeader)
--- a/internal/fleet/transport_test.go
+++ b/internal/fleet/transport_test.go
@@ -17,7 +17,8 @@
 	"beechcart/decision/rollout"
 )
 
-// testTimeout is longer than any step takes on an overloaded machine. No assertion depends on a step being faster.
+// testTimeout bounds the wait for an expected event. It is longer than any step takes on an overloaded machine, and no
+// assertion depends on a step being faster.
 const testTimeout = 60 * time.Second
 
 // memberPair returns the options of two members, each with its own transport and loopback address. The first is the
@@ -103,7 +104,7 @@
 func TestDatagramsAreCountedExactlyAndBlocked(t *testing.T) {
 	pair := memberPair(t)
 	sender, receiver := openGossipTransport(t, pair[0]), openGossipTransport(t, pair[1])
-	sendTo := func(size int) {
+	send := func(size int) {
 		_, err := sender.WriteTo(make([]byte, size), pair[1].GossipAddress)
 		require.NoError(t, err)
 	}
@@ -118,7 +119,7 @@
 	}
 	bytes := 0
 	for size := 1; size <= 1400; size += 100 {
-		sendTo(size)
+		send(size)
 		require.Equal(t, size, receive())
 		bytes += size + 28
 	}
@@ -127,14 +128,15 @@
 	assert.Equal(t, Traffic{ReceivedBytes: uint64(bytes), ReceivedMessages: 14}, pair[1].Transport.Gossip())
 
 	pair[0].Transport.Block(HostSet{gossipHost(pair[1]): true})
-	sendTo(700)
+	send(700)
 	assert.Equal(t, want, pair[0].Transport.Gossip(), "a blocked datagram is not counted as sent")
 	pair[0].Transport.Block(nil)
-	sendTo(7)
+	send(7)
 	assert.Equal(t, 7, receive(), "the blocked datagram must be lost, and the later one arrive")
 }
 
-// Block applies to open connections, only in the blocked direction. After Block(nil) the connections carry data again.
+// Block stops open connections from sending to the blocked host, and they still receive. After Block(nil) they send
+// again.
 func TestBlockAppliesToOpenConnections(t *testing.T) {
 	pair := memberPair(t)
 	dialled, accepted := connect(t, pair[0], pair[1])
@@ -182,7 +184,8 @@
 	assert.Zero(t, pair[0].Transport.Calls().Connections)
 	pair[0].Transport.Block(nil)
 
-	// The dialler's first segment arrives, and the accepting side's answer is blocked.
+	// The accepting side blocks the dialler. On a real network the connection would not open, since the answer to its
+	// first segment is lost: the accepting side must read nothing until the dialler is unblocked.
 	pair[1].Transport.Block(HostSet{gossipHost(pair[0]): true})
 	dialled, err := pair[0].dialTCP(l.Addr().String(), testTimeout, callTraffic)
 	require.NoError(t, err)
@@ -204,10 +207,10 @@
 	dialled, accepted := connect(t, pair[0], pair[1])
 	writeText(t, dialled, "0123456789")
 	readText(t, accepted, "0123456789")
-	sender := Traffic{SentBytes: 100 + 10 + 40, ReceivedBytes: 100, SentMessages: 1, Connections: 1}
-	assert.Equal(t, sender, pair[0].Transport.Log())
-	receiver := Traffic{SentBytes: 100, ReceivedBytes: 100 + 10 + 40, ReceivedMessages: 1}
-	assert.Equal(t, receiver, pair[1].Transport.Log())
+	wantSender := Traffic{SentBytes: 100 + 10 + 40, ReceivedBytes: 100, SentMessages: 1, Connections: 1}
+	assert.Equal(t, wantSender, pair[0].Transport.Log())
+	wantReceiver := Traffic{SentBytes: 100, ReceivedBytes: 100 + 10 + 40, ReceivedMessages: 1}
+	assert.Equal(t, wantReceiver, pair[1].Transport.Log())
 	assert.Equal(t, 0, streamHeaders(0))
 	assert.Equal(t, 40, streamHeaders(segmentPayloadBytes))
 	assert.Equal(t, 80, streamHeaders(segmentPayloadBytes+1))
@@ -221,7 +224,7 @@
 	require.NoError(t, call(pair[1], pair[0].ControlReplicas[0].APIAddress, "/status", nil, nil))
 	assert.Equal(t, uint64(1), pair[1].Transport.Calls().Connections)
 	payload := func(bytes, messages uint64) uint64 { return bytes - messages*segmentHeaderBytes }
-	require.Eventually(t, func() bool { // the peer may read a write before the writer has counted it
+	require.Eventually(t, func() bool { // the peer may receive data before the sender has counted it
 		calls, served := pair[1].Transport.Calls(), pair[0].Transport.Served()
 		requests, responses := payload(calls.SentBytes, calls.SentMessages), payload(served.SentBytes, served.SentMessages)
 		return requests > connectionBytes && responses > connectionBytes &&
@@ -250,8 +253,8 @@
 	assert.NoError(t, tryOnce(testTimeout))
 }
 
-// Members that block each other stop seeing each other as alive, and see each other again afterwards. Apart from
-// datagrams in flight or dropped by a full buffer, the members receive the messages that they send.
+// Members that block each other stop seeing each other as alive, and see each other again afterwards. The members
+// receive nearly all datagrams that they send.
 func TestMembersBlockedFromEachOther(t *testing.T) {
 	pair := memberPair(t)
 	var members []*Member
@@ -279,7 +282,7 @@
 		o.Transport.Block(nil)
 	}
 	require.Eventually(t, allSee(2), testTimeout, 10*time.Millisecond)
-	// Datagrams in flight and datagrams dropped by a full buffer make up the difference.
+	// The numbers sent and received differ by datagrams in flight and datagrams dropped by a full buffer.
 	require.Eventually(t, func() bool {
 		sent, received := uint64(0), uint64(0)
 		for _, o := range pair {
@@ -290,7 +293,7 @@
 	}, testTimeout, 10*time.Millisecond)
 }
 
-func TestMembersWithoutATransportShareTheClient(t *testing.T) {
+func TestMembersWithoutATransportShareTheHTTPClient(t *testing.T) {
 	o := options(t)
 	assert.Same(t, sharedClient, o.httpClient())
 	o.Transport = NewTransport("127.0.0.1")
