--- a/internal/source/consul/source.go
+++ b/internal/source/consul/source.go
@@ -28,7 +28,7 @@
 // pollerStream is the second half of the poller's random seed.
 const pollerStream = 0x6c6973747321
 
-// Store persists the last good list.
+// Store persists the last good list: the latest accepted list. While a list awaits confirmation, none is saved.
 type Store interface {
 	// Load returns the list that was stored last, and the time at which it was stored.
 	Load() (list []discovery.Endpoint, stored time.Time, err error)
@@ -51,7 +51,7 @@
 	restored    bool                   // the stored list has been loaded, or a predecessor's state inherited
 	predecessor *Source                // Run inherits its state; nil: none
 
-	// Owned by Run.
+	// Used only by Run and, after Run has returned, by a successor that inherits the state.
 	poller    *poll.Poller
 	client    client
 	token     string
@@ -95,8 +95,8 @@
 }
 
 // Inherit makes Run begin with the state of predecessor, whose Run must have returned by then. The drains, suspicions
-// and penalties of predecessor stay in force, because the first response of another catalogue may be as wrong as any
-// other.
+// and penalties of predecessor stay in force, because the first response of the new catalogue may be as wrong as any
+// later one.
 func (s *Source) Inherit(predecessor *Source) { s.predecessor = predecessor }
 
 func (s *Source) inherit() {
@@ -135,7 +135,7 @@
 	return statuses
 }
 
-// Run polls the catalogue until ctx ends.
+// Run polls the catalogue until ctx ends. It begins with the state of a predecessor or, without one, the stored list.
 func (s *Source) Run(ctx context.Context, take func(endpoints.List)) {
 	defer s.client.close()
 	s.inherit()
@@ -176,7 +176,8 @@
 	s.publish(update, take)
 }
 
-// wait waits until a request is due, and applies the changes that time alone brings about.
+// wait waits until a request is due, and meanwhile applies the changes that come due without a response, such as the
+// end of a suspicion.
 func (s *Source) wait(ctx context.Context, due time.Duration, take func(endpoints.List)) {
 	for ctx.Err() == nil {
 		now := s.now()
@@ -231,7 +232,7 @@
 	err      error
 }
 
-// poll sends one request, and applies the changes that time alone brings about until the response arrives.
+// poll sends one request, and applies the changes that come due while the response is awaited.
 func (s *Source) poll(ctx context.Context, request poll.Request, take func(endpoints.List)) {
 	s.updateToken()
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/source/feed.go
+++ b/internal/source/feed.go
@@ -18,14 +18,14 @@
 	ctx         context.Context // its end stops the current source
 	take        func(endpoints.List)
 	log         *slog.Logger
-	drainPeriod time.Duration // how long engines drain that a new source does not list
+	drainPeriod time.Duration // how long engines that a new source does not list drain before they are removed
 
 	stopCurrent    context.CancelFunc // nil before the first source
-	currentStopped chan struct{}      // closed when the current source has returned
+	currentStopped chan struct{}      // closed when the current source's Run has returned
 
 	mu              sync.Mutex
 	known           map[uint32]knownEndpoint // guarded by mu; the endpoints that have not been removed, by ID
-	generation      int                      // guarded by mu; of the current source; Follow increments it
+	generation      int                      // guarded by mu; number of the current source, which Follow increments
 	reporter        StatusReporter           // guarded by mu; the current source; nil if it reports no statuses
 	handoverPending bool                     // guarded by mu; the first complete list of a new source is awaited
 	excluded        NameSet                  // guarded by mu; names of the engines that Exclude drains
@@ -45,15 +45,15 @@
 	return &Feed{ctx: ctx, take: take, log: log, drainPeriod: drainPeriod, known: map[uint32]knownEndpoint{}}
 }
 
-// Publish passes on a list that was known before the first call of Follow or Continue.
+// Publish passes on a list that the caller knows without a running source, before the first call of Follow or Continue.
 func (f *Feed) Publish(l endpoints.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publish(l)
 }
 
-// Follow stops the current source and follows another one. Its first complete list replaces the known endpoints: those
-// that the list omits drain and are then removed.
+// Follow stops the current source and follows another one. The first complete list of the new source replaces the known
+// endpoints: those that the list omits drain and are then removed.
 func (f *Feed) Follow(s Source) {
 	f.Stop()
 	f.mu.Lock()
@@ -111,11 +111,11 @@
 	if l.Complete {
 		clear(f.known)
 	}
-	passed := f.applyExclusions(l)
+	effective := f.applyExclusions(l)
 	for i, e := range l.Endpoints {
-		f.logEndpoint(passed.Endpoints[i])
+		f.logEndpoint(effective.Endpoints[i])
 		generation := f.generation
-		if e.Reason == Handover {
+		if e.Reason == Handover { // the current source has not listed the engine
 			generation = f.known[e.ID].generation
 		}
 		f.known[e.ID] = knownEndpoint{e, generation}
@@ -123,7 +123,7 @@
 			delete(f.known, e.ID)
 		}
 	}
-	f.take(passed)
+	f.take(effective)
 }
 
 func (f *Feed) logEndpoint(e endpoints.Endpoint) {
@@ -134,8 +134,8 @@
 	f.log.Info("engine listed", args...)
 }
 
-// Endpoints returns the endpoints that have not been removed, sorted by name, in the state last received from their
-// source: exclusions do not show. It is safe for concurrent use.
+// Endpoints returns the endpoints that have not been removed, sorted by name. Their states do not show the drains that
+// Exclude causes. Endpoints is safe for concurrent use.
 func (f *Feed) Endpoints() []endpoints.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
