--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -15,7 +15,7 @@
 // SchemaVersion is the version of the JSON that gatewayctl builds.
 const SchemaVersion = 1
 
-// Load reads a file built by gatewayctl. An empty path gives the defaults.
+// Load reads a file built by gatewayctl. If path is empty, Load returns the defaults.
 func Load(path string) (Settings, error) {
 	if path == "" {
 		return Default(), nil
@@ -49,9 +49,9 @@
 	}
 	switch {
 	case version == 0:
-		return s, errors.New("schema: missing: this is no file that 'gatewayctl config build' has written")
+		return s, errors.New("schema: missing: the file was not written by 'gatewayctl config build'")
 	case version > SchemaVersion:
-		return s, fmt.Errorf("schema: %d is later than %d, which this program knows", version, SchemaVersion)
+		return s, fmt.Errorf("schema: %d is later than %d, the latest that this program reads", version, SchemaVersion)
 	case len(s.Consul.Addresses) == 0:
 		return s, errors.New("consul.addresses: at least one is needed")
 	}
