--- a/admission/doc.go
+++ b/admission/doc.go
@@ -32,7 +32,7 @@
 //  10. The outcome of an attempt releases the threads and memory that the attempt reserved, whatever its status.
 //  11. The same settings, seed and events give the same actions.
 //
-// # Limitations
+// # Trade-offs
 //
 // A rare heavy request occupies its tenant's threads while it runs. A tenant that retries aggressively fills the shared
 // queue, so that requests of other tenants are rejected. Selection relies on load reports that may be out of date. With
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -15,7 +15,7 @@
 	ClassName    string
 	Class        int           // index in the settings; -1: unknown
 	Tenant       int           // index in the settings; -1: unknown
-	Timeout      time.Duration // from arrival; the client stops waiting then
+	Timeout      time.Duration // how long after arrival the client stops waiting
 	WorkEstimate time.Duration // 0: none
 	MemoryMB     float64       // estimate; 0: none
 	TableGroup   int           // -1: none
@@ -59,8 +59,8 @@
 
 // Client is the connection that a request arrived on.
 type Client interface {
-	// SettleIfGone settles the exchange if the client has disconnected, and reports whether the client has. It is safe
-	// for concurrent use.
+	// SettleIfGone settles the exchange if the client has disconnected, and reports whether the client has disconnected.
+	// It is safe for concurrent use.
 	SettleIfGone(x *Exchange) (gone bool)
 }
 
@@ -91,12 +91,12 @@
 	return true
 }
 
-// Settled reports whether Settle has succeeded. The answer becomes readable a moment later, when Done is closed.
+// Settled reports whether the final answer is decided. Answer may be called a moment later, when Done is closed.
 func (x *Exchange) Settled() bool { return x.settled.Load() }
 
 // Abandoned reports whether no client waits for an answer any more. Unlike Settled, it checks the client's connection,
 // which costs a system call: the client may have disconnected while this process was not scheduled, before its session
-// has noticed.
+// has detected the disconnect.
 func (x *Exchange) Abandoned() bool {
 	return x.Settled() || (x.Client != nil && x.Client.SettleIfGone(x))
 }
--- a/internal/platformconfig/settings.go
+++ b/internal/platformconfig/settings.go
@@ -6,8 +6,9 @@
 	"beechcart/admission"
 )
 
-// Parse decodes the settings object that the simulator and the configuration share. Unknown keys are skipped; absent
-// keys are zero; a value of a wrong type is an error that names the key.
+// Parse decodes the settings object, which has the same form in the simulator's begin messages and in the platform's
+// configuration. Unknown keys are skipped; absent keys are zero; a value of a wrong type is an error that names the
+// key.
 func Parse(text []byte) (admission.Settings, Names, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return &budget
 }
 
-// kinds decodes the kinds of engines. The lists of cores and memory are parallel to the list of names.
+// kinds decodes the kinds of engines. Entry i of the lists of cores and of memory belongs to entry i of the names.
 func kinds(d *decoder) (list []admission.Kind) {
 	cores, memory := d.list("family_info.size_cores"), d.list("family_info.kind_memory_mb")
 	for i := range d.list("skus") {
@@ -132,7 +133,8 @@
 	return list
 }
 
-// class decodes class i from c. The engines' properties for each class are in lists of the whole settings, d.
+// class decodes class i from its own object, c, and from the lists in the settings object, d, that hold one value for
+// each class.
 func class(d *decoder, i int, c *decoder, names Names) admission.Class {
 	decoded := admission.Class{
 		LatencyObjective:    c.duration("on_time"),
@@ -149,7 +151,8 @@
 		LocksTables:         element(d.list("family_info.holds_tables"), i).boolean(""),
 		WaitsForLocks:       element(d.list("family_info.waits_for_loads"), i).boolean(""),
 	}
-	// An unknown name becomes notFound, which matches no engine, so that the restriction still holds.
+	// An unknown name becomes notFound, which matches no engine. Without an entry for it, a list of unknown names would be
+	// empty, which stands for no restriction.
 	for _, zone := range c.texts("stays_in") {
 		decoded.OnlyZones = append(decoded.OnlyZones, IndexOf(names.Zones, zone))
 	}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -2,9 +2,9 @@
 // each simulated gateway, and returns the controllers' actions. The package makes no decisions of its own.
 //
 // A batch begins with the message tick, which carries the current time, and ends with the line eof_batch. The reply
-// holds the actions of all gateways that had events, followed by the line ready. decode.go converts messages to the
-// controller's events, and encode.go converts its actions to messages. The simulator defines the names of messages and
-// fields.
+// holds the actions of all gateways that began or received events in the batch, followed by the line ready. decode.go
+// converts messages to the controller's events, and encode.go converts its actions to messages. The simulator defines
+// the names of messages and fields.
 package wire
 
 import (
@@ -42,14 +42,14 @@
 	line     int           // number of the last line read, for errors
 	now      time.Duration // time of the current batch
 	gateways map[int]*gateway
-	active   []int           // ids of the gateways with events in this batch, in order of arrival
+	active   []int           // ids of the gateways that began or received events in this batch, in that order
 	catalogs map[int]catalog // engine lists by id, which later messages refer to
 }
 
 // catalog is a list of engines, each as the fields of its message.
 type catalog []map[string]string
 
-// Serve reads batches from in and writes one reply to out for each, until in ends. An error names the line of the
+// Serve reads batches from in and writes one reply to out for each batch, until in ends. An error names the line of the
 // input.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
