--- a/internal/scale/record/record.go
+++ b/internal/scale/record/record.go
@@ -1,6 +1,6 @@
-// Package record holds what scale runs have measured: samples of named quantities at a size of the fleet, kept as
-// JSON files under bench/scale, and straight-line fits over them. docs/CAPACITY.md is rendered from these files
-// alone.
+// Package record stores the measurements of scale runs, and fits straight lines to them. A measurement is a sample of
+// a named quantity at a fleet size. Samples are kept as JSON files under bench/scale, the only input from which
+// docs/CAPACITY.md is rendered.
 package record
 
 import (
@@ -20,7 +20,7 @@
 // FormatVersion is the version of the file format that this package writes and reads.
 const FormatVersion = 1
 
-// Role is the kind of process that a quantity belongs to.
+// Role is the kind of process that a quantity describes.
 type Role string
 
 // The roles of a fleet.
@@ -37,36 +37,36 @@
 	Members  int `json:"members"`            // front ends
 	Engines  int `json:"engines"`            // databases
 	Sessions int `json:"sessions,omitempty"` // client connections to one front end
-	Rate     int `json:"rate,omitempty"`     // statements, messages or changes a second, as the quantity says
+	Rate     int `json:"rate,omitempty"`     // statements, messages or changes per second, depending on the quantity
 }
 
-// Sample is one measured value of a quantity. A quantity's name ends in its unit, as in Prometheus: "_bytes",
-// "_seconds", "_bytes_per_second", "_cores".
+// Sample is one measured value of a quantity. The quantity's name ends in its unit, as the names of Prometheus metrics
+// do: "_bytes", "_seconds", "_bytes_per_second", "_cores".
 type Sample struct {
 	Quantity string  `json:"quantity"`
 	Role     Role    `json:"role"`
 	Size     Size    `json:"size"`
-	Repeat   int     `json:"repeat"` // 1, 2, ...: which of the repeated runs at this size
+	Repeat   int     `json:"repeat"` // number of the run at this size, from 1
 	Value    float64 `json:"value"`
 }
 
-// Recording is the result of one command that measured something.
+// Recording is the result of one measuring command.
 type Recording struct {
 	Version  int       `json:"version"`
-	Name     string    `json:"name"`    // of the file, without its ending
-	Command  string    `json:"command"` // that gives the samples again
+	Name     string    `json:"name"`    // file name without the extension
+	Command  string    `json:"command"` // command line that reproduces the samples
 	At       time.Time `json:"at"`
-	Commit   string    `json:"commit"` // of the tree that was measured
-	Cores    int       `json:"cores"`  // of the machine
+	Commit   string    `json:"commit"` // commit of the measured source tree
+	Cores    int       `json:"cores"`  // CPU cores of the measuring machine
 	Settings string    `json:"settings,omitempty"`
-	Notes    []string  `json:"notes,omitempty"` // what a reader has to know: partial, disturbed, harness share taken off
+	Notes    []string  `json:"notes,omitempty"` // limits of the samples: partial, disturbed, harness share subtracted
 	Samples  []Sample  `json:"samples"`
 }
 
-// quantityName is what a quantity may be called.
+// quantityName matches the allowed names of quantities.
 var quantityName = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)+$`)
 
-// Check names the first field that cannot be used.
+// Check returns an error that names the first invalid field.
 func (r *Recording) Check() error {
 	switch {
 	case r.Version != FormatVersion:
@@ -74,9 +74,9 @@
 	case r.Name == "" || filepath.Base(r.Name) != r.Name:
 		return fmt.Errorf("record: name: found %q, allowed is a plain file name", r.Name)
 	case r.Command == "":
-		return errors.New("record: command: missing")
+		return errors.New("record: command: found none, allowed is a command line")
 	case len(r.Samples) == 0:
-		return errors.New("record: samples: missing")
+		return errors.New("record: samples: found none, allowed is at least one")
 	}
 	for i, s := range r.Samples {
 		if !quantityName.MatchString(s.Quantity) {
@@ -89,7 +89,8 @@
 	return nil
 }
 
-// Save writes the recording to dir/NAME.json, whole or not at all.
+// Save checks the recording and atomically writes it to dir/NAME.json. It sets Version to FormatVersion, and creates
+// dir if that is missing.
 func (r *Recording) Save(dir string) error {
 	r.Version = FormatVersion
 	if err := r.Check(); err != nil {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// Load reads all recordings of a directory, ordered by name.
+// Load reads and checks all recordings of a directory, sorted by file name.
 func Load(dir string) ([]Recording, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -133,7 +134,7 @@
 	return recordings, nil
 }
 
-// Select returns the samples of one quantity, of all recordings.
+// Select returns the samples of one quantity from all recordings.
 func Select(recordings []Recording, quantity string) []Sample {
 	var samples []Sample
 	for _, r := range recordings {
--- a/internal/scale/record/record_test.go
+++ b/internal/scale/record/record_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// samplesOf returns three repeats of a quantity at each of five fleet sizes.
 func samplesOf(value func(Size, int) float64) (samples []Sample) {
 	for _, members := range []int{50, 100, 200, 400, 710} {
 		for repeat := 1; repeat <= 3; repeat++ {
@@ -20,7 +21,7 @@
 	return samples
 }
 
-func TestALineIsFound(t *testing.T) {
+func TestFitLineFindsSlopeAndIntercept(t *testing.T) {
 	f, err := FitLine(samplesOf(func(s Size,
 		repeat int) float64 {
 		return 900 + 0.5*float64(s.Members) + float64(repeat-2)
@@ -36,7 +37,7 @@
 	assert.InDelta(t, 2/925.0, f.Spread, 1e-3)
 }
 
-func TestAQuantityThatGrowsWithTheSquareDoesNotFitALine(t *testing.T) {
+func TestQuadraticGrowthDoesNotFitALine(t *testing.T) {
 	f, err := FitLine(samplesOf(func(s Size, _ int) float64 { return math.Pow(float64(s.Members), 2) }), InMembers)
 	require.NoError(t, err)
 	assert.False(t, f.Fits(), "residual %.3f", f.Residual)
@@ -45,42 +46,42 @@
 	assert.True(t, f.Fits(), "residual %.3f", f.Residual)
 }
 
-func TestALevelQuantityHasTheMean(t *testing.T) {
+func TestConstantFitIsTheMean(t *testing.T) {
 	f, err := FitLine(samplesOf(func(Size, int) float64 { return 7 }), Constant)
 	require.NoError(t, err)
 	assert.InDelta(t, 7, f.Intercept, 1e-9)
 	assert.Zero(t, f.Slope)
 	f, err = FitLine(samplesOf(func(s Size, _ int) float64 { return float64(s.Members) }), Constant)
 	require.NoError(t, err)
-	assert.False(t, f.Fits(), "a quantity that grows is not level; residual %.3f", f.Residual)
+	assert.False(t, f.Fits(), "a constant must not fit a growing quantity; residual %.3f", f.Residual)
 	assert.Equal(t, 5, f.Sizes)
 	_, err = FitLine(nil, Constant)
 	assert.Error(t, err)
 }
 
-func TestRecordingsAreReadBackAndBadOnesNamed(t *testing.T) {
+func TestRecordingRoundTripAndValidation(t *testing.T) {
 	dir := t.TempDir()
-	good := Recording{Name: "gossip", Command: "gatewayctl scale sweep", Samples: samplesOf(func(Size,
+	saved := Recording{Name: "gossip", Command: "gatewayctl scale sweep", Samples: samplesOf(func(Size,
 		int) float64 {
 		return 1
 	})}
-	require.NoError(t, good.Save(dir))
-	got, err := Load(dir)
+	require.NoError(t, saved.Save(dir))
+	loaded, err := Load(dir)
 	require.NoError(t, err)
-	require.Len(t, got, 1)
-	assert.Equal(t, good, got[0])
-	assert.Len(t, Select(got, "sent_bytes_per_second"), 15)
-	assert.Empty(t, Select(got, "received_bytes_per_second"))
-	for field, spoil := range map[string]func(*Recording){
+	require.Len(t, loaded, 1)
+	assert.Equal(t, saved, loaded[0])
+	assert.Len(t, Select(loaded, "sent_bytes_per_second"), 15)
+	assert.Empty(t, Select(loaded, "received_bytes_per_second"))
+	for field, invalidate := range map[string]func(*Recording){
 		"name":     func(r *Recording) { r.Name = "a/b" },
 		"command":  func(r *Recording) { r.Command = "" },
 		"samples":  func(r *Recording) { r.Samples = nil },
 		"quantity": func(r *Recording) { r.Samples = []Sample{{Quantity: "Bytes"}} },
 		"value":    func(r *Recording) { r.Samples = []Sample{{Quantity: "a_bytes", Value: math.NaN()}} },
 	} {
-		bad := good
-		spoil(&bad)
-		require.ErrorContains(t, bad.Save(dir), field)
+		invalid := saved
+		invalidate(&invalid)
+		require.ErrorContains(t, invalid.Save(dir), field)
 	}
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "later.json"), []byte(`{"version":2}`), 0o600))
 	_, err = Load(dir)
