--- a/internal/scale/parts/cost.go
+++ b/internal/scale/parts/cost.go
@@ -15,15 +15,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// ownCPU is the CPU time of this process, user and system, in seconds.
-func ownCPU() float64 {
+// selfCPU returns the CPU time of this process, user and system, in seconds.
+func selfCPU() float64 {
 	var usage unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &usage)
 	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 }
 
-// processCPU is the CPU time of all threads of a process in seconds, by the scheduler's own count. Threads that have
-// ended are missing; the Go run time ends none in ordinary work.
+// processCPU returns the CPU time of all threads of a process in seconds, from the scheduler's schedstat files.
+// Threads that have exited are not counted; the Go runtime ends none in normal operation.
 func processCPU(pid int) (seconds float64) {
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, path := range paths {
@@ -39,7 +39,7 @@
 	return seconds
 }
 
-// residentBytes is the resident memory of a process.
+// residentBytes returns the resident memory of a process, or 0 if /proc has no entry for the process.
 func residentBytes(pid int) float64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(text)) {
@@ -51,35 +51,35 @@
 	return 0
 }
 
-// leastCPU is for how long something is repeated at least before its CPU time is divided by the count.
-const leastCPU = 0.05
+// minCPUSeconds is the CPU time that cpuPerCall spends at least before it divides by the number of calls.
+const minCPUSeconds = 0.05
 
-// cpuEach is the CPU seconds of one call of work, which is called until it has cost leastCPU in all, and ten times at
-// least.
-func cpuEach(work func() error) (float64, error) {
-	for began, n := ownCPU(), 1; ; n++ {
+// cpuPerCall returns the CPU seconds of one call of work. It calls work at least ten times, and until the calls have
+// used minCPUSeconds in total. It stops at the first error of work.
+func cpuPerCall(work func() error) (float64, error) {
+	for start, n := selfCPU(), 1; ; n++ {
 		if err := work(); err != nil {
 			return 0, err
 		}
 		if n < 10 {
 			continue
 		}
-		if spent := ownCPU() - began; spent >= leastCPU {
+		if spent := selfCPU() - start; spent >= minCPUSeconds {
 			return spent / float64(n), nil
 		}
 	}
 }
 
-// byteCounter counts the bytes of connections, without the headers of IP and TCP.
+// byteCounter counts the bytes that connections transfer, without the headers of IP and TCP.
 type byteCounter struct {
 	sent, received atomic.Int64
 	opened         atomic.Int64
 }
 
-func (w *byteCounter) bytes() float64 { return float64(w.sent.Load() + w.received.Load()) }
+func (b *byteCounter) bytes() float64 { return float64(b.sent.Load() + b.received.Load()) }
 
-// client is an HTTP client with so many kept connections whose bytes w counts.
-func (w *byteCounter) client(connections int) *http.Client {
+// client returns an HTTP client that keeps up to the given number of idle connections and counts their bytes in b.
+func (b *byteCounter) client(connections int) *http.Client {
 	dialer := net.Dialer{Timeout: 3 * time.Second}
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: connections,
@@ -88,25 +88,25 @@
 			if err != nil {
 				return nil, err
 			}
-			w.opened.Add(1)
-			return &countedConn{conn, w}, nil
+			b.opened.Add(1)
+			return &countedConn{conn, b}, nil
 		},
 	}}
 }
 
 type countedConn struct {
 	net.Conn
-	wire *byteCounter
+	counter *byteCounter
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.wire.received.Add(int64(n))
+	c.counter.received.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.wire.sent.Add(int64(n))
+	c.counter.sent.Add(int64(n))
 	return n, err
 }
--- a/internal/scale/parts/fixture.go
+++ b/internal/scale/parts/fixture.go
@@ -12,17 +12,17 @@
 	"beechcart/internal/faulttest"
 )
 
-// The limits that the platform gives a front end (DEPLOY: limits).
+// The limits that the platform sets for a front end (DEPLOY: limits), and the timeout for its log lines.
 const (
-	frontMemoryMB = 2048
-	frontSockets  = 4096
-	listedWithin  = 30 * time.Second
+	frontEndMemoryMB = 2048
+	frontEndSockets  = 4096
+	logLineTimeout   = 30 * time.Second
 )
 
-// fakeClasses are how fake databases run statements: at once, with a result of 1 KB.
+// fakeClasses sets how fake databases run statements: without delay, with a result of 1 KB.
 var fakeClasses = map[string]engine.Class{"lookup": {Threads: 1, Rows: 42}}
 
-// fixture is one real front end with a fake change log, and fake databases where it has to send.
+// fixture is one real front end with a fake change log, and optionally fake databases.
 type fixture struct {
 	dir     string
 	log     *changelog.Log
@@ -30,23 +30,22 @@
 	front   *faulttest.FrontEnd
 	lines   chan logLine
 
-	began time.Time // when the front end was started
-	ready time.Time // when it listened
+	began time.Time // start of the front end's process
+	ready time.Time // when the front end listened
 }
 
-// logLine is a line of the front end's log.
+// logLine is a line of the front end's log and the time at which it was read.
 type logLine struct {
 	text string
 	read time.Time
 }
 
-// fixtureOptions are what a fixture is built with.
 type fixtureOptions struct {
-	program  string
-	members  int    // of the fleet that the front end takes itself to be in
-	engines  int    // in the list
-	answer   bool   // the databases of the list are there, as fakes
-	settings string // operators' settings as built JSON; empty: none
+	program     string
+	members     int    // front ends in the fleet, by the platform settings
+	engines     int    // databases in the endpoint list
+	fakeEngines bool   // start a fake for each database of the list
+	settings    string // operators' settings as JSON; empty for none
 }
 
 // startFixture starts a front end and returns as soon as it listens.
@@ -66,8 +65,8 @@
 	}
 	list := endpointsOf(o.engines)
 	for i := range list {
-		list[i].Zone = zoneName(0) // the only one of faulttest.Settings
-		if !o.answer {
+		list[i].Zone = zoneName(0) // the only zone in faulttest.Settings
+		if !o.fakeEngines {
 			continue
 		}
 		e, err := engine.Start("127.0.0.1:0", engine.Options{Name: "s-00000001", Cores: 4, MaxQueries: 10_000,
@@ -79,28 +78,31 @@
 		list[i].Address = e.Addr
 	}
 	f.log.Publish(true, list...)
-	facts := strings.Replace(faulttest.Settings, `"replicas_of_me":1`, fmt.Sprintf(`"replicas_of_me":%d`, o.members), 1)
-	facts = strings.Replace(facts, `"allowance_per_s":100000`, fmt.Sprintf(`"allowance_per_s":%d`,
+	platformSettings := strings.Replace(faulttest.Settings, `"replicas_of_me":1`,
+		fmt.Sprintf(`"replicas_of_me":%d`, o.members), 1)
+	platformSettings = strings.Replace(platformSettings, `"allowance_per_s":100000`, fmt.Sprintf(`"allowance_per_s":%d`,
 		2*PlannedRate*o.members), 1)
 	f.began = time.Now()
 	f.front, err = faulttest.StartFrontEnd(faulttest.FrontEndOptions{Program: o.program, Dir: f.dir, Name: "n0",
-		MemoryMB: frontMemoryMB, Descriptors: frontSockets,
-		ChangeLog: f.log.Addr, OperatorSettings: o.settings, PlatformSettings: facts, OnLogLine: f.readLine})
+		MemoryMB: frontEndMemoryMB, Descriptors: frontEndSockets,
+		ChangeLog: f.log.Addr, OperatorSettings: o.settings, PlatformSettings: platformSettings, OnLogLine: f.forwardLogLine})
 	f.ready = time.Now()
 	return f, err
 }
 
-// readLine passes a line on. One that finds no place is dropped: nobody waits for it.
-func (f *fixture) readLine(text string) {
+// forwardLogLine puts a line into f.lines, or drops it if the channel is full: a measurement that needs lines reads
+// them as they arrive.
+func (f *fixture) forwardLogLine(text string) {
 	select {
 	case f.lines <- logLine{text, time.Now()}:
 	default:
 	}
 }
 
-// await returns when the front end wrote the n-th line from now on that contains text.
-func (f *fixture) await(text string, n int) (time.Time, error) {
-	for timeout := time.After(listedWithin); ; {
+// awaitLine reads the log until the n-th line that contains text, and returns the time at which that line was read.
+// It fails after logLineTimeout.
+func (f *fixture) awaitLine(text string, n int) (time.Time, error) {
+	for timeout := time.After(logLineTimeout); ; {
 		select {
 		case line := <-f.lines:
 			if strings.Contains(line.text, text) {
@@ -110,15 +112,16 @@
 				return line.read, nil
 			}
 		case <-timeout:
-			return time.Time{}, fmt.Errorf("parts: the front end has not written %q: %d missing", text, n)
+			return time.Time{}, fmt.Errorf("parts: log line %q not found within the timeout: %d more expected", text, n)
 		}
 	}
 }
 
-// awaitEach returns when the front end wrote the first line from now on that contains each of the texts.
-func (f *fixture) awaitEach(texts ...string) ([]time.Time, error) {
+// awaitLines reads the log until each of the texts has been found, and returns the time at which the first line with
+// each text was read, in the order of texts. It fails after logLineTimeout.
+func (f *fixture) awaitLines(texts ...string) ([]time.Time, error) {
 	seen := make([]time.Time, len(texts))
-	for missing, timeout := len(texts), time.After(listedWithin); missing > 0; {
+	for missing, timeout := len(texts), time.After(logLineTimeout); missing > 0; {
 		select {
 		case line := <-f.lines:
 			for i, text := range texts {
@@ -128,16 +131,17 @@
 				}
 			}
 		case <-timeout:
-			return nil, fmt.Errorf("parts: the front end has not written each of %q", texts)
+			return nil, fmt.Errorf("parts: log lines not found within the timeout: expected all of %q", texts)
 		}
 	}
 	return seen, nil
 }
 
-// listedLine is in each line that tells of one entry of the list.
-const listedLine = `msg="engine listed"`
+// engineListedLine is part of each log line that reports one entry of the endpoint list.
+const engineListedLine = `msg="engine listed"`
 
-// close ends all that runs and tells of a front end that has not ended well.
+// close stops all processes and fakes and removes the directory. It returns the error of a front end that did not
+// exit cleanly.
 func (f *fixture) close() error {
 	var err error
 	if f.front != nil {
--- a/internal/scale/parts/frontend.go
+++ b/internal/scale/parts/frontend.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	sessionWait    = 20 * time.Second
-	idleFor        = 10 * time.Minute // sessions that ask nothing stay
-	warmFor        = time.Second
-	sessionDials   = 16 // at once
-	warmStatements = 200
-	mostUnanswered = 0.5 // share of statements; with more of them nothing has been measured
-	statementWait  = 2500 * time.Millisecond
+	sessionTimeout     = 20 * time.Second
+	sessionIdleTimeout = 10 * time.Minute // longer than a measurement, so that idle sessions stay open
+	warmupTime         = time.Second
+	parallelDials      = 16 // sessions that are opened at the same time
+	warmupStatements   = 200
+	maxUnansweredRatio = 0.5 // a higher ratio of statements without rows makes the measurement void
+	statementTimeout   = 2500 * time.Millisecond
 )
 
-// frontSettings let the planned sessions stay. Without max_sessions a front end takes two fifths of its sockets.
+// frontSettings returns operators' settings as JSON that keep the planned number of sessions open. Without
+// max_sessions a front end limits sessions to two fifths of its sockets.
 func frontSettings(reuse string) string {
 	return fmt.Sprintf(`{"schema":1,"clients":{"idle_ms":%d,"max_sessions":%d},"engines":{"reuse":%q}}`,
-		idleFor.Milliseconds(), frontSockets/2, reuse)
+		sessionIdleTimeout.Milliseconds(), frontEndSockets/2, reuse)
 }
 
-// noteFrontEnd notes how front ends are measured.
+// noteFrontEnd adds notes on how front ends are measured.
 func noteFrontEnd(c *collector) {
 	c.note("one front end process, limits %d MB and %d sockets, sessions up to %d by clients.max_sessions (the "+
 		"default of two fifths of the sockets would be %d), GOMAXPROCS 1 by limits.cores",
-		frontMemoryMB, frontSockets, frontSockets/2, frontSockets*2/5)
+		frontEndMemoryMB, frontEndSockets, frontEndSockets/2, frontEndSockets*2/5)
 	c.note("every database of the list is a fake in the measuring process, which shares the machine; CPU is the " +
 		"front end's own (/proc/PID/task/*/schedstat), kernel's work for it included")
 	c.note("statements are lookups with a result of 1 KB, answered at once, on a new connection to a database each, " +
 		"unless it is said otherwise; the front end probes (via pull) as its statements earn it")
 }
 
-// measureFrontEnd measures one real front end that belongs to a fleet of the largest size asked for.
+// measureFrontEnd measures one real front end of a fleet of the last size in Options.Sizes.
 func measureFrontEnd(ctx context.Context, o *Options, c *collector) error {
 	noteFrontEnd(c)
 	c.note("front_end_reuse_*: connections to databases serve again (engines.reuse on)")
@@ -61,24 +62,26 @@
 	noteFrontEnd(c)
 	c.note("front_end_by_list_*: the highest rate on %d sessions, by the length of the list; front_end_idle_*: the "+
 		"same front end without clients", listSessions)
-	return o.each(ctx, c, record.FrontEnd, func(p sizeRun) error { return measureList(ctx, o, p) })
+	return o.forEachSize(ctx, c, record.FrontEnd, func(p sizeRun) error { return measureList(ctx, o, p) })
 }
 
-// load is a front end with open sessions.
+// load is a front end with open client sessions.
 type load struct {
 	*fixture
 	sessions []*faulttest.Session
 	nextID   atomic.Uint64
 }
 
+// startLoad starts a front end with fake databases, and returns once the front end has logged each entry of its
+// endpoint list. reuse is the setting engines.reuse.
 func startLoad(o *Options, p sizeRun, reuse string) (*load, error) {
 	f, err := startFixture(fixtureOptions{program: o.Program, members: p.size.Members, engines: p.size.Engines,
-		answer: true, settings: frontSettings(reuse)})
+		fakeEngines: true, settings: frontSettings(reuse)})
 	if err != nil {
 		return nil, err
 	}
 	l := &load{fixture: f}
-	if _, err := f.await(listedLine, p.size.Engines); err != nil {
+	if _, err := f.awaitLine(engineListedLine, p.size.Engines); err != nil {
 		return nil, errors.Join(err, f.close())
 	}
 	return l, nil
@@ -91,29 +94,30 @@
 	return l.fixture.close()
 }
 
-// open brings the sessions to a number, some at a time. Each asks once: a session that asks nothing within 2.5 s of
-// its connect is closed, whatever the setting of idle ones.
+// open opens sessions until n are open, at most parallelDials at the same time. Each new session sends one statement,
+// because a front end closes a session that sends none within 2.5 s of connecting, whatever its idle timeout.
 func (l *load) open(n int) error {
 	missing := max(0, n-len(l.sessions))
 	opened := make([]*faulttest.Session, missing)
-	failed := make([]error, missing)
+	dialErrors := make([]error, missing)
 	var group sync.WaitGroup
-	places := make(chan struct{}, sessionDials)
+	slots := make(chan struct{}, parallelDials)
 	for i := range missing {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			if opened[i], failed[i] = faulttest.Dial(l.front.Addr, sessionWait); failed[i] == nil {
-				_ = l.statement(opened[i]) // counted where it matters: by the statements of measureRate
+			if opened[i], dialErrors[i] = faulttest.Dial(l.front.Addr, sessionTimeout); dialErrors[i] == nil {
+				_ = l.statement(opened[i]) // measureRate counts failures; this statement only keeps the session open
 			}
-			<-places
+			<-slots
 		})
 	}
 	group.Wait()
 	l.sessions = append(l.sessions, opened...)
-	return errors.Join(failed...)
+	return errors.Join(dialErrors...)
 }
 
-// measureSessions measures memory by sessions, and CPU by statements and by logins while the most sessions are open.
+// measureSessions measures memory by the number of sessions, and CPU by the rates of statements and of logins with
+// the largest number of sessions open.
 func measureSessions(ctx context.Context, o *Options, p sizeRun) (err error) {
 	l, err := startLoad(o, p, "auto")
 	if err != nil {
@@ -126,11 +130,11 @@
 	}
 	p.add("front_end_session_resident_bytes", residentBytes(pid))
 	for _, n := range o.Sessions {
-		p.c.step("%d sessions, repeat %d", n, p.repeat)
+		p.c.reportStep("%d sessions, repeat %d", n, p.repeat)
 		if err := l.open(n); err != nil {
 			return err
 		}
-		if err := pause(ctx, settle); err != nil {
+		if err := pause(ctx, settleTime); err != nil {
 			return err
 		}
 		p.size.Sessions = n
@@ -143,7 +147,7 @@
 	return l.measureLogins(ctx, o, p)
 }
 
-// measureReuse measures CPU by statements where connections to databases serve again.
+// measureReuse measures CPU by the rate of statements where the front end reuses connections to databases.
 func measureReuse(ctx context.Context, o *Options, p sizeRun) (err error) {
 	l, err := startLoad(o, p, "on")
 	if err != nil {
@@ -157,35 +161,36 @@
 	return l.measureRates(ctx, o, p, "front_end_reuse")
 }
 
-// warm sends statements on one session, so that what is made once is made.
+// warm sends statements on one session so that one-time initialization is not measured. It fails if none is answered.
 func (l *load) warm(ctx context.Context) error {
 	if err := l.open(max(1, len(l.sessions))); err != nil {
 		return err
 	}
-	answered, last := 0, error(nil)
-	for range warmStatements {
+	answered, lastErr := 0, error(nil)
+	for range warmupStatements {
 		if err := l.statement(l.sessions[0]); err != nil {
-			last = err
+			lastErr = err
 		} else {
 			answered++
 		}
 	}
 	if answered == 0 {
-		return fmt.Errorf("parts: no statement was answered: %w", last)
+		return fmt.Errorf("parts: warm-up: found no answered statement, at least one is needed: %w", lastErr)
 	}
 	return ctx.Err()
 }
 
-// statement makes one lookup and reads its rows.
+// statement sends one lookup and reads its rows.
 func (l *load) statement(session *faulttest.Session) error {
 	id := l.nextID.Add(1)
 	text := fmt.Sprintf("/* c=lookup,i=%016x,d=%d,t=south-grain,h=20.0,need_mb=16 */ SELECT a FROM sales_%d.orders", id,
-		statementWait.Milliseconds(), id%20)
-	_, err := session.Query(text, time.Now().Add(2*statementWait))
+		statementTimeout.Milliseconds(), id%20)
+	_, err := session.Query(text, time.Now().Add(2*statementTimeout))
 	return err
 }
 
-// measureRates measures CPU at each rate of statements, evenly over all open sessions, and at rest.
+// measureRates measures CPU without statements and at each rate of Options.Rates, spread evenly over all open
+// sessions.
 func (l *load) measureRates(ctx context.Context, o *Options, p sizeRun, name string) error {
 	for _, rate := range append([]int{0}, o.Rates...) {
 		if err := l.measureRate(ctx, o, p, name, rate); err != nil {
@@ -195,22 +200,23 @@
 	return nil
 }
 
-// measureRate measures CPU at one rate of statements.
+// measureRate measures CPU at one rate of statements. It fails if more than maxUnansweredRatio of them end without
+// rows.
 func (l *load) measureRate(ctx context.Context, o *Options, p sizeRun, name string, rate int) error {
-	p.c.step("%d statements a second, repeat %d", rate, p.repeat)
+	p.c.reportStep("%d statements a second, repeat %d", rate, p.repeat)
 	p.size.Rate = rate
-	if err := pause(ctx, settle); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
-	run := startStatements(ctx, l, rate, warmFor+o.Window)
-	if err := pause(ctx, warmFor); err != nil {
+	run := startStatements(ctx, l, rate, warmupTime+o.Window)
+	if err := pause(ctx, warmupTime); err != nil {
 		return err
 	}
 	pid := l.front.Pid()
-	began, from, asked := processCPU(pid), time.Now(), run.asked.Load()
+	startCPU, startTime, sent := processCPU(pid), time.Now(), run.sent.Load()
 	err := pause(ctx, o.Window)
-	spent, seconds := processCPU(pid)-began, time.Since(from).Seconds()
-	asked = run.asked.Load() - asked
+	spent, seconds := processCPU(pid)-startCPU, time.Since(startTime).Seconds()
+	sent = run.sent.Load() - sent
 	run.group.Wait()
 	if err != nil {
 		return err
@@ -219,34 +225,36 @@
 	if rate == 0 {
 		return nil
 	}
-	p.add(name+"_statements_per_second", float64(asked)/seconds)
-	p.add(name+"_statement_cpu_seconds", spent/math.Max(1, float64(asked)))
+	p.add(name+"_statements_per_second", float64(sent)/seconds)
+	p.add(name+"_statement_cpu_seconds", spent/math.Max(1, float64(sent)))
 	p.add(name+"_statements_unanswered_ratio", run.unanswered())
-	if run.unanswered() > mostUnanswered {
-		return fmt.Errorf("%.4f of the statements at %d a second ended without rows", run.unanswered(), rate)
+	if run.unanswered() > maxUnansweredRatio {
+		return fmt.Errorf("statements: found a ratio of %.4f without rows at %d per second, more than allowed",
+			run.unanswered(), rate)
 	}
 	return nil
 }
 
-// statements is a run of statements at a rate.
+// statements counts the statements that are sent at a rate, and those that fail.
 type statements struct {
-	asked, failed atomic.Int64
-	group         sync.WaitGroup
+	sent, failed atomic.Int64
+	group        sync.WaitGroup
 }
 
-// startStatements sends at a rate for so long: each session at its own even part of it.
-func startStatements(ctx context.Context, l *load, rate int, long time.Duration) *statements {
+// startStatements sends statements at a rate for the given duration. Every session sends an even share of them, at a
+// fixed interval.
+func startStatements(ctx context.Context, l *load, rate int, duration time.Duration) *statements {
 	run := &statements{}
 	if rate == 0 {
 		return run
 	}
-	began, end := time.Now(), time.Now().Add(long)
-	every := time.Duration(float64(time.Second) * float64(len(l.sessions)) / float64(rate))
+	began, end := time.Now(), time.Now().Add(duration)
+	interval := time.Duration(float64(time.Second) * float64(len(l.sessions)) / float64(rate))
 	for i, session := range l.sessions {
 		run.group.Go(func() {
-			first := time.Duration(float64(every) * float64(i) / float64(len(l.sessions)))
-			for due := began.Add(first); due.Before(end) && pause(ctx, time.Until(due)) == nil; due = due.Add(every) {
-				run.asked.Add(1)
+			first := time.Duration(float64(interval) * float64(i) / float64(len(l.sessions)))
+			for due := began.Add(first); due.Before(end) && pause(ctx, time.Until(due)) == nil; due = due.Add(interval) {
+				run.sent.Add(1)
 				if l.statement(session) != nil {
 					run.failed.Add(1)
 				}
@@ -256,63 +264,64 @@
 	return run
 }
 
-// unanswered is the share of statements that ended without rows.
+// unanswered returns the ratio of statements that ended without rows.
 func (s *statements) unanswered() float64 {
-	return float64(s.failed.Load()) / math.Max(1, float64(s.asked.Load()))
+	return float64(s.failed.Load()) / math.Max(1, float64(s.sent.Load()))
 }
 
-// measureLogins measures CPU by new sessions a second, each of which logs in and leaves.
+// measureLogins measures CPU by the rate of new sessions. Each session logs in and closes.
 func (l *load) measureLogins(ctx context.Context, o *Options, p sizeRun) error {
 	pid := l.front.Pid()
 	for _, rate := range append([]int{0}, o.LoginRates...) {
-		p.c.step("%d logins a second, repeat %d", rate, p.repeat)
+		p.c.reportStep("%d logins a second, repeat %d", rate, p.repeat)
 		p.size.Rate = rate
-		began, from := processCPU(pid), time.Now()
-		made, err := l.login(ctx, rate, o.Window)
+		startCPU, startTime := processCPU(pid), time.Now()
+		logins, err := l.login(ctx, rate, o.Window)
 		if err != nil {
 			return err
 		}
-		seconds := time.Since(from).Seconds()
-		cores := (processCPU(pid) - began) / seconds
+		seconds := time.Since(startTime).Seconds()
+		cores := (processCPU(pid) - startCPU) / seconds
 		p.add("front_end_login_cpu_cores", cores)
 		if rate > 0 {
-			p.add("front_end_logins_per_second", float64(made)/seconds)
+			p.add("front_end_logins_per_second", float64(logins)/seconds)
 		}
 	}
 	return nil
 }
 
-// login opens and closes sessions at a rate for so long, and returns how many.
-func (l *load) login(ctx context.Context, rate int, long time.Duration) (made int, err error) {
+// login opens and closes sessions at a rate for the given duration, and returns their number.
+func (l *load) login(ctx context.Context, rate int, duration time.Duration) (logins int, err error) {
 	if rate == 0 {
-		return 0, pause(ctx, long)
+		return 0, pause(ctx, duration)
 	}
-	every, began := time.Second/time.Duration(rate), time.Now()
-	for due := began; due.Before(began.Add(long)); due = due.Add(every) {
+	interval, began := time.Second/time.Duration(rate), time.Now()
+	for due := began; due.Before(began.Add(duration)); due = due.Add(interval) {
 		if err := pause(ctx, time.Until(due)); err != nil {
-			return made, err
+			return logins, err
 		}
-		session, err := faulttest.Dial(l.front.Addr, sessionWait)
+		session, err := faulttest.Dial(l.front.Addr, sessionTimeout)
 		if err != nil {
-			return made, err
+			return logins, err
 		}
 		session.Close()
-		made++
+		logins++
 	}
-	return made, nil
+	return logins, nil
 }
 
-// listSessions are the client connections of the front end whose cost by the length of its list is measured.
+// listSessions is the number of client sessions while the cost of the endpoint list is measured.
 const listSessions = 64
 
-// measureList measures a front end by the length of its list: without clients, and at the planned rate of statements.
+// measureList measures a front end by the length of its endpoint list: without clients, and at the last rate of
+// Options.Rates.
 func measureList(ctx context.Context, o *Options, p sizeRun) (err error) {
 	l, err := startLoad(o, p, "auto")
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, l.close()) }()
-	if err := pause(ctx, settle); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
 	pid := l.front.Pid()
--- a/internal/scale/parts/lists.go
+++ b/internal/scale/parts/lists.go
@@ -21,11 +21,11 @@
 
 const (
 	listSeed      = 1
-	startedMillis = 1_770_000_000_000 // Unix time at which the databases of lists have started
-	pollWait      = 10 * time.Millisecond
+	startedMillis = 1_770_000_000_000 // Unix time, in ms, at which the listed databases started
+	pollTimeout   = 10 * time.Millisecond
 )
 
-// endpointOf is one database as the change log tells of it, with addresses as long as real ones.
+// endpointOf returns the change log's entry of database i. Its address is as long as a real one.
 func endpointOf(i int, status string) changelog.Endpoint {
 	return changelog.Endpoint{Name: engineName(i), Address: fmt.Sprintf("10.%d.%d.%d:8400", 20+i%zones, i/200,
 		10+i%200), Zone: zoneName(i), Type: "std-4",
@@ -39,8 +39,8 @@
 	return list
 }
 
-// factsOf are the settings of one front end of a fleet.
-func factsOf(me, members int) (admission.Settings, platformconfig.Names, error) {
+// settingsOf returns the settings of front end number me in a fleet of the given size.
+func settingsOf(me, members int) (admission.Settings, platformconfig.Names, error) {
 	set, names, err := platformconfig.Parse([]byte(faulttest.Settings))
 	set.Me, set.Replicas = me, members
 	for i := range set.Tenants {
@@ -49,26 +49,26 @@
 	return set, names, err
 }
 
-// measureLists measures what lists of databases weigh at their source and what they cost a front end to read.
+// measureLists measures the bytes of endpoint lists at their source, and the CPU that a front end needs to read them.
 func measureLists(ctx context.Context, o *Options, c *collector) error {
 	c.note("bytes are those of the HTTP streams, question and answer, without headers of IP and TCP; entries are " +
 		"written by the fake change log and the fake Consul")
 	c.note("CPU of a list: the change log's reader (internal/endpoints) and the controller's step (admission), in " +
 		"this process")
-	return o.each(ctx, c, record.ChangeLog, func(p sizeRun) error {
+	return o.forEachSize(ctx, c, record.ChangeLog, func(p sizeRun) error {
 		if err := measureChangeLog(ctx, p); err != nil {
 			return err
 		}
 		if err := measureCatalogue(ctx, p); err != nil {
 			return err
 		}
-		return measureListReading(p)
+		return measureListCPU(p)
 	})
 }
 
-// read gets a page and returns its body, and the bytes of question and answer. The question has no header but the
-// host, as a front end's has to the change log (internal/engine).
-func read(ctx context.Context, url string) (body []byte, moved float64, err error) {
+// fetch returns the body of a GET response, and the bytes of request and response. The request has no header except
+// Host, like a front end's request to the change log (internal/engine).
+func fetch(ctx context.Context, url string) (body []byte, transferred float64, err error) {
 	var traffic byteCounter
 	client := traffic.client(1)
 	client.Transport.(*http.Transport).DisableCompression = true
@@ -89,7 +89,8 @@
 	return body, traffic.bytes(), nil
 }
 
-// measureChangeLog measures a whole list, a change of one database, and a poll that brings nothing.
+// measureChangeLog measures the bytes of a complete list, of the change of one database, and of a poll without
+// events.
 func measureChangeLog(ctx context.Context, p sizeRun) error {
 	log, err := changelog.Start("127.0.0.1:0")
 	if err != nil {
@@ -99,11 +100,11 @@
 	log.Publish(true, endpointsOf(p.size.Engines)...)
 	log.Publish(false, endpointOf(0, "draining"))
 	poll := func(since int) (float64, error) {
-		_, moved, err := read(ctx, fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", log.Addr, since,
-			pollWait.Milliseconds()))
-		return moved, err
+		_, transferred, err := fetch(ctx, fmt.Sprintf("http://%s/changes?since=%d&timeout=%d", log.Addr, since,
+			pollTimeout.Milliseconds()))
+		return transferred, err
 	}
-	both, err := poll(0)
+	listAndEvent, err := poll(0)
 	if err != nil {
 		return err
 	}
@@ -111,24 +112,24 @@
 	if err != nil {
 		return err
 	}
-	nothing, err := poll(2)
+	idlePoll, err := poll(2)
 	if err != nil {
 		return err
 	}
-	p.add("change_log_list_bytes", both-event+nothing)
+	p.add("change_log_list_bytes", listAndEvent-event+idlePoll)
 	p.add("change_log_event_bytes", event)
-	p.add("change_log_idle_poll_bytes", nothing)
-	set, _, err := factsOf(0, p.size.Members)
+	p.add("change_log_idle_poll_bytes", idlePoll)
+	set, _, err := settingsOf(0, p.size.Members)
 	if err != nil {
 		return err
 	}
-	wait := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).PollWait()
-	p.as(record.FrontEnd).add("change_log_idle_polls_per_second", 1/wait.Seconds())
-	p.as(record.FrontEnd).add("change_log_idle_bytes_per_second", nothing/wait.Seconds())
+	interval := watchtimeout.New(set.DrainGrace, 250*time.Millisecond).PollWait()
+	p.withRole(record.FrontEnd).add("change_log_idle_polls_per_second", 1/interval.Seconds())
+	p.withRole(record.FrontEnd).add("change_log_idle_bytes_per_second", idlePoll/interval.Seconds())
 	return nil
 }
 
-// measureCatalogue measures one read of a Consul catalogue, which always is the whole list.
+// measureCatalogue measures the bytes of one read of a Consul catalogue, which always returns the complete list.
 func measureCatalogue(ctx context.Context, p sizeRun) error {
 	server, err := consul.Start("127.0.0.1:0", nil)
 	if err != nil {
@@ -136,19 +137,19 @@
 	}
 	defer server.Close()
 	register(server, p.size.Engines)
-	body, moved, err := read(ctx, "http://"+server.Addr+"/v1/health/service/engine")
+	body, transferred, err := fetch(ctx, "http://"+server.Addr+"/v1/health/service/engine")
 	if err != nil {
 		return err
 	}
 	var instances []json.RawMessage
 	if err := json.Unmarshal(body, &instances); err != nil || len(instances) != p.size.Engines {
-		return fmt.Errorf("the catalogue answers with %d of %d databases: %w", len(instances), p.size.Engines, err)
+		return fmt.Errorf("catalogue: found %d databases, expected %d: %w", len(instances), p.size.Engines, err)
 	}
-	p.add("consul_list_bytes", moved)
+	p.add("consul_list_bytes", transferred)
 	return nil
 }
 
-// register enters so many databases into a catalogue, one on each node.
+// register adds the given number of databases to a catalogue, each on a separate node.
 func register(server *consul.Server, engines int) {
 	for i := range engines {
 		e := endpointOf(i, "ready")
@@ -159,9 +160,9 @@
 	}
 }
 
-// measureListReading measures the CPU of a whole list and of a change of one database.
-func measureListReading(p sizeRun) error {
-	set, names, err := factsOf(0, p.size.Members)
+// measureListCPU measures the CPU of reading a complete list, and of the change of one database.
+func measureListCPU(p sizeRun) error {
+	set, names, err := settingsOf(0, p.size.Members)
 	if err != nil {
 		return err
 	}
@@ -174,7 +175,7 @@
 		return err
 	}
 	now := time.Duration(startedMillis) * time.Millisecond
-	take := func(changes *endpoints.ChangeLog, text []byte) error {
+	apply := func(changes *endpoints.ChangeLog, text []byte) error {
 		lists, err := changes.Read(text)
 		if err != nil {
 			return err
@@ -185,26 +186,26 @@
 		}
 		return nil
 	}
-	whole, err := cpuEach(func() error { return take(endpoints.NewChangeLog(names), text) })
+	listCPU, err := cpuPerCall(func() error { return apply(endpoints.NewChangeLog(names), text) })
 	if err != nil {
 		return err
 	}
 	changes := endpoints.NewChangeLog(names)
-	event, err := cpuEach(func() error {
-		seq := changes.Seq() + 2 // the first event is a whole list
+	eventCPU, err := cpuPerCall(func() error {
+		seq := changes.Seq() + 2 // starts at 2, since event 1 is read as a complete list
 		status := []string{"draining", "ready"}[seq%2]
-		return take(changes, fmt.Appendf(nil, `{"seq":%d,"results":[{"seq":%d,"fleet":{"endpoints":[%s]}}]}`, seq, seq,
+		return apply(changes, fmt.Appendf(nil, `{"seq":%d,"results":[{"seq":%d,"fleet":{"endpoints":[%s]}}]}`, seq, seq,
 			eventText(0, status)))
 	})
 	if err != nil {
 		return err
 	}
-	p.as(record.FrontEnd).add("list_read_cpu_seconds", whole)
-	p.as(record.FrontEnd).add("list_event_cpu_seconds", event)
+	p.withRole(record.FrontEnd).add("list_read_cpu_seconds", listCPU)
+	p.withRole(record.FrontEnd).add("list_event_cpu_seconds", eventCPU)
 	return nil
 }
 
-// listText is the change log's answer that holds one whole list.
+// listText returns the change log's response with one complete list.
 func listText(engines int) ([]byte, error) {
 	log, err := changelog.Start("127.0.0.1:0")
 	if err != nil {
@@ -212,10 +213,11 @@
 	}
 	defer log.Close()
 	log.Publish(true, endpointsOf(engines)...)
-	text, _, err := read(context.Background(), "http://"+log.Addr+"/changes?since=0&timeout=0")
+	text, _, err := fetch(context.Background(), "http://"+log.Addr+"/changes?since=0&timeout=0")
 	return text, err
 }
 
+// eventText returns the JSON of one endpoint in a change-log event.
 func eventText(i int, status string) string {
 	e := endpointOf(i, status)
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":0,"status":%q,"weight":1,"since_ms":%d}`,
--- a/internal/scale/parts/replicahost.go
+++ b/internal/scale/parts/replicahost.go
@@ -17,12 +17,12 @@
 	"beechcart/internal/fleet"
 )
 
-// ReplicaConfig is the line that a process of ServeReplica reads first.
+// ReplicaConfig is the configuration of ServeReplica, sent as one line of JSON.
 type ReplicaConfig struct {
 	Dir    string `json:"dir"`
-	Log    string `json:"log"`    // host:port on loopback, of the replicated log
-	Calls  string `json:"calls"`  // host:port on loopback, for members and operators
-	Gossip string `json:"gossip"` // host:port; nothing listens there
+	Log    string `json:"log"`    // host:port on loopback for the replicated log
+	Calls  string `json:"calls"`  // host:port on loopback for the calls of members and operators
+	Gossip string `json:"gossip"` // host:port; no process listens there
 	Key    string `json:"key"`
 }
 
@@ -32,9 +32,10 @@
 	replicaReady = "ready"
 )
 
-// ServeReplica runs a control log of one replica in this process, without membership and without a leader's periodic
-// check, until in ends. It reads a ReplicaConfig and writes a line once it leads. It is a process of its own so that
-// its CPU can be told apart from its clients'.
+// ServeReplica runs a control log of one replica in this process until in ends, without membership and without a
+// leader's periodic check. It reads a ReplicaConfig as the first line of in, and writes the line "ready" to out once
+// the replica is the leader. It runs in a separate process so that the replica's CPU is measured apart from that of
+// its clients.
 func ServeReplica(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReader(in)
 	line, err := reader.ReadBytes('\n')
@@ -57,7 +58,7 @@
 	if err := replica.Init(); err != nil {
 		return fmt.Errorf("parts: replica: %w", err)
 	}
-	if err := untilLeads(replica); err != nil {
+	if err := waitForLeadership(replica); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprintln(out, replicaReady); err != nil {
@@ -67,29 +68,29 @@
 	return err
 }
 
-// leadsWithin bounds how long a log of one replica may take to elect itself.
-const leadsWithin = 30 * time.Second
+// electionTimeout bounds the time in which a log of one replica elects itself leader.
+const electionTimeout = 30 * time.Second
 
-func untilLeads(replica *fleet.ControlReplica) error {
-	for end := time.Now().Add(leadsWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+func waitForLeadership(replica *fleet.ControlReplica) error {
+	for end := time.Now().Add(electionTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if status, err := replica.Status(); err == nil && status.IsLeader {
 			return nil
 		}
 	}
-	return errors.New("parts: replica: it does not lead")
+	return errors.New("parts: replica: not elected leader within the election timeout")
 }
 
-// replicaProcess is a process of ServeReplica.
+// replicaProcess is a child process that runs ServeReplica.
 type replicaProcess struct {
 	config  ReplicaConfig
 	command *exec.Cmd
 	input   io.WriteCloser
 }
 
-// startReplica starts a process of ServeReplica and returns once it leads.
+// startReplica starts a child process that runs ServeReplica, and returns once its replica is the leader.
 func startReplica(ctx context.Context, args []string) (r *replicaProcess, err error) {
 	if len(args) == 0 {
-		return nil, errors.New("parts: replica: no command line given")
+		return nil, errors.New("parts: replica: found no command line, Options.ReplicaArgs must name a program")
 	}
 	r = &replicaProcess{config: ReplicaConfig{Key: replicaKey}}
 	if r.config.Dir, err = os.MkdirTemp("", "parts"); err != nil {
@@ -121,15 +122,15 @@
 		return nil, err
 	}
 	if line, err := bufio.NewReader(output).ReadString('\n'); err != nil || line != replicaReady+"\n" {
-		return nil, fmt.Errorf("parts: replica: found %q in place of %q: %w", line, replicaReady, errors.Join(err,
-			io.ErrUnexpectedEOF))
+		return nil, fmt.Errorf("parts: replica: first output line: found %q, expected %q: %w", line, replicaReady,
+			errors.Join(err, io.ErrUnexpectedEOF))
 	}
 	return r, nil
 }
 
 func (r *replicaProcess) pid() int { return r.command.Process.Pid }
 
-// stop ends the process and removes its files.
+// stop closes the process's input, waits for its exit and removes its files.
 func (r *replicaProcess) stop() {
 	if r.input != nil {
 		_ = r.input.Close()
@@ -140,7 +141,7 @@
 	_ = os.RemoveAll(r.config.Dir)
 }
 
-// freeAddress is a loopback address that nothing listened at just now.
+// freeAddress returns a loopback address with a port that was free at the time of the call.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/scale/parts/start.go
+++ b/internal/scale/parts/start.go
@@ -8,14 +8,14 @@
 	"beechcart/internal/scale/record"
 )
 
-// measureStart measures how long a front end takes from the start of its process until it listens, and until it has
-// its whole list.
+// measureStart measures the time from the start of a front end's process until it listens, and until it has its
+// complete endpoint list.
 func measureStart(ctx context.Context, o *Options, c *collector) error {
 	c.note("a front end outside a fleet; in a fleet it also waits for its drains, at most 3 s (cmd/gateway/fleet.go: " +
 		"registrationTimeout)")
 	c.note("each sample is the mean, or the most, of %d starts; ready: the line in which it says that it listens has "+
 		"been read", o.Starts)
-	return o.each(ctx, c, record.FrontEnd, func(p sizeRun) error { return measureStartAt(ctx, o, p) })
+	return o.forEachSize(ctx, c, record.FrontEnd, func(p sizeRun) error { return measureStartAt(ctx, o, p) })
 }
 
 func measureStartAt(ctx context.Context, o *Options, p sizeRun) error {
@@ -38,11 +38,11 @@
 	return nil
 }
 
-// started is what one start took, all since the start of the process.
+// started holds the costs of one start, from the start of the process on.
 type started struct {
-	ready  time.Duration // until it listens
-	listed time.Duration // until it has the whole list
-	cpu    time.Duration // of it, until then
+	ready  time.Duration // until the front end listens
+	listed time.Duration // until the front end has the complete list
+	cpu    time.Duration // CPU time of the front end until then
 }
 
 func startOnce(o *Options, p sizeRun) (s started, err error) {
@@ -51,7 +51,7 @@
 		return s, err
 	}
 	defer func() { err = errors.Join(err, f.close()) }()
-	listed, err := f.await(listedLine, p.size.Engines)
+	listed, err := f.awaitLine(engineListedLine, p.size.Engines)
 	if err != nil {
 		return s, err
 	}
--- a/internal/scale/parts/state.go
+++ b/internal/scale/parts/state.go
@@ -9,59 +9,59 @@
 	"beechcart/internal/scale/record"
 )
 
-// The fleet that is put into the control log: names and numbers are as long as those of a real one.
+// The fleet that is entered into the control log. Its names and numbers are as long as those of a real fleet.
 const (
-	revision      = "r-20260131"
-	nextRevision  = "r-20260207"
-	zones         = 3
-	firstProcess  = uint64(1_770_000_000_000_000_000) // Unix nanoseconds, as processes are numbered
-	drainedEngine = 0
+	revision         = "r-20260131"
+	nextRevision     = "r-20260207"
+	zones            = 3
+	firstIncarnation = uint64(1_770_000_000_000_000_000) // Unix nanoseconds, the unit of incarnation numbers
+	drainedEngine    = 0
 )
 
 func memberName(i int) string { return fmt.Sprintf("fe-%04d", i) }
 func engineName(i int) string { return fmt.Sprintf("s-%08x", i+1) }
 func zoneName(i int) string   { return "room-" + string(rune('a'+i%zones)) }
 
-// reportOf is a front end's report that it serves.
-func reportOf(i int, seq uint64) rollout.Command {
+// statusReport returns the status report of a serving front end.
+func statusReport(i int, seq uint64) rollout.Command {
 	return rollout.Command{ReportStatus: &rollout.ReportStatus{Name: memberName(i), Zone: zoneName(i), Kind: "std-4",
 		Weight:      PlannedRate,
-		Incarnation: firstProcess + uint64(i), StatusSequence: seq, Revision: revision, Phase: rollout.Serving}}
+		Incarnation: firstIncarnation + uint64(i), StatusSequence: seq, Revision: revision, Phase: rollout.Serving}}
 }
 
-// fillCommands enter a fleet into an empty log.
+// fillCommands returns the commands that enter a fleet into an empty control log.
 func fillCommands(size record.Size) (commands []rollout.Command) {
 	for i := range size.Members {
-		commands = append(commands, reportOf(i, 1))
+		commands = append(commands, statusReport(i, 1))
 	}
 	for i := range size.Engines {
 		commands = append(commands, rollout.Command{Engine: &rollout.Engine{Name: engineName(i), Zone: zoneName(i),
 			Kind: "std-4", Cores: 4,
-			Process: firstProcess + uint64(i), Listed: true, Ready: true}})
+			Process: firstIncarnation + uint64(i), Listed: true, Ready: true}})
 	}
 	return commands
 }
 
-// drainCommand asks for the drain of a database.
+// drainCommand returns the command that requests the drain of a database.
 func drainCommand() rollout.Command {
 	return rollout.Command{ID: "drain-1", RequestedBy: "operator@control-1",
 		Drain: &rollout.Subject{Name: engineName(drainedEngine), Engine: true}}
 }
 
-// drainedCommand is a front end's report that nothing of its own is at the drained database.
+// drainedCommand returns a front end's report that it has no work at the drained database.
 func drainedCommand(i int, permit uint64) rollout.Command {
 	return rollout.Command{ReportDrained: &rollout.ReportDrained{Name: memberName(i),
-		Incarnation: firstProcess + uint64(i), Permit: permit}}
+		Incarnation: firstIncarnation + uint64(i), Permit: permit}}
 }
 
-// releaseCommand starts a release whose only wave is the whole fleet: as many front ends hold permits as the budget
-// allows.
+// releaseCommand returns the command that starts a release with the whole fleet in one wave, so that the largest
+// number of front ends that the budget allows hold permits.
 func releaseCommand() rollout.Command {
 	return rollout.Command{ID: "release-1", RequestedBy: "operator@control-1",
 		StartRelease: &rollout.StartRelease{Revision: nextRevision, Waves: []float64{1}, Soak: 5 * time.Minute}}
 }
 
-// filledState is the log's state with a fleet in it.
+// filledState is the state machine of the control log with a fleet entered.
 type filledState struct {
 	*rollout.StateMachine
 	now time.Duration
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &filledState{StateMachine: machine, now: time.Duration(firstProcess), seq: 1}
+	s := &filledState{StateMachine: machine, now: time.Duration(firstIncarnation), seq: 1}
 	for _, command := range fillCommands(size) {
 		if _, err := s.apply(command); err != nil {
 			return nil, err
@@ -82,7 +82,7 @@
 	return s, nil
 }
 
-// apply enters a command a millisecond after the last; a refusal is an error.
+// apply applies a command one millisecond after the previous one. A rejected command is an error.
 func (s *filledState) apply(command rollout.Command) (rollout.Result, error) {
 	s.now += time.Millisecond
 	command.At = s.now
@@ -93,20 +93,20 @@
 	return result, nil
 }
 
-// report enters the next report of some front end.
+// report applies the next status report, of the front ends in turn.
 func (s *filledState) report(size record.Size) error {
 	s.seq++
-	_, err := s.apply(reportOf(int(s.seq)%size.Members, s.seq))
+	_, err := s.apply(statusReport(int(s.seq)%size.Members, s.seq))
 	return err
 }
 
-// measureState measures the state machine of the control log alone, without disk and network.
+// measureState measures the state machine of the control log without disk and network.
 func measureState(ctx context.Context, o *Options, c *collector) error {
 	c.note("state machine alone (decision/rollout), in this process: no disk, no network; CPU by getrusage, " +
 		"collection of garbage included")
 	c.note("busy: one database is drained and all front ends have reported it empty; a release of one wave holds all " +
 		"permits of the budget (a tenth)")
-	return o.each(ctx, c, record.ControlReplica, measureStateAt)
+	return o.forEachSize(ctx, c, record.ControlReplica, measureStateAt)
 }
 
 func measureStateAt(p sizeRun) error {
@@ -117,11 +117,11 @@
 	if err := measureSnapshot(p, s, "idle"); err != nil {
 		return err
 	}
-	idle, err := cpuEach(func() error { return s.report(p.size) })
+	idleCPU, err := cpuPerCall(func() error { return s.report(p.size) })
 	if err != nil {
 		return err
 	}
-	p.add("control_log_command_idle_cpu_seconds", idle)
+	p.add("control_log_command_idle_cpu_seconds", idleCPU)
 	if err := measureDrainState(p, s); err != nil {
 		return err
 	}
@@ -131,39 +131,40 @@
 	if err := measureSnapshot(p, s, "busy"); err != nil {
 		return err
 	}
-	busy, err := cpuEach(func() error { return s.report(p.size) })
+	busyCPU, err := cpuPerCall(func() error { return s.report(p.size) })
 	if err != nil {
 		return err
 	}
-	p.add("control_log_command_busy_cpu_seconds", busy)
-	due, err := cpuEach(func() error {
+	p.add("control_log_command_busy_cpu_seconds", busyCPU)
+	deadlineCPU, err := cpuPerCall(func() error {
 		s.NextDeadline()
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	p.add("control_log_due_cpu_seconds", due)
+	p.add("control_log_due_cpu_seconds", deadlineCPU)
 	return measureHistory(p)
 }
 
-// measureSnapshot measures the whole state as JSON: its bytes, and the CPU to write and to read it.
+// measureSnapshot measures a snapshot of the whole state: its bytes as JSON, and the CPU of writing and of restoring
+// it.
 func measureSnapshot(p sizeRun, s *filledState, name string) error {
 	var text []byte
-	write, err := cpuEach(func() (err error) {
+	snapshotCPU, err := cpuPerCall(func() (err error) {
 		text, err = s.Snapshot()
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	read, err := cpuEach(func() error { return s.Restore(text) })
+	restoreCPU, err := cpuPerCall(func() error { return s.Restore(text) })
 	if err != nil {
 		return err
 	}
 	p.add("control_log_snapshot_"+name+"_bytes", float64(len(text)))
-	p.add("control_log_snapshot_"+name+"_cpu_seconds", write)
-	p.add("control_log_restore_"+name+"_cpu_seconds", read)
+	p.add("control_log_snapshot_"+name+"_cpu_seconds", snapshotCPU)
+	p.add("control_log_restore_"+name+"_cpu_seconds", restoreCPU)
 	return nil
 }
 
@@ -177,15 +178,15 @@
 	if err != nil {
 		return err
 	}
-	began := ownCPU()
+	startCPU := selfCPU()
 	for i := range p.size.Members {
 		if _, err := s.apply(drainedCommand(i, drained.Permit)); err != nil {
 			return err
 		}
 	}
-	p.add("database_drain_state_cpu_seconds", ownCPU()-began)
+	p.add("database_drain_state_cpu_seconds", selfCPU()-startCPU)
 	if s.Permits[drained.Permit].DrainedAt == 0 {
-		return fmt.Errorf("the database may not be stopped although all have reported it empty: %v",
+		return fmt.Errorf("drain: found blockers %v, expected none after all front ends have reported the database empty",
 			s.DrainBlockers(drained.Permit))
 	}
 	after, err := s.Snapshot()
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// measureHistory measures the audit and the remembered answers once both are full.
+// measureHistory measures the bytes of the audit and of the stored command results once both are full.
 func measureHistory(p sizeRun) error {
 	s, err := newState(p.size)
 	if err != nil {
