--- a/cmd/gateway/disconnect_matrix_test.go
+++ b/cmd/gateway/disconnect_matrix_test.go
@@ -57,15 +57,16 @@
 	return ids
 }
 
-// disconnect is a client that waits for a request and is about to disconnect.
-type disconnect struct {
+// disconnectingClient is a client that waits for the answers to its requests, and its way to disconnect.
+type disconnectingClient struct {
 	method       string
 	ids          []string // of all requests that the client sent
 	leave        func()
 	checkAnswers func() // asserts the answers to the client; nil: the client gets no answer
 }
 
-// ping sends a ping and asserts that the answer is OK. A session that has sent a command has the long idle timeout.
+// ping sends a ping and asserts that the answer is OK. A client that is to stay idle pings first, because the long idle
+// timeout applies only to a session that has sent a command.
 func (c *client) ping() {
 	c.send(0, "\x0e")
 	require.Zero(c.t, c.read().code)
@@ -76,9 +77,10 @@
 	return rest[:16]
 }
 
-// sendAndDisconnect sends requests over a session, and returns the disconnect that leave will make.
-func sendAndDisconnect(r *testGateway, method string, c *client, leave func(), payloads ...string) *disconnect {
-	d := &disconnect{method: method, leave: leave}
+// sendAndDisconnect sends requests over a session, and returns the client. The client disconnects when leave is called.
+func sendAndDisconnect(r *testGateway, method string, c *client, leave func(),
+	payloads ...string) *disconnectingClient {
+	d := &disconnectingClient{method: method, leave: leave}
 	var packets []string
 	for _, p := range payloads {
 		if strings.Contains(p, "i=") {
@@ -98,9 +100,9 @@
 	return d
 }
 
-// disconnects opens a session for each way to disconnect and sends one or more requests on each session. The program
-// accepts one request of each session.
-func disconnects(r *testGateway, class string) (all []*disconnect) {
+// disconnectingClients opens a session for each way to disconnect and sends one or more requests on each session. The
+// program accepts one request of each session.
+func disconnectingClients(r *testGateway, class string) (all []*disconnectingClient) {
 	add := func(method string, c *client, leave func(), payloads ...string) {
 		all = append(all, sendAndDisconnect(r, method, c, leave, payloads...))
 	}
@@ -141,7 +143,8 @@
 	return all
 }
 
-// obstacle keeps requests waiting. Once the obstacle is removed, an attempt for each request could start at once.
+// obstacle keeps requests waiting. Once the obstacle is removed, the program starts an attempt for each request at
+// once, unless the program has detected that the client disconnected.
 type obstacle struct {
 	class        string // of the requests
 	engines      []*engine
@@ -172,6 +175,7 @@
 	t.Helper()
 	e, _, open := newUnconnectableEngine(t)
 	e.handle = posts.wrap(nil)
+	// The remote address 127.0.0.1, the port and the state SYN_SENT, as in /proc/net/tcp.
 	remote := fmt.Appendf(nil, " 0100007F:%04X 02 ", e.Listener.Addr().(*net.TCPAddr).Port)
 	return &obstacle{
 		class: "lookup", engines: []*engine{e},
@@ -190,7 +194,7 @@
 	}
 }
 
-// openHandler handles a call to an engine. The obstacle is removed when open is closed.
+// openHandler handles a call to an engine. The channel open is closed when the obstacle is removed.
 type openHandler func(open <-chan struct{}, call string, w http.ResponseWriter, q *http.Request) bool
 
 // attemptInFlight keeps the attempts of all requests in flight at one engine. Another engine is ready for their
@@ -263,7 +267,7 @@
 	})
 }
 
-// unresponsiveEngine is an engine that answers no call. An attempt ends 2.1 s after the last call.
+// unresponsiveEngine is an engine that answers no call. An attempt ends 2.1 s after the timeout of its last call.
 func unresponsiveEngine(t *testing.T, posts *postLog) *obstacle {
 	t.Helper()
 	var mu sync.Mutex
@@ -276,13 +280,13 @@
 		return true
 	})
 	o.disconnectAt = func() time.Time {
-		const callTime, endsAfter = 350 * time.Millisecond, 2100 * time.Millisecond
+		const callTimeout, queryExpiry = 350 * time.Millisecond, 2100 * time.Millisecond
 		for {
 			mu.Lock()
 			at := last
 			mu.Unlock()
-			if time.Since(at) > 2*callTime {
-				return at.Add(callTime + endsAfter - disconnectBound - 30*time.Millisecond)
+			if time.Since(at) > 2*callTimeout {
+				return at.Add(callTimeout + queryExpiry - disconnectBound - 30*time.Millisecond)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -354,7 +358,7 @@
 	if o.start != nil {
 		o.start(r)
 	}
-	clients := disconnects(r, o.class)
+	clients := disconnectingClients(r, o.class)
 	observer := r.dial()
 	observer.ping()
 	o.waitBlocked(r, len(clients))
@@ -367,7 +371,7 @@
 	}
 	if pauseAt == removalFirst {
 		o.remove(r)
-		time.Sleep(disconnectBound) // for the event to arrive at the program's machine
+		time.Sleep(disconnectBound) // for the kernel to receive the event while the program is paused
 	}
 	for _, d := range clients {
 		d.leave()
@@ -389,7 +393,7 @@
 	if o.waitEnded != nil {
 		o.waitEnded(r, len(clients))
 	}
-	last := statement(o.class, 20000) // must be served where the other requests would have been
+	last := statement(o.class, 20000) // must be served, which shows that the other requests could have been
 	observer.send(0, last)
 	a := observer.read()
 	assert.Zero(t, a.code, a.text)
@@ -400,9 +404,9 @@
 	return true
 }
 
-// assertNotSentLate asserts that no request of a disconnected client is in late. A failure names the method of the
-// disconnect.
-func assertNotSentLate(t *testing.T, clients []*disconnect, late []string) {
+// assertNotSentLate asserts that late is empty, and checks the answers to each client. A failure names the method of
+// the disconnect.
+func assertNotSentLate(t *testing.T, clients []*disconnectingClient, late []string) {
 	t.Helper()
 	for _, d := range clients {
 		if d.checkAnswers != nil {
--- a/cmd/gateway/endpoints.go
+++ b/cmd/gateway/endpoints.go
@@ -46,7 +46,7 @@
 // follow switches to the source that the settings name. On an error the previous source stays in use.
 func (f *endpointFollower) follow(c configuration) error {
 	var cache *endpointcache.Store
-	var store consul.Store // must be a nil interface, not a nil pointer in one, if there is no cache
+	var store consul.Store // stays nil without a cache; an interface that holds a nil *Store would not equal nil
 	if settings := c.operators.EndpointCache; settings.Path != "" && c.operators.Source == operatorconfig.SourceConsul {
 		cache = endpointcache.New(settings.Path, settings.WriteInterval, settings.MaxAge, f.log)
 		store = cache
@@ -87,8 +87,9 @@
 	}
 }
 
-// reload reads both files again and follows the source that they name. Invalid or half-written files change nothing.
-// No other setting changes while the process runs.
+// reload reads the platform's configuration and the operators' settings again, and follows the source that the settings
+// name. Invalid or half-written files change nothing. Settings that do not concern the source take effect only at the
+// next start of the process.
 func (f *endpointFollower) reload() {
 	c, err := f.paths.load()
 	if err == nil && c.operators.Source == operatorconfig.SourceConsul && f.consul != nil &&
--- a/cmd/gateway/server.go
+++ b/cmd/gateway/server.go
@@ -38,8 +38,8 @@
 	// maxDeadline, plus killDelay.
 	maxDeadline = 3 * time.Second
 	killDelay   = 700 * time.Millisecond
-	// killMargin is reserved before the kill for the last answers to be sent. Within killMargin, the sessions of clients
-	// that do not read their answers may stay open for sessionMargin.
+	// All requests must be answered killMargin before the kill, so that there is time to send the last answers. Within
+	// killMargin, sessions of clients that do not read their answers stay open for at most sessionMargin.
 	killMargin    = 150 * time.Millisecond
 	sessionMargin = 100 * time.Millisecond
 
@@ -51,7 +51,7 @@
 	config     configuration
 	log        *slog.Logger
 	counters   *invariant.Counters
-	dispatcher *dispatch.Dispatcher // owns the controller
+	dispatcher *dispatch.Dispatcher // owns the admission controller
 	engines    *engine.Client
 	listener   *mysql.Server
 	endpoints  *endpointFollower
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// limitResources sizes the Go runtime to the cores and the memory of the configuration.
+// limitResources sets GOMAXPROCS to the configured cores, and the memory limit of the Go runtime to 70 % of the
+// configured memory.
 func limitResources(config *platformconfig.Config, log io.Writer) error {
 	runtime.GOMAXPROCS(max(1, int(config.Cores)))
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 7 / 10)
@@ -164,7 +165,7 @@
 }
 
 // newEndpoints creates the endpoint follower. If the source is the change log, newEndpoints also publishes the
-// endpoint lists that the platform's configuration holds.
+// endpoint lists that result from the events under "known" in the platform's configuration.
 func (s *server) newEndpoints(paths *configPaths) error {
 	platform, operators := s.config.platform, s.config.operators
 	changeLog := endpoints.NewChangeLog(platform.Names)
@@ -172,7 +173,7 @@
 	if len(platform.KnownEvents) > 0 && operators.Source == operatorconfig.SourceChangeLog {
 		var err error
 		if known, err = changeLog.Read(platform.KnownEvents); err != nil {
-			return fmt.Errorf("known: %w", err)
+			return fmt.Errorf("configuration: known: %w", err)
 		}
 	}
 	feed := source.NewFeed(s.ctx, s.dispatcher.EndpointsChanged, operators.Consul.Membership.Linger, s.log)
@@ -266,8 +267,8 @@
 	s.member.ReportDraining()
 	timeout := shutdownTimeout(s.config.platform.Admission.Classes)
 	s.dispatcher.Shutdown(timeout)
-	// When ctx expires, all requests are answered: the sessions that are left hold half a packet, or their clients do not
-	// read.
+	// When ctx expires, all requests are answered. In a session that is left, the client has sent an incomplete packet or
+	// does not read its answers.
 	ctx, cancel := context.WithTimeout(s.ctx, timeout+sessionMargin)
 	defer cancel()
 	time.Sleep(min(drainingPeriod, timeout))
--- a/cmd/gatewayctl/scale_run.go
+++ b/cmd/gatewayctl/scale_run.go
@@ -17,7 +17,7 @@
 type scaleRun struct {
 	options scale.Options
 	faults  string
-	notice  bool   // adds the faults that measure the time until a failed member is suspected
+	notice  bool   // adds the faults that measure the failure detection time
 	record  string // name of the recording to write; empty: none
 	add     bool   // add to an existing recording instead of replacing it
 	notes   []string
@@ -58,7 +58,8 @@
 	f.IntVar(&o.Zones, "zones", o.Zones, "number of zones over which members and databases are spread")
 	f.IntVar(&o.Regions, "regions", o.Regions, "number of regions over which zones are spread")
 	f.IntVar(&o.PerHost, "per-host", o.PerHost, "number of simulated members in each host process")
-	f.IntVar(&o.Seconds, "seconds", o.Seconds, "seconds without changes, in which costs are measured")
+	f.IntVar(&o.Seconds, "seconds", o.Seconds,
+		"length of the window without changes, in seconds; costs are measured in it")
 	f.IntVar(&o.Changes, "changes", o.Changes, "number of measured drains")
 	f.IntVar(&o.PrimaryChanges, "primary-changes", o.PrimaryChanges, "number of measured kills of the leader")
 	f.DurationVar(&o.FormWithin, "form-within", o.FormWithin, "timeout of each step of forming the fleet")
@@ -186,9 +187,9 @@
 	}
 	s.flags(c)
 	c.Flags().IntSliceVar(&sizes, "sizes", []int{50, 100, 200, 400, 710},
-		"numbers of front ends; databases are scaled from 810 to 710 front ends")
-	c.Flags().IntVar(&repeats.Last, "repeats", 3, "number of runs of each size")
+		"numbers of front ends; each fleet has 810 databases for every 710 front ends")
+	c.Flags().IntVar(&repeats.Last, "repeats", 3, "index of the last run of each size")
 	c.Flags().IntVar(&repeats.First, "first-repeat", 1,
-		"number of the first run of each size; with --append for a sweep in parts")
+		"index of the first run of each size, counted from 1; with --append for a sweep in parts")
 	return c
 }
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -20,7 +20,7 @@
 
 // Timeouts of the platform's protocol.
 const (
-	pollTimeout    = 250 * time.Millisecond // longest wait of a poll for the end of the query
+	pollTimeout    = 250 * time.Millisecond // a call that waits this long is answered that the query still runs
 	abandonTimeout = 2 * time.Second        // a query that is not polled for this long is cancelled
 	retention      = 15 * time.Second       // how long an ended query stays available to polls
 )
@@ -30,7 +30,7 @@
 
 // Class describes how the queries of a class run on an engine.
 type Class struct {
-	Work    time.Duration // mean, on one core with one thread
+	Work    time.Duration // mean execution time with one thread, without contention
 	Threads int
 	Pages   int // of the result; 0 means 1
 	Rows    int // of each page; 0 means 1
@@ -59,11 +59,11 @@
 	Addr    string
 	options Options
 
-	mu      sync.Mutex
-	queries map[string]*query
-	threads int
-	ended   []Execution
-	resumed chan struct{} // nil unless the engine is paused; closed when it resumes
+	mu         sync.Mutex
+	queries    map[string]*query
+	threads    int
+	ended      []Execution
+	pauseEnded chan struct{} // closed at the end of the pause; nil while the engine is not paused
 
 	http *http.Server
 	ctx  context.Context // ends when the engine is killed
@@ -114,14 +114,14 @@
 func (e *Engine) Pause() (resume func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.resumed != nil {
+	if e.pauseEnded != nil {
 		return func() {}
 	}
 	c := make(chan struct{})
-	e.resumed = c
+	e.pauseEnded = c
 	return sync.OnceFunc(func() {
 		e.mu.Lock()
-		e.resumed = nil
+		e.pauseEnded = nil
 		e.mu.Unlock()
 		close(c)
 	})
@@ -144,7 +144,7 @@
 func (e *Engine) pausable(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		unpaused := e.resumed
+		unpaused := e.pauseEnded
 		if id, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v2/q/"), "/"); e.queries[id] != nil {
 			e.queries[id].polledAt = time.Now() // a poll counts from its arrival, even if its answer is delayed
 		}
@@ -224,8 +224,9 @@
 	return float64(xxh3.HashString(key)>>(64-bits)) / (1 << bits)
 }
 
-// executionTime returns how long a query runs: its work, which the id determines, divided by its threads, and extended
-// in proportion while the running queries have more threads than the engine has cores. The caller must hold mu.
+// executionTime returns how long a query runs: Options.Latency plus the query's work divided by its threads. The work
+// is the mean of the class, varied by a factor that depends only on the id. If the running queries have more threads
+// than the engine has cores, the work is extended by the ratio of threads to cores. The caller must hold mu.
 func (e *Engine) executionTime(id string, class Class) time.Duration {
 	variation := 0.25 + 1.5*draw(id) // mean 1
 	contention := max(1, float64(e.threads)/float64(e.options.Cores))
--- a/internal/faulttest/checker.go
+++ b/internal/faulttest/checker.go
@@ -75,7 +75,7 @@
 	})
 }
 
-// The rules, by their names in reports. The value of a rule is the number of its violations.
+// The names of the rules in reports. A report gives the number of violations of each rule.
 const (
 	LateSends          = "late_sends"     // requests sent to an engine more than DrainGrace after the command to drain it
 	DoubleRuns         = "double_runs"    // non-idempotent requests that were executed more than once
@@ -83,10 +83,10 @@
 	UnansweredRequests = "unanswered"     // requests without an answer before the client's timeout
 	DoubleAnswers      = "double_answers" // answers without a request
 	WrongAnswers       = "wrong_answers"  // answers that no engine produced for the request
-	FalsePromises      = "false_promises" // non-idempotent requests that were executed and rejected as safe to retry
+	UnsafeRejections   = "false_promises" // non-idempotent requests that were executed, but rejected as safe to retry
 	NoEngine           = "no_engine"      // times at which a front end listed no engine as ready, but one was running
 	Crashes            = "crashes"        // front ends that failed, ended unrequested, or counted a broken invariant
-	// granted shutdowns of front ends that began while as many others as the budget allows were unavailable
+	// granted shutdowns of front ends that began while the budget was already used up by other unavailable front ends
 	OverBudget    = "over_budget"
 	AfterHalt     = "after_halt"     // granted shutdowns that began after a halt was acknowledged
 	NotEmpty      = "not_empty"      // queries on an engine that was reported as drained
@@ -95,7 +95,7 @@
 
 // Rules lists all rules, in the order of reports.
 var Rules = []string{
-	LateSends, DoubleRuns, OverlappingRuns, UnansweredRequests, DoubleAnswers, WrongAnswers, FalsePromises, NoEngine,
+	LateSends, DoubleRuns, OverlappingRuns, UnansweredRequests, DoubleAnswers, WrongAnswers, UnsafeRejections, NoEngine,
 	Crashes, OverBudget, AfterHalt, NotEmpty, WrongRevision,
 }
 
@@ -143,7 +143,8 @@
 	for i := 1; i < len(executions); i++ {
 		previous, x := executions[i-1], executions[i]
 		if previous.EndedAt.IsZero() || previous.EndedAt.After(x.ReceivedAt) {
-			c.violate(OverlappingRuns, x.ReceivedAt, r.ID, "started on %s while it still ran on %s", x.Engine, previous.Engine)
+			c.violate(OverlappingRuns, x.ReceivedAt, r.ID, "started on %s while its previous execution still ran on %s",
+				x.Engine, previous.Engine)
 		}
 	}
 	if class.NonIdempotent && len(executions) > 1 {
@@ -151,7 +152,8 @@
 	}
 }
 
-// checkAnswer checks the answer of a request against the client's timeout and the request's executions.
+// checkAnswer checks the answer of a request against the client's timeout and the request's executions. The timeout
+// does not apply to an answered request that the client sent answerSlack or more after its due time.
 func (c *checker) checkAnswer(class Class, r Request, executions []engine.Execution) {
 	succeeded := func(x engine.Execution) bool { return x.Succeeded }
 	switch {
@@ -166,7 +168,7 @@
 	case r.Outcome == Served && !slices.ContainsFunc(executions, succeeded):
 		c.violate(WrongAnswers, r.Due, r.ID, "served, but no engine completed the query")
 	case r.Outcome == Rejected && class.NonIdempotent && len(executions) > 0:
-		c.violate(FalsePromises, r.Due, r.ID, "%s was rejected as safe to retry, but had been executed on %s", class.Name,
+		c.violate(UnsafeRejections, r.Due, r.ID, "%s was rejected as safe to retry, but had been executed on %s", class.Name,
 			executions[0].Engine)
 	}
 }
--- a/internal/faulttest/cluster/relay.go
+++ b/internal/faulttest/cluster/relay.go
@@ -148,7 +148,7 @@
 			continue
 		}
 		r.forwardDatagram(target, buffer[:n], fault)
-		if draw > 1-fault.Duplicate {
+		if draw > 1-fault.Duplicate { // the lowest draws drop the datagram, the highest ones duplicate it
 			r.forwardDatagram(target, buffer[:n], fault)
 		}
 	}
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -79,7 +79,7 @@
 		"load executed twice": {requestWith(load, Served, 50),
 			[]engine.Execution{executed("e1", "a", 0, 20), executed("e2", "a", 21, 40)}, nil, nil, DoubleRuns},
 		"load rejected after its execution": {requestWith(load, Rejected, 50),
-			[]engine.Execution{executed("e1", "a", 0, 20)}, nil, nil, FalsePromises},
+			[]engine.Execution{executed("e1", "a", 0, 20)}, nil, nil, UnsafeRejections},
 		"load rejected without execution": {requestWith(load, Rejected, 50), nil, nil, nil, ""},
 		"no answer":                       {requestWith(lookup, Unanswered, 4500), nil, nil, nil, UnansweredRequests},
 		"answered after the timeout":      {requestWith(lookup, Failed, 2900), nil, nil, nil, UnansweredRequests},
--- a/internal/faulttest/rollout_checks.go
+++ b/internal/faulttest/rollout_checks.go
@@ -12,10 +12,10 @@
 	"beechcart/internal/faulttest/cluster"
 )
 
-// The exit codes of a granted shutdown: the front end is to be restarted at once, or when its drain is cancelled.
+// The exit codes of a granted shutdown.
 const (
-	exitRestart = 75
-	exitDrained = 76
+	exitRestart = 75 // the front end is to be restarted at once
+	exitDrained = 76 // the front end is to be restarted when its drain is cancelled
 )
 
 // emptyGrace is the tolerated time from the report that an engine is empty to the end of an execution, since the end is
@@ -64,8 +64,8 @@
 }
 
 // judgedRequests returns the requests that the rules apply to. It leaves out requests that were lost with their front
-// end, and waives the time limit of requests whose front end was stopped and answered late. A request without any
-// answer stays a violation.
+// end. For an answered request whose front end was killed or stopped in the meantime, it sets the latency to 0, so that
+// the client's timeout does not apply. A request without any answer stays a violation.
 func judgedRequests(requests []Request, disturbed func(address string, from, to time.Time) bool) (judged []Request) {
 	for _, request := range requests {
 		if request.Outcome == LostWithFrontEnd {
@@ -96,7 +96,7 @@
 	for _, x := range executions {
 		for _, empty := range c.emptyPeriods {
 			if empty.engine == x.Engine && empty.overlaps(x) {
-				c.violate(NotEmpty, x.ReceivedAt, "%s ran %s until %v after it was reported as empty at %s",
+				c.violate(NotEmpty, x.ReceivedAt, "engine %s ran query %s until %v after the engine was reported as empty at %s",
 					empty.engine, x.ID, x.EndedAt.Sub(empty.from), empty.from.Format("15:04:05.000"))
 			}
 		}
@@ -170,8 +170,8 @@
 	}
 }
 
-// knownUnavailable reports whether a member was unavailable at a time, and the fleet must have known: it had granted
-// the shutdown, or had failureDetection to detect the failure.
+// knownUnavailable reports whether a member was unavailable at a time and the fleet must have known. The fleet must
+// know of a shutdown that the fleet granted, and of a failure that is older than failureDetection.
 func knownUnavailable(m *cluster.Member, at time.Time) bool {
 	unavailable, byGrant, since := m.Unavailable(at)
 	return unavailable && (byGrant || at.Sub(since) > failureDetection)
--- a/internal/scale/capacity/render.go
+++ b/internal/scale/capacity/render.go
@@ -10,7 +10,7 @@
 	"beechcart/internal/scale/record"
 )
 
-// The tables of the page that are not tables of rows.
+// The names of the page's tables that do not stand for a Table of Rows.
 const (
 	missedTable      = "missed"
 	leadsTable       = "leads"
@@ -33,7 +33,8 @@
 		name := markers.FindStringSubmatch(found)[1]
 		table, known := rendered[name]
 		if !known || seen[name] {
-			problem = cmp.Or(problem, fmt.Errorf("capacity: table %s: found twice on the page, or not defined", name))
+			problem = cmp.Or(problem,
+				fmt.Errorf("capacity: table %s: found twice on the page, or not one of the rendered tables", name))
 			return found
 		}
 		seen[name] = true
@@ -140,7 +141,7 @@
 	return strings.Join(slopes, "; ")
 }
 
-// per returns the name of one unit of a law's variable.
+// per returns the unit of a law's variable that a slope refers to, in words.
 func per(law record.Law) string {
 	switch law {
 	case record.InMembers:
@@ -191,8 +192,8 @@
 	judgement Judgement
 }
 
-// misses returns the rows that miss their budgets. Rows with a blocker come first, then the others by decreasing
-// factor.
+// misses returns the rows that miss their budgets. Rows with a blocker, whose verdict is CannotBeDone, come first. The
+// others follow by decreasing factor.
 func misses(tables []Table, recordings []record.Recording) (list []miss) {
 	for _, t := range tables {
 		for _, r := range t.Rows {
@@ -202,7 +203,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(list, func(a, b miss) int { // Missed is less than CannotBeDone
+	slices.SortStableFunc(list, func(a, b miss) int { // CannotBeDone is the greater verdict
 		return cmp.Or(cmp.Compare(b.judgement.Verdict, a.judgement.Verdict), cmp.Compare(b.judgement.Factor,
 			a.judgement.Factor))
 	})
--- a/internal/scale/notice.go
+++ b/internal/scale/notice.go
@@ -12,15 +12,15 @@
 // noticeInterval is the interval at which the leader's status is polled for suspicions.
 const noticeInterval = 75 * time.Millisecond
 
-// noticeFaults lists the faults that --notice adds. noticeQuantities gives, for each fault that measures a time to
-// notice, the part of the quantity's name that stands for the fault.
+// noticeFaults lists the faults that --notice adds. noticeQuantities holds the faults whose detection time is measured,
+// and for each the word that names the fault in the quantity notice_WORD_max_seconds.
 var (
 	noticeFaults     = []string{"dead", "stop"}
 	noticeQuantities = map[string]string{"dead": "dead", "stop": "stopped", "one-way": "one_way"}
 )
 
-// WithNotice returns a copy of faults, to which it adds the faults that measure the time to notice a dead and a stopped
-// member where they are missing.
+// WithNotice returns a copy of faults that also holds the faults that measure the detection time of a dead and of a
+// stopped member.
 func WithNotice(faults []string) []string {
 	faults = slices.Clone(faults)
 	for _, name := range noticeFaults {
@@ -31,14 +31,14 @@
 	return faults
 }
 
-// Notice is the time that the control log took to suspect the members of a fault, measured from just before the fault
-// began. Times are those at which the leader's answers arrive, so they are too long by at most one request and one
-// polling interval.
+// Notice is the detection time of a fault: the time from just before the start of the fault until the control log
+// suspects the members that the fault affects. A time ends when the leader's answer arrives, so the time is too long by
+// at most one request and one polling interval.
 type Notice struct {
 	Members      int     `json:"members"`       // number of members that were watched
 	Suspected    int     `json:"suspected"`     // number of those that were suspected within the bound
 	BoundSeconds float64 `json:"bound_seconds"` // how long the watch lasts at most
-	// until the last member was suspected; null: not all members were suspected within the bound
+	// time until the last member was suspected; null: not all members were suspected within the bound
 	MaxSeconds *float64 `json:"max_seconds"`
 }
 
@@ -47,7 +47,7 @@
 	members     []string
 	began       time.Time
 	bound       time.Duration
-	suspectedAt map[string]time.Duration // by member: time from began to the first answer that has it suspected
+	suspectedAt map[string]time.Duration // by member: time from began to the first answer that reports the suspicion
 	done        chan struct{}            // closed once all are suspected, the bound has passed or the context has ended
 }
 
@@ -56,9 +56,9 @@
 		done: make(chan struct{})}
 }
 
-// watchSuspicion waits until the leader's state has none of the members suspected, and then watches them in the
-// background; the caller starts the fault when watchSuspicion returns. If members are still suspected after
-// Options.NoticeWithin, it logs that and returns nil.
+// watchSuspicion waits until the leader's state holds all members and suspects none of them, and then watches them in
+// the background. The caller starts the fault when watchSuspicion returns. If a member is still missing or suspected
+// after Options.NoticeWithin, watchSuspicion logs that and returns nil.
 func (r *run) watchSuspicion(ctx context.Context, members []string, bound time.Duration) *suspicionWatch {
 	if !r.awaitUnsuspected(ctx, members) {
 		r.logf("time to notice not measured: the log has not had all %d members unsuspected within %v", len(members),
@@ -70,8 +70,8 @@
 	return w
 }
 
-// awaitUnsuspected waits until the leader's state knows all members and has none of them suspected. It returns false
-// after Options.NoticeWithin.
+// awaitUnsuspected waits until the leader's state holds all members and suspects none of them. It returns false if
+// Options.NoticeWithin passes or ctx ends first.
 func (r *run) awaitUnsuspected(ctx context.Context, members []string) bool {
 	return waitUntil(ctx, r.options.NoticeWithin, noticeInterval, func() bool {
 		status, err := r.client.Status()
@@ -107,7 +107,8 @@
 	}
 }
 
-// observe records the members that a state of the log has suspected. The state arrived at the given time after began.
+// observe records the members that are suspected in a state of the control log. The state arrived at the given time
+// after began.
 func (w *suspicionWatch) observe(state map[string]*rollout.Member, after time.Duration) {
 	for _, name := range w.members {
 		_, known := w.suspectedAt[name]
--- a/internal/scale/runner.go
+++ b/internal/scale/runner.go
@@ -18,8 +18,8 @@
 // pollInterval is the interval at which the runner polls the hosts' reports and the control replicas.
 const pollInterval = 100 * time.Millisecond
 
-// maxDrains is the budget of databases that may be drained at the same time. It leaves room for drains that could not
-// be undone because the control log had no quorum.
+// maxDrains is the budget of databases that may be drained at the same time. The budget leaves room for drains
+// that stay in force because the control log had no quorum when they were to be undone.
 const maxDrains = 50
 
 // run is the state of one run.
@@ -30,7 +30,7 @@
 	plan    *layout
 	client  *fleet.Client
 	hosts   []*hostProcess // control replicas first
-	idle    *hostProcess   // without members, to measure the cost of the harness
+	idle    *hostProcess   // a host process without members, to measure the cost of the harness
 	fakes   *fakeServers
 	fronts  []*realFrontEnd
 	began   time.Time
@@ -277,7 +277,7 @@
 	sent   time.Time
 }
 
-// errorOutput returns the end of the standard error of each control replica's host, for error messages.
+// errorOutput returns the last 500 bytes of the standard error of each control replica's host, for error messages.
 func (r *run) errorOutput() (text string) {
 	var tails strings.Builder
 	for _, h := range r.hosts[:r.options.Control] {
