--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -44,7 +44,7 @@
 // sourceFile is what a Go file declares and imports.
 type sourceFile struct {
 	names   map[string]bool // Name, and Type.Member for methods and fields
-	strings map[string]bool // values of string literals
+	strings map[string]bool // values of string and character literals and struct tags, imports excepted
 	imports []string        // packages of this project, from its root
 }
 
@@ -81,10 +81,15 @@
 func declarations(parsed *ast.File) *sourceFile {
 	file := &sourceFile{names: map[string]bool{}, strings: map[string]bool{}}
 	ast.Inspect(parsed, func(node ast.Node) bool {
-		if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
-			if value, err := strconv.Unquote(literal.Value); err == nil {
-				file.strings[value] = true
-			}
+		if _, ok := node.(*ast.ImportSpec); ok {
+			return false
+		}
+		literal, ok := node.(*ast.BasicLit)
+		if !ok || (literal.Kind != token.STRING && literal.Kind != token.CHAR) {
+			return true
+		}
+		if value, err := strconv.Unquote(literal.Value); err == nil {
+			file.strings[value] = true
 		}
 		return true
 	})
--- a/docs/edge_names_test.go
+++ b/docs/edge_names_test.go
@@ -1,13 +1,12 @@
 package docs
 
 import (
-	"go/ast"
-	"go/parser"
-	"go/token"
+	"maps"
 	"os"
+	"path"
 	"path/filepath"
 	"regexp"
-	"strconv"
+	"slices"
 	"strings"
 	"testing"
 	"unicode"
@@ -36,52 +35,24 @@
 	return names
 }
 
-// packageTexts returns the string literals and struct tags of a package without its tests, and its CUE schema without
+// packageTexts returns the literals and struct tags of a package without its tests, and its CUE schema without
 // comments.
-func packageTexts(t *testing.T, directory string) []string {
+func packageTexts(t *testing.T, files map[string]*sourceFile, directory string) []string {
 	t.Helper()
-	entries, err := os.ReadDir(directory)
-	require.NoError(t, err)
 	var texts []string
-	for _, entry := range entries {
-		name := filepath.Join(directory, entry.Name())
-		switch {
-		case strings.HasSuffix(name, "_test.go"):
-		case strings.HasSuffix(name, ".go"):
-			literals, err := stringLiterals(name)
-			require.NoError(t, err)
-			texts = append(texts, literals...)
-		case strings.HasSuffix(name, ".cue"):
-			text, err := os.ReadFile(name)
-			require.NoError(t, err)
-			texts = append(texts, cueComment.ReplaceAllString(string(text), ""))
+	for name, file := range files {
+		if path.Dir(name) == directory && !strings.HasSuffix(name, "_test.go") {
+			texts = slices.AppendSeq(texts, maps.Keys(file.strings))
 		}
 	}
-	return texts
-}
-
-// stringLiterals returns the values of all string literals of a Go file, imports excepted.
-func stringLiterals(name string) ([]string, error) {
-	parsed, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
-	if err != nil {
-		return nil, err
+	schemas, err := filepath.Glob(filepath.Join(root, directory, "*.cue"))
+	require.NoError(t, err)
+	for _, name := range schemas {
+		text, err := os.ReadFile(name)
+		require.NoError(t, err)
+		texts = append(texts, cueComment.ReplaceAllString(string(text), ""))
 	}
-	var literals []string
-	ast.Inspect(parsed, func(node ast.Node) bool {
-		if _, ok := node.(*ast.ImportSpec); ok {
-			return false
-		}
-		literal, ok := node.(*ast.BasicLit)
-		if !ok || (literal.Kind != token.STRING && literal.Kind != token.CHAR) {
-			return true
-		}
-		value, err := strconv.Unquote(literal.Value)
-		if err == nil {
-			literals = append(literals, value)
-		}
-		return true
-	})
-	return literals, nil
+	return texts
 }
 
 // containsWord reports whether a text contains a name that is not a part of a longer word.
@@ -110,10 +81,10 @@
 // TestEdgeNamesExist fails for a name of docs/edge-names.txt that is gone from its package. Other programs, stored data
 // and operators' settings use these names.
 func TestEdgeNamesExist(t *testing.T) {
-	names := edgeNames(t)
+	files := readTree(t)
 	total := 0
-	for directory, list := range names {
-		texts := packageTexts(t, filepath.Join(root, directory))
+	for directory, list := range edgeNames(t) {
+		texts := packageTexts(t, files, directory)
 		for _, name := range list {
 			total++
 			found := false
